--- a/apps/bench/hollow_command.cc
+++ b/apps/bench/hollow_command.cc
@@ -19,7 +19,7 @@
 constexpr std::uint32_t kDesignNodes = 350;
 constexpr std::uint32_t kDesignTenants = 22000;
 constexpr std::uint32_t kTenantsPerTransaction = 500;
-constexpr Duration kSettleLimit = seconds(60);
+constexpr Duration kSettlingTimeout = seconds(60);
 constexpr Duration kChangeLimit = seconds(20);
 constexpr double kMegabyte = 1024 * 1024;
 constexpr double kKilobyte = 1024;
@@ -120,7 +120,8 @@
     return std::nullopt;
   }
   // A node whose lease lapsed is not waited for by the acknowledgement; here it counts too.
-  if (!nodes_.RunUntil([&] { return nodes_.Holding(version) == nodes_.size(); }, kSettleLimit)) {
+  if (!nodes_.RunUntil([&] { return nodes_.Holding(version) == nodes_.size(); },
+                       kSettlingTimeout)) {
     std::printf("%zu of %zu nodes hold the change\n", nodes_.Holding(version), nodes_.size());
     return std::nullopt;
   }
@@ -148,7 +149,7 @@
 
 bool HollowRun::MeasureNodes(std::uint32_t count, NodePoint* point) {
   nodes_.Grow(count);
-  if (!nodes_.RunUntil([&] { return nodes_.Leased() == count; }, kSettleLimit)) {
+  if (!nodes_.RunUntil([&] { return nodes_.Leased() == count; }, kSettlingTimeout)) {
     std::printf("only %zu of %u nodes hold a lease\n", nodes_.Leased(), count);
     return false;
   }
--- a/apps/cloverbank/batch_commands.cc
+++ b/apps/cloverbank/batch_commands.cc
@@ -71,7 +71,7 @@
 }
 
 int Submit(CommandContext& context, const BatchArguments& arguments) {
-  const auto text = ReadWholeFile(arguments.file);
+  const auto text = ReadFileContent(arguments.file);
   if (!text.ok()) {
     std::fprintf(stderr, "cloverbank: %s\n", text.status().message().c_str());
     return kExitUsage;
@@ -89,7 +89,7 @@
   if (!client.Call("POST", "/v1/batches", ToJson(batch), Repeat::kSafe, &status, &error)) {
     std::fprintf(stderr, "cloverbank: send it again with --key %s\n",
                  batch.idempotency_key().c_str());
-    return TellError(error);
+    return PrintError(error);
   }
   PrintStatus(context, status);
   return kExitOk;
@@ -105,7 +105,7 @@
   proto::BatchStatus status;
   ApiError error;
   if (!GetStatus(client, arguments.batch_id, &status, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   PrintStatus(context, status);
   return kExitOk;
@@ -128,7 +128,7 @@
   const bool terminal = isatty(STDERR_FILENO) == 1;
   while (true) {
     if (!GetStatus(client, arguments.batch_id, &status, &error)) {
-      return TellError(error);
+      return PrintError(error);
     }
     if (terminal) {
       DrawProgress(status);
@@ -155,7 +155,7 @@
                              "/results?limit=" + std::to_string(kResultPage) + "&cursor=" + cursor;
     if (!client.Call("GET", path, {}, Repeat::kSafe, &page, &error)) {
       std::fprintf(stderr, "cloverbank: go on later with --cursor '%s'\n", cursor.c_str());
-      return TellError(error);
+      return PrintError(error);
     }
     for (const proto::ItemResult& result : page.results()) {
       std::printf("%s\n", ToJson(result).c_str());
@@ -171,7 +171,7 @@
   ApiError error;
   if (!client.Call("POST", "/v1/batches/" + arguments.batch_id + "/cancel", {}, Repeat::kSafe,
                    &status, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   PrintStatus(context, status);
   return kExitOk;
@@ -185,7 +185,7 @@
   do {
     const std::string path = "/v1/batches?tenant=" + arguments.tenant + "&cursor=" + cursor;
     if (!client.Call("GET", path, {}, Repeat::kSafe, &page, &error)) {
-      return TellError(error);
+      return PrintError(error);
     }
     for (const proto::BatchStatus& status : page.batches()) {
       PrintStatus(context, status);
--- a/apps/cloverbank/call_command.cc
+++ b/apps/cloverbank/call_command.cc
@@ -45,7 +45,7 @@
   // here.
   if (!client.Call("POST", "/v1/call/" + arguments.route, ToJson(arguments.call), Repeat::kNever,
                    &answer, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   if (context.output == OutputForm::kJson) {
     PrintJson(answer);
--- a/apps/cloverbank/command_context.cc
+++ b/apps/cloverbank/command_context.cc
@@ -37,7 +37,7 @@
 
 ApiClient CommandContext::MakeClient() const { return {gateways, kPatience}; }
 
-int TellError(const ApiError& error) {
+int PrintError(const ApiError& error) {
   std::fprintf(stderr, "cloverbank: %s: %s\n", error.error.code().c_str(),
                error.error.message().c_str());
   for (const std::string& problem : error.error.problems()) {
@@ -61,7 +61,7 @@
   std::printf("%s\n", ToReadableJson(message).c_str());
 }
 
-Result<std::string> ReadWholeFile(const std::string& path) {
+Result<std::string> ReadFileContent(const std::string& path) {
   if (path == "-") {
     return std::string{std::istreambuf_iterator<char>(std::cin), std::istreambuf_iterator<char>()};
   }
--- a/apps/cloverbank/command_context.h
+++ b/apps/cloverbank/command_context.h
@@ -36,11 +36,11 @@
 };
 
 /// Prints `error` with what to do next. @return the exit code that fits.
-int TellError(const ApiError& error);
+int PrintError(const ApiError& error);
 /// Prints `message` as readable JSON.
 void PrintJson(const google::protobuf::Message& message);
 /// @return the file's bytes ("-" is standard input), or kInvalidArgument naming it.
-Result<std::string> ReadWholeFile(const std::string& path);
+Result<std::string> ReadFileContent(const std::string& path);
 /// @return a random id for an operation or idempotency key.
 std::string RandomId(const std::string& prefix);
 
--- a/apps/cloverbank/config_commands.cc
+++ b/apps/cloverbank/config_commands.cc
@@ -20,7 +20,7 @@
   // The operation id makes it safe to send the order again after a lost answer.
   if (!client.Call("POST", kTransactionsPath, ToJson(transaction), Repeat::kSafe, &result,
                    &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   if (context.output == OutputForm::kJson) {
     PrintJson(result);
@@ -40,7 +40,7 @@
   proto::GetConfigurationResponse response;
   ApiError error;
   if (!client.Call("GET", "/v1/config", {}, Repeat::kSafe, &response, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   PrintJson(response.configuration());
   return kExitOk;
@@ -51,7 +51,7 @@
   proto::GetConfigurationResponse response;
   ApiError error;
   if (!client.Call("GET", "/v1/config/history?limit=20", {}, Repeat::kSafe, &response, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   if (context.output == OutputForm::kJson) {
     PrintJson(response);
@@ -73,7 +73,7 @@
 };
 
 int Apply(CommandContext& context, const ApplyArguments& arguments) {
-  const auto text = ReadWholeFile(arguments.file);
+  const auto text = ReadFileContent(arguments.file);
   if (!text.ok()) {
     std::fprintf(stderr, "cloverbank: %s\n", text.status().message().c_str());
     return kExitUsage;
@@ -97,7 +97,7 @@
   proto::GetConfigurationResponse response;
   ApiError error;
   if (!client.Call("GET", "/v1/config", {}, Repeat::kSafe, &response, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   proto::ConfigurationTransaction transaction;
   transaction.set_operation_id(RandomId("zone"));
--- a/apps/cloverbank/fleet_commands.cc
+++ b/apps/cloverbank/fleet_commands.cc
@@ -50,7 +50,7 @@
   proto::GetFleetStatusResponse status;
   ApiError error;
   if (!client.Call("GET", "/v1/status", {}, Repeat::kSafe, &status, &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   if (context.output == OutputForm::kJson) {
     PrintJson(status);
@@ -66,7 +66,7 @@
   ApiError error;
   if (!client.Call("POST", "/v1/stores/" + machine + "/retire", {}, Repeat::kSafe, &response,
                    &error)) {
-    return TellError(error);
+    return PrintError(error);
   }
   std::printf("%s takes nothing new and is being emptied; see cloverbank status\n",
               machine.c_str());
--- a/apps/cloverbankd/coordinator_role.cc
+++ b/apps/cloverbankd/coordinator_role.cc
@@ -16,7 +16,7 @@
 RaftNodeOptions MakeRaftOptions(const RoleContext& context) {
   RaftNodeOptions options;
   options.seeds = context.settings.seeds;
-  options.replace_silent_after = context.settings.replace_silent_after;
+  options.replace_unresponsive_after = context.settings.replace_unresponsive_after;
   options.wanted_voters = VotersToBear(context.settings.losses_borne);
   options.may_found = context.settings.form_group;
   options.election_timeout = context.settings.election_timeout;
@@ -29,9 +29,9 @@
   CoordinatorOptions options;
   options.node_lease = settings.node_lease;
   options.death_after = settings.death_after;
-  options.wanted_store_backups = settings.copies;
+  options.wanted_store_backups = settings.replicas;
   options.arrival_quiet = settings.arrival_quiet;
-  options.fewest_stores = settings.minimum_copies;
+  options.fewest_stores = settings.minimum_replicas;
   return options;
 }
 
--- a/apps/cloverbankd/daemon.cc
+++ b/apps/cloverbankd/daemon.cc
@@ -187,7 +187,7 @@
 }
 
 void Daemon::StopWhenDrained() {
-  const std::string undrained = UndrainedParts();
+  const std::string undrained = UndrainedComponents();
   const bool out_of_time = EventLoop::Now() >= stop_deadline_;
   if (!undrained.empty() && !out_of_time) {
     loop_.ScheduleAfter(kDrainPollInterval, [this] { StopWhenDrained(); });
@@ -200,14 +200,14 @@
   loop_.Stop();
 }
 
-std::string Daemon::UndrainedParts() const {
-  std::string parts = servers_draining_ == 0 ? "" : "servers";
+std::string Daemon::UndrainedComponents() const {
+  std::string components = servers_draining_ == 0 ? "" : "servers";
   for (const auto& role : roles_) {
     if (!role->Drained()) {
-      parts += (parts.empty() ? "" : ",") + std::string(role->name());
+      components += (components.empty() ? "" : ",") + std::string(role->name());
     }
   }
-  return parts;
+  return components;
 }
 
 proto::ReadinessReport Daemon::Readiness() const {
--- a/apps/cloverbankd/daemon.h
+++ b/apps/cloverbankd/daemon.h
@@ -52,7 +52,7 @@
   void Fail(const Status& status);
   void StopWhenDrained();
   /// @return what a clean stop still waits for; empty when nothing is left.
-  std::string UndrainedParts() const;
+  std::string UndrainedComponents() const;
   proto::ReadinessReport Readiness() const;
 
   // In order of dependence: what comes later is destroyed earlier.
--- a/apps/cloverbankd/queue_role.cc
+++ b/apps/cloverbankd/queue_role.cc
@@ -9,8 +9,8 @@
 QueueOptions MakeQueueOptions(const Settings& settings) {
   QueueOptions options;
   options.log.segment_bytes = settings.segment_bytes;
-  options.log.copies = settings.copies;
-  options.log.minimum_copies = settings.minimum_copies;
+  options.log.replicas = settings.replicas;
+  options.log.minimum_replicas = settings.minimum_replicas;
   return options;
 }
 
--- a/apps/cloverbankd/server_options.cc
+++ b/apps/cloverbankd/server_options.cc
@@ -15,17 +15,17 @@
 /// Parts of the process's file descriptors that each use may take at most. With one server for
 /// callers, one for peers and three lesser ones, a sixteenth is left to files and to calls under
 /// way beside those that peers answer.
-constexpr std::size_t kCallersPart = 4;
-constexpr std::size_t kPeersPart = 4;
-constexpr std::size_t kLesserServerPart = 16;
-constexpr std::size_t kIdleOutgoingPart = 8;
+constexpr std::size_t kClientServerDivisor = 4;
+constexpr std::size_t kPeerServerDivisor = 4;
+constexpr std::size_t kMinorServerDivisor = 16;
+constexpr std::size_t kIdleOutgoingDivisor = 8;
 
-std::size_t DescriptorsOver(std::size_t part) {
+std::size_t DescriptorsOver(std::size_t divisor) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0 || limit.rlim_cur == RLIM_INFINITY) {
     return kWantedConnections;
   }
-  return std::min<std::size_t>(kWantedConnections, limit.rlim_cur / part);
+  return std::min<std::size_t>(kWantedConnections, limit.rlim_cur / divisor);
 }
 
 }  // namespace
@@ -35,7 +35,8 @@
   options.listen = settings.client;
   // Where there are front interfaces, this one is for operators and tools only.
   const bool for_callers = !settings.front_calls.valid();
-  options.maximum_connections = DescriptorsOver(for_callers ? kCallersPart : kLesserServerPart);
+  options.maximum_connections =
+      DescriptorsOver(for_callers ? kClientServerDivisor : kMinorServerDivisor);
   options.maximum_body_bytes = kMaximumClientBodyBytes;
   return options;
 }
@@ -44,14 +45,15 @@
   HttpServerOptions options = ClientServerOptions(settings);
   options.listen = listen;
   const bool for_callers = listen == settings.front_calls;
-  options.maximum_connections = DescriptorsOver(for_callers ? kCallersPart : kLesserServerPart);
+  options.maximum_connections =
+      DescriptorsOver(for_callers ? kClientServerDivisor : kMinorServerDivisor);
   return options;
 }
 
 HttpServerOptions PeerServerOptions(const Settings& settings) {
   HttpServerOptions options;
   options.listen = settings.peer;
-  options.maximum_connections = DescriptorsOver(kPeersPart);
+  options.maximum_connections = DescriptorsOver(kPeerServerDivisor);
   options.idle_timeout = kPeerIdleTimeout;
   options.maximum_body_bytes = kMaximumPeerBodyBytes;
   return options;
@@ -61,7 +63,7 @@
   HttpClientOptions options;
   options.local_address = settings.peer.host;
   options.maximum_body_bytes = kMaximumPeerBodyBytes;
-  options.maximum_idle = DescriptorsOver(kIdleOutgoingPart);
+  options.maximum_idle = DescriptorsOver(kIdleOutgoingDivisor);
   return options;
 }
 
--- a/apps/emulator/emulated_replica.cc
+++ b/apps/emulator/emulated_replica.cc
@@ -33,11 +33,11 @@
   if (up()) {
     return Status::Ok();
   }
-  ++lives_;
-  life_ = std::make_shared<int>(0);
+  ++instances_;
+  instance_ = std::make_shared<int>(0);
   instance_id_ = description_.id + "-" +
                  std::to_string(EventLoop::Now().time_since_epoch().count()) + "-" +
-                 std::to_string(lives_);
+                 std::to_string(instances_);
   model_ = std::make_unique<ModelReplica>(behaviour_, description_.capacity, instance_id_,
                                           EventLoop::Now());
   model_->SetSlowdown(slowdown_);
@@ -67,7 +67,7 @@
     call.responder->Abort();
   }
   calls_.clear();
-  life_.reset();
+  instance_.reset();
   server_.reset();
   model_.reset();
   plain_running_ = 0;
@@ -127,8 +127,8 @@
   }
   witness_.Record("start", description_.id, call.call_id());
   calls_[key] = OpenCall{responder, call.call_id(), false};
-  responder->OnDisconnect([this, key, life = std::weak_ptr<int>(life_)] {
-    if (life.lock() == nullptr || calls_.count(key) == 0) {
+  responder->OnDisconnect([this, key, instance = std::weak_ptr<int>(instance_)] {
+    if (instance.lock() == nullptr || calls_.count(key) == 0) {
       return;
     }
     witness_.Record("cancelled", description_.id, calls_[key].call_id, "caller left");
@@ -148,21 +148,21 @@
   const Duration delay = std::max(Duration::zero(), *next - EventLoop::Now());
   advance_timer_ = loop_.ScheduleAfter(delay, [this] {
     advance_timer_ = 0;
-    for (const EmittedPiece& emitted : model_->Advance(EventLoop::Now())) {
+    for (const EmittedChunk& emitted : model_->Advance(EventLoop::Now())) {
       Emit(emitted);
     }
     ScheduleAdvance();
   });
 }
 
-void EmulatedReplica::Emit(const EmittedPiece& emitted) {
+void EmulatedReplica::Emit(const EmittedChunk& emitted) {
   const auto found = calls_.find(emitted.call_key);
   if (found == calls_.end()) {
     return;
   }
   OpenCall& call = found->second;
-  if (emitted.piece.end()) {
-    witness_.Record("end", description_.id, call.call_id, emitted.piece.run_id());
+  if (emitted.chunk.end()) {
+    witness_.Record("end", description_.id, call.call_id, emitted.chunk.run_id());
   }
   if (!dark_) {
     if (!call.head_sent) {
@@ -171,12 +171,12 @@
       headers.emplace_back("content-type", "application/x-ndjson");
       call.responder->StartStream(200, std::move(headers));
     }
-    call.responder->WritePiece(ToJson(emitted.piece) + "\n", [](bool) {});
-    if (emitted.piece.end()) {
+    call.responder->WriteChunk(ToJson(emitted.chunk) + "\n", [](bool) {});
+    if (emitted.chunk.end()) {
       call.responder->FinishStream();
     }
   }
-  if (emitted.piece.end()) {
+  if (emitted.chunk.end()) {
     calls_.erase(found);
   }
 }
@@ -200,8 +200,8 @@
   witness_.Record("start", description_.id, call.call_id());
   const Duration time(
       static_cast<Duration::rep>(static_cast<double>(behaviour_.service_time.count()) * slowdown_));
-  loop_.ScheduleAfter(time, [this, call, responder, life = std::weak_ptr<int>(life_)] {
-    if (life.lock() != nullptr) {
+  loop_.ScheduleAfter(time, [this, call, responder, instance = std::weak_ptr<int>(instance_)] {
+    if (instance.lock() != nullptr) {
       AnswerPlain(call, responder);
     }
   });
--- a/apps/emulator/emulated_replica.h
+++ b/apps/emulator/emulated_replica.h
@@ -49,7 +49,7 @@
   void AnswerPlain(const proto::CallRequest& call, const std::shared_ptr<HttpResponder>& responder);
   void Refuse(const std::shared_ptr<HttpResponder>& responder, int http_status,
               const std::string& call_id, const std::string& reason);
-  void Emit(const EmittedPiece& emitted);
+  void Emit(const EmittedChunk& emitted);
   void ScheduleAdvance();
   HttpHeaders LoadHeader() const;
 
@@ -63,13 +63,13 @@
   std::map<std::string, OpenCall> calls_;  ///< Running model calls by their key.
   TimerId advance_timer_ = 0;
   std::string instance_id_;
-  std::uint64_t lives_ = 0;
+  std::uint64_t instances_ = 0;
   std::uint64_t next_call_key_ = 0;
   std::uint32_t plain_running_ = 0;
   double slowdown_ = 1;
   bool dark_ = false;
   /// Expires with each life, so that timers of an earlier one do nothing.
-  std::shared_ptr<int> life_;
+  std::shared_ptr<int> instance_;
 };
 
 }  // namespace cloverbank
--- a/apps/fleet/demo.cc
+++ b/apps/fleet/demo.cc
@@ -54,7 +54,7 @@
 void Demo::Report(bool held, const std::string& what) {
   std::printf("%s %s\n", held ? "  ok  " : " FAIL ", what.c_str());
   std::fflush(stdout);
-  all_held_ = all_held_ && held;
+  all_passed_ = all_passed_ && held;
 }
 
 ApiClient Demo::MakeClient(Duration patience) const { return {fleet_.Gateways(), patience}; }
@@ -71,8 +71,8 @@
     }
     CheckWitness();
   }
-  std::printf("%s\n", all_held_ ? "everything held" : "something did not hold");
-  return all_held_;
+  std::printf("%s\n", all_passed_ ? "everything held" : "something did not hold");
+  return all_passed_;
 }
 
 bool Demo::BringUp() {
@@ -138,21 +138,22 @@
   }
 }
 
-bool Demo::StreamedCallIsWhole(const std::string& prompt, std::uint32_t tokens, std::string* text) {
+bool Demo::StreamedCallCompletes(const std::string& prompt, std::uint32_t tokens,
+                                 std::string* text) {
   const std::string body = StreamBody(prompt, tokens);
   bool ended = false;
   std::uint64_t next = 0;
   for (std::size_t begin = 0; begin < body.size();) {
     const std::size_t end = std::min(body.find('\n', begin), body.size());
-    proto::StreamPiece piece;
-    const bool read = FromJson(body.substr(begin, end - begin), &piece).ok();
-    if (!read || piece.has_error() || piece.sequence() != next) {
+    proto::StreamChunk chunk;
+    const bool read = FromJson(body.substr(begin, end - begin), &chunk).ok();
+    if (!read || chunk.has_error() || chunk.sequence() != next) {
       *text = body;
       return false;
     }
     ++next;
-    *text += piece.text();
-    ended = ended || piece.end();
+    *text += chunk.text();
+    ended = ended || chunk.end();
     begin = end + 1;
   }
   return ended && *text == ExpectedAnswer(prompt, tokens);
@@ -172,7 +173,7 @@
 void Demo::LiveCalls() {
   std::printf("== live calls\n");
   std::string text;
-  const bool whole = StreamedCallIsWhole("Summarise the save of this evening.", 12, &text);
+  const bool whole = StreamedCallCompletes("Summarise the save of this evening.", 12, &text);
   Report(whole, "streamed call on " + routes_.streamed + ": " + text);
   Report(ServiceCallWorks("object-17", kPatience),
          "idempotent call on " + routes_.service + " answered");
--- a/apps/fleet/demo.h
+++ b/apps/fleet/demo.h
@@ -51,7 +51,7 @@
   ApiClient MakeClient(Duration patience) const;
   /// @return all lines of a streamed call, sent again while it is refused as not run.
   std::string StreamBody(const std::string& prompt, std::uint32_t tokens);
-  bool StreamedCallIsWhole(const std::string& prompt, std::uint32_t tokens, std::string* text);
+  bool StreamedCallCompletes(const std::string& prompt, std::uint32_t tokens, std::string* text);
   bool ServiceCallWorks(const std::string& prompt, Duration patience);
   proto::TransactionResult ChangeDeadline(const std::string& operation_id, std::uint64_t version,
                                           std::uint32_t deadline_ms, ApiError* error);
@@ -67,7 +67,7 @@
   std::string configuration_json_;
   bool judge_times_;
   DemoRoutes routes_;
-  bool all_held_ = true;
+  bool all_passed_ = true;
 };
 
 }  // namespace cloverbank
--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -41,29 +41,29 @@
 }  // namespace
 
 Result<std::set<NodeId>> FenceFile::Load() {
-  std::vector<std::set<NodeId>> copies;
+  std::vector<std::set<NodeId>> files;
   bool any_damaged = false;
   for (const char* name : kFileNames) {
     const Result<std::string> bytes = folder_.Read(name);
     if (!bytes.ok() && bytes.status().code() == StatusCode::kNotFound) {
       continue;
     }
-    std::optional<std::set<NodeId>> copy = bytes.ok() ? Decode(*bytes) : std::nullopt;
-    if (!copy) {
+    std::optional<std::set<NodeId>> file = bytes.ok() ? Decode(*bytes) : std::nullopt;
+    if (!file) {
       any_damaged = true;
       Log(LogLevel::kError, "fence_file_damaged", {{"file", name}});
       continue;
     }
-    wanted_.insert(copy->begin(), copy->end());
-    copies.push_back(*std::move(copy));
+    wanted_.insert(file->begin(), file->end());
+    files.push_back(*std::move(file));
   }
-  if (any_damaged && copies.empty()) {
+  if (any_damaged && files.empty()) {
     return Status(StatusCode::kCorrupt,
                   "no copy of the fences can be read; replace this disk or empty its data folder");
   }
   // A fence that only one file holds is written anew before anything depends on it.
-  if (copies.size() == std::size(kFileNames)) {
-    std::set_intersection(copies[0].begin(), copies[0].end(), copies[1].begin(), copies[1].end(),
+  if (files.size() == std::size(kFileNames)) {
+    std::set_intersection(files[0].begin(), files[0].end(), files[1].begin(), files[1].end(),
                           std::inserter(synced_, synced_.end()));
   }
   return wanted_;
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -71,7 +71,7 @@
     Seal(key, *bytes, std::move(next));
     return true;
   }
-  store_.MarkChecked(key, FindLogDigest(key.segment, *bytes));
+  store_.RecordChecked(key, FindLogDigest(key.segment, *bytes));
   // Other calls and timers get their turn between two segments.
   environment_.ScheduleAfter(Duration::zero(), std::move(next));
   return true;
@@ -89,7 +89,7 @@
           // The synced fence refuses late writes as well; what is held may be the last copy.
           store_.Apply(key, store_.Seal(key, length), environment_.Now());
         }
-        store_.MarkChecked(key, digest);
+        store_.RecordChecked(key, digest);
         next();
       });
 }
@@ -193,7 +193,7 @@
 
 void RecoveryReader::DropCorrupt(const ReplicaKey& key, std::string_view found_by,
                                  const Status& why) {
-  store_.MarkCorrupt(key);
+  store_.SetCorrupt(key);
   environment_.metrics().Increment("backup_corrupt_replicas_total", {{"found_by", found_by}});
   Log(LogLevel::kError, "replica_corrupt",
       {{"file", SegmentFileName(key)}, {"found_by", found_by}, {"why", why.message()}});
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -38,7 +38,7 @@
   return header;
 }
 
-bool WholeEntries(SegmentId segment, std::string_view bytes) {
+bool EndsWithCompleteEntry(SegmentId segment, std::string_view bytes) {
   return ScanSegment(segment, bytes).tail == RecordTail::kClean;
 }
 
@@ -98,7 +98,7 @@
   }
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
-    if (FreedLately(key, epoch, now)) {
+    if (FreedRecently(key, epoch, now)) {
       return Status(StatusCode::kStaleEpoch, "segment was freed moments ago under this epoch");
     }
     return OpenNew(request, free_bytes, false);
@@ -223,8 +223,8 @@
                                       HeadEpoch(request.epoch()), replica.length);
   }
   const bool completes = request.replace_complete() && change.header.has_value();
-  const bool whole = completes ? WholeEntries(key.segment, replica.staging + change.data)
-                               : partial || WholeEntries(key.segment, change.data);
+  const bool whole = completes ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
+                               : partial || EndsWithCompleteEntry(key.segment, change.data);
   if (!whole) {
     return Status(StatusCode::kCorrupt, "write does not consist of whole, checked entries");
   }
--- a/src/backup/segment_store.h
+++ b/src/backup/segment_store.h
@@ -95,9 +95,9 @@
   bool IsFenced(NodeId node) const { return fenced_.contains(node); }
   const std::set<NodeId>& fenced() const { return fenced_; }
 
-  void MarkCorrupt(const ReplicaKey& key);
+  void SetCorrupt(const ReplicaKey& key);
   /// Records that the replica's bytes were read and whole.
-  void MarkChecked(const ReplicaKey& key, std::vector<std::uint64_t> digest);
+  void RecordChecked(const ReplicaKey& key, std::vector<std::uint64_t> digest);
 
   /// @return the replica, or null. Valid until the next change.
   const Replica* Find(const ReplicaKey& key) const;
@@ -112,7 +112,7 @@
   Result<ReplicaChange> Reopen(const Replica& replica, const proto::OpenSegmentRequest& request);
   Status CheckWrite(const Replica& replica, const proto::WriteSegmentRequest& request) const;
   Result<Replica*> FindForWriter(const ReplicaKey& key);
-  bool FreedLately(const ReplicaKey& key, HeadEpoch epoch, TimePoint now);
+  bool FreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now);
 
   struct Freed {
     HeadEpoch epoch;
--- a/src/backup/segment_store_state.cc
+++ b/src/backup/segment_store_state.cc
@@ -52,7 +52,7 @@
   replicas_[key] = std::move(replica);
 }
 
-void SegmentStore::MarkCorrupt(const ReplicaKey& key) {
+void SegmentStore::SetCorrupt(const ReplicaKey& key) {
   const auto found = replicas_.find(key);
   if (found != replicas_.end()) {
     found->second.corrupt = true;
@@ -60,7 +60,7 @@
   }
 }
 
-void SegmentStore::MarkChecked(const ReplicaKey& key, std::vector<std::uint64_t> digest) {
+void SegmentStore::RecordChecked(const ReplicaKey& key, std::vector<std::uint64_t> digest) {
   const auto found = replicas_.find(key);
   if (found != replicas_.end()) {
     found->second.checked = true;
@@ -93,7 +93,7 @@
   return total;
 }
 
-bool SegmentStore::FreedLately(const ReplicaKey& key, HeadEpoch epoch, TimePoint now) {
+bool SegmentStore::FreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now) {
   std::erase_if(
       freed_, [&](const auto& entry) { return now - entry.second.time >= options_.freed_memory; });
   const auto found = freed_.find(key);
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -38,7 +38,7 @@
 using ConfigurationVersion = StrongId<struct ConfigurationVersionTag>;
 /// Version of the list of registered servers and partition owners.
 using FleetVersion = StrongId<struct FleetVersionTag>;
-/// Drawn at random at each process start: tells messages of an earlier life apart.
+/// IsSelected at random at each process start: tells messages of an earlier life apart.
 using Incarnation = StrongId<struct IncarnationTag>;
 /// A batch partition, numbered from 0 to the partition count - 1.
 using PartitionId = StrongId<struct PartitionIdTag>;
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -23,7 +23,7 @@
   synced_index_ = log_.last_index();
   commit_index_ = snapshot_ ? snapshot_->last_included_index() : 0;
   // The promise made to a leader before the restart is not on the disk: assume the longest one.
-  HeardLeader(now);
+  RecordLeaderContact(now);
 }
 
 void RaftCore::Tick(TimePoint now) {
@@ -169,7 +169,7 @@
   leader_id_ = leader_id;
 }
 
-void RaftCore::HeardLeader(TimePoint now) {
+void RaftCore::RecordLeaderContact(TimePoint now) {
   promised_until_ = now + options_.minimum_election_timeout;
   ResetElectionTimer(now, options_.minimum_election_timeout, options_.maximum_election_timeout);
 }
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -121,7 +121,7 @@
   // raft_core.cc: terms, timers, writes.
   void WaitUntilWritable(TimePoint now);
   void BecomeFollower(TimePoint now, std::uint64_t new_term, std::uint64_t leader_id);
-  void HeardLeader(TimePoint now);
+  void RecordLeaderContact(TimePoint now);
   void ResetElectionTimer(TimePoint now, Duration minimum, Duration maximum);
   void WriteMetadata();
   void AppendToLog(proto::RaftEntry entry);
@@ -142,7 +142,7 @@
   void SendVoteRequests();
   void BecomeLeader(TimePoint now);
   bool PromisedToLeader(TimePoint now) const;
-  bool MayVote(TimePoint now, const proto::RequestVoteRequest& request);
+  bool IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request);
   bool IsUpToDate(const proto::RequestVoteRequest& request) const;
 
   // raft_core_follower.cc
@@ -153,7 +153,7 @@
   void TruncateLog(std::uint64_t index);
   void InstallReceivedSnapshot(const proto::InstallSnapshotRequest& request);
   void CompactLog(std::uint64_t snapshot_index);
-  void WriteWholeLog();
+  void RewriteLog();
 
   // raft_core_replication.cc
   void LeaderTick(TimePoint now);
@@ -176,11 +176,11 @@
   // raft_core_membership.cc
   /// @return the voter that was not heard for the longest time, if long enough to give its place to
   /// a member at another address; else 0.
-  std::uint64_t LongestSilent(TimePoint now) const;
+  std::uint64_t LongestUnresponsive(TimePoint now) const;
   /// @return when `peer` was last heard; the start of the term or of its membership if never.
-  TimePoint SilentSince(const RaftPeer& peer) const;
+  TimePoint LastHeardFrom(const RaftPeer& peer) const;
   /// Whether `member` is a learner that may be left out: it was silent for as long as a voter may.
-  bool IsSilentLearner(TimePoint now, const proto::RaftMember& member) const;
+  bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
   /// Whether a learner already takes the place of `voter`: a second one would make the group grow.
   bool HasLiveSuccessor(TimePoint now, std::uint64_t voter) const;
   Status MoveMember(TimePoint now, const proto::RaftMember& member);
@@ -191,7 +191,7 @@
   bool HasActiveMajority(TimePoint now, const proto::RaftConfiguration& configuration) const;
   bool IsActive(TimePoint now, std::uint64_t member_id) const;
   bool IsCaughtUp(TimePoint now, std::uint64_t member_id) const;
-  bool MayChangeMembership() const;
+  bool CanChangeMembership() const;
 
   const RaftCoreOptions options_;
   RaftEffects effects_;
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -103,7 +103,7 @@
   return request.last_log_index() >= log_.last_index();
 }
 
-bool RaftCore::MayVote(TimePoint now, const proto::RequestVoteRequest& request) {
+bool RaftCore::IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request) {
   if (request.term() < term() || (request.pre_vote() && request.term() == term())) {
     Refuse("vote_stale_term");
     return false;
@@ -130,7 +130,7 @@
 void RaftCore::HandleRequestVote(TimePoint now, const proto::RequestVoteRequest& request,
                                  RaftReplyToken token) {
   proto::RequestVoteResponse response;
-  response.set_granted(MayVote(now, request));
+  response.set_granted(IsVoteAllowed(now, request));
   if (response.granted() && !request.pre_vote()) {
     if (metadata_.voted_for() != request.candidate_id()) {
       metadata_.set_voted_for(request.candidate_id());
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -16,7 +16,7 @@
     return false;
   }
   BecomeFollower(now, leader_term, leader_id);
-  HeardLeader(now);
+  RecordLeaderContact(now);
   return true;
 }
 
@@ -83,11 +83,11 @@
     if (entry.index() <= log_.base_index()) {
       continue;
     }
-    const std::optional<std::uint64_t> held_term = log_.TermAt(entry.index());
-    if (held_term == entry.term()) {
+    const std::optional<std::uint64_t> stored_term = log_.TermAt(entry.index());
+    if (stored_term == entry.term()) {
       continue;
     }
-    if (held_term) {
+    if (stored_term) {
       if (entry.index() <= commit_index_) {
         Fail("a leader contradicts a committed entry");
         return false;
@@ -166,7 +166,7 @@
   effects_.committed.clear();
   effects_.restore = snapshot_;
   NewWrite().snapshot = snapshot_;
-  WriteWholeLog();
+  RewriteLog();
 }
 
 void RaftCore::CompactLog(std::uint64_t snapshot_index) {
@@ -182,11 +182,11 @@
   }
   if (new_base > log_.base_index()) {
     log_.CompactTo(new_base);
-    WriteWholeLog();
+    RewriteLog();
   }
 }
 
-void RaftCore::WriteWholeLog() {
+void RaftCore::RewriteLog() {
   RaftWrite& write = NewWrite();
   write.replaces_log = true;
   write.base_index = log_.base_index();
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -62,7 +62,7 @@
 
 }  // namespace
 
-bool RaftCore::MayChangeMembership() const {
+bool RaftCore::CanChangeMembership() const {
   // A leader must have committed an entry of its own term first (Ongaro's correction of 2015), and
   // the last change must be committed.
   return IsReadyLeader() && log_.configuration_index() <= commit_index_;
@@ -77,7 +77,7 @@
   if (known != nullptr && SameEndpoint(*known, member)) {
     return Status::Ok();
   }
-  if (!MayChangeMembership()) {
+  if (!CanChangeMembership()) {
     Refuse("membership_change_pending");
     return {StatusCode::kUnavailable, "another membership change is under way"};
   }
@@ -90,7 +90,7 @@
   proto::RaftConfiguration next;
   for (const proto::RaftMember& present : configuration().members()) {
     const bool displaced = SameEndpoint(present, member) || present.member_id() == replaces;
-    if (present.learner() && (displaced || IsSilentLearner(now, present))) {
+    if (present.learner() && (displaced || IsUnresponsiveLearner(now, present))) {
       continue;  // Learners do not count: they may come and go along with another change.
     }
     // Whoever had this very address is gone for certain, so it goes before one that is only named.
@@ -101,7 +101,7 @@
   }
   const bool full = static_cast<std::size_t>(next.members_size()) >= options_.maximum_members;
   if (learner.replaces() == 0 && full) {
-    learner.set_replaces(LongestSilent(now));
+    learner.set_replaces(LongestUnresponsive(now));
   }
   if (learner.replaces() == member_id()) {
     Refuse("replaces_leader");
@@ -116,33 +116,33 @@
   return Status::Ok();
 }
 
-TimePoint RaftCore::SilentSince(const RaftPeer& peer) const {
+TimePoint RaftCore::LastHeardFrom(const RaftPeer& peer) const {
   const TimePoint begin = std::max(term_started_, peer.known_since);
   return std::max(begin, peer.heard_since.value_or(begin));
 }
 
-bool RaftCore::IsSilentLearner(TimePoint now, const proto::RaftMember& member) const {
+bool RaftCore::IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const {
   const auto peer = peers_.find(member.member_id());
   return member.learner() && peer != peers_.end() &&
-         options_.replace_silent_after > Duration::zero() &&
-         now - SilentSince(peer->second) >= options_.replace_silent_after;
+         options_.replace_unresponsive_after > Duration::zero() &&
+         now - LastHeardFrom(peer->second) >= options_.replace_unresponsive_after;
 }
 
 bool RaftCore::HasLiveSuccessor(TimePoint now, std::uint64_t voter) const {
   return std::any_of(peers_.begin(), peers_.end(), [this, now, voter](const auto& entry) {
     const proto::RaftMember& member = entry.second.member;
-    return member.replaces() == voter && !IsSilentLearner(now, member);
+    return member.replaces() == voter && !IsUnresponsiveLearner(now, member);
   });
 }
 
-std::uint64_t RaftCore::LongestSilent(TimePoint now) const {
-  if (options_.replace_silent_after <= Duration::zero()) {
+std::uint64_t RaftCore::LongestUnresponsive(TimePoint now) const {
+  if (options_.replace_unresponsive_after <= Duration::zero()) {
     return 0;
   }
   std::uint64_t longest = 0;
-  TimePoint longest_since = now - options_.replace_silent_after;
+  TimePoint longest_since = now - options_.replace_unresponsive_after;
   for (const auto& [id, peer] : peers_) {
-    const TimePoint since = SilentSince(peer);
+    const TimePoint since = LastHeardFrom(peer);
     if (!peer.member.learner() && since <= longest_since && !HasLiveSuccessor(now, id)) {
       longest = id;
       longest_since = since;
@@ -175,8 +175,8 @@
 
 void RaftCore::RebuildPeers(TimePoint now) {
   for (auto peer = peers_.begin(); peer != peers_.end();) {
-    const bool gone = FindMember(configuration(), peer->first) == nullptr;
-    peer = gone ? peers_.erase(peer) : std::next(peer);
+    const bool removed = FindMember(configuration(), peer->first) == nullptr;
+    peer = removed ? peers_.erase(peer) : std::next(peer);
   }
   for (const proto::RaftMember& member : configuration().members()) {
     if (member.member_id() == member_id()) {
@@ -222,9 +222,9 @@
   for (const proto::RaftMember& member : configuration().members()) {
     const proto::RaftMember* replaced = FindMember(configuration(), member.replaces());
     const bool promotable = member.learner() && IsCaughtUp(now, member.member_id());
-    const bool old_is_silent = replaced != nullptr && !IsActive(now, replaced->member_id());
+    const bool old_is_unresponsive = replaced != nullptr && !IsActive(now, replaced->member_id());
     if (replaced != nullptr && replaced->member_id() != member_id() &&
-        (!member.learner() || (promotable && old_is_silent))) {
+        (!member.learner() || (promotable && old_is_unresponsive))) {
       return Without(configuration(), replaced->member_id());
     }
     if (promotable && (member.replaces() != 0 || VoterCount() < options_.maximum_members)) {
@@ -235,7 +235,7 @@
 }
 
 void RaftCore::AdvanceMembership(TimePoint now) {
-  if (!MayChangeMembership()) {
+  if (!CanChangeMembership()) {
     return;
   }
   const std::optional<proto::RaftConfiguration> next = NextConfiguration(now);
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -66,7 +66,7 @@
   return round.may_found ? DecideFounding(round) : KeepWaiting{};
 }
 
-void MemberDirectory::Note(const Endpoint& endpoint, std::uint64_t member_id) {
+void MemberDirectory::RecordMember(const Endpoint& endpoint, std::uint64_t member_id) {
   if (superseded_.contains(member_id)) {
     return;
   }
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -67,7 +67,7 @@
 /// for good, in whatever order late messages arrive.
 class MemberDirectory {
  public:
-  void Note(const Endpoint& endpoint, std::uint64_t member_id);
+  void RecordMember(const Endpoint& endpoint, std::uint64_t member_id);
   bool IsSuperseded(std::uint64_t member_id) const { return superseded_.contains(member_id); }
 
  private:
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -38,7 +38,7 @@
   core_options.snapshot_chunk_bytes = options_.snapshot_chunk_bytes;
   core_options.maximum_append_entries = options_.maximum_append_entries;
   core_options.maximum_members = std::max(options_.wanted_voters, options_.seeds.size());
-  core_options.replace_silent_after = options_.replace_silent_after;
+  core_options.replace_unresponsive_after = options_.replace_unresponsive_after;
   core_options.random_seed = environment_.Random();
   return core_options;
 }
@@ -148,7 +148,7 @@
     return;
   }
   identity_durable_ = true;
-  OnDiskHasRoom();
+  OnDiskSpaceAvailable();
   core_->HandlePersisted(environment_.Now(), write);
   Drain();
 }
@@ -167,7 +167,7 @@
   Drain();
 }
 
-void RaftNode::OnDiskHasRoom() {
+void RaftNode::OnDiskSpaceAvailable() {
   if (std::exchange(disk_full_, false)) {
     Log(LogLevel::kInfo, "raft_disk_has_room", {});
     environment_.metrics().SetGauge("raft_disk_full", 0);
@@ -182,7 +182,7 @@
   draining_ = true;
   for (RaftEffects effects = core_->TakeEffects(); !effects.empty() && !stopped_;
        effects = core_->TakeEffects()) {
-    CarryOut(effects);
+    ApplyEffects(effects);
     FailLostProposals();
     NotifyLeadership();
   }
@@ -192,7 +192,7 @@
   }
 }
 
-void RaftNode::CarryOut(RaftEffects& effects) {
+void RaftNode::ApplyEffects(RaftEffects& effects) {
   for (const std::string_view reason : effects.refusals) {
     environment_.metrics().Increment("raft_refusals_total", {{"reason", reason}});
   }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -34,7 +34,7 @@
   /// once needs 2n + 1.
   std::size_t wanted_voters = 0;
   /// See `RaftCoreOptions`. If set, seeds say nothing of who is to be replaced: they may lag.
-  Duration replace_silent_after{};
+  Duration replace_unresponsive_after{};
   /// Shortest silence of the leader after which another is elected; the longest is twice that.
   Duration election_timeout = milliseconds(400);
   Duration heartbeat_interval = milliseconds(100);
@@ -98,7 +98,7 @@
   // raft_node.cc
   RaftCoreOptions CoreOptions();
   void Drain();
-  void CarryOut(RaftEffects& effects);
+  void ApplyEffects(RaftEffects& effects);
   void Apply(const proto::RaftEntry& entry);
   void MaybeTakeSnapshot();
   void FailLostProposals();
@@ -106,7 +106,7 @@
   void ArmTimer();
   void OnPersisted(RaftWriteId write);
   void OnDiskFull(const Status& status);
-  void OnDiskHasRoom();
+  void OnDiskSpaceAvailable();
   void Stop(const Status& status);
 
   // raft_node_peers.cc
@@ -130,14 +130,14 @@
                   const std::function<void(Result<proto::JoinResponse>)>& reply);
   std::uint64_t MemberOutsideSeeds(const Endpoint& joining) const;
   void CorrectOwnEndpoint();
-  Result<proto::JoinResponse> TakeIn(const proto::RaftMember& member, std::uint64_t replaces);
+  Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
   proto::DiscoverRequest OwnIdentity() const;
   bool NeedsGroup() const;
   void ScheduleFormation();
   void StartFormationRound();
   void FinishFormationRound(const FormationRound& round);
-  void NoteToldMembers(const FormationRound& answers);
-  void AskToJoin(const Endpoint& leader);
+  void RecordNotifiedMembers(const FormationRound& answers);
+  void RequestJoin(const Endpoint& leader);
 
   Environment& environment_;
   RaftStorage storage_;
@@ -163,7 +163,7 @@
   TimerId formation_timer_ = 0;
   MemberDirectory directory_;
   /// Members that answers of others named last: seeds may all be gone by the time they are needed.
-  std::set<Endpoint> told_members_;
+  std::set<Endpoint> notified_members_;
   /// The group was complete when this member last asked to join: it asks less often.
   bool join_refused_ = false;
 
--- a/src/consensus/raft_node_formation.cc
+++ b/src/consensus/raft_node_formation.cc
@@ -38,7 +38,7 @@
     return Status(StatusCode::kUnavailable, "this member does not take part");
   }
   if (request.member_id() != 0) {
-    directory_.Note(ToEndpoint(request.endpoint()), request.member_id());
+    directory_.RecordMember(ToEndpoint(request.endpoint()), request.member_id());
   }
   proto::DiscoverResponse response;
   response.set_member_id(core_->member_id());
@@ -72,17 +72,17 @@
           reply(Status(StatusCode::kUnavailable, "no such member answers at its endpoint"));
           return;
         }
-        reply(TakeIn(request.member(), request.replaces()));
+        reply(AdmitJoining(request.member(), request.replaces()));
       });
 }
 
-Result<proto::JoinResponse> RaftNode::TakeIn(const proto::RaftMember& member,
-                                             std::uint64_t replaces) {
+Result<proto::JoinResponse> RaftNode::AdmitJoining(const proto::RaftMember& member,
+                                                   std::uint64_t replaces) {
   if (stopped_) {
     return Status(StatusCode::kNotLeader, "this member has stopped");
   }
   const Endpoint endpoint = ToEndpoint(member.endpoint());
-  const bool seeds_tell = options_.replace_silent_after <= Duration::zero();
+  const bool seeds_tell = options_.replace_unresponsive_after <= Duration::zero();
   const std::uint64_t outside = seeds_tell ? MemberOutsideSeeds(endpoint) : 0;
   Status status =
       core_->AdmitMember(environment_.Now(), member, replaces != 0 ? replaces : outside);
@@ -155,7 +155,7 @@
 
 void RaftNode::StartFormationRound() {
   std::set<Endpoint> others(options_.seeds.begin(), options_.seeds.end());
-  others.insert(told_members_.begin(), told_members_.end());
+  others.insert(notified_members_.begin(), notified_members_.end());
   for (const LogMember& member : members()) {
     others.insert(member.endpoint);
   }
@@ -174,7 +174,7 @@
                                           return;
                                         }
                                         if (answer.ok()) {
-                                          directory_.Note(other, answer->member_id());
+                                          directory_.RecordMember(other, answer->member_id());
                                           round->answers[other] = *answer;
                                         }
                                         --*missing;
@@ -185,20 +185,20 @@
   }
 }
 
-void RaftNode::NoteToldMembers(const FormationRound& answers) {
-  std::set<Endpoint> told;
+void RaftNode::RecordNotifiedMembers(const FormationRound& answers) {
+  std::set<Endpoint> notified;
   for (const auto& [endpoint, answer] : answers.answers) {
     for (const proto::RaftMember& member : answer.configuration().members()) {
-      told.insert(ToEndpoint(member.endpoint()));
+      notified.insert(ToEndpoint(member.endpoint()));
     }
   }
-  if (!told.empty()) {
-    told_members_ = std::move(told);
+  if (!notified.empty()) {
+    notified_members_ = std::move(notified);
   }
 }
 
 void RaftNode::FinishFormationRound(const FormationRound& answers) {
-  NoteToldMembers(answers);
+  RecordNotifiedMembers(answers);
   FormationRound round = answers;
   round.member_id = core_->member_id();
   round.endpoint = environment_.peer_endpoint();
@@ -212,11 +212,11 @@
     core_->Bootstrap(std::max<std::uint64_t>(1, environment_.Random()), founding->configuration);
     Drain();
   } else if (const auto* joining = std::get_if<JoinGroup>(&decision)) {
-    AskToJoin(joining->leader);
+    RequestJoin(joining->leader);
   }
 }
 
-void RaftNode::AskToJoin(const Endpoint& leader) {
+void RaftNode::RequestJoin(const Endpoint& leader) {
   proto::JoinRequest request;
   request.mutable_member()->set_member_id(core_->member_id());
   *request.mutable_member()->mutable_endpoint() = ToProto(environment_.peer_endpoint());
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -256,12 +256,12 @@
     if (status.ok()) {
       (this->*next)();
     } else {
-      TakeFailure(step, std::move(status));
+      HandleFailure(step, std::move(status));
     }
   };
 }
 
-void RaftStorage::TakeFailure(Step step, Status status) {
+void RaftStorage::HandleFailure(Step step, Status status) {
   if (status.code() == StatusCode::kResourceExhausted) {
     waiting_step_ = step;
     on_full_(std::move(status));
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -66,7 +66,7 @@
   /// @return a callback that goes on with `next` unless the write failed or this object is gone.
   /// @param step that of the write, which is repeated if the disk is full.
   DataFolder::Done Then(Step step, Step next);
-  void TakeFailure(Step step, Status status);
+  void HandleFailure(Step step, Status status);
 
   DataFolder& folder_;
   std::function<void(RaftWriteId)> on_persisted_;
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -50,7 +50,7 @@
   std::size_t maximum_members = 3;
   /// A voter that was not heard for this long gives its place to a joining member at another
   /// address that names nobody to replace. Zero: never.
-  Duration replace_silent_after{};
+  Duration replace_unresponsive_after{};
   /// Seeds the election timeouts. Differs from member to member.
   std::uint64_t random_seed = 1;
 };
--- a/src/coordinator/backup_sweeper.cc
+++ b/src/coordinator/backup_sweeper.cc
@@ -32,7 +32,7 @@
     const bool retiring = backup->state() == proto::SERVER_STATE_RETIRING;
     if (retiring) {
       look.retiring_since = look.retiring_since.value_or(now);
-      look.counts = now - *look.retiring_since >= settle_;
+      look.counts = now - *look.retiring_since >= settling_time_;
     } else {
       look.retiring_since.reset();
       look.counts = true;
--- a/src/coordinator/backup_sweeper.h
+++ b/src/coordinator/backup_sweeper.h
@@ -26,8 +26,8 @@
  public:
   /// @param settle how long after the order to retire a backup its list says that it stays empty:
   /// a node lease, since by then no queue node that may act can still choose it.
-  BackupSweeper(Duration interval, Duration retiring_interval, Duration settle)
-      : interval_(interval), retiring_interval_(retiring_interval), settle_(settle) {}
+  BackupSweeper(Duration interval, Duration retiring_interval, Duration settling_time)
+      : interval_(interval), retiring_interval_(retiring_interval), settling_time_(settling_time) {}
 
   void Reset() { looks_.clear(); }
   /// @return backups whose list is to be fetched now; report each with `OnListed` or `OnFailed`.
@@ -49,7 +49,7 @@
 
   Duration interval_;
   Duration retiring_interval_;
-  Duration settle_;
+  Duration settling_time_;
   std::map<NodeId, Look> looks_;
 };
 
--- a/src/coordinator/configuration_store.cc
+++ b/src/coordinator/configuration_store.cc
@@ -61,7 +61,7 @@
   if (transaction.inquiry() && transaction.expected_label() == label_) {
     return Refusal(transaction, proto::TRANSACTION_OUTCOME_MAY_BE_SENT, {});
   }
-  proto::TransactionResult result = Judge(transaction);
+  proto::TransactionResult result = Evaluate(transaction);
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
     Commit(transaction, wall_ms);
   }
@@ -75,12 +75,12 @@
 
 proto::TransactionResult ConfigurationStore::Validate(
     const proto::ConfigurationTransaction& transaction) const {
-  return Judge(transaction);
+  return Evaluate(transaction);
 }
 
-proto::TransactionResult ConfigurationStore::Judge(
+proto::TransactionResult ConfigurationStore::Evaluate(
     const proto::ConfigurationTransaction& transaction) const {
-  if (auto refused = JudgeLabels(transaction)) {
+  if (auto refused = EvaluateLabels(transaction)) {
     return *refused;
   }
   std::vector<std::string> problems = CheckEnvelope(transaction);
@@ -119,7 +119,7 @@
   return result;
 }
 
-std::optional<proto::TransactionResult> ConfigurationStore::JudgeLabels(
+std::optional<proto::TransactionResult> ConfigurationStore::EvaluateLabels(
     const proto::ConfigurationTransaction& transaction) const {
   if (transaction.label() == 0) {
     return std::nullopt;
@@ -186,8 +186,8 @@
   }
   label_ = transaction.label() != 0 ? transaction.label() : label_;
   version_ = version_.Next();
-  whole_.reset();
-  whole_update_.reset();
+  full_configuration_.reset();
+  full_update_.reset();
   deltas_.clear();
   proto::HistoryRecord record;
   record.set_version(version_.value());
@@ -206,7 +206,7 @@
   }
 }
 
-Status ConfigurationStore::MarkInForce(ConfigurationVersion version, std::int64_t wall_ms) {
+Status ConfigurationStore::RecordInForce(ConfigurationVersion version, std::int64_t wall_ms) {
   if (version > version_) {
     return {StatusCode::kInvalidArgument, "version " + version.ToString() + " is not applied yet"};
   }
@@ -222,51 +222,51 @@
     }
   }
   in_force_ = version;
-  operations_.MarkInForce(version, wall_ms);
+  operations_.RecordInForce(version, wall_ms);
   return Status::Ok();
 }
 
-const proto::RoutingConfiguration& ConfigurationStore::Whole() const {
-  if (!whole_.has_value()) {
-    whole_ = objects_.ToProto();
-    whole_->set_version(version_.value());
-    whole_->set_label(label_);
+const proto::RoutingConfiguration& ConfigurationStore::FullConfiguration() const {
+  if (!full_configuration_.has_value()) {
+    full_configuration_ = objects_.ToProto();
+    full_configuration_->set_version(version_.value());
+    full_configuration_->set_label(label_);
   }
-  return *whole_;
+  return *full_configuration_;
 }
 
-const proto::ConfigurationUpdate& ConfigurationStore::UpdateFrom(ConfigurationVersion held) const {
-  auto entry = deltas_.find(held);
+const proto::ConfigurationUpdate& ConfigurationStore::UpdateFrom(ConfigurationVersion known) const {
+  auto entry = deltas_.find(known);
   if (entry == deltas_.end()) {
     if (deltas_.size() >= kDeltasCached) {
       deltas_.clear();
     }
-    entry = deltas_.emplace(held, MakeDelta(held)).first;
+    entry = deltas_.emplace(known, MakeDelta(known)).first;
   }
-  return entry->second.has_value() ? *entry->second : WholeUpdate();
+  return entry->second.has_value() ? *entry->second : FullUpdate();
 }
 
-const proto::ConfigurationUpdate& ConfigurationStore::WholeUpdate() const {
-  if (!whole_update_.has_value()) {
-    whole_update_.emplace();
-    whole_update_->set_to_version(version_.value());
-    *whole_update_->mutable_full() = Whole();
+const proto::ConfigurationUpdate& ConfigurationStore::FullUpdate() const {
+  if (!full_update_.has_value()) {
+    full_update_.emplace();
+    full_update_->set_to_version(version_.value());
+    *full_update_->mutable_full() = FullConfiguration();
     if (objects_.document.ByteSizeLong() > 0) {
-      whole_update_->mutable_full()->mutable_document()->clear_source();
+      full_update_->mutable_full()->mutable_document()->clear_source();
     }
   }
-  return *whole_update_;
+  return *full_update_;
 }
 
 std::optional<proto::ConfigurationUpdate> ConfigurationStore::MakeDelta(
-    ConfigurationVersion held) const {
-  const bool reaches_back = held.valid() && held < version_ && !history_.empty() &&
-                            held.Next() >= ConfigurationVersion(history_.front().version());
+    ConfigurationVersion known) const {
+  const bool reaches_back = known.valid() && known < version_ && !history_.empty() &&
+                            known.Next() >= ConfigurationVersion(history_.front().version());
   if (!reaches_back) {
     return std::nullopt;
   }
   proto::ConfigurationUpdate update;
-  update.set_from_version(held.value());
+  update.set_from_version(known.value());
   update.set_to_version(version_.value());
   update.set_label(label_);
   // The size is kept up to date object by object: printing the whole at every version would cost as
@@ -275,7 +275,7 @@
   std::size_t bytes = 0;
   std::set<ConfigurationObjectKey> seen;  // Only the last change of each object counts.
   for (auto record = history_.rbegin(); record != history_.rend(); ++record) {
-    if (ConfigurationVersion(record->version()) <= held) {
+    if (ConfigurationVersion(record->version()) <= known) {
       break;
     }
     for (const proto::ConfigurationChange& change : record->transaction().changes()) {
@@ -299,7 +299,7 @@
 }
 
 void ConfigurationStore::Save(proto::ControlStateSnapshot* snapshot) const {
-  *snapshot->mutable_configuration() = Whole();
+  *snapshot->mutable_configuration() = FullConfiguration();
   snapshot->set_in_force_version(in_force_.value());
   operations_.Save(snapshot);
   for (const proto::HistoryRecord& record : history_) {
--- a/src/coordinator/configuration_store.h
+++ b/src/coordinator/configuration_store.h
@@ -40,7 +40,7 @@
   /// @return the answer the transaction would get now; changes nothing (dry run).
   proto::TransactionResult Validate(const proto::ConfigurationTransaction& transaction) const;
   /// Records that no gateway can serve by a version below `version` any more.
-  Status MarkInForce(ConfigurationVersion version, std::int64_t wall_ms);
+  Status RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
 
   ConfigurationVersion version() const { return version_; }
   ConfigurationVersion in_force_version() const { return in_force_; }
@@ -52,11 +52,11 @@
   const ConfigurationObjects& objects() const { return objects_; }
 
   /// @return the whole configuration.
-  const proto::RoutingConfiguration& Whole() const;
+  const proto::RoutingConfiguration& FullConfiguration() const;
   /// @return what a node that holds `held` needs: the changes since, or the whole configuration if
   /// that is smaller or the history does not reach back. The operator's document stays here: nodes
   /// act by what was read from it, and its size would be paid at every node for every change.
-  const proto::ConfigurationUpdate& UpdateFrom(ConfigurationVersion held) const;
+  const proto::ConfigurationUpdate& UpdateFrom(ConfigurationVersion known) const;
   /// @return the newest `count` history records, oldest first.
   std::vector<proto::HistoryRecord> History(std::size_t count) const;
 
@@ -64,12 +64,12 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
-  proto::TransactionResult Judge(const proto::ConfigurationTransaction& transaction) const;
+  proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
   proto::TransactionResult Refusal(const proto::ConfigurationTransaction& transaction,
                                    proto::TransactionOutcome outcome,
                                    std::vector<std::string> problems) const;
   /// @return what is wrong with the operator's own numbers, if anything.
-  std::optional<proto::TransactionResult> JudgeLabels(
+  std::optional<proto::TransactionResult> EvaluateLabels(
       const proto::ConfigurationTransaction& transaction) const;
   void Commit(const proto::ConfigurationTransaction& transaction, std::int64_t wall_ms);
   /// @return the transaction with just the changes that make a difference.
@@ -78,8 +78,8 @@
   bool ChangesNothing(const proto::ConfigurationChange& change) const;
   void AddHistory(proto::HistoryRecord record);
   /// @return nothing if the history does not reach back or the whole is no larger.
-  std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion held) const;
-  const proto::ConfigurationUpdate& WholeUpdate() const;
+  std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion known) const;
+  const proto::ConfigurationUpdate& FullUpdate() const;
 
   ConfigurationVersion version_{1};
   ConfigurationVersion in_force_{1};
@@ -90,8 +90,8 @@
   std::size_t history_bytes_ = 0;
 
   // Derived from the above, dropped at each change.
-  mutable std::optional<proto::RoutingConfiguration> whole_;
-  mutable std::optional<proto::ConfigurationUpdate> whole_update_;
+  mutable std::optional<proto::RoutingConfiguration> full_configuration_;
+  mutable std::optional<proto::ConfigurationUpdate> full_update_;
   mutable std::map<ConfigurationVersion, std::optional<proto::ConfigurationUpdate>> deltas_;
 };
 
--- a/src/coordinator/control_state.cc
+++ b/src/coordinator/control_state.cc
@@ -36,7 +36,7 @@
   if (command.ParseFromString(bytes)) {
     result = ApplyCommand(command);
     servers_.PruneDead(partitions_.NamedNodes());
-    NoteFleetChanges();
+    RecordFleetChanges();
   } else {
     SetStatus({StatusCode::kCorrupt, "malformed control command"}, &result);
   }
@@ -58,14 +58,14 @@
 
 Status ControlState::ApplyPlain(const proto::ControlCommand& command) {
   switch (command.command_case()) {
-    case proto::ControlCommand::kMarkServerDead:
-      return MarkDead(NodeId(command.mark_server_dead().node_id()));
+    case proto::ControlCommand::kDeclareServerDead:
+      return DeclareDead(NodeId(command.declare_server_dead().node_id()));
     case proto::ControlCommand::kRetireMachine:
       servers_.RetireMachine(command.retire_machine().machine(), command.retire_machine().cancel());
       return Status::Ok();
-    case proto::ControlCommand::kMarkInForce:
-      return configuration_.MarkInForce(ConfigurationVersion(command.mark_in_force().version()),
-                                        command.mark_in_force().wall_ms());
+    case proto::ControlCommand::kRecordInForce:
+      return configuration_.RecordInForce(ConfigurationVersion(command.record_in_force().version()),
+                                          command.record_in_force().wall_ms());
     case proto::ControlCommand::kCommitHead:
       return CommitHead(command.commit_head().head());
     case proto::ControlCommand::kAssignPartitions:
@@ -93,14 +93,14 @@
   const ServerRegistry::Registration registration =
       servers_.Register(command.server(), NodeId(command.previous_node_id()));
   for (const NodeId earlier : registration.superseded) {
-    SetStatus(MarkDead(earlier), result);
+    SetStatus(DeclareDead(earlier), result);
   }
   result->set_node_id(registration.node_id.value());
 }
 
-Status ControlState::MarkDead(NodeId node) {
+Status ControlState::DeclareDead(NodeId node) {
   const bool queue_node = servers_.FindLive(node, proto::ROLE_QUEUE) != nullptr;
-  if (servers_.MarkDead(node) && queue_node) {
+  if (servers_.DeclareDead(node) && queue_node) {
     partitions_.OnQueueNodeDead(node);
   }
   return Status::Ok();
@@ -143,7 +143,7 @@
                                       ToPartitions(command.partition_ids()));
 }
 
-void ControlState::NoteFleetChanges() {
+void ControlState::RecordFleetChanges() {
   const std::set<NodeId> servers = servers_.TakeChanged();
   const std::set<PartitionId> partitions = partitions_.TakeChanged();
   if (servers.empty() && partitions.empty()) {
@@ -171,10 +171,10 @@
   }
 }
 
-proto::FleetUpdate ControlState::FleetUpdateFrom(FleetVersion held) const {
-  const bool delta = held >= deltas_from_ && held <= fleet_version_;
+proto::FleetUpdate ControlState::FleetUpdateFrom(FleetVersion known) const {
+  const bool delta = known >= deltas_from_ && known <= fleet_version_;
   proto::FleetUpdate update;
-  update.set_from_version(delta ? held.value() : 0);
+  update.set_from_version(delta ? known.value() : 0);
   update.set_to_version(fleet_version_.value());
   if (!delta) {
     for (const auto& [id, server] : servers_.servers()) {
@@ -188,12 +188,12 @@
     return update;
   }
   for (const auto& [id, changed] : server_changed_) {
-    if (changed > held) {
+    if (changed > known) {
       *update.add_servers() = *servers_.Find(id);
     }
   }
   for (const auto& [id, changed] : partition_changed_) {
-    if (changed > held) {
+    if (changed > known) {
       *update.add_partitions() = partitions_.partitions().at(id);
     }
   }
--- a/src/coordinator/control_state.h
+++ b/src/coordinator/control_state.h
@@ -38,7 +38,7 @@
   FleetVersion fleet_version() const { return fleet_version_; }
   /// @return the queue and backup nodes and partitions that changed since `held` (dead servers with
   /// their state), or whole lists of the live ones when `held` is too far back.
-  proto::FleetUpdate FleetUpdateFrom(FleetVersion held) const;
+  proto::FleetUpdate FleetUpdateFrom(FleetVersion known) const;
 
  private:
   proto::ControlCommandResult ApplyCommand(const proto::ControlCommand& command);
@@ -46,13 +46,13 @@
   Status ApplyPlain(const proto::ControlCommand& command);
   void ApplyRegister(const proto::RegisterServerCommand& command,
                      proto::ControlCommandResult* result);
-  Status MarkDead(NodeId node);
+  Status DeclareDead(NodeId node);
   Status CommitHead(const proto::LogHead& head);
   Status Assign(const proto::AssignPartitionsCommand& command);
   Status StartReplay(const proto::StartReplayCommand& command);
   Status FinishAssignment(const proto::FinishAssignmentCommand& command);
   /// Raises the fleet version if the command changed what nodes see, and stamps what changed.
-  void NoteFleetChanges();
+  void RecordFleetChanges();
   void DropPrunedServers();
 
   std::uint32_t initial_partition_count_;
--- a/src/coordinator/coordinator_service.cc
+++ b/src/coordinator/coordinator_service.cc
@@ -7,7 +7,7 @@
 #include "coordinator/command_proposer.h"
 #include "coordinator/heartbeat_handler.h"
 #include "coordinator/leader_context.h"
-#include "coordinator/leader_duties.h"
+#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
 #include "coordinator/node_requests.h"
 #include "coordinator/operator_requests.h"
@@ -29,9 +29,9 @@
         proposer(context),
         heartbeats(context),
         transactions(context, proposer),
-        duties(context, proposer),
-        node_requests(context, proposer, duties),
-        operator_requests(context, proposer, duties) {}
+        leader_controller(context, proposer),
+        node_requests(context, proposer, leader_controller),
+        operator_requests(context, proposer, leader_controller) {}
 
   void ServeNodes();
   void ServeOperators();
@@ -52,13 +52,13 @@
   bool Ready();
   void BeginLeading();
   void StopLeading();
-  void NotePause(TimePoint now);
+  void RecordPause(TimePoint now);
 
   LeaderContext context;
   CommandProposer proposer;
   HeartbeatHandler heartbeats;
   TransactionHandler transactions;
-  LeaderDuties duties;
+  LeaderController leader_controller;
   NodeRequests node_requests;
   OperatorRequests operator_requests;
 
@@ -166,7 +166,7 @@
   context.doubtful.clear();
   context.loads.clear();
   proposer.Reset();
-  duties.Begin();
+  leader_controller.Begin();
   ScheduleOnce(&review_scheduled, &State::Review);
 }
 
@@ -202,14 +202,14 @@
 
 void CoordinatorService::State::Tick() {
   const TimePoint now = context.environment.Now();
-  if (context.MayAnswer()) {
-    NotePause(now);
+  if (context.CanAnswer()) {
+    RecordPause(now);
     last_able = now;
   }
   Review();
 }
 
-void CoordinatorService::State::NotePause(TimePoint now) {
+void CoordinatorService::State::RecordPause(TimePoint now) {
   const Duration gap = now - last_able - context.options.tick;
   if (leading && gap > kTickGapLimit) {
     context.detector.SkipPause(gap, now);
@@ -217,7 +217,7 @@
 }
 
 bool CoordinatorService::State::Ready() {
-  if (!context.MayAnswer()) {
+  if (!context.CanAnswer()) {
     return false;
   }
   if (!leading || leading_term != context.log.term()) {
@@ -234,7 +234,7 @@
   }
   heartbeats.Review();
   transactions.Review();
-  duties.Step();
+  leader_controller.Step();
 }
 
 void CoordinatorService::State::ReviewTransactions() {
--- a/src/coordinator/failure_detector.cc
+++ b/src/coordinator/failure_detector.cc
@@ -30,17 +30,17 @@
 }
 
 void FailureDetector::Suspect(NodeId node, TimePoint now) {
-  if (now - SilentSince(node) >= kSuspicionAfter) {
+  if (now - LastHeardFrom(node) >= kSuspicionAfter) {
     suspected_.insert(node);
   }
 }
 
-void FailureDetector::KeepOnly(const std::set<NodeId>& live) {
+void FailureDetector::RetainOnly(const std::set<NodeId>& live) {
   std::erase_if(heard_, [&live](const auto& entry) { return !live.contains(entry.first); });
   std::erase_if(suspected_, [&live](NodeId node) { return !live.contains(node); });
 }
 
-TimePoint FailureDetector::SilentSince(NodeId node) const {
+TimePoint FailureDetector::LastHeardFrom(NodeId node) const {
   const auto entry = heard_.find(node);
   return entry == heard_.end() ? started_ : std::max(started_, entry->second);
 }
@@ -51,7 +51,7 @@
   }
   const Duration needed =
       suspected_.contains(node) ? std::min(death_after_, kSuspicionAfter) : death_after_;
-  return now - SilentSince(node) >= needed;
+  return now - LastHeardFrom(node) >= needed;
 }
 
 }  // namespace cloverbank
--- a/src/coordinator/failure_detector.h
+++ b/src/coordinator/failure_detector.h
@@ -30,10 +30,10 @@
   /// it is heard of.
   void Suspect(NodeId node, TimePoint now);
   /// Forgets the nodes that are not among the `live`.
-  void KeepOnly(const std::set<NodeId>& live);
+  void RetainOnly(const std::set<NodeId>& live);
 
   /// @return when `node` was last heard of, or the start of the count.
-  TimePoint SilentSince(NodeId node) const;
+  TimePoint LastHeardFrom(NodeId node) const;
   /// @return whether `node` has been silent so long, without a lease, that it counts as dead.
   bool IsDead(NodeId node, const LeaseTable& leases, TimePoint now) const;
 
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -18,7 +18,7 @@
 }
 
 /// What is left on a machine that is being emptied.
-struct RetirementRest {
+struct RemainingDrainWork {
   std::size_t partitions = 0;
   std::size_t replicas = 0;
   bool unknown = false;  ///< Something is not known yet, so it can not be called empty.
@@ -26,8 +26,8 @@
   bool Nothing() const { return partitions == 0 && replicas == 0 && !unknown; }
 };
 
-RetirementRest RestOn(const FleetFacts& facts, const std::string& machine) {
-  RetirementRest rest;
+RemainingDrainWork RestOn(const FleetFacts& facts, const std::string& machine) {
+  RemainingDrainWork rest;
   for (const auto& [id, server] : facts.state.servers().servers()) {
     if (server.machine() != machine) {
       continue;
@@ -144,7 +144,7 @@
       Add("queue node " + Name(*node) +
           " has fewer copies of its log than wanted; start or add backups");
     }
-    const NodeId later = facts_.state.servers().LaterLifeOf(*node);
+    const NodeId later = facts_.state.servers().FindLaterIncarnation(*node);
     if (later.valid()) {
       Add("two queue nodes, " + std::to_string(node->node_id()) + " and " + later.ToString() +
           ", call their machine " + node->machine() + "; give each machine its own name");
@@ -178,7 +178,7 @@
 }
 
 void Description::DescribeRetirement(const std::string& machine) {
-  const RetirementRest rest = RestOn(facts_, machine);
+  const RemainingDrainWork rest = RestOn(facts_, machine);
   if (!rest.Nothing()) {
     Add("machine " + machine + " is being emptied: " + std::to_string(rest.partitions) +
         " partitions and " + std::to_string(rest.replicas) +
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -24,7 +24,7 @@
 }  // namespace
 
 void HeartbeatHandler::Handle(const proto::HeartbeatRequest& request, Reply reply) {
-  if (!context_.MayAnswer()) {
+  if (!context_.CanAnswer()) {
     context_.environment.metrics().Increment("coordinator_heartbeat_refused_total",
                                              {{"reason", "not_leader"}});
     reply(context_.NotLeader());
@@ -35,13 +35,13 @@
     reply(sender);
     return;
   }
-  TakeReport(request);
+  HandleReport(request);
   const TimePoint now = context_.environment.Now();
   const Duration hold =
       std::min<Duration>(milliseconds(request.hold_ms()), context_.options.heartbeat_hold);
-  Held held{request, now, now + hold, std::move(reply)};
-  if (!AnswerIfDue(held)) {
-    held_.push_back(std::move(held));
+  PendingHeartbeat pending{request, now, now + hold, std::move(reply)};
+  if (!AnswerIfDue(pending)) {
+    pending_.push_back(std::move(pending));
   }
 }
 
@@ -61,7 +61,7 @@
   if (server->incarnation() != request.incarnation()) {
     return refuse("incarnation", "belongs to another process life");
   }
-  if (context_.state.servers().LaterLifeOf(*server).valid()) {
+  if (context_.state.servers().FindLaterIncarnation(*server).valid()) {
     return refuse("superseded", "is superseded by a later life of its machine");
   }
   if (MustHandOver(context_.state, *server, context_.doubtful)) {
@@ -70,7 +70,7 @@
   return Status::Ok();
 }
 
-void HeartbeatHandler::TakeReport(const proto::HeartbeatRequest& request) {
+void HeartbeatHandler::HandleReport(const proto::HeartbeatRequest& request) {
   const NodeId node(request.node_id());
   const TimePoint now = context_.environment.Now();
   context_.detector.Heard(node, now);
@@ -82,22 +82,23 @@
   }
 }
 
-bool HeartbeatHandler::AnswerIfDue(Held& held) {
-  const NodeId node(held.request.node_id());
-  const Status sender = CheckSender(held.request);
+bool HeartbeatHandler::AnswerIfDue(PendingHeartbeat& pending) {
+  const NodeId node(pending.request.node_id());
+  const Status sender = CheckSender(pending.request);
   if (!sender.ok()) {
-    held.reply(sender);
+    pending.reply(sender);
     return true;
   }
   if (context_.condemned.contains(node)) {
     return false;  // Its death is being decided: no lease may be granted meanwhile.
   }
-  const bool news = NeedsConfiguration(held.request) ||
-                    FleetVersion(held.request.fleet_version()) < context_.state.fleet_version();
-  if (!news && context_.environment.Now() < held.release) {
+  const bool update =
+      NeedsConfiguration(pending.request) ||
+      FleetVersion(pending.request.fleet_version()) < context_.state.fleet_version();
+  if (!update && context_.environment.Now() < pending.release) {
     return false;
   }
-  held.reply(Grant(held));
+  pending.reply(Grant(pending));
   return true;
 }
 
@@ -108,24 +109,25 @@
                            context_.state.configuration().version();
 }
 
-proto::HeartbeatResponse HeartbeatHandler::Grant(const Held& held) {
+proto::HeartbeatResponse HeartbeatHandler::Grant(const PendingHeartbeat& pending) {
   const ConfigurationStore& configuration = context_.state.configuration();
   proto::HeartbeatResponse response;
   response.set_lease_ms(static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(context_.leases.lease()).count()));
-  if (NeedsConfiguration(held.request)) {
+  if (NeedsConfiguration(pending.request)) {
     *response.mutable_configuration() =
-        configuration.UpdateFrom(ConfigurationVersion(held.request.configuration_version()));
+        configuration.UpdateFrom(ConfigurationVersion(pending.request.configuration_version()));
   }
-  const FleetVersion held_fleet(held.request.fleet_version());
-  if (held_fleet < context_.state.fleet_version()) {
-    *response.mutable_fleet() = context_.state.FleetUpdateFrom(held_fleet);
+  const FleetVersion known_fleet(pending.request.fleet_version());
+  if (known_fleet < context_.state.fleet_version()) {
+    *response.mutable_fleet() = context_.state.FleetUpdateFrom(known_fleet);
   }
   for (const LogMember& member : context_.log.members()) {
     *response.add_coordinators() = ToProto(member.endpoint);
   }
-  AddGateways(NodeId(held.request.node_id()), &response);
-  context_.leases.Grant(NodeId(held.request.node_id()), configuration.version(), held.arrival);
+  AddGateways(NodeId(pending.request.node_id()), &response);
+  context_.leases.Grant(NodeId(pending.request.node_id()), configuration.version(),
+                        pending.arrival);
   return response;
 }
 
@@ -146,8 +148,8 @@
   for (std::size_t step = 1; step <= neighbours; ++step) {
     *response->add_neighbours() = zone[(own + step) % zone.size()]->peer_endpoint();
   }
-  for (std::size_t place = 0; place < std::min(kMostListSources, own); ++place) {
-    *response->add_list_sources() = zone[place]->peer_endpoint();
+  for (std::size_t rank = 0; rank < std::min(kMostListSources, own); ++rank) {
+    *response->add_list_sources() = zone[rank]->peer_endpoint();
   }
   if (own == 0) {
     AddRemoteListSources(all, *self, response);
@@ -171,21 +173,21 @@
 }
 
 void HeartbeatHandler::Review() {
-  if (!context_.MayAnswer()) {
+  if (!context_.CanAnswer()) {
     RefuseAll();
     return;
   }
   // An answer may bring in the next heartbeat at once: walk over a list of our own.
-  std::list<Held> reviewed = std::exchange(held_, {});
+  std::list<PendingHeartbeat> reviewed = std::exchange(pending_, {});
   for (auto entry = reviewed.begin(); entry != reviewed.end();) {
     entry = AnswerIfDue(*entry) ? reviewed.erase(entry) : std::next(entry);
   }
-  held_.splice(held_.begin(), reviewed);
+  pending_.splice(pending_.begin(), reviewed);
 }
 
 void HeartbeatHandler::RefuseAll() {
-  for (Held& held : std::exchange(held_, {})) {
-    held.reply(context_.NotLeader());
+  for (PendingHeartbeat& pending : std::exchange(pending_, {})) {
+    pending.reply(context_.NotLeader());
   }
 }
 
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -26,7 +26,7 @@
   void RefuseAll();
 
  private:
-  struct Held {
+  struct PendingHeartbeat {
     proto::HeartbeatRequest request;
     TimePoint arrival;
     TimePoint release;  ///< Answered then at the latest.
@@ -35,19 +35,19 @@
 
   /// @return OK, or why the sender must not go on under its node id.
   Status CheckSender(const proto::HeartbeatRequest& request) const;
-  void TakeReport(const proto::HeartbeatRequest& request);
+  void HandleReport(const proto::HeartbeatRequest& request);
   /// @return whether it was answered.
-  bool AnswerIfDue(Held& held);
+  bool AnswerIfDue(PendingHeartbeat& pending);
   void AddGateways(NodeId node, proto::HeartbeatResponse* response) const;
   /// Names the first gateways of the zones that come before `self`, itself the first of its zone.
   static void AddRemoteListSources(const std::vector<const proto::Server*>& gateways,
                                    const proto::Server& self, proto::HeartbeatResponse* response);
   /// Whether the sender acts by a configuration and has told an older one than the current.
   bool NeedsConfiguration(const proto::HeartbeatRequest& request) const;
-  proto::HeartbeatResponse Grant(const Held& held);
+  proto::HeartbeatResponse Grant(const PendingHeartbeat& pending);
 
   LeaderContext& context_;
-  std::list<Held> held_;
+  std::list<PendingHeartbeat> pending_;
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/leader_context.h
+++ b/src/coordinator/leader_context.h
@@ -36,7 +36,7 @@
 
   /// Whether this member may answer from its state now: it leads, holds every committed command and
   /// no other member can lead. Check it immediately before each answer.
-  bool MayAnswer() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
+  bool CanAnswer() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
   /// The refusal of a member that may not answer; names the leader where known.
   Status NotLeader() const {
     const Endpoint leader = log.leader_endpoint();
--- a/src/coordinator/leader_duties.cc
+++ b/src/coordinator/leader_controller.cc
@@ -1,4 +1,4 @@
-#include "coordinator/leader_duties.h"
+#include "coordinator/leader_controller.h"
 
 #include <string>
 #include <utility>
@@ -16,7 +16,7 @@
 
 }  // namespace
 
-LeaderDuties::LeaderDuties(LeaderContext& context, CommandProposer& proposer)
+LeaderController::LeaderController(LeaderContext& context, CommandProposer& proposer)
     : context_(context),
       proposer_(proposer),
       recoveries_(context.options.recovery),
@@ -24,15 +24,15 @@
                context.options.node_lease),
       arrivals_(context.options.arrival_quiet, context.options.arrival_longest) {}
 
-void LeaderDuties::Begin() {
+void LeaderController::Begin() {
   recoveries_.Reset();
   sweeper_.Reset();
   arrivals_.Reset();
-  absent_nodes_.Reset();
+  unreachable_nodes_.Reset();
   InitializePartitions();
 }
 
-void LeaderDuties::InitializePartitions() {
+void LeaderController::InitializePartitions() {
   if (context_.state.partitions().partition_count() != 0) {
     return;
   }
@@ -41,20 +41,20 @@
   proposer_.ProposeOnce("initialize", command);
 }
 
-void LeaderDuties::Step() {
+void LeaderController::Step() {
   InitializePartitions();
-  BuryTheSilent();
+  DeclareUnresponsiveDead();
   const bool waiting =
       !context_.state.partitions().Free().empty() || recoveries_.WaitsForQueueNodes(context_.state);
   const bool may_assign =
       arrivals_.IsOpen(context_.state, context_.doubtful, waiting, context_.environment.Now());
-  GiveOutPartitions(may_assign);
-  SteerRecoveries(may_assign);
+  AssignPartitions(may_assign);
+  AdvanceRecoveries(may_assign);
   SweepBackups();
-  TellAbsentNodes();
+  NotifyUnreachableNodes();
 }
 
-void LeaderDuties::BuryTheSilent() {
+void LeaderController::DeclareUnresponsiveDead() {
   const TimePoint now = context_.environment.Now();
   context_.leases.Expire(now);
   context_.doubtful.clear();
@@ -65,35 +65,35 @@
       continue;
     }
     live.insert(id);
-    if (now - context_.detector.SilentSince(id) >= kDoubtfulAfter) {
+    if (now - context_.detector.LastHeardFrom(id) >= kDoubtfulAfter) {
       context_.doubtful.insert(id);
     }
-    std::string reason = CauseOfDeath(server);
+    std::string reason = FindDeathReason(server);
     if (!reason.empty() && !context_.condemned.contains(id)) {
       dead.emplace_back(server, std::move(reason));
     }
   }
-  context_.detector.KeepOnly(live);
+  context_.detector.RetainOnly(live);
   std::erase_if(context_.loads, [&live](const auto& entry) { return !live.contains(entry.first); });
   for (const auto& [server, reason] : dead) {
     ProposeDeath(server, reason);
   }
 }
 
-std::string LeaderDuties::CauseOfDeath(const proto::Server& server) const {
+std::string LeaderController::FindDeathReason(const proto::Server& server) const {
   const NodeId id(server.node_id());
   const TimePoint now = context_.environment.Now();
   if (context_.detector.IsDead(id, context_.leases, now)) {
     return "silent";
   }
-  const bool superseded = context_.state.servers().LaterLifeOf(server).valid();
+  const bool superseded = context_.state.servers().FindLaterIncarnation(server).valid();
   if (superseded && now >= context_.leases.LeaseEnd(id)) {
     return "superseded";
   }
   return {};
 }
 
-void LeaderDuties::ProposeDeath(const proto::Server& server, const std::string& reason) {
+void LeaderController::ProposeDeath(const proto::Server& server, const std::string& reason) {
   const NodeId id(server.node_id());
   Log(LogLevel::kWarning, "node_declared_dead",
       {{"node_id", id.value()}, {"machine", server.machine()}, {"reason", reason}});
@@ -101,8 +101,8 @@
                                            {{"reason", reason}});
   context_.condemned.insert(id);
   proto::ControlCommand command;
-  command.mutable_mark_server_dead()->set_node_id(id.value());
-  command.mutable_mark_server_dead()->set_reason(reason);
+  command.mutable_declare_server_dead()->set_node_id(id.value());
+  command.mutable_declare_server_dead()->set_reason(reason);
   proposer_.ProposeOnce("dead:" + id.ToString(), command,
                         [this, id](const Result<proto::ControlCommandResult>& result) {
                           // Else leadership was lost: a new term begins with nobody condemned.
@@ -112,7 +112,7 @@
                         });
 }
 
-void LeaderDuties::GiveOutPartitions(bool may_assign) {
+void LeaderController::AssignPartitions(bool may_assign) {
   if (!may_assign) {
     return;
   }
@@ -129,17 +129,17 @@
   }
 }
 
-void LeaderDuties::SteerRecoveries(bool may_assign) {
+void LeaderController::AdvanceRecoveries(bool may_assign) {
   RecoveryFacts facts;
   facts.now = context_.environment.Now();
   facts.may_assign = may_assign;
   facts.doubtful = context_.doubtful;
   for (const RecoveryAction& action : recoveries_.Step(context_.state, facts)) {
-    std::visit([this](const auto& one) { Carry(one); }, action);
+    std::visit([this](const auto& one) { Execute(one); }, action);
   }
 }
 
-void LeaderDuties::Carry(const StartReadingAction& action) {
+void LeaderController::Execute(const StartReadingAction& action) {
   proto::StartReadingDataRequest request;
   request.set_dead_node_id(action.dead.value());
   CallPeer<proto::StartReadingDataResponse>(
@@ -153,19 +153,19 @@
       });
 }
 
-void LeaderDuties::Carry(const ProposeReplayAction& action) {
+void LeaderController::Execute(const ProposeReplayAction& action) {
   proto::ControlCommand command;
   *command.mutable_start_replay() = action.command;
   proposer_.ProposeOnce("replay:" + std::to_string(action.command.dead_node_id()), command);
 }
 
-void LeaderDuties::Carry(const RecoverPartitionsAction& action) {
+void LeaderController::Execute(const RecoverPartitionsAction& action) {
   CallPeer<proto::RecoverPartitionsResponse>(
       context_.environment, action.endpoint, "queue.RecoverPartitions", action.request,
       context_.options.call_deadline,
       [this, request = action.request, alive = std::weak_ptr<bool>(context_.alive)](
           const Result<proto::RecoverPartitionsResponse>& answer) {
-        if (alive.expired() || !answer.ok() || !answer->done() || !context_.MayAnswer()) {
+        if (alive.expired() || !answer.ok() || !answer->done() || !context_.CanAnswer()) {
           return;
         }
         proto::ControlCommand command;
@@ -179,7 +179,7 @@
       });
 }
 
-void LeaderDuties::Carry(const ReleaseAction& action) {
+void LeaderController::Execute(const ReleaseAction& action) {
   proto::ReleaseRecoveryDataRequest request;
   request.set_dead_node_id(action.dead.value());
   CallPeer<proto::ReleaseRecoveryDataResponse>(
@@ -193,26 +193,26 @@
       });
 }
 
-void LeaderDuties::Carry(const ProposeFinishAction& action) {
+void LeaderController::Execute(const ProposeFinishAction& action) {
   proto::ControlCommand command;
   command.mutable_finish_recovery()->set_dead_node_id(action.dead.value());
   proposer_.ProposeOnce("finish_recovery:" + action.dead.ToString(), command);
 }
 
-void LeaderDuties::TellAbsentNodes() {
-  proto::TakeCoordinatorsRequest request;
+void LeaderController::NotifyUnreachableNodes() {
+  proto::UpdateCoordinatorsRequest request;
   for (const LogMember& member : context_.log.members()) {
     *request.add_coordinators() = ToProto(member.endpoint);
   }
-  for (const AbsentNodes::Place& place :
-       absent_nodes_.Due(context_.state, context_.doubtful, context_.environment.Now())) {
-    CallPeer<proto::TakeCoordinatorsResponse>(
-        context_.environment, place.endpoint, TakeCoordinatorsMethod(place.role), request,
-        context_.options.call_deadline, [](const Result<proto::TakeCoordinatorsResponse>&) {});
+  for (const UnreachableNodes::NodeLocation& location :
+       unreachable_nodes_.Due(context_.state, context_.doubtful, context_.environment.Now())) {
+    CallPeer<proto::UpdateCoordinatorsResponse>(
+        context_.environment, location.endpoint, UpdateCoordinatorsMethod(location.role), request,
+        context_.options.call_deadline, [](const Result<proto::UpdateCoordinatorsResponse>&) {});
   }
 }
 
-void LeaderDuties::SweepBackups() {
+void LeaderController::SweepBackups() {
   for (const NodeId backup : sweeper_.Due(context_.state, context_.environment.Now())) {
     const Endpoint endpoint = ToEndpoint(context_.state.servers().Find(backup)->peer_endpoint());
     CallPeer<proto::ListSegmentsResponse>(
@@ -224,7 +224,7 @@
             return;
           }
           if (answer.ok()) {
-            TakeReplicaList(backup, endpoint, *answer);
+            HandleReplicaList(backup, endpoint, *answer);
           } else {
             sweeper_.OnFailed(backup);
           }
@@ -232,10 +232,10 @@
   }
 }
 
-void LeaderDuties::TakeReplicaList(NodeId backup, const Endpoint& endpoint,
-                                   const proto::ListSegmentsResponse& replicas) {
+void LeaderController::HandleReplicaList(NodeId backup, const Endpoint& endpoint,
+                                         const proto::ListSegmentsResponse& replicas) {
   sweeper_.OnListed(backup, replicas);
-  if (!context_.MayAnswer()) {
+  if (!context_.CanAnswer()) {
     return;
   }
   for (const NodeId owner : FindLeftovers(replicas, context_.state)) {
--- a/src/coordinator/leader_duties.h
+++ b/src/coordinator/leader_controller.h
@@ -5,22 +5,22 @@
 
 #include <vector>
 
-#include "coordinator/absent_nodes.h"
 #include "coordinator/backup_sweeper.h"
 #include "coordinator/command_proposer.h"
 #include "coordinator/leader_context.h"
 #include "coordinator/partition_assigner.h"
 #include "coordinator/recovery_manager.h"
+#include "coordinator/unreachable_nodes.h"
 
 namespace cloverbank {
 
-class LeaderDuties {
+class LeaderController {
  public:
-  LeaderDuties(LeaderContext& context, CommandProposer& proposer);
+  LeaderController(LeaderContext& context, CommandProposer& proposer);
 
   /// This member became leader.
   void Begin();
-  /// Does what is due now. Requires `context.MayAnswer()`.
+  /// Does what is due now. Requires `context.CanAnswer()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions();
@@ -29,28 +29,28 @@
   const BackupSweeper& sweeper() const { return sweeper_; }
 
  private:
-  void BuryTheSilent();
+  void DeclareUnresponsiveDead();
   /// @return why `server` is dead now, or an empty text.
-  std::string CauseOfDeath(const proto::Server& server) const;
+  std::string FindDeathReason(const proto::Server& server) const;
   void ProposeDeath(const proto::Server& server, const std::string& reason);
-  void GiveOutPartitions(bool may_assign);
-  void SteerRecoveries(bool may_assign);
-  void Carry(const StartReadingAction& action);
-  void Carry(const ProposeReplayAction& action);
-  void Carry(const RecoverPartitionsAction& action);
-  void Carry(const ReleaseAction& action);
-  void Carry(const ProposeFinishAction& action);
+  void AssignPartitions(bool may_assign);
+  void AdvanceRecoveries(bool may_assign);
+  void Execute(const StartReadingAction& action);
+  void Execute(const ProposeReplayAction& action);
+  void Execute(const RecoverPartitionsAction& action);
+  void Execute(const ReleaseAction& action);
+  void Execute(const ProposeFinishAction& action);
   void SweepBackups();
-  void TellAbsentNodes();
-  void TakeReplicaList(NodeId backup, const Endpoint& endpoint,
-                       const proto::ListSegmentsResponse& replicas);
+  void NotifyUnreachableNodes();
+  void HandleReplicaList(NodeId backup, const Endpoint& endpoint,
+                         const proto::ListSegmentsResponse& replicas);
 
   LeaderContext& context_;
   CommandProposer& proposer_;
   RecoveryManager recoveries_;
   BackupSweeper sweeper_;
   ArrivalGate arrivals_;
-  AbsentNodes absent_nodes_;
+  UnreachableNodes unreachable_nodes_;
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/log_assembly.cc
+++ b/src/coordinator/log_assembly.cc
@@ -7,28 +7,28 @@
 namespace cloverbank {
 namespace {
 
-struct Copy {
+struct SegmentReplica {
   NodeId backup;
   const proto::StoredSegment* stored = nullptr;
 };
 
-using CopyFilter = std::function<bool(const Copy&)>;
+using ReplicaFilter = std::function<bool(const SegmentReplica&)>;
 
 /// @return the usable copies of `segment` that are as long as the longest usable one.
-std::vector<Copy> LongestCopies(SegmentId segment, const StoredSegments& answers,
-                                const CopyFilter& usable) {
-  std::vector<Copy> longest;
+std::vector<SegmentReplica> LongestReplicas(SegmentId segment, const StoredSegments& answers,
+                                            const ReplicaFilter& usable) {
+  std::vector<SegmentReplica> longest;
   for (const auto& [backup, answer] : answers) {
     for (const proto::StoredSegment& stored : answer.segments()) {
-      const Copy copy{backup, &stored};
-      if (SegmentId(stored.segment_id()) != segment || !usable(copy)) {
+      const SegmentReplica replica{backup, &stored};
+      if (SegmentId(stored.segment_id()) != segment || !usable(replica)) {
         continue;
       }
       if (!longest.empty() && stored.length() > longest.front().stored->length()) {
         longest.clear();
       }
       if (longest.empty() || stored.length() == longest.front().stored->length()) {
-        longest.push_back(copy);
+        longest.push_back(replica);
       }
     }
   }
@@ -36,12 +36,13 @@
 }
 
 /// Whether the copy held everything acknowledged while `head` was committed.
-bool IsCurrent(const proto::LogHead& head, const Copy& copy, const ServerRegistry& servers) {
-  if (copy.stored->epoch() != head.epoch()) {
-    return copy.stored->epoch() > head.epoch();
+bool IsCurrent(const proto::LogHead& head, const SegmentReplica& replica,
+               const ServerRegistry& servers) {
+  if (replica.stored->epoch() != head.epoch()) {
+    return replica.stored->epoch() > head.epoch();
   }
   return std::any_of(head.backups().begin(), head.backups().end(), [&](std::uint64_t backup) {
-    return servers.SameDisk(NodeId(backup), copy.backup);
+    return servers.SameDisk(NodeId(backup), replica.backup);
   });
 }
 
@@ -66,9 +67,9 @@
   AssembledLog Run();
 
  private:
-  std::vector<Copy> CopiesOfHead() const;
-  std::vector<Copy> CopiesOfOther(SegmentId segment) const;
-  void Add(SegmentId segment, const std::vector<Copy>& copies);
+  std::vector<SegmentReplica> HeadReplicas() const;
+  std::vector<SegmentReplica> ClosedReplicas(SegmentId segment) const;
+  void Add(SegmentId segment, const std::vector<SegmentReplica>& replicas);
 
   const LogHeads& heads_;
   const StoredSegments& answers_;
@@ -78,55 +79,56 @@
 
 AssembledLog Assembly::Run() {
   const SegmentId head(heads_.current.segment_id());
-  const std::vector<Copy> head_copies = CopiesOfHead();
-  if (head_copies.empty()) {
+  const std::vector<SegmentReplica> head_replicas = HeadReplicas();
+  if (head_replicas.empty()) {
     log_.missing.push_back("head segment " + head.ToString() + " under epoch " +
                            std::to_string(heads_.current.epoch()) + ", kept by " +
                            DescribeBackups(heads_.current, servers_));
     return std::move(log_);
   }
   std::set<SegmentId> live;
-  for (const std::uint64_t id : head_copies.front().stored->digest()) {
+  for (const std::uint64_t id : head_replicas.front().stored->digest()) {
     live.insert(SegmentId(id));
   }
   live.erase(head);
   for (const SegmentId segment : live) {
-    const std::vector<Copy> copies = CopiesOfOther(segment);
-    if (copies.empty()) {
+    const std::vector<SegmentReplica> replicas = ClosedReplicas(segment);
+    if (replicas.empty()) {
       log_.missing.push_back("segment " + segment.ToString() +
                              ", of which no backup that answered has a whole copy");
     } else {
-      Add(segment, copies);
+      Add(segment, replicas);
     }
   }
-  Add(head, head_copies);
+  Add(head, head_replicas);
   return std::move(log_);
 }
 
-std::vector<Copy> Assembly::CopiesOfHead() const {
-  return LongestCopies(SegmentId(heads_.current.segment_id()), answers_, [this](const Copy& copy) {
-    return !copy.stored->digest().empty() && IsCurrent(heads_.current, copy, servers_);
-  });
+std::vector<SegmentReplica> Assembly::HeadReplicas() const {
+  return LongestReplicas(
+      SegmentId(heads_.current.segment_id()), answers_, [this](const SegmentReplica& replica) {
+        return !replica.stored->digest().empty() && IsCurrent(heads_.current, replica, servers_);
+      });
 }
 
-std::vector<Copy> Assembly::CopiesOfOther(SegmentId segment) const {
-  std::vector<Copy> copies =
-      LongestCopies(segment, answers_, [](const Copy& copy) { return copy.stored->closed(); });
+std::vector<SegmentReplica> Assembly::ClosedReplicas(SegmentId segment) const {
+  std::vector<SegmentReplica> replicas = LongestReplicas(
+      segment, answers_, [](const SegmentReplica& replica) { return replica.stored->closed(); });
   const bool was_head =
       heads_.previous.has_value() && SegmentId(heads_.previous->segment_id()) == segment;
-  if (copies.empty() && was_head) {
-    copies = LongestCopies(segment, answers_, [this](const Copy& copy) {
-      return IsCurrent(*heads_.previous, copy, servers_);
+  if (replicas.empty() && was_head) {
+    replicas = LongestReplicas(segment, answers_, [this](const SegmentReplica& replica) {
+      return IsCurrent(*heads_.previous, replica, servers_);
     });
   }
-  return copies;
+  return replicas;
 }
 
-void Assembly::Add(SegmentId segment, const std::vector<Copy>& copies) {
+void Assembly::Add(SegmentId segment, const std::vector<SegmentReplica>& replicas) {
   AssembledSegment assembled;
   assembled.segment = segment;
-  for (const Copy& copy : copies) {
-    assembled.backups.push_back(copy.backup);
+  for (const SegmentReplica& replica : replicas) {
+    assembled.backups.push_back(replica.backup);
   }
   log_.segments.push_back(std::move(assembled));
 }
--- a/src/coordinator/node_requests.cc
+++ b/src/coordinator/node_requests.cc
@@ -6,7 +6,7 @@
 
 void NodeRequests::RegisterServer(const proto::RegisterServerRequest& request,
                                   const Reply<proto::RegisterServerResponse>& reply) {
-  duties_.InitializePartitions();
+  leader_controller_.InitializePartitions();
   proto::ControlCommand command;
   *command.mutable_register_server()->mutable_server() = request.server();
   command.mutable_register_server()->set_previous_node_id(request.previous_node_id());
--- a/src/coordinator/node_requests.h
+++ b/src/coordinator/node_requests.h
@@ -5,15 +5,16 @@
 
 #include "coordinator/command_proposer.h"
 #include "coordinator/leader_context.h"
-#include "coordinator/leader_duties.h"
+#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
 
 namespace cloverbank {
 
 class NodeRequests {
  public:
-  NodeRequests(LeaderContext& context, CommandProposer& proposer, LeaderDuties& duties)
-      : context_(context), proposer_(proposer), duties_(duties) {}
+  NodeRequests(LeaderContext& context, CommandProposer& proposer,
+               LeaderController& leader_controller)
+      : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
   void RegisterServer(const proto::RegisterServerRequest& request,
                       const Reply<proto::RegisterServerResponse>& reply);
@@ -27,7 +28,7 @@
  private:
   LeaderContext& context_;
   CommandProposer& proposer_;
-  LeaderDuties& duties_;
+  LeaderController& leader_controller_;
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/operation_records.cc
+++ b/src/coordinator/operation_records.cc
@@ -30,7 +30,7 @@
   }
 }
 
-void OperationRecords::MarkInForce(ConfigurationVersion version, std::int64_t wall_ms) {
+void OperationRecords::RecordInForce(ConfigurationVersion version, std::int64_t wall_ms) {
   while (!awaited_.empty() && awaited_.front().version <= version) {
     const auto entry = records_.find(awaited_.front().operation_id);
     awaited_.pop_front();
--- a/src/coordinator/operation_records.h
+++ b/src/coordinator/operation_records.h
@@ -25,7 +25,7 @@
   /// Adds the answer to a new operation.
   void Add(proto::OperationRecord record);
   /// Notes the time at which the versions up to `version` were in force in their records.
-  void MarkInForce(ConfigurationVersion version, std::int64_t wall_ms);
+  void RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
   std::size_t size() const { return order_.size(); }
 
   void Save(proto::ControlStateSnapshot* snapshot) const;
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -74,7 +74,7 @@
                                         const Reply<proto::GetConfigurationResponse>& reply) {
   const ConfigurationStore& configuration = context_.state.configuration();
   proto::GetConfigurationResponse response;
-  *response.mutable_configuration() = configuration.Whole();
+  *response.mutable_configuration() = configuration.FullConfiguration();
   for (proto::HistoryRecord& record : configuration.History(request.history())) {
     *response.add_history() = std::move(record);
   }
@@ -103,8 +103,8 @@
 FleetFacts OperatorRequests::Facts(const std::vector<LogMember>& members) const {
   return {context_.state,
           context_.options,
-          duties_.recoveries(),
-          duties_.sweeper(),
+          leader_controller_.recoveries(),
+          leader_controller_.sweeper(),
           context_.loads,
           members,
           GatewaysBehind(context_.state, context_.leases, context_.environment.Now())};
@@ -123,7 +123,7 @@
   for (const auto& [dead, recovery] : context_.state.partitions().recoveries()) {
     proto::Recovery* entry = response->add_recoveries();
     *entry = recovery;
-    entry->set_waiting_for(duties_.recoveries().WaitingFor(context_.state, dead));
+    entry->set_waiting_for(leader_controller_.recoveries().WaitingFor(context_.state, dead));
   }
   response->set_configuration_version(context_.state.configuration().version().value());
   response->set_in_force_version(context_.state.configuration().in_force_version().value());
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -9,15 +9,16 @@
 #include "coordinator/command_proposer.h"
 #include "coordinator/fleet_problems.h"
 #include "coordinator/leader_context.h"
-#include "coordinator/leader_duties.h"
+#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
 
 namespace cloverbank {
 
 class OperatorRequests {
  public:
-  OperatorRequests(LeaderContext& context, CommandProposer& proposer, const LeaderDuties& duties)
-      : context_(context), proposer_(proposer), duties_(duties) {}
+  OperatorRequests(LeaderContext& context, CommandProposer& proposer,
+                   const LeaderController& leader_controller)
+      : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
   /// kNotFound: no store machine of that name was ever seen.
   void RetireServer(const proto::RetireServerRequest& request,
@@ -39,7 +40,7 @@
 
   LeaderContext& context_;
   CommandProposer& proposer_;
-  const LeaderDuties& duties_;
+  const LeaderController& leader_controller_;
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/partition_assigner.cc
+++ b/src/coordinator/partition_assigner.cc
@@ -8,11 +8,11 @@
                                        const std::set<NodeId>& doubtful) {
   std::vector<NodeId> eligible;
   std::vector<NodeId> retiring;
-  std::vector<NodeId> silent;
+  std::vector<NodeId> unresponsive;
   for (const proto::Server* server : state.servers().Live(proto::ROLE_QUEUE)) {
     const NodeId id(server->node_id());
-    if (doubtful.contains(id) || state.servers().LaterLifeOf(*server).valid()) {
-      silent.push_back(id);
+    if (doubtful.contains(id) || state.servers().FindLaterIncarnation(*server).valid()) {
+      unresponsive.push_back(id);
     } else if (server->state() == proto::SERVER_STATE_RETIRING) {
       retiring.push_back(id);
     } else {
@@ -22,7 +22,7 @@
   if (!eligible.empty()) {
     return eligible;
   }
-  return retiring.empty() ? silent : retiring;
+  return retiring.empty() ? unresponsive : retiring;
 }
 
 std::map<NodeId, std::vector<PartitionId>> SpreadPartitions(
--- a/src/coordinator/partition_table.cc
+++ b/src/coordinator/partition_table.cc
@@ -159,12 +159,12 @@
     SetOwner(id, node, NodeId());
   }
   if (recovery != recoveries_.end()) {
-    MarkDoneAssignments(dead, &recovery->second);
+    SetDoneAssignments(dead, &recovery->second);
   }
   return Status::Ok();
 }
 
-void PartitionTable::MarkDoneAssignments(NodeId dead, proto::Recovery* recovery) const {
+void PartitionTable::SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const {
   for (proto::RecoveryAssignment& assignment : *recovery->mutable_assignments()) {
     const auto& ids = assignment.partition_ids();
     assignment.set_done(std::none_of(ids.begin(), ids.end(), [this, dead](std::uint64_t id) {
--- a/src/coordinator/partition_table.h
+++ b/src/coordinator/partition_table.h
@@ -86,7 +86,7 @@
  private:
   void SetOwner(PartitionId partition, NodeId owner, NodeId recovering_from);
   bool IsAssigned(const proto::Recovery& recovery, PartitionId partition, NodeId node) const;
-  void MarkDoneAssignments(NodeId dead, proto::Recovery* recovery) const;
+  void SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const;
   bool AnyRecoveringFrom(NodeId dead) const;
 
   std::map<PartitionId, proto::Partition> partitions_;
--- a/src/coordinator/recovery_manager.cc
+++ b/src/coordinator/recovery_manager.cc
@@ -19,8 +19,8 @@
   const auto room = [](std::size_t most, std::size_t under_way) {
     return most - std::min(most, under_way);
   };
-  room_for_readings_ = room(options_.most_readings, CountUnderWay(&Progress::readings));
-  room_for_releases_ = room(options_.most_releases, CountUnderWay(&Progress::releases));
+  available_reading_calls_ = room(options_.most_readings, CountUnderWay(&Progress::readings));
+  available_release_calls_ = room(options_.most_releases, CountUnderWay(&Progress::releases));
   std::vector<RecoveryAction> actions;
   for (const auto& [dead, recovery] : recoveries) {
     StepOne(state, recovery, facts, &actions);
@@ -79,7 +79,7 @@
   }
   for (const proto::Server* backup : state.servers().Live(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
-    if (Begin(now, &progress->readings[id], &room_for_readings_)) {
+    if (Begin(now, &progress->readings[id], &available_reading_calls_)) {
       actions->push_back(StartReadingAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
@@ -163,7 +163,7 @@
     const NodeId id(backup->node_id());
     Call& call = progress->releases[id];
     all_done = all_done && call.done;
-    if (Begin(now, &call, &room_for_releases_)) {
+    if (Begin(now, &call, &available_release_calls_)) {
       actions->push_back(ReleaseAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
--- a/src/coordinator/recovery_manager.h
+++ b/src/coordinator/recovery_manager.h
@@ -126,8 +126,8 @@
   bool Begin(TimePoint now, Call* call, std::size_t* room) const;
 
   RecoveryOptions options_;
-  std::size_t room_for_readings_ = 0;  // In the present step.
-  std::size_t room_for_releases_ = 0;
+  std::size_t available_reading_calls_ = 0;  // In the present step.
+  std::size_t available_release_calls_ = 0;
   std::map<NodeId, Progress> progress_;      // By dead node.
   std::map<NodeId, PlannedLoads> proposed_;  // Replays not in the state yet, by dead node.
 };
--- a/src/coordinator/server_registry.cc
+++ b/src/coordinator/server_registry.cc
@@ -23,7 +23,7 @@
 ServerRegistry::Registration ServerRegistry::Register(const proto::Server& server,
                                                       NodeId previous) {
   Registration registration;
-  registration.node_id = FindSameLife(server, previous);
+  registration.node_id = FindSameIncarnation(server, previous);
   if (registration.node_id.valid()) {
     registration.repeated = true;
     return registration;
@@ -36,17 +36,17 @@
   entry.set_node_id(registration.node_id.value());
   entry.set_state(retired_machines_.contains(server.machine()) ? proto::SERVER_STATE_RETIRING
                                                                : proto::SERVER_STATE_UP);
-  NoteChange(entry);
+  RecordChange(entry);
   return registration;
 }
 
-void ServerRegistry::NoteChange(const proto::Server& server) {
+void ServerRegistry::RecordChange(const proto::Server& server) {
   if (server.role() != proto::ROLE_GATEWAY) {
     changed_.insert(NodeId(server.node_id()));
   }
 }
 
-NodeId ServerRegistry::FindSameLife(const proto::Server& server, NodeId previous) const {
+NodeId ServerRegistry::FindSameIncarnation(const proto::Server& server, NodeId previous) const {
   for (const auto& [id, entry] : servers_) {
     const bool same = IsLive(entry) && id != previous && entry.role() == server.role() &&
                       entry.incarnation() == server.incarnation() &&
@@ -71,7 +71,7 @@
   return superseded;
 }
 
-bool ServerRegistry::MarkDead(NodeId node) {
+bool ServerRegistry::DeclareDead(NodeId node) {
   const auto entry = servers_.find(node);
   if (entry == servers_.end() || !IsLive(entry->second)) {
     return false;
@@ -81,7 +81,7 @@
     return true;
   }
   entry->second.set_state(proto::SERVER_STATE_DEAD);
-  NoteChange(entry->second);
+  RecordChange(entry->second);
   return true;
 }
 
@@ -94,7 +94,7 @@
   for (auto& [id, server] : servers_) {
     if (server.machine() == machine && IsLive(server)) {
       server.set_state(cancel ? proto::SERVER_STATE_UP : proto::SERVER_STATE_RETIRING);
-      NoteChange(server);
+      RecordChange(server);
     }
   }
 }
@@ -134,7 +134,7 @@
   return live;
 }
 
-NodeId ServerRegistry::LaterLifeOf(const proto::Server& server) const {
+NodeId ServerRegistry::FindLaterIncarnation(const proto::Server& server) const {
   if (server.role() != proto::ROLE_QUEUE || server.machine().empty()) {
     return {};
   }
--- a/src/coordinator/server_registry.h
+++ b/src/coordinator/server_registry.h
@@ -45,7 +45,7 @@
   Registration Register(const proto::Server& server, NodeId previous);
 
   /// Marks a queue or backup node dead; erases a gateway. @return whether anything changed.
-  bool MarkDead(NodeId node);
+  bool DeclareDead(NodeId node);
   /// Empties the machine's servers, present and future, or takes that back.
   void RetireMachine(const std::string& machine, bool cancel);
   /// Forgets the oldest dead servers beyond `kDeadServersKept`, except `needed` ones.
@@ -60,7 +60,7 @@
   std::vector<const proto::Server*> Live(proto::Role role) const;
   /// @return the live queue node that holds the same machine name with a higher id, if any: the
   /// sign that `node` is an earlier life whose machine came back at another address.
-  NodeId LaterLifeOf(const proto::Server& server) const;
+  NodeId FindLaterIncarnation(const proto::Server& server) const;
   /// Whether `left` and `right` are backups that keep, or kept, their replicas on the same disk.
   bool SameDisk(NodeId left, NodeId right) const;
   /// Whether a queue or backup node, dead or live, of that machine is kept, or it is retired.
@@ -75,8 +75,8 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
-  void NoteChange(const proto::Server& server);
-  NodeId FindSameLife(const proto::Server& server, NodeId previous) const;
+  void RecordChange(const proto::Server& server);
+  NodeId FindSameIncarnation(const proto::Server& server, NodeId previous) const;
   std::vector<NodeId> FindSuperseded(const proto::Server& server, NodeId previous) const;
 
   NodeId next_node_id_{1};
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-ConfigurationVersion VersionHeldByAll(const ControlState& state, const LeaseTable& leases,
-                                      TimePoint now) {
+ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
+                                           TimePoint now) {
   ConfigurationVersion lowest = state.configuration().version();
   for (const proto::Server* gateway : state.servers().Live(proto::ROLE_GATEWAY)) {
     const auto used = leases.LowestVersionInUse(NodeId(gateway->node_id()), now);
@@ -66,15 +66,15 @@
   apply.set_wall_ms(context_.environment.WallMilliseconds());
   proposer_.Propose(command, [this, reply](const Result<proto::ControlCommandResult>& applied) {
     if (applied.ok()) {
-      TakeApplied(applied->transaction(), reply);
+      HandleApplied(applied->transaction(), reply);
     } else {
       reply(applied.status());
     }
   });
 }
 
-void TransactionHandler::TakeApplied(const proto::TransactionResult& result,
-                                     const Reply<proto::SubmitTransactionResponse>& reply) {
+void TransactionHandler::HandleApplied(const proto::TransactionResult& result,
+                                       const Reply<proto::SubmitTransactionResponse>& reply) {
   if (result.outcome() != proto::TRANSACTION_OUTCOME_APPLIED) {
     CountRefusal(result);
     reply(Respond(result));
@@ -91,26 +91,26 @@
 }
 
 void TransactionHandler::Review() {
-  if (!context_.MayAnswer()) {
+  if (!context_.CanAnswer()) {
     RefuseAll();
     return;
   }
   const ConfigurationStore& configuration = context_.state.configuration();
   if (configuration.in_force_version() < configuration.version()) {
-    const ConfigurationVersion held =
-        VersionHeldByAll(context_.state, context_.leases, context_.environment.Now());
-    if (held > configuration.in_force_version()) {
-      NoteUnconfirmed(held);
+    const ConfigurationVersion confirmed =
+        VersionConfirmedByAll(context_.state, context_.leases, context_.environment.Now());
+    if (confirmed > configuration.in_force_version()) {
+      RecordUnconfirmed(confirmed);
       proto::ControlCommand command;
-      command.mutable_mark_in_force()->set_version(held.value());
-      command.mutable_mark_in_force()->set_wall_ms(context_.environment.WallMilliseconds());
+      command.mutable_record_in_force()->set_version(confirmed.value());
+      command.mutable_record_in_force()->set_wall_ms(context_.environment.WallMilliseconds());
       proposer_.ProposeOnce(kInForceKey, command);
     }
   }
   AnswerInForce();
 }
 
-void TransactionHandler::NoteUnconfirmed(ConfigurationVersion version) {
+void TransactionHandler::RecordUnconfirmed(ConfigurationVersion version) {
   if (version <= last_noted_) {
     return;
   }
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -18,8 +18,8 @@
 namespace cloverbank {
 
 /// @return the highest version that every gateway that may act holds: the version in force. Pure.
-ConfigurationVersion VersionHeldByAll(const ControlState& state, const LeaseTable& leases,
-                                      TimePoint now);
+ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
+                                           TimePoint now);
 /// @return live gateways that may still act by a version below the current one.
 std::vector<NodeId> GatewaysBehind(const ControlState& state, const LeaseTable& leases,
                                    TimePoint now);
@@ -49,11 +49,11 @@
     Reply<proto::SubmitTransactionResponse> reply;
   };
 
-  void TakeApplied(const proto::TransactionResult& result,
-                   const Reply<proto::SubmitTransactionResponse>& reply);
+  void HandleApplied(const proto::TransactionResult& result,
+                     const Reply<proto::SubmitTransactionResponse>& reply);
   void AnswerInForce();
   /// Tells of gateways that a version in force does not wait for; once a version.
-  void NoteUnconfirmed(ConfigurationVersion version);
+  void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
 
   LeaderContext& context_;
--- a/src/coordinator/absent_nodes.cc
+++ b/src/coordinator/unreachable_nodes.cc
@@ -1,4 +1,4 @@
-#include "coordinator/absent_nodes.h"
+#include "coordinator/unreachable_nodes.h"
 
 #include "coordinator/proto_endpoint.h"
 #include "coordinator/server_registry.h"
@@ -12,24 +12,24 @@
 
 }  // namespace
 
-std::vector<AbsentNodes::Place> AbsentNodes::Due(const ControlState& state,
-                                                 const std::set<NodeId>& silent, TimePoint now) {
-  std::set<Place> present;
+std::vector<UnreachableNodes::NodeLocation> UnreachableNodes::Due(
+    const ControlState& state, const std::set<NodeId>& unresponsive, TimePoint now) {
+  std::set<NodeLocation> present;
   for (const auto& [id, server] : state.servers().servers()) {
     if (!IsLive(server)) {
       continue;
     }
-    const Place place{ToEndpoint(server.peer_endpoint()), server.role()};
-    entries_.try_emplace(place, Entry{now, now, false});
-    if (!silent.contains(id)) {
-      present.insert(place);
+    const NodeLocation location{ToEndpoint(server.peer_endpoint()), server.role()};
+    entries_.try_emplace(location, Entry{now, now, false});
+    if (!unresponsive.contains(id)) {
+      present.insert(location);
     }
   }
-  std::vector<Place> due;
+  std::vector<NodeLocation> due;
   for (auto entry = entries_.begin(); entry != entries_.end();) {
-    const Place place = entry->first;
+    const NodeLocation location = entry->first;
     Entry& known = entry->second;
-    const bool is_present = present.contains(place);
+    const bool is_present = present.contains(location);
     if (is_present) {
       known.last_present = now;
     }
@@ -37,9 +37,9 @@
       entry = entries_.erase(entry);
       continue;
     }
-    if (now >= known.next && (!known.told || !is_present)) {
-      due.push_back(place);
-      known.told = true;
+    if (now >= known.next && (!known.notified || !is_present)) {
+      due.push_back(location);
+      known.notified = true;
       known.next = now + kInterval;
     }
     ++entry;
--- a/src/coordinator/absent_nodes.h
+++ b/src/coordinator/unreachable_nodes.h
@@ -16,30 +16,31 @@
 
 namespace cloverbank {
 
-class AbsentNodes {
+class UnreachableNodes {
  public:
   /// Where a node of a role is, or was.
-  struct Place {
+  struct NodeLocation {
     Endpoint endpoint;
     proto::Role role = proto::ROLE_UNSPECIFIED;
     // NOLINTNEXTLINE(modernize-use-nullptr): as in base/ids.h.
-    auto operator<=>(const Place&) const = default;
+    auto operator<=>(const NodeLocation&) const = default;
   };
 
   /// This member became leader: nodes may have lost the coordinators at any time before.
   void Reset() { entries_.clear(); }
   /// @param silent live nodes that were not heard of lately.
   /// @return those to be told now.
-  std::vector<Place> Due(const ControlState& state, const std::set<NodeId>& silent, TimePoint now);
+  std::vector<NodeLocation> Due(const ControlState& state, const std::set<NodeId>& unresponsive,
+                                TimePoint now);
 
  private:
   struct Entry {
     TimePoint last_present{};
     TimePoint next{};
-    bool told = false;  ///< Also nodes that seem to be present are told once.
+    bool notified = false;  ///< Also nodes that seem to be present are told once.
   };
 
-  std::map<Place, Entry> entries_;
+  std::map<NodeLocation, Entry> entries_;
 };
 
 }  // namespace cloverbank
--- a/src/deployment/deployment.cc
+++ b/src/deployment/deployment.cc
@@ -248,14 +248,14 @@
   const auto microseconds = [](Duration time) {
     return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
   };
-  const auto whole_milliseconds = [](Duration time) {
+  const auto to_milliseconds = [](Duration time) {
     return std::chrono::duration_cast<milliseconds>(time).count();
   };
   toml::table root;
   root.insert("deployment", toml::table{{"name", deployment.name},
                                         {"platform_list", deployment.platform_list.ToString()},
                                         {"emulator_admin", deployment.emulator_admin.ToString()},
-                                        {"list_lag_ms", whole_milliseconds(deployment.list_lag)}});
+                                        {"list_lag_ms", to_milliseconds(deployment.list_lag)}});
   toml::array machines;
   for (const DeployedMachine& machine : deployment.machines) {
     toml::array roles;
@@ -286,7 +286,7 @@
         name, toml::table{{"prefill_us_per_token", microseconds(behaviour.prefill_per_token)},
                           {"decode_step_us", microseconds(behaviour.decode_step)},
                           {"decode_step_us_per_call", microseconds(behaviour.decode_step_per_call)},
-                          {"load_time_ms", whole_milliseconds(behaviour.load_time)},
+                          {"load_time_ms", to_milliseconds(behaviour.load_time)},
                           {"shared_prefix_tokens", std::int64_t{behaviour.shared_prefix_tokens}},
                           {"prefix_cache_entries", std::int64_t{behaviour.prefix_cache_entries}},
                           {"kv_capacity_tokens", std::int64_t{behaviour.kv_capacity_tokens}},
--- a/src/emulation/model_replica.cc
+++ b/src/emulation/model_replica.cc
@@ -90,15 +90,15 @@
 
 std::optional<TimePoint> ModelReplica::NextEvent() const { return step_end_; }
 
-std::vector<EmittedPiece> ModelReplica::Advance(TimePoint now) {
-  std::vector<EmittedPiece> pieces;
+std::vector<EmittedChunk> ModelReplica::Advance(TimePoint now) {
+  std::vector<EmittedChunk> chunks;
   while (step_end_ && *step_end_ <= now) {
     const TimePoint ended = *step_end_;
     step_end_.reset();
-    FinishStep(&pieces);
+    FinishStep(&chunks);
     BeginNextStep(ended);
   }
-  return pieces;
+  return chunks;
 }
 
 double ModelReplica::kv_occupancy() const {
@@ -141,14 +141,14 @@
   EvictPrefixes();
   std::uint32_t tokens = PromptTokens(prefilling_->request.prompt());
   const std::string& prefix_key = prefilling_->request.prefix_key();
-  if (!prefix_key.empty() && !TakePrefix(prefix_key)) {
+  if (!prefix_key.empty() && !CachePrefix(prefix_key)) {
     tokens += behaviour_.shared_prefix_tokens;
   }
   step_end_ = now + Slowed(behaviour_.prefill_per_token * tokens);
   return true;
 }
 
-bool ModelReplica::TakePrefix(const std::string& prefix_key) {
+bool ModelReplica::CachePrefix(const std::string& prefix_key) {
   const auto found = std::find(prefixes_.begin(), prefixes_.end(), prefix_key);
   if (found != prefixes_.end()) {
     prefixes_.splice(prefixes_.begin(), prefixes_, found);
@@ -172,23 +172,23 @@
   }
 }
 
-void ModelReplica::FinishStep(std::vector<EmittedPiece>* pieces) {
+void ModelReplica::FinishStep(std::vector<EmittedChunk>* chunks) {
   if (prefilling_) {
     decoding_.push_back(std::move(*prefilling_));
     prefilling_.reset();
     return;
   }
   for (auto call = decoding_.begin(); call != decoding_.end();) {
-    EmittedPiece emitted;
+    EmittedChunk emitted;
     emitted.call_key = call->call_key;
-    emitted.piece.set_run_id(call->run_id);
-    emitted.piece.set_call_id(call->request.call_id());
-    emitted.piece.set_sequence(call->next_sequence);
-    emitted.piece.set_text(ExpectedToken(call->request.prompt(), call->next_sequence));
+    emitted.chunk.set_run_id(call->run_id);
+    emitted.chunk.set_call_id(call->request.call_id());
+    emitted.chunk.set_sequence(call->next_sequence);
+    emitted.chunk.set_text(ExpectedToken(call->request.prompt(), call->next_sequence));
     ++call->next_sequence;
     const bool last = call->next_sequence >= AnswerTokens(call->request);
-    emitted.piece.set_end(last);
-    pieces->push_back(std::move(emitted));
+    emitted.chunk.set_end(last);
+    chunks->push_back(std::move(emitted));
     if (last) {
       kv_used_ -= call->kv_tokens;
       call = decoding_.erase(call);
--- a/src/emulation/model_replica.h
+++ b/src/emulation/model_replica.h
@@ -31,9 +31,9 @@
 std::uint32_t PromptTokens(std::string_view prompt);
 
 /// One token of one call.
-struct EmittedPiece {
+struct EmittedChunk {
   std::string call_key;  ///< As given to `Start`.
-  proto::StreamPiece piece;
+  proto::StreamChunk chunk;
 };
 
 enum class StartOutcome : std::uint8_t {
@@ -57,7 +57,7 @@
   /// @return when `Advance` has something to do, if ever.
   std::optional<TimePoint> NextEvent() const;
   /// Does what is due by `now`. @return the pieces made, in order.
-  std::vector<EmittedPiece> Advance(TimePoint now);
+  std::vector<EmittedChunk> Advance(TimePoint now);
 
   bool Loaded(TimePoint now) const { return now >= loaded_at_; }
   std::uint32_t running() const { return static_cast<std::uint32_t>(decoding_.size()); }
@@ -81,9 +81,9 @@
 
   void BeginNextStep(TimePoint now);
   bool BeginPrefill(TimePoint now);
-  void FinishStep(std::vector<EmittedPiece>* pieces);
+  void FinishStep(std::vector<EmittedChunk>* chunks);
   std::uint32_t KvNeed(const proto::CallRequest& request) const;
-  bool TakePrefix(const std::string& prefix_key);
+  bool CachePrefix(const std::string& prefix_key);
   void EvictPrefixes();
   Duration Slowed(Duration time) const;
 
--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -160,7 +160,7 @@
   return kill(*pid, signal) == 0 ? Status::Ok() : SystemError("kill " + process);
 }
 
-bool Fleet::WaitGone(const std::string& process, Duration limit) {
+bool Fleet::WaitForExit(const std::string& process, Duration limit) {
   const TimePoint give_up = EventLoop::Now() + limit;
   while (folder_.RunningPid(process)) {
     if (EventLoop::Now() >= give_up) {
@@ -177,7 +177,7 @@
   if (Status status = Signal(process, SIGKILL); !status.ok()) {
     return status;
   }
-  return WaitGone(process, seconds(5))
+  return WaitForExit(process, seconds(5))
              ? folder_.SavePid(process, 0)
              : Status(StatusCode::kInternal, process + " is still there after SIGKILL");
 }
@@ -186,7 +186,7 @@
   if (Status status = Signal(process, SIGTERM); !status.ok()) {
     return status;
   }
-  return WaitGone(process, grace)
+  return WaitForExit(process, grace)
              ? folder_.SavePid(process, 0)
              : Status(StatusCode::kUnavailable, process + " has not stopped within the grace time");
 }
@@ -203,7 +203,7 @@
   }
   const TimePoint give_up = EventLoop::Now() + grace;
   for (const std::string& process : processes) {
-    if (!WaitGone(process, std::max(Duration::zero(), give_up - EventLoop::Now()))) {
+    if (!WaitForExit(process, std::max(Duration::zero(), give_up - EventLoop::Now()))) {
       static_cast<void>(Kill(process));
     }
     static_cast<void>(folder_.SavePid(process, 0));
--- a/src/fleet/fleet.h
+++ b/src/fleet/fleet.h
@@ -58,7 +58,7 @@
  private:
   Status Spawn(const std::string& process, const std::vector<std::string>& arguments);
   Status Signal(const std::string& process, int signal);
-  bool WaitGone(const std::string& process, Duration limit);
+  bool WaitForExit(const std::string& process, Duration limit);
   Status SetBlocked(const DeployedMachine& machine, const std::vector<std::string>& addresses);
   Status SaveDeployment();
 
--- a/src/gateway/admission_control.cc
+++ b/src/gateway/admission_control.cc
@@ -46,7 +46,7 @@
   return std::min(capacity, tokens_ + ToSeconds(now - updated_) * per_second);
 }
 
-Duration TokenBucket::Take(double per_second, Duration burst, TimePoint now) {
+Duration TokenBucket::Acquire(double per_second, Duration burst, TimePoint now) {
   const double capacity = std::max(1.0, per_second * ToSeconds(burst));
   tokens_ = Level(per_second, capacity, now);
   updated_ = now;
@@ -70,7 +70,7 @@
   }
   if (tenant != nullptr && tenant->calls_per_second() != 0) {
     TokenBucket& bucket = buckets_[tenant->name()];
-    const Duration wait = bucket.Take(tenant->calls_per_second(), options_.burst, now);
+    const Duration wait = bucket.Acquire(tenant->calls_per_second(), options_.burst, now);
     if (wait > Duration::zero()) {
       return RefusalNotice{Refusal::kTenantRate, std::max(wait, options_.least_retry_after)};
     }
@@ -99,7 +99,7 @@
   if (wait && now + *wait >= bounded.give_up_at) {
     return RefusalNotice{Refusal::kQueueTooSlow, RetryAfter(call.backend)};
   }
-  if (!MakeRoom(queue, rank, call.bytes, displaced)) {
+  if (!DisplaceLowerRanked(queue, rank, call.bytes, displaced)) {
     return RefusalNotice{Refusal::kQueueFull, RetryAfter(call.backend)};
   }
   if (queue.ranks.empty()) {
@@ -114,15 +114,15 @@
   return std::nullopt;
 }
 
-bool AdmissionControl::HasRoom(const Queue& queue, std::size_t bytes) const {
+bool AdmissionControl::HasCapacity(const Queue& queue, std::size_t bytes) const {
   return queue.ranks.size() < options_.queue_length &&
          waiting_.size() < options_.total_queue_length &&
          waiting_bytes_ + bytes <= options_.queue_bytes;
 }
 
-bool AdmissionControl::MakeRoom(Queue& queue, const Rank& rank, std::size_t bytes,
-                                std::vector<WaitId>* displaced) {
-  if (HasRoom(queue, bytes)) {
+bool AdmissionControl::DisplaceLowerRanked(Queue& queue, const Rank& rank, std::size_t bytes,
+                                           std::vector<WaitId>* displaced) {
+  if (HasCapacity(queue, bytes)) {
     return true;
   }
   if (queue.ranks.empty()) {
@@ -136,7 +136,7 @@
   const WaitId id = std::get<2>(last);
   Remove(id);
   displaced->push_back(id);
-  return HasRoom(queue, bytes);
+  return HasCapacity(queue, bytes);
 }
 
 std::vector<WaitId> AdmissionControl::FirstWaiting(const std::string& backend,
--- a/src/gateway/admission_control.h
+++ b/src/gateway/admission_control.h
@@ -66,7 +66,7 @@
 class TokenBucket {
  public:
   /// Takes one token. @return 0, or how long until there is one.
-  Duration Take(double per_second, Duration burst, TimePoint now);
+  Duration Acquire(double per_second, Duration burst, TimePoint now);
   /// Whether it is as good as new, so that it need not be kept.
   bool Full(double per_second, Duration burst, TimePoint now) const;
 
@@ -124,8 +124,9 @@
 
   static Rank RankOf(const WaitingCall& call);
   std::optional<Duration> ExpectedWait(const Queue& queue, const Rank& rank) const;
-  bool HasRoom(const Queue& queue, std::size_t bytes) const;
-  bool MakeRoom(Queue& queue, const Rank& rank, std::size_t bytes, std::vector<WaitId>* displaced);
+  bool HasCapacity(const Queue& queue, std::size_t bytes) const;
+  bool DisplaceLowerRanked(Queue& queue, const Rank& rank, std::size_t bytes,
+                           std::vector<WaitId>* displaced);
 
   AdmissionOptions options_;
   std::unordered_map<std::string, std::uint32_t> in_flight_;
--- a/src/gateway/answer_timing.cc
+++ b/src/gateway/answer_timing.cc
@@ -6,11 +6,11 @@
   switch (lateness) {
     case Lateness::kNone:
       return "none";
-    case Lateness::kFirstPiece:
+    case Lateness::kFirstChunk:
       return "first_piece";
     case Lateness::kPause:
       return "pause";
-    case Lateness::kWholeAnswer:
+    case Lateness::kCompleteAnswer:
       return "whole_answer";
   }
   return "none";
@@ -27,15 +27,15 @@
   ++events_;
 }
 
-void AnswerTiming::OnWhole(TimePoint now) {
-  whole_ = true;
+void AnswerTiming::OnComplete(TimePoint now) {
+  complete_ = true;
   first_after_ = now - started_;
 }
 
 Lateness AnswerTiming::lateness() const {
   const bool has_target = targets_.target > Duration::zero();
   if (has_target && first_after_ > targets_.target) {
-    return whole_ ? Lateness::kWholeAnswer : Lateness::kFirstPiece;
+    return complete_ ? Lateness::kCompleteAnswer : Lateness::kFirstChunk;
   }
   const bool has_pause = targets_.longest_pause > Duration::zero();
   return has_pause && longest_pause_ > targets_.longest_pause ? Lateness::kPause : Lateness::kNone;
--- a/src/gateway/answer_timing.h
+++ b/src/gateway/answer_timing.h
@@ -14,9 +14,9 @@
 /// What made an answer late, if anything.
 enum class Lateness : std::uint8_t {
   kNone,
-  kFirstPiece,   ///< The first event of a stream came after the target.
-  kPause,        ///< Two events of a stream lay further apart than the route allows.
-  kWholeAnswer,  ///< An answer in one piece came after the target.
+  kFirstChunk,      ///< The first event of a stream came after the target.
+  kPause,           ///< Two events of a stream lay further apart than the route allows.
+  kCompleteAnswer,  ///< An answer in one piece came after the target.
 };
 
 /// @return the stable snake_case name, for metrics and logs.
@@ -35,7 +35,7 @@
   /// An event of a stream is there.
   void OnEvent(TimePoint now);
   /// An answer in one piece is there.
-  void OnWhole(TimePoint now);
+  void OnComplete(TimePoint now);
 
   /// @return the first cause that makes the answer late, as far as it has come.
   Lateness lateness() const;
@@ -54,7 +54,7 @@
   Duration longest_pause_{};
   Duration longest_pause_from_{};
   std::uint32_t events_ = 0;
-  bool whole_ = false;
+  bool complete_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -8,7 +8,7 @@
 #include "gateway/http_json.h"
 #include "gateway/http_query.h"
 #include "node/batch_partitions.h"
-#include "node/room_refusal.h"
+#include "node/overload_rejection.h"
 
 namespace cloverbank {
 namespace {
@@ -83,7 +83,7 @@
   error.set_message(refused ? status.message() : status.message() + "; " + advice);
   error.set_executed(refused ? proto::EXECUTED_NO : proto::EXECUTED_UNKNOWN);
   if (http_status == 429 || http_status >= 500) {
-    const Duration wait = ComeAfter(status).value_or(kRetryAfter);
+    const Duration wait = RetryAfter(status).value_or(kRetryAfter);
     error.set_retry_after_ms(
         static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(wait).count()));
   }
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -24,7 +24,7 @@
     case StatusCode::kNotLeader:
       return ReplyMeaning::kNotCarriedOut;
     case StatusCode::kConflict:
-      return status.detail() == kNotOwnerDetail || status.detail() == kKeeperAwayDetail
+      return status.detail() == kNotOwnerDetail || status.detail() == kQuotaOwnerUnavailableDetail
                  ? ReplyMeaning::kNotCarriedOut
                  : ReplyMeaning::kFinal;
     case StatusCode::kUnknownOutcome:
@@ -91,12 +91,12 @@
   environment_.CallPeer(endpoint, options_.method, options_.body, end_ - environment_.Now(),
                         [self = shared_from_this(), attempt = attempt_](PeerReply reply) {
                           if (!self->owner_.expired() && self->done_ != nullptr) {
-                            self->TakeReply(attempt, std::move(reply));
+                            self->HandleReply(attempt, std::move(reply));
                           }
                         });
 }
 
-void BatchOwnerCall::TakeReply(std::uint64_t attempt, PeerReply reply) {
+void BatchOwnerCall::HandleReply(std::uint64_t attempt, PeerReply reply) {
   const ReplyMeaning meaning = Interpret(reply.status);
   const bool current = attempt == attempt_;
   // An earlier owner that answers late was right if it succeeded; its refusals no longer count.
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -37,7 +37,7 @@
  private:
   void Check();
   void SendTo(const proto::Server& server);
-  void TakeReply(std::uint64_t attempt, PeerReply reply);
+  void HandleReply(std::uint64_t attempt, PeerReply reply);
   void Finish(PeerReply reply);
 
   Environment& environment_;
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -12,7 +12,7 @@
 constexpr Duration kReadDeadline = milliseconds(900);
 constexpr Duration kChangeDeadline = milliseconds(2500);
 /// Part of the time within which a submission should be accepted that it may wait for room.
-constexpr double kWaitShareOfTarget = 0.5;
+constexpr double kSubmissionWaitRatio = 0.5;
 constexpr std::uint32_t kLargestPage = 1000;
 
 /// Cursor of a list of results; see queue/list_cursor.h.
@@ -27,8 +27,8 @@
 };
 
 /// Counts and logs a submission that was accepted late or not accepted.
-void NoteSubmission(Environment& environment, const SubmissionTiming& timing, Duration taken,
-                    const Status& status) {
+void RecordSubmission(Environment& environment, const SubmissionTiming& timing, Duration taken,
+                      const Status& status) {
   const bool late = timing.target > Duration::zero() && taken > timing.target;
   if (status.ok() && !late) {
     return;
@@ -107,7 +107,7 @@
   proto::SubmitBatchRequest request;
   request.set_partition_id(PartitionOf(submission.host, submission.batch_id));
   request.set_idempotent(true);
-  request.set_wait_ms(static_cast<std::uint32_t>(route.target_ms() * kWaitShareOfTarget));
+  request.set_wait_ms(static_cast<std::uint32_t>(route.target_ms() * kSubmissionWaitRatio));
   proto::SubmitBatch& batch = *request.mutable_batch();
   batch.set_tenant(submission.host);
   batch.set_route(route.name());
@@ -122,8 +122,8 @@
       [this, sent = environment_.Now(), name = route.name(), target = route.target_ms(),
        items = request.batch().items_size(), bytes = request.ByteSizeLong(),
        done = std::move(done)](Result<proto::SubmitBatchResponse> result) {
-        NoteSubmission(environment_, SubmissionTiming{name, milliseconds(target), items, bytes},
-                       environment_.Now() - sent, result.status());
+        RecordSubmission(environment_, SubmissionTiming{name, milliseconds(target), items, bytes},
+                         environment_.Now() - sent, result.status());
         if (result.ok()) {
           done(std::move(*result->mutable_status()));
         } else {
--- a/src/gateway/batch_work_offers.cc
+++ b/src/gateway/batch_work_offers.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 
 std::vector<WorkOffer> WorkOffers::Next(TimePoint now, const std::vector<NodeId>& nodes,
-                                        const BatchRoom& free) {
+                                        const BatchCapacity& free) {
   Forget(nodes);
   std::vector<WorkOffer> offers;
   if (nodes.empty()) {
@@ -19,16 +19,16 @@
     if (asked.under_way || now < asked.next_ask) {
       continue;
     }
-    BatchRoom room = RoomFor(asked, now, free, nodes.size());
-    if (room.empty()) {
+    BatchCapacity capacity = CapacityFor(asked, now, free, nodes.size());
+    if (capacity.empty()) {
       continue;
     }
     asked.under_way = true;
-    asked.offered = room;
+    asked.offered = capacity;
     asked.next_ask = now + options_.minimum_interval;
     const Duration hold = asked.busy ? Duration::zero() : options_.hold;
-    asked.offered_until = now + hold + options_.silence_limit;
-    offers.push_back({node, std::move(room), hold});
+    asked.offered_until = now + hold + options_.response_timeout;
+    offers.push_back({node, std::move(capacity), hold});
   }
   ++first_;
   return offers;
@@ -57,14 +57,14 @@
   });
 }
 
-BatchRoom WorkOffers::RoomFor(const Asked& asked, TimePoint now, const BatchRoom& free,
-                              std::size_t nodes) const {
+BatchCapacity WorkOffers::CapacityFor(const Asked& asked, TimePoint now, const BatchCapacity& free,
+                                      std::size_t nodes) const {
   std::size_t sharers = nodes;
   if (asked.busy) {
     sharers = static_cast<std::size_t>(std::count_if(
         asked_.begin(), asked_.end(), [](const auto& entry) { return entry.second.busy; }));
   }
-  BatchRoom room;
+  BatchCapacity capacity;
   for (const auto& [backend, slots] : free) {
     std::uint32_t left = slots;
     for (const auto& [node, other] : asked_) {
@@ -75,12 +75,12 @@
         left -= std::min(left, offered->second);
       }
     }
-    const auto share = static_cast<std::uint32_t>((slots + sharers - 1) / sharers);
-    if (std::min(left, share) > 0) {
-      room[backend] = std::min(left, share);
+    const auto quota = static_cast<std::uint32_t>((slots + sharers - 1) / sharers);
+    if (std::min(left, quota) > 0) {
+      capacity[backend] = std::min(left, quota);
     }
   }
-  return room;
+  return capacity;
 }
 
 }  // namespace cloverbank
--- a/src/gateway/batch_work_offers.h
+++ b/src/gateway/batch_work_offers.h
@@ -17,19 +17,19 @@
 namespace cloverbank {
 
 /// Free slots by backend.
-using BatchRoom = std::map<std::string, std::uint32_t>;
+using BatchCapacity = std::map<std::string, std::uint32_t>;
 
 /// One question to one queue node.
 struct WorkOffer {
   NodeId node;
-  BatchRoom room;  ///< Only backends with room.
+  BatchCapacity capacity;  ///< Only backends with room.
   Duration hold{};
 };
 
 struct WorkOfferOptions {
   Duration hold = milliseconds(500);             ///< Of nodes that had no work lately.
   Duration minimum_interval = milliseconds(20);  ///< Between two questions to one node.
-  Duration silence_limit = seconds(1);           ///< Beyond the hold, see `offered_until`.
+  Duration response_timeout = seconds(1);        ///< Beyond the hold, see `offered_until`.
 };
 
 class WorkOffers {
@@ -39,7 +39,7 @@
   /// @return the questions to send now; each counts as under way until `Answered` or `Failed`.
   /// @param nodes queue nodes that own partitions; others are forgotten once nothing is under way.
   std::vector<WorkOffer> Next(TimePoint now, const std::vector<NodeId>& nodes,
-                              const BatchRoom& free);
+                              const BatchCapacity& free);
   void Answered(NodeId node, std::size_t grants, TimePoint now);
   /// The node did not answer; it is asked again at `retry_at`.
   void Failed(NodeId node, TimePoint retry_at);
@@ -50,12 +50,12 @@
     bool busy = false;  ///< Its last answer brought work.
     TimePoint next_ask;
     TimePoint offered_until;  ///< Later, the room of a silent node goes to others.
-    BatchRoom offered;
+    BatchCapacity offered;
   };
 
   void Forget(const std::vector<NodeId>& nodes);
-  BatchRoom RoomFor(const Asked& asked, TimePoint now, const BatchRoom& free,
-                    std::size_t nodes) const;
+  BatchCapacity CapacityFor(const Asked& asked, TimePoint now, const BatchCapacity& free,
+                            std::size_t nodes) const;
 
   WorkOfferOptions options_;
   std::map<NodeId, Asked> asked_;
--- a/src/gateway/batch_worker.cc
+++ b/src/gateway/batch_worker.cc
@@ -55,7 +55,7 @@
       agent_(agent),
       caller_(caller),
       options_(options),
-      ledger_(options.limits),
+      work_items_(options.limits),
       offers_(options.offers) {}
 
 BatchWorker::~BatchWorker() {
@@ -96,21 +96,21 @@
 }
 
 void BatchWorker::StartWaiting() {
-  const std::vector<WorkLeaseId> waiting = ledger_.Waiting();
+  const std::vector<WorkLeaseId> waiting = work_items_.Waiting();
   if (waiting.empty()) {
     return;
   }
-  BatchRoom free = FreeRoom();
+  BatchCapacity free = FreeCapacity();
   for (const WorkLeaseId lease : waiting) {
     const StartConditions conditions = Conditions();
-    StartRefusal refusal = ledger_.MayStart(lease, conditions);
+    StartRefusal refusal = work_items_.CanStart(lease, conditions);
     const proto::Route* route =
-        FindRouteNamed(agent_.configuration(), ledger_.FindGrant(lease)->route());
+        FindRouteNamed(agent_.configuration(), work_items_.FindGrant(lease)->route());
     if (refusal == StartRefusal::kNone && free[route->backend()] == 0) {
-      if (conditions.now - ledger_.ArrivedAt(lease) < options_.grant_patience) {
+      if (conditions.now - work_items_.ArrivedAt(lease) < options_.grant_patience) {
         continue;
       }
-      refusal = StartRefusal::kNoRoom;
+      refusal = StartRefusal::kNoCapacity;
     }
     if (refusal == StartRefusal::kNone) {
       --free[route->backend()];
@@ -119,37 +119,37 @@
     }
     environment_.metrics().Increment("batch_item_not_started_total",
                                      {{"reason", StartRefusalName(refusal)}});
-    ledger_.Refuse(lease, refusal);
+    work_items_.Refuse(lease, refusal);
   }
 }
 
 void BatchWorker::StartItem(WorkLeaseId lease, const proto::Route& route) {
-  const proto::WorkGrant& grant = *ledger_.FindGrant(lease);
+  const proto::WorkGrant& grant = *work_items_.FindGrant(lease);
   proto::Route granted_route = route;
-  granted_route.set_idempotent(grant.idempotent());  // The stricter of the two: see MayStart.
+  granted_route.set_idempotent(grant.idempotent());  // The stricter of the two: see CanStart.
   const bool bounded = route.deadline_ms() > 0 && route.backend_kind() != proto::BACKEND_KIND_HTTP;
   const Duration deadline =
       bounded ? Duration(milliseconds(route.deadline_ms())) : options_.default_item_deadline;
-  ledger_.MarkRunning(lease);
+  work_items_.RecordRunning(lease);
   environment_.metrics().Increment("batch_items_started_total");
   calls_[lease] = caller_.RunBatchItem(
       granted_route, MakeCallRequest(grant), deadline,
       [this, lease, token = std::weak_ptr<bool>(alive_)] {
-        return !token.expired() && MayLeave(lease);
+        return !token.expired() && CanDispatch(lease);
       },
       Guarded([this, lease, backend = route.backend()](const BackendOutcome& outcome) {
         FinishItem(lease, backend, outcome);
       }));
 }
 
-bool BatchWorker::MayLeave(WorkLeaseId lease) {
-  const StartRefusal refusal = ledger_.MayStart(lease, Conditions());
+bool BatchWorker::CanDispatch(WorkLeaseId lease) {
+  const StartRefusal refusal = work_items_.CanStart(lease, Conditions());
   if (refusal != StartRefusal::kNone) {
     environment_.metrics().Increment("batch_item_not_started_total",
                                      {{"reason", StartRefusalName(refusal)}});
     return false;
   }
-  ledger_.MarkLeft(lease);
+  work_items_.RecordDispatched(lease);
   return true;
 }
 
@@ -159,22 +159,22 @@
   if (outcome.executed == proto::EXECUTED_NO && !WasRejected(outcome)) {
     paused_backends_[backend] = environment_.Now() + options_.retry_delay;
   }
-  const Duration held_for = environment_.Now() - ledger_.ArrivedAt(lease);
-  ledger_.Finish(lease, outcome, held_for < options_.grant_patience);
+  const Duration elapsed = environment_.Now() - work_items_.ArrivedAt(lease);
+  work_items_.Finish(lease, outcome, elapsed < options_.grant_patience);
   environment_.metrics().Increment("batch_items_finished_total",
                                    {{"executed", proto::Executed_Name(outcome.executed)}});
   RequestRun();
 }
 
-BatchRoom BatchWorker::FreeRoom() const {
+BatchCapacity BatchWorker::FreeCapacity() const {
   std::map<std::string, std::uint32_t> not_left;
-  for (const auto& [route_name, count] : ledger_.NotYetLeftByRoute()) {
+  for (const auto& [route_name, count] : work_items_.NotYetLeftByRoute()) {
     const proto::Route* route = FindRouteNamed(agent_.configuration(), route_name);
     if (route != nullptr) {
       not_left[route->backend()] += count;
     }
   }
-  BatchRoom free;
+  BatchCapacity free;
   for (const proto::Route& route : agent_.configuration().routes()) {
     const auto paused = paused_backends_.find(route.backend());
     if (paused != paused_backends_.end() && environment_.Now() < paused->second) {
@@ -205,32 +205,32 @@
 }
 
 void BatchWorker::Acquire() {
-  const bool willing = !draining_ && agent_.LeaseValid() && !ledger_.Full() &&
+  const bool willing = !draining_ && agent_.LeaseValid() && !work_items_.Full() &&
                        !agent_.configuration().batch().paused();
   if (!willing) {
     return;
   }
-  BatchRoom free = FreeRoom();
-  for (const WorkLeaseId lease : ledger_.Waiting()) {
+  BatchCapacity free = FreeCapacity();
+  for (const WorkLeaseId lease : work_items_.Waiting()) {
     const proto::Route* route =
-        FindRouteNamed(agent_.configuration(), ledger_.FindGrant(lease)->route());
+        FindRouteNamed(agent_.configuration(), work_items_.FindGrant(lease)->route());
     if (route != nullptr && free[route->backend()] > 0) {
       --free[route->backend()];
     }
   }
   for (const WorkOffer& offer : offers_.Next(environment_.Now(), OwningNodes(), free)) {
-    AskForWork(offer, agent_.fleet().servers.at(offer.node));
+    AcquireWork(offer, agent_.fleet().servers.at(offer.node));
   }
 }
 
-void BatchWorker::AskForWork(const WorkOffer& offer, const proto::Server& server) {
+void BatchWorker::AcquireWork(const WorkOffer& offer, const proto::Server& server) {
   proto::AcquireWorkRequest request;
   request.set_gateway_node_id(agent_.node_id().value());
   request.set_incarnation(agent_.incarnation().value());
-  for (const auto& [backend, slots] : offer.room) {
-    proto::WorkRoom* room = request.add_room();
-    room->set_backend(backend);
-    room->set_slots(slots);
+  for (const auto& [backend, slots] : offer.capacity) {
+    proto::BackendCapacity* capacity = request.add_capacity();
+    capacity->set_backend(backend);
+    capacity->set_slots(slots);
   }
   request.set_hold_ms(ToMilliseconds(offer.hold));
   request.set_configuration_version(agent_.configuration().version());
@@ -243,19 +243,19 @@
                gateway = agent_.node_id()](const Result<proto::AcquireWorkResponse>& result) {
         if (!result.ok()) {
           offers_.Failed(node, environment_.Now() + options_.retry_delay);
-          NoteFailure("AcquireWork", node, result.status());
+          RecordFailure("AcquireWork", node, result.status());
           return;
         }
         offers_.Answered(node, static_cast<std::size_t>(result->grants_size()), environment_.Now());
-        TakeGrants(*result, gateway, sent);
+        HandleGrants(*result, gateway, sent);
         RequestRun();
       }));
 }
 
-void BatchWorker::TakeGrants(const proto::AcquireWorkResponse& response, NodeId gateway,
-                             TimePoint sent) {
+void BatchWorker::HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway,
+                               TimePoint sent) {
   for (const proto::WorkGrant& grant : response.grants()) {
-    if (!ledger_.Add(grant, gateway, sent, environment_.Now())) {
+    if (!work_items_.Add(grant, gateway, sent, environment_.Now())) {
       environment_.metrics().Increment("batch_grants_repeated_total");
     }
   }
@@ -264,8 +264,8 @@
 void BatchWorker::SendReports() {
   const auto owner_of = [this](PartitionId partition) { return OwnerOf(partition); };
   const TimePoint now = environment_.Now();
-  const std::vector<ReportAddress> with_results = ledger_.Addresses(owner_of, false);
-  for (const ReportAddress& address : ledger_.Addresses(owner_of, true)) {
+  const std::vector<ReportAddress> with_results = work_items_.Addresses(owner_of, false);
+  for (const ReportAddress& address : work_items_.Addresses(owner_of, true)) {
     const ReportState& state = reports_[address];
     const bool has_results = std::binary_search(with_results.begin(), with_results.end(), address);
     const bool due = has_results || now >= state.next_renewal;
@@ -280,8 +280,8 @@
 
 void BatchWorker::Report(const ReportAddress& address) {
   const auto server = agent_.fleet().servers.find(address.owner);
-  const auto request = std::make_shared<proto::ReportWorkRequest>(
-      ledger_.TakeReports(address, [this](PartitionId partition) { return OwnerOf(partition); }));
+  const auto request = std::make_shared<proto::ReportWorkRequest>(work_items_.TakeReports(
+      address, [this](PartitionId partition) { return OwnerOf(partition); }));
   request->set_incarnation(agent_.incarnation().value());
   ReportState& state = reports_[address];
   state.under_way = true;
@@ -294,11 +294,11 @@
         answered.under_way = false;
         if (!result.ok()) {
           answered.retry_at = environment_.Now() + options_.retry_delay;
-          ledger_.ReportFailed(*request);
-          NoteFailure("ReportWork", address.owner, result.status());
+          work_items_.ReportFailed(*request);
+          RecordFailure("ReportWork", address.owner, result.status());
           return;
         }
-        ledger_.Reported(*request);
+        work_items_.Reported(*request);
         for (const std::uint64_t lease : result->ended_lease_ids()) {
           EndLease(WorkLeaseId(lease));
         }
@@ -307,7 +307,7 @@
 }
 
 void BatchWorker::EndLease(WorkLeaseId lease) {
-  if (ledger_.End(lease) != EndedAction::kWithdraw) {
+  if (work_items_.End(lease) != EndedAction::kWithdraw) {
     return;
   }
   const auto call = calls_.find(lease);
@@ -315,11 +315,11 @@
     call->second->Cancel();
     calls_.erase(call);
   }
-  ledger_.FinishWithdrawn(lease);
+  work_items_.FinishWithdrawn(lease);
   environment_.metrics().Increment("batch_items_withdrawn_total");
 }
 
-void BatchWorker::NoteFailure(std::string_view method, NodeId node, const Status& status) {
+void BatchWorker::RecordFailure(std::string_view method, NodeId node, const Status& status) {
   environment_.metrics().Increment("batch_worker_call_failed_total",
                                    {{"method", method}, {"reason", StatusCodeName(status.code())}});
   const bool silent =
--- a/src/gateway/batch_worker.h
+++ b/src/gateway/batch_worker.h
@@ -2,7 +2,7 @@
 /// @file
 /// Runs batch items in the room that live work leaves: asks the queue nodes for work, starts
 /// granted items while every right to do so holds, renews the leases of running ones and hands in
-/// results until an owner of the partition has answered. Decisions are made in `BatchWorkLedger`
+/// results until an owner of the partition has answered. Decisions are made in `WorkItemTable`
 /// and `WorkOffers`.
 ///
 /// A grant's time to start counts from when the question for work was *sent*, so a worker that
@@ -14,15 +14,15 @@
 #include <vector>
 
 #include "gateway/backend_caller.h"
-#include "gateway/batch_work_ledger.h"
 #include "gateway/batch_work_offers.h"
+#include "gateway/work_item_table.h"
 #include "node/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
 
 struct BatchWorkerOptions {
-  LedgerLimits limits;
+  WorkItemTableLimits limits;
   WorkOfferOptions offers;
   Duration tick = milliseconds(50);
   Duration renewal = milliseconds(500);  ///< Between renewals of running items.
@@ -50,9 +50,9 @@
   void Drain() { draining_ = true; }
 
   /// @return leases of items that are waiting or running.
-  std::size_t held() const { return ledger_.held(); }
+  std::size_t held() const { return work_items_.held(); }
   /// @return results that no owner has answered yet.
-  std::size_t unreported() const { return ledger_.unreported(); }
+  std::size_t unreported() const { return work_items_.unreported(); }
 
  private:
   struct ReportState {
@@ -65,18 +65,18 @@
   void Run();
   void StartWaiting();
   void StartItem(WorkLeaseId lease, const proto::Route& route);
-  bool MayLeave(WorkLeaseId lease);
+  bool CanDispatch(WorkLeaseId lease);
   void FinishItem(WorkLeaseId lease, const std::string& backend, const BackendOutcome& outcome);
   void Acquire();
-  void AskForWork(const WorkOffer& offer, const proto::Server& server);
-  void TakeGrants(const proto::AcquireWorkResponse& response, NodeId gateway, TimePoint sent);
+  void AcquireWork(const WorkOffer& offer, const proto::Server& server);
+  void HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway, TimePoint sent);
   void SendReports();
   void Report(const ReportAddress& address);
   void EndLease(WorkLeaseId lease);
-  void NoteFailure(std::string_view method, NodeId node, const Status& status);
+  void RecordFailure(std::string_view method, NodeId node, const Status& status);
 
   StartConditions Conditions() const;
-  BatchRoom FreeRoom() const;
+  BatchCapacity FreeCapacity() const;
   std::vector<NodeId> OwningNodes() const;
   NodeId OwnerOf(PartitionId partition) const;
   /// Wraps `action` so that it does nothing once the worker is gone.
@@ -87,7 +87,7 @@
   NodeAgent& agent_;
   BackendCaller& caller_;
   BatchWorkerOptions options_;
-  BatchWorkLedger ledger_;
+  WorkItemTable work_items_;
   WorkOffers offers_;
   std::map<WorkLeaseId, std::shared_ptr<BackendCall>> calls_;
   std::map<ReportAddress, ReportState> reports_;
--- a/src/gateway/call_attempt.cc
+++ b/src/gateway/call_attempt.cc
@@ -53,8 +53,8 @@
   return reading;
 }
 
-FailureReading ReadSilence(const HttpOutcome& outcome, const SilenceFacts& facts,
-                           const CallOptions& options) {
+FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& facts,
+                               const CallOptions& options) {
   FailureReading reading;
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
     const bool hurried = facts.deadline_reached && facts.patience < options.least_patience;
@@ -67,7 +67,7 @@
   // A deadline too short for any replica, or one that cuts off a running answer, blames nobody.
   const bool hurried = facts.head_came || facts.patience < options.least_patience;
   const bool blameless = facts.deadline_reached && hurried;
-  reading.health = blameless ? CallEnd::kWithdrawn : CallEnd::kSilent;
+  reading.health = blameless ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
   reading.result.end = AttemptEnd::kUnknown;
   reading.result.error =
       ErrorOf("replica_silent", "the replica gave no whole answer: " + outcome.reason);
--- a/src/gateway/call_attempt.h
+++ b/src/gateway/call_attempt.h
@@ -70,7 +70,7 @@
 
 struct JsonAttemptCallbacks {
   /// A checked piece, the regular last one included. `more` asks for the next one.
-  std::function<void(const proto::StreamPiece& piece, std::function<void()> more)> on_piece;
+  std::function<void(const proto::StreamChunk& chunk, std::function<void()> more)> on_chunk;
   /// Runs exactly once unless the attempt is cancelled.
   std::function<void(JsonAttemptResult)> on_done;
 };
@@ -91,7 +91,7 @@
 /// Reads the status and body of an answer other than 200.
 FailureReading ReadRefusal(int status, const std::string& body);
 /// What is known of a call that ended without a whole answer.
-struct SilenceFacts {
+struct NoResponseContext {
   bool withheld = false;   ///< `may_send` said no.
   bool head_came = false;  ///< The replica had begun to answer.
   bool deadline_reached = false;
@@ -99,8 +99,8 @@
 };
 
 /// Reads a call that ended without a whole answer.
-FailureReading ReadSilence(const HttpOutcome& outcome, const SilenceFacts& facts,
-                           const CallOptions& options);
+FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& facts,
+                               const CallOptions& options);
 /// @return the request to `path` at a replica.
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
                                Duration remaining);
--- a/src/gateway/call_queue.cc
+++ b/src/gateway/call_queue.cc
@@ -79,7 +79,7 @@
     const auto found = waiters_.find(id);
     const std::shared_ptr<WaitingCallOwner> owner =
         found == waiters_.end() ? nullptr : found->second.owner.lock();
-    if (owner != nullptr && owner->ServeFromQueue() == ServeResult::kNoRoom) {
+    if (owner != nullptr && owner->ServeFromQueue() == ServeResult::kNoCapacity) {
       continue;
     }
     admission_.Serve(id, environment_.Now());
--- a/src/gateway/call_queue.h
+++ b/src/gateway/call_queue.h
@@ -18,8 +18,8 @@
 namespace cloverbank {
 
 enum class ServeResult : std::uint8_t {
-  kServed,  ///< It left the queue: sent, or ended.
-  kNoRoom,  ///< It goes on waiting.
+  kServed,      ///< It left the queue: sent, or ended.
+  kNoCapacity,  ///< It goes on waiting.
 };
 
 /// A call that can wait in the queue.
--- a/src/gateway/call_runner.cc
+++ b/src/gateway/call_runner.cc
@@ -57,7 +57,7 @@
   timer_ = context_.attempt.environment.ScheduleAfter(Duration::zero(), [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->timer_ = 0;
-      self->TryNow();
+      self->AttemptNow();
     }
   });
 }
@@ -75,24 +75,24 @@
   return under_way ? proto::EXECUTED_UNKNOWN : retry_.executed();
 }
 
-void CallRunner::TryNow() {
+void CallRunner::AttemptNow() {
   if (done_) {
     return;
   }
   const bool others_wait = context_.queue.Waiting(spec_.backend) > 0;
-  if (others_wait || TryForward() == Placement::kNoRoom) {
+  if (others_wait || AttemptForward() == Placement::kNoCapacity) {
     Wait();
   }
 }
 
-CallRunner::Placement CallRunner::TryForward() {
+CallRunner::Placement CallRunner::AttemptForward() {
   const proto::Route* route = nullptr;
   if (!CheckRights(&route)) {
     return Placement::kEnded;
   }
   spec_.backend = ChooseBackend(*route, split_draw_);
   if (!context_.attempt.pool.list_usable()) {
-    return Placement::kNoRoom;  // The process was frozen: a new list is being asked for.
+    return Placement::kNoCapacity;  // The process was frozen: a new list is being asked for.
   }
   RoutingQuery query;
   query.configuration = &context_.right.configuration();
@@ -108,10 +108,10 @@
     Send(*choice.replica, *route);
     return Placement::kSent;
   }
-  const bool passing = choice.failure == RoutingFailure::kNoRoom ||
+  const bool passing = choice.failure == RoutingFailure::kNoCapacity ||
                        choice.failure == RoutingFailure::kNoHealthyReplica;
   if (passing) {
-    return Placement::kNoRoom;
+    return Placement::kNoCapacity;
   }
   FinishWith(std::string(RoutingFailureName(choice.failure)),
              "no replica serves this route now; come back later", kRetryAfter);
@@ -156,11 +156,11 @@
   const std::weak_ptr<CallRunner> weak = weak_from_this();
   request.may_go_elsewhere = [weak] {
     const auto self = weak.lock();
-    return self != nullptr && self->RepeatableNow() && self->retry_.MayRetry();
+    return self != nullptr && self->RepeatableNow() && self->retry_.CanRetry();
   };
   request.may_send = [weak, use = request.use] {
     const auto self = weak.lock();
-    return self != nullptr && self->MaySendNow(use);
+    return self != nullptr && self->CanSendNow(use);
   };
   ExchangeEvents events;
   events.on_passed_on = [weak] {
@@ -180,12 +180,12 @@
   attempt_->Start();
 }
 
-bool CallRunner::MaySendNow(const ReplicaUse& use) const {
+bool CallRunner::CanSendNow(const ReplicaUse& use) const {
   const proto::Route* route = FindRoute(context_.right.configuration(), spec_.route);
   const bool in_time = context_.attempt.environment.Now() < spec_.deadline;
   const bool entitled = !spec_.may_start || spec_.may_start();
   return !done_ && in_time && entitled && context_.right.Valid() && route != nullptr &&
-         context_.attempt.pool.MaySend(use, *route);
+         context_.attempt.pool.CanSend(use, *route);
 }
 
 void CallRunner::Wait() {
@@ -211,8 +211,8 @@
   if (done_) {
     return ServeResult::kServed;
   }
-  if (TryForward() == Placement::kNoRoom) {
-    return ServeResult::kNoRoom;
+  if (AttemptForward() == Placement::kNoCapacity) {
+    return ServeResult::kNoCapacity;
   }
   wait_id_ = 0;
   return ServeResult::kServed;
@@ -228,10 +228,10 @@
   if (done_) {
     return;
   }
-  if (result.end == AttemptEnd::kWhole) {
-    CallResult whole;
-    whole.succeeded = true;
-    Finish(std::move(whole));
+  if (result.end == AttemptEnd::kComplete) {
+    CallResult complete;
+    complete.succeeded = true;
+    Finish(std::move(complete));
     return;
   }
   Environment& environment = context_.attempt.environment;
@@ -250,13 +250,13 @@
       FinishFailed(result);
       return;
     case RetryAction::kSendElsewhere:
-      if (TryForward() == Placement::kNoRoom) {
+      if (AttemptForward() == Placement::kNoCapacity) {
         Wait();
       }
       return;
     case RetryAction::kSendLater:
-    case RetryAction::kWaitForRoom:
-      if (decision.action == RetryAction::kWaitForRoom && spec_.work == WorkKind::kBatch) {
+    case RetryAction::kWaitForCapacity:
+      if (decision.action == RetryAction::kWaitForCapacity && spec_.work == WorkKind::kBatch) {
         FinishWith(result.error.code(), result.error.message(), kRetryAfter);
         return;
       }
@@ -267,7 +267,7 @@
           context_.attempt.environment.ScheduleAfter(decision.backoff, [weak = weak_from_this()] {
             if (const auto self = weak.lock()) {
               self->timer_ = 0;
-              self->TryNow();
+              self->AttemptNow();
             }
           });
       return;
--- a/src/gateway/call_runner.h
+++ b/src/gateway/call_runner.h
@@ -73,14 +73,14 @@
   const std::string& call_id() const { return spec_.exchange->call_id(); }
 
  private:
-  enum class Placement : std::uint8_t { kSent, kNoRoom, kEnded };
+  enum class Placement : std::uint8_t { kSent, kNoCapacity, kEnded };
 
-  void TryNow();
-  Placement TryForward();
+  void AttemptNow();
+  Placement AttemptForward();
   /// @return whether the call may still be forwarded; ends it if not.
   bool CheckRights(const proto::Route** route);
   void Send(const ReplicaRecord& replica, const proto::Route& route);
-  bool MaySendNow(const ReplicaUse& use) const;
+  bool CanSendNow(const ReplicaUse& use) const;
   void Wait();
   void OnAttemptDone(const AttemptResult& result);
   void RetryOrFinish(const AttemptResult& result, const RetryDecision& decision);
--- a/src/gateway/event_collector.h
+++ b/src/gateway/event_collector.h
@@ -12,7 +12,7 @@
 
 class EventCollector final : public ForwardSink {
  public:
-  void OnWhole(HttpResponse response) override { text_ = std::move(response.body); }
+  void OnComplete(HttpResponse response) override { text_ = std::move(response.body); }
   void OnStreamHead(int /*status*/, HttpHeaders /*headers*/) override {}
   void OnEvent(StreamEvent event, std::function<void()> more) override {
     text_ += first_ ? "" : "\n";
--- a/src/gateway/event_stream.cc
+++ b/src/gateway/event_stream.cc
@@ -25,7 +25,7 @@
   return std::string_view::npos;
 }
 
-void TakeLine(std::string_view line, bool* has_data, StreamEvent* event) {
+void HandleLine(std::string_view line, bool* has_data, StreamEvent* event) {
   const std::size_t colon = line.find(':');
   const std::string_view field = line.substr(0, colon);
   std::string_view value = colon == std::string_view::npos ? "" : line.substr(colon + 1);
@@ -33,7 +33,7 @@
     value.remove_prefix(1);
   }
   if (field == kIdField) {
-    event->id = ParseWholeNumber(value);
+    event->id = ParseInteger(value);
   } else if (field == kDataField) {
     event->data += *has_data ? "\n" : "";
     event->data += value;
@@ -52,7 +52,7 @@
     if (!line.empty() && line.back() == '\r') {
       line.remove_suffix(1);
     }
-    TakeLine(line, &has_data, &event);
+    HandleLine(line, &has_data, &event);
   }
   return event;
 }
--- a/src/gateway/forward_attempt.cc
+++ b/src/gateway/forward_attempt.cc
@@ -17,7 +17,7 @@
 bool IsSuccess(int status) { return status < kFirstClientError; }
 
 /// Statuses by which a replica turns a request away; only its own mark makes them a promise.
-bool TurnsAway(int status) {
+bool IsRejection(int status) {
   return status == kHttpMisdirected || status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
 
@@ -43,7 +43,7 @@
       exchange_(std::move(exchange)),
       events_(std::move(events)),
       pool_lifetime_(context.pool.lifetime()),
-      splitter_(context.options.largest_piece) {}
+      splitter_(context.options.maximum_chunk_bytes) {}
 
 HttpRequest ForwardAttempt::MakeRequest(Duration remaining) const {
   const proto::ForwardedRequest& forwarded = exchange_->call().request;
@@ -76,7 +76,7 @@
   const std::weak_ptr<ForwardAttempt> weak = weak_from_this();
   http.may_send = [weak] {
     const auto self = weak.lock();
-    return self != nullptr && self->MaySend();
+    return self != nullptr && self->CanSend();
   };
   HttpStreamCallbacks callbacks;
   callbacks.on_head = [weak](int status, const HttpHeaders& headers) {
@@ -100,22 +100,22 @@
   call_ = context_.client.Stream(request_.endpoint, std::move(http), remaining, idle_limit,
                                  std::move(callbacks));
   if (!exchange_->call().judge_failures) {
-    WatchSilence();
+    ArmResponseTimer();
   }
 }
 
-void ForwardAttempt::WatchSilence() {
+void ForwardAttempt::ArmResponseTimer() {
   const Duration patience =
       std::max(context_.options.patience_before_repeat, 2 * exchange_->call().target);
-  silence_timer_ = context_.environment.ScheduleAfter(patience, [weak = weak_from_this()] {
+  response_timer_ = context_.environment.ScheduleAfter(patience, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->silence_timer_ = 0;
-      self->CheckSilence();
+      self->response_timer_ = 0;
+      self->CheckResponseTimeout();
     }
   });
 }
 
-void ForwardAttempt::CheckSilence() {
+void ForwardAttempt::CheckResponseTimeout() {
   if (done_) {
     return;
   }
@@ -126,7 +126,7 @@
     BreakOff("silent");
     return;
   }
-  WatchSilence();
+  ArmResponseTimer();
 }
 
 CancelledWhen ForwardAttempt::Cancel() {
@@ -141,7 +141,7 @@
   return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
 }
 
-bool ForwardAttempt::MaySend() {
+bool ForwardAttempt::CanSend() {
   asked_ = true;
   withheld_ = done_ || !request_.may_send();
   return !withheld_;
@@ -156,7 +156,7 @@
   headers_ = headers;
   const ReplicaHeaderNames& names = exchange_->names();
   not_run_ = status == kHttpMisdirected ||
-             (TurnsAway(status) && !FindHeader(headers, names.not_run).empty());
+             (IsRejection(status) && !FindHeader(headers, names.not_run).empty());
   const std::string_view echoed = FindHeader(headers, names.call_id);
   foreign_ = !not_run_ && echoed != exchange_->call_id();
   if (foreign_) {
@@ -166,7 +166,7 @@
   context_.pool.OnAnswerHead(request_.use, headers, context_.environment.Now() - sent_at_);
   if (!not_run_) {
     const bool events = exchange_->call().streamed && IsSuccess(status);
-    reading_ = events ? Reading::kEvents : Reading::kWhole;
+    reading_ = events ? Reading::kEvents : Reading::kComplete;
   }
 }
 
@@ -182,7 +182,7 @@
     Advance();
     return;
   }
-  if (reading_ == Reading::kWhole) {
+  if (reading_ == Reading::kComplete) {
     body_ += bytes;
   }
   if (body_.size() > context_.options.largest_answer) {
@@ -202,7 +202,7 @@
     Advance();
     return;
   }
-  Conclude();
+  Complete();
 }
 
 void ForwardAttempt::Advance() {
@@ -220,7 +220,7 @@
     return false;
   }
   if (std::optional<StreamEvent> event = splitter_.Next()) {
-    HandOn(std::move(*event));
+    Forward(std::move(*event));
     return true;
   }
   if (splitter_.TooLarge()) {
@@ -228,7 +228,7 @@
     return false;
   }
   if (outcome_) {
-    Conclude();
+    Complete();
     return false;
   }
   if (!read_on_) {
@@ -243,17 +243,17 @@
   return !exchange_->started() || !last || (event.id && *event.id == *last + 1);
 }
 
-void ForwardAttempt::HandOn(StreamEvent event) {
+void ForwardAttempt::Forward(StreamEvent event) {
   if (!Follows(event)) {
     BreakOff("gap");
     return;
   }
   if (!exchange_->started()) {
-    exchange_->NoteStarted();
+    exchange_->RecordStarted();
     exchange_->sink().OnStreamHead(status_, EndToEndHeaders(headers_, {}));
   }
-  exchange_->NoteEvent(event);
-  if (!exchange_->MayResume()) {
+  exchange_->RecordEvent(event);
+  if (!exchange_->CanResume()) {
     events_.on_passed_on();
   }
   event_under_way_ = true;
@@ -266,9 +266,9 @@
   });
 }
 
-void ForwardAttempt::Conclude() {
+void ForwardAttempt::Complete() {
   if (outcome_->kind != HttpOutcomeKind::kAnswered) {
-    ConcludeSilent();
+    CompleteTimedOut();
     return;
   }
   if (not_run_) {
@@ -277,20 +277,20 @@
                CallEnd::kRefused);
     return;
   }
-  if (reading_ == Reading::kWhole) {
-    ConcludeWhole();
+  if (reading_ == Reading::kComplete) {
+    CompleteSuccessfully();
     return;
   }
   if (splitter_.Partial() || !exchange_->started()) {
     BreakOff("cut_event");
     return;
   }
-  AttemptResult whole;
-  whole.end = AttemptEnd::kWhole;
-  Finish(std::move(whole), CallEnd::kSuccess);
+  AttemptResult complete;
+  complete.end = AttemptEnd::kComplete;
+  Finish(std::move(complete), CallEnd::kSuccess);
 }
 
-void ForwardAttempt::ConcludeWhole() {
+void ForwardAttempt::CompleteSuccessfully() {
   HttpResponse response;
   response.status = status_;
   response.headers = EndToEndHeaders(headers_, {});
@@ -299,7 +299,7 @@
   const std::string message = "the replica answered " + std::to_string(status_);
   if (failed) {
     exchange_->CountFailure();
-    exchange_->NoteFailure(std::move(response));
+    exchange_->RecordFailure(std::move(response));
     AttemptResult result;
     result.end = AttemptEnd::kFailed;
     result.error.set_code("replica_failed");
@@ -317,19 +317,19 @@
     BreakOff("not_resumed");  // An error where the stream should have gone on.
     return;
   }
-  exchange_->sink().OnWhole(std::move(response));
-  AttemptResult whole;
-  whole.end = AttemptEnd::kWhole;
-  Finish(std::move(whole), CallEnd::kSuccess);
+  exchange_->sink().OnComplete(std::move(response));
+  AttemptResult complete;
+  complete.end = AttemptEnd::kComplete;
+  Finish(std::move(complete), CallEnd::kSuccess);
 }
 
-void ForwardAttempt::ConcludeSilent() {
-  SilenceFacts facts;
+void ForwardAttempt::CompleteTimedOut() {
+  NoResponseContext facts;
   facts.withheld = withheld_;
   facts.head_came = status_ != 0;
   facts.deadline_reached = context_.environment.Now() >= request_.deadline;
   facts.patience = request_.deadline - sent_at_;
-  FailureReading reading = ReadSilence(*outcome_, facts, context_.options);
+  FailureReading reading = ClassifyTimeout(*outcome_, facts, context_.options);
   if (not_run_) {
     reading.result.end = AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
   }
@@ -364,7 +364,7 @@
 }
 
 void ForwardAttempt::Release(CallEnd health) {
-  context_.environment.CancelTimer(std::exchange(silence_timer_, 0));
+  context_.environment.CancelTimer(std::exchange(response_timer_, 0));
   if (!released_ && !pool_lifetime_.expired()) {
     released_ = true;
     context_.pool.OnCallEnded(request_.use, health);
--- a/src/gateway/forward_attempt.h
+++ b/src/gateway/forward_attempt.h
@@ -22,28 +22,28 @@
  private:
   /// What the body of the answer is.
   enum class Reading : std::uint8_t {
-    kNothing,  ///< No head yet, or a body that says nothing.
-    kWhole,    ///< Gathered, handed on when complete.
-    kEvents,   ///< Handed on event by event.
+    kNothing,   ///< No head yet, or a body that says nothing.
+    kComplete,  ///< Gathered, handed on when complete.
+    kEvents,    ///< Handed on event by event.
   };
 
   HttpRequest MakeRequest(Duration remaining) const;
   /// Looks again and again whether the replica has fallen silent, so that what may be repeated goes
   /// elsewhere.
-  void WatchSilence();
-  void CheckSilence();
-  bool MaySend();
+  void ArmResponseTimer();
+  void CheckResponseTimeout();
+  bool CanSend();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
   /// Goes on as far as possible. Not re-entered: `more` may be called from within `OnEvent`.
   void Advance();
   bool Step();
-  void HandOn(StreamEvent event);
+  void Forward(StreamEvent event);
   bool Follows(const StreamEvent& event) const;
-  void Conclude();
-  void ConcludeWhole();
-  void ConcludeSilent();
+  void Complete();
+  void CompleteSuccessfully();
+  void CompleteTimedOut();
   void BreakOff(const std::string& fault);
   void FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
                   CallEnd health);
@@ -64,7 +64,7 @@
   std::string body_;
   std::function<void()> read_on_;
   std::optional<HttpOutcome> outcome_;
-  TimerId silence_timer_ = 0;
+  TimerId response_timer_ = 0;
   bool heard_ = false;    ///< Whether anything came in since the last look.
   bool foreign_ = false;  ///< The answer is to another call.
   bool not_run_ = false;  ///< The replica says that it did not run the request.
--- a/src/gateway/forward_exchange.h
+++ b/src/gateway/forward_exchange.h
@@ -26,7 +26,7 @@
  public:
   virtual ~ForwardSink() = default;
   /// A whole answer of a replica.
-  virtual void OnWhole(HttpResponse response) = 0;
+  virtual void OnComplete(HttpResponse response) = 0;
   /// The first whole event of a stream has come; its head goes before it.
   virtual void OnStreamHead(int status, HttpHeaders headers) = 0;
   /// One whole event; `more` asks for the next one.
@@ -75,14 +75,14 @@
   bool started() const { return started_; }
   std::optional<std::uint64_t> last_event() const { return last_event_; }
   /// Notes a head that is about to be handed on.
-  void NoteStarted() { started_ = true; }
-  void NoteEvent(const StreamEvent& event) { last_event_ = event.id; }
+  void RecordStarted() { started_ = true; }
+  void RecordEvent(const StreamEvent& event) { last_event_ = event.id; }
   /// Whether another replica could go on after what the caller has.
-  bool MayResume() const { return call_.resumable && (!started_ || last_event_.has_value()); }
+  bool CanResume() const { return call_.resumable && (!started_ || last_event_.has_value()); }
 
   /// The last replica's own failure (5xx), to be passed on if the call ends with it.
   const std::optional<HttpResponse>& failure() const { return failure_; }
-  void NoteFailure(HttpResponse response) { failure_ = std::move(response); }
+  void RecordFailure(HttpResponse response) { failure_ = std::move(response); }
   void ForgetFailure() { failure_.reset(); }
   /// Failures of replicas that ran the request, by their own word.
   std::uint32_t failures() const { return failures_; }
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -29,12 +29,12 @@
   return MatchRoute(context_.right.configuration(), host, path);
 }
 
-bool ForwardingService::MayServe() const {
+bool ForwardingService::CanServe() const {
   return context_.right.configuration().label() != 0 && context_.right.Valid();
 }
 
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
-  if (MayServe()) {
+  if (CanServe()) {
     Admit(std::move(call), responder);
   } else if (waiting_.size() < options_.calls.most_waiting_for_control) {
     WaitForControl(std::move(call), responder);
@@ -81,7 +81,7 @@
 }
 
 void ForwardingService::OnConfiguration() {
-  if (!MayServe()) {
+  if (!CanServe()) {
     return;
   }
   Environment& environment = context_.attempt.environment;
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -66,7 +66,7 @@
 
   using Responder = std::shared_ptr<HttpResponder>;
 
-  bool MayServe() const;
+  bool CanServe() const;
   void WaitForControl(IncomingCall call, const Responder& responder);
   void StopWaiting(std::uint64_t number, bool answer);
   void RefuseWithoutControl(HttpResponder& responder);
--- a/src/gateway/gateway_options.h
+++ b/src/gateway/gateway_options.h
@@ -29,10 +29,11 @@
 struct SharingOptions {
   /// A gateway begins with a cold replica at a random time up to this after its first good probe.
   Duration longest_start_delay = seconds(1);
-  double first_cold_share = 0.1;    ///< Of a cold replica's room, taken at each of its reports.
-  double cold_share_growth = 0.02;  ///< With each report that shows no collision.
-  double first_batch_share = 0.25;  ///< Of the room for batch work, taken likewise.
-  double batch_share_growth = 0.003;
+  double initial_slow_start_quota =
+      0.1;  ///< Of a cold replica's room, taken at each of its reports.
+  double slow_start_quota_growth = 0.02;  ///< With each report that shows no collision.
+  double initial_batch_quota = 0.25;      ///< Of the room for batch work, taken likewise.
+  double batch_quota_growth = 0.003;
 };
 
 /// Bounds of one call.
@@ -55,7 +56,7 @@
   /// A shorter wait for a first byte says nothing about the replica's health.
   Duration least_patience = seconds(1);
   std::size_t largest_request = std::size_t{1} << 20U;
-  std::size_t largest_piece = std::size_t{256} << 10U;
+  std::size_t maximum_chunk_bytes = std::size_t{256} << 10U;
   std::size_t largest_answer = std::size_t{8} << 20U;
 };
 
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -44,7 +44,8 @@
 };
 
 /// @return the options with a list reader that asks other gateways first, if that is wanted.
-GatewayOptions ShareList(Environment& environment, NodeAgent& agent, GatewayOptions options) {
+GatewayOptions EnableListSharing(Environment& environment, NodeAgent& agent,
+                                 GatewayOptions options) {
   if (!options.replica_list.shared) {
     return options;
   }
@@ -63,7 +64,7 @@
         GatewayOptions options_in)
       : environment(environment_in),
         agent(agent_in),
-        options(ShareList(environment_in, agent_in, std::move(options_in))),
+        options(EnableListSharing(environment_in, agent_in, std::move(options_in))),
         right(environment, agent, options.serve_without_control),
         pool(environment, client, right, options),
         queue(environment, options.admission),
@@ -84,14 +85,14 @@
         operators(router, agent),
         status(environment, router, agent) {
     live.Register(router);
-    TakePlace();
+    UpdateRank();
   }
 
   ~State() { environment.CancelTimer(tidy_timer); }
 
-  void TakePlace() {
-    const GatewayPlace place = agent.gateway_place();
-    pool.SetShare({options.zone, place.index, place.count});
+  void UpdateRank() {
+    const GatewayRank place = agent.gateway_rank();
+    pool.SetQuota({options.zone, place.index, place.count});
   }
 
   void Tidy() {
@@ -127,12 +128,14 @@
     : state_(std::make_unique<State>(environment, client, router, agent, std::move(options))) {
   State* state = state_.get();
   const std::weak_ptr<bool> alive = state->alive;
-  state->pool.OnPrompt([state](const std::string& replica, std::uint32_t tokens,
-                               std::uint64_t key) { state->gossip.Tell(replica, tokens, key); });
-  state->pool.OnRoom([state] { state->queue.DispatchSoon(); });
-  agent.OnGatewayPlace([state, alive] {
+  state->pool.OnPrompt(
+      [state](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
+        state->gossip.Announce(replica, tokens, key);
+      });
+  state->pool.OnCapacity([state] { state->queue.DispatchSoon(); });
+  agent.OnGatewayRank([state, alive] {
     if (!alive.expired()) {
-      state->TakePlace();
+      state->UpdateRank();
     }
   });
   agent.OnConfiguration([state, alive] {
--- a/src/gateway/idempotency_cache.cc
+++ b/src/gateway/idempotency_cache.cc
@@ -11,8 +11,8 @@
 
 KeyState IdempotencyCache::Begin(const std::string& key, std::uint64_t fingerprint, TimePoint now) {
   DropOld(now);
-  const auto [place, inserted] = entries_.try_emplace(key);
-  Entry& entry = place->second;
+  const auto [position, inserted] = entries_.try_emplace(key);
+  Entry& entry = position->second;
   if (inserted) {
     entry.fingerprint = fingerprint;
     return KeyState::kNew;
@@ -23,7 +23,7 @@
   return entry.running ? KeyState::kRunning : KeyState::kFinished;
 }
 
-const KeptAnswer* IdempotencyCache::Find(const std::string& key) const {
+const CachedResponse* IdempotencyCache::Find(const std::string& key) const {
   const auto found = entries_.find(key);
   const bool finished = found != entries_.end() && !found->second.running;
   return finished ? &found->second.kept : nullptr;
@@ -33,14 +33,14 @@
   entries_.at(key).waiters.push_back(std::move(waiter));
 }
 
-void IdempotencyCache::Keep(const std::string& key, KeptAnswer answer, TimePoint now) {
+void IdempotencyCache::Store(const std::string& key, CachedResponse answer, TimePoint now) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
     return;
   }
   Entry& entry = found->second;
   const std::vector<Waiter> waiters = std::exchange(entry.waiters, {});
-  const KeptAnswer whole = answer;
+  const CachedResponse complete = answer;
   if (answer.answer.text().size() > options_.largest_answer) {
     answer.answer.clear_text();
     answer.text_kept = false;
@@ -49,17 +49,17 @@
   entry.bytes = kEntryOverhead + key.size() + answer.answer.text().size();
   entry.kept = std::move(answer);
   entry.kept_at = now;
-  entry.place = finished_.insert(finished_.end(), key);
+  entry.position = finished_.insert(finished_.end(), key);
   kept_bytes_ += entry.bytes;
   while (kept_bytes_ > options_.largest_total) {
     DropOldest();
   }
   for (const Waiter& waiter : waiters) {
-    waiter(whole);
+    waiter(complete);
   }
 }
 
-void IdempotencyCache::Forget(const std::string& key, const KeptAnswer& answer) {
+void IdempotencyCache::Forget(const std::string& key, const CachedResponse& answer) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
     return;
--- a/src/gateway/idempotency_cache.h
+++ b/src/gateway/idempotency_cache.h
@@ -26,7 +26,7 @@
 };
 
 /// What a finished request is answered again.
-struct KeptAnswer {
+struct CachedResponse {
   bool succeeded = false;
   bool text_kept = true;  ///< False if the answer was too large to be kept.
   int http_status = 200;
@@ -43,20 +43,20 @@
 
 class IdempotencyCache {
  public:
-  using Waiter = std::function<void(const KeptAnswer&)>;
+  using Waiter = std::function<void(const CachedResponse&)>;
 
   explicit IdempotencyCache(IdempotencyOptions options) : options_(options) {}
 
   /// @param key tenant, route and the caller's key. @param fingerprint of the request body.
   KeyState Begin(const std::string& key, std::uint64_t fingerprint, TimePoint now);
   /// @return the answer of a finished request, or nullptr.
-  const KeptAnswer* Find(const std::string& key) const;
+  const CachedResponse* Find(const std::string& key) const;
   /// Has `waiter` called with the answer of the running request, whatever it is.
   void Join(const std::string& key, Waiter waiter);
   /// The request ended with an answer that a resend must get too.
-  void Keep(const std::string& key, KeptAnswer answer, TimePoint now);
+  void Store(const std::string& key, CachedResponse answer, TimePoint now);
   /// The request was certainly not run: a resend is a new request. Waiters get `answer`.
-  void Forget(const std::string& key, const KeptAnswer& answer);
+  void Forget(const std::string& key, const CachedResponse& answer);
 
   std::size_t size() const { return entries_.size(); }
   std::size_t kept_bytes() const { return kept_bytes_; }
@@ -65,11 +65,11 @@
   struct Entry {
     std::uint64_t fingerprint = 0;
     bool running = true;
-    KeptAnswer kept;
+    CachedResponse kept;
     std::size_t bytes = 0;
     TimePoint kept_at{};
     std::vector<Waiter> waiters;
-    std::list<std::string>::iterator place;  ///< In `finished_`, when not running.
+    std::list<std::string>::iterator position;  ///< In `finished_`, when not running.
   };
 
   void DropOldest();
--- a/src/gateway/json_exchange.cc
+++ b/src/gateway/json_exchange.cc
@@ -4,8 +4,8 @@
 
 namespace cloverbank {
 
-JsonExchange::JsonExchange(proto::CallRequest body, PieceHandler on_piece)
-    : body_(std::move(body)), on_piece_(std::move(on_piece)) {}
+JsonExchange::JsonExchange(proto::CallRequest body, ChunkHandler on_chunk)
+    : body_(std::move(body)), on_chunk_(std::move(on_chunk)) {}
 
 std::shared_ptr<CallAttempt> JsonExchange::NewAttempt(const AttemptContext& context,
                                                       AttemptRequest request,
@@ -17,10 +17,10 @@
   json.body.set_model(json.backend);
   JsonAttemptCallbacks callbacks;
   const std::weak_ptr<JsonExchange> weak = weak_from_this();
-  callbacks.on_piece = [weak, events, largest = context.options.largest_answer](
-                           const proto::StreamPiece& piece, std::function<void()> more) {
+  callbacks.on_chunk = [weak, events, largest = context.options.largest_answer](
+                           const proto::StreamChunk& chunk, std::function<void()> more) {
     if (const auto self = weak.lock()) {
-      self->OnPiece(piece, std::move(more), events, largest);
+      self->OnChunk(chunk, std::move(more), events, largest);
     }
   };
   callbacks.on_done = [weak, events](JsonAttemptResult result) {
@@ -38,24 +38,24 @@
   return attempt;
 }
 
-void JsonExchange::OnPiece(const proto::StreamPiece& piece, std::function<void()> more,
+void JsonExchange::OnChunk(const proto::StreamChunk& chunk, std::function<void()> more,
                            const ExchangeEvents& events, std::size_t largest_answer) {
-  if (on_piece_) {
+  if (on_chunk_) {
     events.on_passed_on();
-    on_piece_(piece, std::move(more));
+    on_chunk_(chunk, std::move(more));
     return;
   }
-  answer_.set_run_id(piece.run_id());
-  answer_.mutable_text()->append(piece.text());
-  answer_.set_tokens(answer_.tokens() + (piece.text().empty() ? 0 : 1));
+  answer_.set_run_id(chunk.run_id());
+  answer_.mutable_text()->append(chunk.text());
+  answer_.set_tokens(answer_.tokens() + (chunk.text().empty() ? 0 : 1));
   if (answer_.text().size() > largest_answer) {
-    GiveUpAsTooLarge(events);
+    FailAsTooLarge(events);
     return;
   }
   more();
 }
 
-void JsonExchange::GiveUpAsTooLarge(const ExchangeEvents& events) {
+void JsonExchange::FailAsTooLarge(const ExchangeEvents& events) {
   if (const auto attempt = attempt_.lock()) {
     (void)attempt->Cancel();
   }
@@ -68,7 +68,7 @@
 }
 
 void JsonExchange::OnDone(AttemptResult result, const ExchangeEvents& events) {
-  if (result.end == AttemptEnd::kWhole) {
+  if (result.end == AttemptEnd::kComplete) {
     answer_.set_call_id(body_.call_id());
   }
   events.on_done(std::move(result));
--- a/src/gateway/json_exchange.h
+++ b/src/gateway/json_exchange.h
@@ -15,11 +15,11 @@
 class JsonExchange final : public CallExchange, public std::enable_shared_from_this<JsonExchange> {
  public:
   /// A checked piece of a stream; `more` asks for the next one.
-  using PieceHandler =
-      std::function<void(const proto::StreamPiece& piece, std::function<void()> more)>;
+  using ChunkHandler =
+      std::function<void(const proto::StreamChunk& chunk, std::function<void()> more)>;
 
-  /// @param body with its call id. @param on_piece empty: pieces are gathered into one answer.
-  JsonExchange(proto::CallRequest body, PieceHandler on_piece);
+  /// @param body with its call id. @param on_chunk empty: pieces are gathered into one answer.
+  JsonExchange(proto::CallRequest body, ChunkHandler on_chunk);
 
   std::shared_ptr<CallAttempt> NewAttempt(const AttemptContext& context, AttemptRequest request,
                                           ExchangeEvents events) override;
@@ -31,13 +31,13 @@
   proto::CallAnswer TakeAnswer() { return std::move(answer_); }
 
  private:
-  void OnPiece(const proto::StreamPiece& piece, std::function<void()> more,
+  void OnChunk(const proto::StreamChunk& chunk, std::function<void()> more,
                const ExchangeEvents& events, std::size_t largest_answer);
   void OnDone(AttemptResult result, const ExchangeEvents& events);
-  void GiveUpAsTooLarge(const ExchangeEvents& events);
+  void FailAsTooLarge(const ExchangeEvents& events);
 
   proto::CallRequest body_;
-  PieceHandler on_piece_;
+  ChunkHandler on_chunk_;
   std::weak_ptr<CallAttempt> attempt_;
   proto::CallAnswer answer_;
 };
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -11,7 +11,7 @@
 constexpr int kHttpConflict = 409;
 constexpr std::size_t kLargestKeptStream = std::size_t{256} << 10U;
 
-std::string ToLine(const proto::StreamPiece& piece) { return ToJson(piece) + "\n"; }
+std::string ToLine(const proto::StreamChunk& chunk) { return ToJson(chunk) + "\n"; }
 
 HttpHeaders StreamHeaders(const std::string& call_id) {
   return {{"Content-Type", "application/x-ndjson"}, {"X-Call-Id", call_id}};
@@ -27,23 +27,23 @@
 
 /// A kept answer as a stream of one text piece and the last one.
 void SendAsStream(HttpResponder& responder, const proto::CallAnswer& answer) {
-  proto::StreamPiece text;
+  proto::StreamChunk text;
   text.set_run_id(answer.run_id());
   text.set_call_id(answer.call_id());
   text.set_text(answer.text());
-  proto::StreamPiece end;
+  proto::StreamChunk end;
   end.set_run_id(answer.run_id());
   end.set_call_id(answer.call_id());
   end.set_sequence(1);
   end.set_end(true);
   responder.StartStream(kHttpOk, StreamHeaders(answer.call_id()));
-  responder.WritePiece(ToLine(text) + ToLine(end), [](bool) {});
+  responder.WriteChunk(ToLine(text) + ToLine(end), [](bool) {});
   responder.FinishStream();
 }
 
 }  // namespace
 
-void SendKept(HttpResponder& responder, const KeptAnswer& kept, bool stream) {
+void SendCached(HttpResponder& responder, const CachedResponse& kept, bool stream) {
   if (!kept.succeeded) {
     SendError(responder, kept.http_status, kept.error);
     return;
@@ -64,8 +64,8 @@
   }
 }
 
-KeptAnswer ToKept(const CallResult& result, const proto::CallAnswer& answer) {
-  KeptAnswer kept;
+CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer) {
+  CachedResponse kept;
   kept.succeeded = result.succeeded;
   kept.http_status = result.http_status;
   kept.answer = answer;
@@ -86,19 +86,19 @@
   call_id_ = body.call_id();
   route_ = spec.route;
   const std::weak_ptr<LiveCall> weak = weak_from_this();
-  JsonExchange::PieceHandler on_piece;
+  JsonExchange::ChunkHandler on_chunk;
   if (options_.stream) {
-    on_piece = [weak](const proto::StreamPiece& piece, std::function<void()> more) {
+    on_chunk = [weak](const proto::StreamChunk& chunk, std::function<void()> more) {
       if (const auto self = weak.lock()) {
-        self->OnPiece(piece, std::move(more));
+        self->OnChunk(chunk, std::move(more));
       }
     };
   }
-  exchange_ = std::make_shared<JsonExchange>(std::move(body), std::move(on_piece));
+  exchange_ = std::make_shared<JsonExchange>(std::move(body), std::move(on_chunk));
   spec.exchange = exchange_;
   responder_->OnDisconnect([weak] {
     if (const auto self = weak.lock()) {
-      self->OnCallerGone();
+      self->OnClientDisconnected();
     }
   });
   runner_ =
@@ -116,7 +116,7 @@
   }
 }
 
-void LiveCall::OnPiece(const proto::StreamPiece& piece, std::function<void()> more) {
+void LiveCall::OnChunk(const proto::StreamChunk& chunk, std::function<void()> more) {
   if (!stream_started_) {
     stream_started_ = true;
     const Duration waited = context_.attempt.environment.Now() - started_at_;
@@ -124,11 +124,11 @@
         "gateway_first_piece_seconds", std::chrono::duration<double>(waited).count());
     responder_->StartStream(kHttpOk, StreamHeaders(call_id_));
   }
-  run_id_ = piece.run_id();
-  next_sequence_ = piece.sequence() + 1;
-  CollectPiece(piece);
+  run_id_ = chunk.run_id();
+  next_sequence_ = chunk.sequence() + 1;
+  CollectChunk(chunk);
   // The replica is read on only when the caller's socket has taken the piece.
-  responder_->WritePiece(ToLine(piece),
+  responder_->WriteChunk(ToLine(chunk),
                          [weak = weak_from_this(), more = std::move(more)](bool alive) {
                            const auto self = weak.lock();
                            if (self == nullptr) {
@@ -137,17 +137,17 @@
                            if (alive) {
                              more();
                            } else {
-                             self->OnCallerGone();
+                             self->OnClientDisconnected();
                            }
                          });
 }
 
-void LiveCall::CollectPiece(const proto::StreamPiece& piece) {
+void LiveCall::CollectChunk(const proto::StreamChunk& chunk) {
   if (options_.idempotency_key.empty() || !collecting_) {
     return;
   }
-  streamed_.set_run_id(piece.run_id());
-  streamed_.mutable_text()->append(piece.text());
+  streamed_.set_run_id(chunk.run_id());
+  streamed_.mutable_text()->append(chunk.text());
   collecting_ = streamed_.text().size() <= kLargestKeptStream;
 }
 
@@ -155,7 +155,7 @@
   TakeAnswer(result);
   Remember(result);
   Count(result);
-  if (caller_gone_) {
+  if (client_disconnected_) {
     Over();
     return;
   }
@@ -184,21 +184,21 @@
     return;
   }
   if (!result.succeeded) {
-    proto::StreamPiece last;
+    proto::StreamChunk last;
     last.set_run_id(run_id_);
     last.set_call_id(call_id_);
     last.set_sequence(next_sequence_);
     *last.mutable_error() = result.error;
-    responder_->WritePiece(ToLine(last), [](bool) {});
+    responder_->WriteChunk(ToLine(last), [](bool) {});
   }
   responder_->FinishStream();
 }
 
-void LiveCall::OnCallerGone() {
-  if (caller_gone_ || runner_ == nullptr) {
+void LiveCall::OnClientDisconnected() {
+  if (client_disconnected_ || runner_ == nullptr) {
     return;
   }
-  caller_gone_ = true;
+  client_disconnected_ = true;
   context_.attempt.environment.metrics().Increment("gateway_callers_gone_total");
   if (!options_.idempotency_key.empty() && !options_.stream) {
     return;  // The caller may come back for the answer under the same key.
@@ -218,7 +218,7 @@
   if (options_.idempotency_key.empty()) {
     return;
   }
-  KeptAnswer kept = ToKept(result, answer_);
+  CachedResponse kept = ToCachedResponse(result, answer_);
   if (!result.succeeded && result.error.executed() == proto::EXECUTED_NO) {
     kept_.Forget(options_.idempotency_key, kept);
     return;
@@ -228,7 +228,7 @@
     kept.answer.set_call_id(call_id_);
     kept.text_kept = collecting_;
   }
-  kept_.Keep(options_.idempotency_key, std::move(kept), context_.attempt.environment.Now());
+  kept_.Store(options_.idempotency_key, std::move(kept), context_.attempt.environment.Now());
 }
 
 void LiveCall::Over() {
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -15,9 +15,9 @@
 namespace cloverbank {
 
 /// Sends what a kept or joined request ended with.
-void SendKept(HttpResponder& responder, const KeptAnswer& kept, bool stream);
+void SendCached(HttpResponder& responder, const CachedResponse& kept, bool stream);
 /// @return what is kept of a finished call. @param answer of one that succeeded.
-KeptAnswer ToKept(const CallResult& result, const proto::CallAnswer& answer);
+CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer);
 
 class LiveCall : public std::enable_shared_from_this<LiveCall> {
  public:
@@ -35,14 +35,14 @@
   void Start(CallSpec spec, proto::CallRequest body);
 
  private:
-  void OnPiece(const proto::StreamPiece& piece, std::function<void()> more);
+  void OnChunk(const proto::StreamChunk& chunk, std::function<void()> more);
   void OnDone(const CallResult& result);
   void FinishStream(const CallResult& result);
-  void OnCallerGone();
+  void OnClientDisconnected();
   void Count(const CallResult& result);
   void Remember(const CallResult& result);
   void TakeAnswer(const CallResult& result);
-  void CollectPiece(const proto::StreamPiece& piece);
+  void CollectChunk(const proto::StreamChunk& chunk);
   void Over();
 
   CallContext context_;
@@ -60,7 +60,7 @@
   proto::CallAnswer streamed_;  ///< Text that went out, as far as it may be kept.
   bool collecting_ = true;
   bool stream_started_ = false;
-  bool caller_gone_ = false;
+  bool client_disconnected_ = false;
   TimePoint started_at_;
 };
 
