--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -133,7 +133,7 @@
   std::string key;
   if (!caller_key.empty()) {
     key = CacheKey(tenant_name, route.name(), caller_key);
-    if (!TakeKey(key, Checksum(request.body), body.stream(), responder)) {
+    if (!ReserveKey(key, Checksum(request.body), body.stream(), responder)) {
       return;
     }
   }
@@ -165,18 +165,19 @@
   call->Start(std::move(spec), std::move(body));
 }
 
-bool LiveCallHandler::TakeKey(const std::string& key, std::uint64_t fingerprint, bool stream,
-                              const Responder& responder) {
+bool LiveCallHandler::ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
+                                 const Responder& responder) {
   switch (kept_.Begin(key, fingerprint, context_.attempt.environment.Now())) {
     case KeyState::kNew:
       return true;
     case KeyState::kRunning:
-      kept_.Join(
-          key, [responder, stream](const KeptAnswer& kept) { SendKept(*responder, kept, stream); });
+      kept_.Join(key, [responder, stream](const CachedResponse& kept) {
+        SendCached(*responder, kept, stream);
+      });
       return false;
     case KeyState::kFinished:
       context_.attempt.environment.metrics().Increment("gateway_answers_repeated_total");
-      SendKept(*responder, *kept_.Find(key), stream);
+      SendCached(*responder, *kept_.Find(key), stream);
       return false;
     case KeyState::kMismatch:
       Refuse(*responder, kHttpKeyReused, "idempotency_key_reused",
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -7,7 +7,7 @@
 ///         headers  X-Tenant         whose call it is, for rate limits
 ///                  X-Deadline-Ms    how long the caller waits; never beyond the route's deadline
 ///                  Idempotency-Key  a resend under the same key gets the first answer
-///         answer   CallAnswer, or, with "stream": true, one StreamPiece a line (NDJSON); an error
+///         answer   CallAnswer, or, with "stream": true, one StreamChunk a line (NDJSON); an error
 ///                  before the first piece is an ErrorBody, one after it an error piece
 ///
 /// Threads: the owner's event loop only.
@@ -47,8 +47,8 @@
   void StartCall(const HttpRequest& request, const Responder& responder, const proto::Route& route,
                  proto::CallRequest body);
   /// @return whether the call goes on as a new one; else it was answered, or will be.
-  bool TakeKey(const std::string& key, std::uint64_t fingerprint, bool stream,
-               const Responder& responder);
+  bool ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
+                  const Responder& responder);
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
   TimePoint DeadlineOf(const HttpRequest& request, const proto::Route& route) const;
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -65,7 +65,7 @@
   const std::weak_ptr<LiveForward> weak = weak_from_this();
   responder_->OnDisconnect([weak] {
     if (const auto self = weak.lock()) {
-      self->OnCallerGone();
+      self->OnClientDisconnected();
     }
   });
   runner_ =
@@ -77,9 +77,9 @@
   runner_->Start();
 }
 
-void LiveForward::OnWhole(HttpResponse response) {
+void LiveForward::OnComplete(HttpResponse response) {
   answered_ = true;
-  timing_->OnWhole(context_.attempt.environment.Now());
+  timing_->OnComplete(context_.attempt.environment.Now());
   responder_->Send(std::move(response));
 }
 
@@ -94,7 +94,7 @@
 void LiveForward::OnEvent(StreamEvent event, std::function<void()> more) {
   timing_->OnEvent(context_.attempt.environment.Now());
   // The replica is read on only when the caller's socket has taken the event.
-  responder_->WritePiece(std::move(event.bytes),
+  responder_->WriteChunk(std::move(event.bytes),
                          [weak = weak_from_this(), more = std::move(more)](bool alive) {
                            const auto self = weak.lock();
                            if (self == nullptr) {
@@ -103,7 +103,7 @@
                            if (alive) {
                              more();
                            } else {
-                             self->OnCallerGone();
+                             self->OnClientDisconnected();
                            }
                          });
 }
@@ -131,11 +131,11 @@
   SendRefusal(*responder_, result.http_status, result.error);
 }
 
-void LiveForward::OnCallerGone() {
-  if (caller_gone_ || runner_ == nullptr) {
+void LiveForward::OnClientDisconnected() {
+  if (client_disconnected_ || runner_ == nullptr) {
     return;
   }
-  caller_gone_ = true;
+  client_disconnected_ = true;
   context_.attempt.environment.metrics().Increment("gateway_callers_gone_total");
   (void)runner_->Cancel();
   Count("caller_left");
@@ -148,10 +148,10 @@
   metrics.Increment("gateway_calls_total", {{"route", route_}, {"outcome", outcome}});
   metrics.ObserveSeconds("gateway_call_seconds", std::chrono::duration<double>(time).count(),
                          {{"route", route_}});
-  NoteLateness();
+  RecordLateness();
 }
 
-void LiveForward::NoteLateness() {
+void LiveForward::RecordLateness() {
   const Lateness lateness = timing_->lateness();
   if (lateness == Lateness::kNone) {
     return;
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -27,17 +27,17 @@
   void Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names);
 
   // ForwardSink
-  void OnWhole(HttpResponse response) override;
+  void OnComplete(HttpResponse response) override;
   void OnStreamHead(int status, HttpHeaders headers) override;
   void OnEvent(StreamEvent event, std::function<void()> more) override;
 
  private:
   void OnDone(const CallResult& result);
   void AnswerFailure(const CallResult& result);
-  void OnCallerGone();
+  void OnClientDisconnected();
   void Count(const std::string& outcome);
   /// Counts and logs an answer that came late, with what made it so.
-  void NoteLateness();
+  void RecordLateness();
   void Over();
 
   CallContext context_;
@@ -48,7 +48,7 @@
   std::string route_;
   bool answered_ = false;
   bool stream_started_ = false;
-  bool caller_gone_ = false;
+  bool client_disconnected_ = false;
   TimePoint started_at_;
   std::optional<AnswerTiming> timing_;  ///< From the start on.
 };
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -36,7 +36,7 @@
 }  // namespace
 
 std::uint32_t ReplicaBackendCaller::FreeBatchSlots(const std::string& backend) const {
-  return MayStartBatches(backend) ? context_.attempt.pool.FreeBatchSlots(backend) : 0;
+  return CanStartBatches(backend) ? context_.attempt.pool.FreeBatchSlots(backend) : 0;
 }
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::RunBatchItem(
@@ -52,7 +52,7 @@
   spec.wait_until = spec.deadline;
   spec.work = WorkKind::kBatch;
   spec.may_start = [this, backend = route.backend(), may_start = std::move(may_start)] {
-    return MayStartBatches(backend) && may_start();
+    return CanStartBatches(backend) && may_start();
   };
   ReadAnswer read_answer;
   spec.exchange = MakeExchange(route, request, &read_answer);
@@ -117,7 +117,7 @@
   });
 }
 
-bool ReplicaBackendCaller::MayStartBatches(const std::string& backend) const {
+bool ReplicaBackendCaller::CanStartBatches(const std::string& backend) const {
   const bool paused = context_.right.configuration().batch().paused();
   const bool live_waits = context_.queue.Waiting(backend) > 0;
   return !paused && !live_waits && context_.right.Valid() && context_.attempt.pool.list_usable();
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -30,7 +30,7 @@
   /// Fills in the outcome of a call that ended.
   using ReadAnswer = std::function<void(BackendOutcome*)>;
 
-  bool MayStartBatches(const std::string& backend) const;
+  bool CanStartBatches(const std::string& backend) const;
   std::shared_ptr<CallExchange> MakeExchange(const proto::Route& route,
                                              const proto::CallRequest& request,
                                              ReadAnswer* read_answer) const;
--- a/src/gateway/replica_pool.cc
+++ b/src/gateway/replica_pool.cc
@@ -12,7 +12,7 @@
 
 constexpr Duration kEvaluationInterval = seconds(1);
 /// Between offers of room while calls are held back from cold replicas.
-constexpr Duration kColdOfferInterval = milliseconds(20);
+constexpr Duration kSlowStartOfferInterval = milliseconds(20);
 /// Longer than a gateway takes to hear that its share has gone to another one.
 constexpr Duration kTakeOver = milliseconds(1500);
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
@@ -43,20 +43,21 @@
       sharing_(options.sharing),
       health_(OptionsOfHealth(options)),
       prefill_(options.prefill),
-      router_(OptionsOfRouter(options), directory_, health_, loads_, &cold_pacing_, &prefill_),
+      router_(OptionsOfRouter(options), directory_, health_, loads_, &slow_start_, &prefill_),
       poller_(environment, client, options.replica_list,
               [this](const proto::ReplicaList& list) { return OnList(list); }),
       prober_(environment, client, options.probe,
               [this](const std::string& id, const std::string& instance_id, bool answered,
                      const HttpHeaders& headers) { OnProbe(id, instance_id, answered, headers); }),
-      cold_pacer_(options.sharing.first_cold_share, options.sharing.cold_share_growth),
-      batch_pacer_(options.sharing.first_batch_share, options.sharing.batch_share_growth),
-      share_{options.zone},
+      slow_start_pacer_(options.sharing.initial_slow_start_quota,
+                        options.sharing.slow_start_quota_growth),
+      batch_pacer_(options.sharing.initial_batch_quota, options.sharing.batch_quota_growth),
+      quota_{options.zone},
       probed_(options.probe.enabled) {}
 
 ReplicaPool::~ReplicaPool() {
   environment_.CancelTimer(evaluation_timer_);
-  environment_.CancelTimer(room_timer_);
+  environment_.CancelTimer(capacity_timer_);
 }
 
 void ReplicaPool::Start() {
@@ -69,60 +70,60 @@
 
 void ReplicaPool::OnConfiguration() {
   RefreshActive({});
-  ChangeColdRates(Duration::zero());
+  UpdateSlowStartRates(Duration::zero());
 }
 
 RoutingChoice ReplicaPool::Choose(const RoutingQuery& query) {
   const TimePoint now = environment_.Now();
   const RoutingChoice choice = router_.Choose(query, now);
-  if (choice.replica == nullptr && cold_pacing_.AnyCold(now)) {
-    OfferRoomSoon();
+  if (choice.replica == nullptr && slow_start_.AnyWarmingUp(now)) {
+    ScheduleCapacityOffer();
   }
   return choice;
 }
 
-void ReplicaPool::OfferRoomSoon() {
-  if (room_timer_ != 0) {
+void ReplicaPool::ScheduleCapacityOffer() {
+  if (capacity_timer_ != 0) {
     return;
   }
-  room_timer_ = environment_.ScheduleAfter(kColdOfferInterval, [this] {
-    room_timer_ = 0;
-    NotifyRoom();
+  capacity_timer_ = environment_.ScheduleAfter(kSlowStartOfferInterval, [this] {
+    capacity_timer_ = 0;
+    NotifyCapacity();
   });
 }
 
-void ReplicaPool::SetShare(const GatewayShare& share) {
-  if (share == share_) {
+void ReplicaPool::SetQuota(const GatewayQuota& quota) {
+  if (quota == quota_) {
     return;
   }
-  share_ = share;
-  router_.SetShare(share);
-  ChangeColdRates(kTakeOver);
+  quota_ = quota;
+  router_.SetQuota(quota);
+  UpdateSlowStartRates(kTakeOver);
 }
 
-void ReplicaPool::ChangeColdRates(Duration delay) {
-  cold_pacing_.ChangeRates(
+void ReplicaPool::UpdateSlowStartRates(Duration delay) {
+  slow_start_.ChangeRates(
       [this](const std::string& id) {
         const ReplicaRecord* record = directory_.Find(id);
-        return record == nullptr ? 0 : ColdRate(*record);
+        return record == nullptr ? 0 : SlowStartRate(*record);
       },
       delay, environment_.Now());
 }
 
-double ReplicaPool::ColdRate(const ReplicaRecord& record) const {
+double ReplicaPool::SlowStartRate(const ReplicaRecord& record) const {
   const proto::Backend* backend = FindBackend(right_.configuration(), record.backend);
   if (backend == nullptr) {
     return 0;
   }
   const double bound = backend->cold_calls_per_second();
-  return bound > 0 ? share_.RateOf(record.id, record.zone, bound) : kUnbounded;
+  return bound > 0 ? quota_.RateOf(record.id, record.zone, bound) : kUnbounded;
 }
 
-void ReplicaPool::TakeColdTimes() {
+void ReplicaPool::UpdateWarmUpTimes() {
   const TimePoint now = environment_.Now();
   for (const auto& [id, record] : directory_.records()) {
     if (record.cold_left > Duration::zero()) {
-      cold_pacing_.SetCold(id, ColdRate(record), now + record.cold_left, now);
+      slow_start_.SetWarmingUp(id, SlowStartRate(record), now + record.cold_left, now);
     }
   }
 }
@@ -131,7 +132,7 @@
   return router_.FreeBatchSlots(right_.configuration(), backend, environment_.Now());
 }
 
-bool ReplicaPool::MaySend(const ReplicaUse& use, const proto::Route& route) const {
+bool ReplicaPool::CanSend(const ReplicaUse& use, const proto::Route& route) const {
   const ReplicaRecord* record = directory_.Find(use.id);
   const bool listed = record != nullptr && record->ready && record->instance_id == use.instance_id;
   if (!listed) {
@@ -172,7 +173,7 @@
     }
   }
   loads_[use.id].OnStart(use.work);
-  cold_pacing_.OnStart(use.id, environment_.Now());
+  slow_start_.OnStart(use.id, environment_.Now());
   health_.OnCallStarted(use.id, environment_.Now());
 }
 
@@ -194,7 +195,7 @@
   // What an earlier life of the replica did says nothing of this one.
   const bool current = IsCurrent(use.id, use.instance_id);
   health_.OnCallEnded(use.id, current ? end : CallEnd::kWithdrawn, now);
-  NotifyRoom();
+  NotifyCapacity();
 }
 
 void ReplicaPool::OnAnswerHead(const ReplicaUse& use, const HttpHeaders& headers,
@@ -202,7 +203,7 @@
   if (!IsCurrent(use.id, use.instance_id)) {
     return;
   }
-  TakeReport(use.id, headers);
+  HandleReport(use.id, headers);
   if (use.prompt_tokens > 0) {
     prefill_.OnFirstByte(use.id, use.prompt_tokens, use.backlog, latency, environment_.Now());
   }
@@ -240,18 +241,18 @@
   }
   Log(LogLevel::kInfo, "replica_list_changed",
       {{"version", list.version()},
-       {"cold", change->cold.size()},
+       {"cold", change->warming_up.size()},
        {"stopped", change->stopped.size()},
        {"removed", change->removed.size()}});
   for (const auto& [id, record] : directory_.records()) {
     prefill_.Watch(id, record.backend);
   }
-  TakeColdTimes();
-  RefreshActive(change->cold);
+  UpdateWarmUpTimes();
+  RefreshActive(change->warming_up);
   return Status::Ok();
 }
 
-void ReplicaPool::RefreshActive(const std::vector<std::string>& cold) {
+void ReplicaPool::RefreshActive(const std::vector<std::string>& warming_up) {
   const proto::RoutingConfiguration& configuration = right_.configuration();
   std::set<std::string> active;
   std::vector<std::string> fresh;
@@ -261,8 +262,9 @@
       continue;
     }
     active.insert(id);
-    const bool is_cold = std::find(cold.begin(), cold.end(), id) != cold.end();
-    if (is_cold || !active_.contains(id)) {
+    const bool is_warming_up =
+        std::find(warming_up.begin(), warming_up.end(), id) != warming_up.end();
+    if (is_warming_up || !active_.contains(id)) {
       fresh.push_back(id);
     }
   }
@@ -312,7 +314,7 @@
   const TimePoint now = environment_.Now();
   std::uint32_t others = 0;
   if (answered) {
-    TakeReport(id, headers);
+    HandleReport(id, headers);
     others = loads_[id].others();
   }
   // A replica that was there before this gateway, and serves others, is not cold.
@@ -327,7 +329,7 @@
   if (health_.Ramping(id, now)) {
     prober_.RepeatSoon(id);
   }
-  NotifyRoom();
+  NotifyCapacity();
 }
 
 bool ReplicaPool::IsCurrent(const std::string& id, const std::string& instance_id) const {
@@ -335,7 +337,7 @@
   return record != nullptr && record->instance_id == instance_id;
 }
 
-void ReplicaPool::TakeReport(const std::string& id, const HttpHeaders& headers) {
+void ReplicaPool::HandleReport(const std::string& id, const HttpHeaders& headers) {
   const std::optional<LoadReport> report = ParseLoadReport(FindHeader(headers, kLoadHeader));
   if (report) {
     loads_[id].OnReport(*report);
@@ -348,12 +350,13 @@
   ReplicaLoad& load = loads_[id];
   GrantBatch(*record, load, now);
   if (health_.Ramping(id, now)) {
-    GrantCold(*record, load, now);
+    GrantSlowStartCalls(*record, load, now);
   }
 }
 
 void ReplicaPool::GrantBatch(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now) {
-  const Router::BatchHeadroom headroom = router_.HeadroomOf(record, right_.configuration(), now);
+  const Router::BatchCapacityReserve headroom =
+      router_.CapacityReserveFor(record, right_.configuration(), now);
   if (load.own_batch() > 0 && load.total() > headroom.bound) {
     batch_pacer_.OnCollision(now);
   } else if (load.own_batch() > 0) {
@@ -362,15 +365,16 @@
   load.SetBatchAllowance(batch_pacer_.Allowance(headroom.free, environment_.Random()), now);
 }
 
-void ReplicaPool::GrantCold(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now) {
+void ReplicaPool::GrantSlowStartCalls(const ReplicaRecord& record, ReplicaLoad& load,
+                                      TimePoint now) {
   const std::uint32_t limit = health_.LimitOf(record.id, load.Capacity(record.capacity), now);
   if (load.own() > 0 && load.total() > limit) {
-    cold_pacer_.OnCollision(now);
+    slow_start_pacer_.OnCollision(now);
   } else if (load.own() > 0) {
-    cold_pacer_.OnSmoothReport();
+    slow_start_pacer_.OnSmoothReport();
   }
   const std::uint32_t room = limit - std::min(limit, load.total());
-  load.SetColdAllowance(cold_pacer_.Allowance(room, environment_.Random()), now);
+  load.SetSlowStartAllowance(slow_start_pacer_.Allowance(room, environment_.Random()), now);
 }
 
 void ReplicaPool::EvaluateHealth() {
@@ -391,8 +395,8 @@
   metrics.SetGauge("gateway_replicas", static_cast<double>(directory_.records().size()),
                    {{"state", "listed"}});
   metrics.SetGauge("gateway_replica_list_usable", list_usable() ? 1 : 0);
-  metrics.SetGauge("gateway_batch_share", batch_pacer_.share());
-  metrics.SetGauge("gateway_cold_share", cold_pacer_.share());
+  metrics.SetGauge("gateway_batch_share", batch_pacer_.ratio());
+  metrics.SetGauge("gateway_cold_share", slow_start_pacer_.ratio());
 }
 
 }  // namespace cloverbank
--- a/src/gateway/replica_pool.h
+++ b/src/gateway/replica_pool.h
@@ -13,13 +13,13 @@
 #include "gateway/gateway_options.h"
 #include "gateway/serving_right.h"
 #include "net/http_types.h"
-#include "replicas/cold_pacing.h"
+#include "replicas/rate_pacer.h"
 #include "replicas/replica_directory.h"
 #include "replicas/replica_health.h"
 #include "replicas/replica_list_poller.h"
 #include "replicas/replica_load.h"
 #include "replicas/replica_prober.h"
-#include "replicas/share_pacer.h"
+#include "replicas/slow_start.h"
 #include "routing/router.h"
 #include "runtime/environment.h"
 
@@ -51,7 +51,7 @@
   std::uint32_t FreeBatchSlots(const std::string& backend) const;
   /// Whether a call of `route` may go to this life of a replica at this very moment: listed as
   /// ready in a list that is fresh, and in a zone that is open and allowed.
-  bool MaySend(const ReplicaUse& use, const proto::Route& route) const;
+  bool CanSend(const ReplicaUse& use, const proto::Route& route) const;
 
   /// @return the use of `replica` by a call with that prompt.
   ReplicaUse MakeUse(const ReplicaRecord& replica, WorkKind work, const PromptShape& prompt,
@@ -73,10 +73,10 @@
   void OnHeard(const ReplicaUse& use);
 
   /// Which part of what cold replicas bear and of the room for batch work is this gateway's.
-  void SetShare(const GatewayShare& share);
+  void SetQuota(const GatewayQuota& quota);
 
   /// Runs when a replica may have got room that it had not before.
-  void OnRoom(std::function<void()> observer) { on_room_ = std::move(observer); }
+  void OnCapacity(std::function<void()> observer) { on_capacity_ = std::move(observer); }
   /// Expires with the pool, for calls whose connection outlives it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
   bool list_loaded() const { return poller_.loaded(); }
@@ -91,26 +91,26 @@
   void OnProbe(const std::string& id, const std::string& instance_id, bool answered,
                const HttpHeaders& headers);
   /// Works out who is to be probed and watched now; `cold` ones begin anew.
-  void RefreshActive(const std::vector<std::string>& cold);
+  void RefreshActive(const std::vector<std::string>& warming_up);
   void StartWatching(const std::vector<std::string>& fresh);
   bool IsCurrent(const std::string& id, const std::string& instance_id) const;
-  void TakeReport(const std::string& id, const HttpHeaders& headers);
+  void HandleReport(const std::string& id, const HttpHeaders& headers);
   /// Works out how much of a replica's room this gateway may take until the next report.
   void GrantAllowances(const std::string& id);
   void GrantBatch(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now);
-  void GrantCold(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now);
-  void TakeColdTimes();
+  void GrantSlowStartCalls(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now);
+  void UpdateWarmUpTimes();
   /// @param delay before calls begin where there were none before.
-  void ChangeColdRates(Duration delay);
+  void UpdateSlowStartRates(Duration delay);
   /// @return how many calls a second this gateway may send to a cold replica.
-  double ColdRate(const ReplicaRecord& record) const;
+  double SlowStartRate(const ReplicaRecord& record) const;
   /// Offers room again soon: time alone gives some while replicas are cold.
-  void OfferRoomSoon();
+  void ScheduleCapacityOffer();
   void EvaluateHealth();
   void PublishMetrics();
-  void NotifyRoom() {
-    if (on_room_) {
-      on_room_();
+  void NotifyCapacity() {
+    if (on_capacity_) {
+      on_capacity_();
     }
   }
 
@@ -121,21 +121,21 @@
   ReplicaDirectory directory_;
   ReplicaHealth health_;
   LoadTable loads_;
-  ColdPacing cold_pacing_;
+  SlowStart slow_start_;
   PrefillLoad prefill_;
   Router router_;
   ReplicaListPoller poller_;
   ReplicaProber prober_;
-  SharePacer cold_pacer_;
-  SharePacer batch_pacer_;
+  RatePacer slow_start_pacer_;
+  RatePacer batch_pacer_;
   std::set<std::string> active_;       ///< Ready, in an open zone: watched and probed.
   std::set<std::string> preexisting_;  ///< Not probed yet, and listed before this gateway started.
   bool activated_ = false;             ///< Whether a list and a configuration were there together.
-  std::function<void()> on_room_;
+  std::function<void()> on_capacity_;
   PromptObserver on_prompt_;
   TimerId evaluation_timer_ = 0;
-  TimerId room_timer_ = 0;
-  GatewayShare share_;
+  TimerId capacity_timer_ = 0;
+  GatewayQuota quota_;
   const bool probed_;
   std::shared_ptr<const void> lifetime_ = std::make_shared<int>(0);
 };
--- a/src/gateway/retry_policy.cc
+++ b/src/gateway/retry_policy.cc
@@ -11,7 +11,7 @@
 
 void RetryBudget::OnFirstAttempt() { tokens_ = std::min(cap_, tokens_ + ratio_); }
 
-bool RetryBudget::TakeRetry() {
+bool RetryBudget::ConsumeRetry() {
   if (tokens_ < 1) {
     return false;
   }
@@ -30,7 +30,7 @@
 RetryDecision RetryState::Decide(AttemptEnd end, bool repeatable, std::uint64_t random) {
   const bool attempts_left = attempts_since_wait_ < options_.maximum_attempts;
   switch (end) {
-    case AttemptEnd::kWhole:
+    case AttemptEnd::kComplete:
       executed_ = proto::EXECUTED_YES;
       return {};
     case AttemptEnd::kRejected:
@@ -43,7 +43,7 @@
         return {RetryAction::kSendElsewhere, {}};
       }
       attempts_since_wait_ = 0;
-      return {RetryAction::kWaitForRoom, Backoff(random)};
+      return {RetryAction::kWaitForCapacity, Backoff(random)};
     case AttemptEnd::kUnknown:
       executed_ = proto::EXECUTED_UNKNOWN;
       break;
@@ -51,14 +51,14 @@
       executed_ = executed_ == proto::EXECUTED_UNKNOWN ? executed_ : proto::EXECUTED_YES;
       break;
   }
-  if (!repeatable || !MayRetry() || (options_.budgeted && !budget_.TakeRetry())) {
+  if (!repeatable || !CanRetry() || (options_.budgeted && !budget_.ConsumeRetry())) {
     return {};
   }
   ++retries_;
   return {RetryAction::kSendLater, Backoff(random)};
 }
 
-bool RetryState::MayRetry() const {
+bool RetryState::CanRetry() const {
   // Refusals do not count where a call has attempts of its own: nothing ran there.
   const bool counted = options_.maximum_refusals == 0;
   const bool attempts_left = !counted || attempts_since_wait_ < options_.maximum_attempts;
--- a/src/gateway/retry_policy.h
+++ b/src/gateway/retry_policy.h
@@ -15,7 +15,7 @@
 
 /// How one attempt at a replica ended.
 enum class AttemptEnd : std::uint8_t {
-  kWhole,     ///< A whole, checked answer.
+  kComplete,  ///< A whole, checked answer.
   kNotRun,    ///< Certainly not run there: nothing was sent, or the replica refused it.
   kRejected,  ///< The replica found the request itself wrong; not run, and others would say the
               ///< same.
@@ -46,7 +46,7 @@
   /// Whether a retry could be made now.
   bool HasRetry() const { return tokens_ >= 1; }
   /// @return whether a retry may be made now; takes it from the budget.
-  bool TakeRetry();
+  bool ConsumeRetry();
 
  private:
   double ratio_;
@@ -55,10 +55,10 @@
 };
 
 enum class RetryAction : std::uint8_t {
-  kFinish,         ///< Answer the caller.
-  kSendElsewhere,  ///< At once, to another replica.
-  kSendLater,      ///< After a backoff.
-  kWaitForRoom,    ///< Not run anywhere so far: back to the queue until a replica has room.
+  kFinish,           ///< Answer the caller.
+  kSendElsewhere,    ///< At once, to another replica.
+  kSendLater,        ///< After a backoff.
+  kWaitForCapacity,  ///< Not run anywhere so far: back to the queue until a replica has room.
 };
 
 struct RetryDecision {
@@ -80,7 +80,7 @@
   RetryDecision Decide(AttemptEnd end, bool repeatable, std::uint64_t random);
 
   /// Whether an attempt that may have run could be followed by another one now.
-  bool MayRetry() const;
+  bool CanRetry() const;
 
   /// What the caller may be told if the call ends without a whole answer now.
   proto::Executed executed() const { return executed_; }
--- a/src/gateway/service_attempt.cc
+++ b/src/gateway/service_attempt.cc
@@ -25,7 +25,7 @@
     const std::weak_ptr<ServiceAttempt> weak = weak_from_this();
     http.may_send = [weak] {
       const auto self = weak.lock();
-      return self != nullptr && self->MaySend();
+      return self != nullptr && self->CanSend();
     };
     context_.pool.OnCallStarted(request_.use);
     call_ = context_.client.Call(
@@ -46,7 +46,7 @@
   }
 
  private:
-  bool MaySend() {
+  bool CanSend() {
     asked_ = true;
     withheld_ = done_ || !request_.may_send();
     return !withheld_;
@@ -58,11 +58,11 @@
     }
     const TimePoint now = context_.environment.Now();
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      SilenceFacts facts;
+      NoResponseContext facts;
       facts.withheld = withheld_;
       facts.deadline_reached = now >= request_.deadline;
       facts.patience = request_.deadline - sent_at_;
-      Finish(ReadSilence(outcome, facts, context_.options));
+      Finish(ClassifyTimeout(outcome, facts, context_.options));
       return;
     }
     context_.pool.OnAnswerHead(request_.use, outcome.response.headers, now - sent_at_);
@@ -78,7 +78,7 @@
     FailureReading reading;
     const bool readable = FromJson(body, &reading.result.answer, UnknownFields::kIgnore).ok();
     if (readable && reading.result.answer.call_id() == request_.body.call_id()) {
-      reading.result.end = AttemptEnd::kWhole;
+      reading.result.end = AttemptEnd::kComplete;
       reading.health = CallEnd::kSuccess;
       return reading;
     }
--- a/src/gateway/stream_attempt.cc
+++ b/src/gateway/stream_attempt.cc
@@ -25,7 +25,7 @@
         callbacks_(std::move(callbacks)),
         pool_lifetime_(context.pool.lifetime()),
         check_(request_.body.call_id()),
-        lines_(context.options.largest_piece) {}
+        lines_(context.options.maximum_chunk_bytes) {}
 
   void Start() override {
     sent_at_ = context_.environment.Now();
@@ -35,7 +35,7 @@
     const std::weak_ptr<StreamAttempt> weak = weak_from_this();
     http.may_send = [weak] {
       const auto self = weak.lock();
-      return self != nullptr && self->MaySend();
+      return self != nullptr && self->CanSend();
     };
     HttpStreamCallbacks stream;
     stream.on_head = [weak](int status, const HttpHeaders& headers) {
@@ -68,7 +68,7 @@
   }
 
  private:
-  bool MaySend() {
+  bool CanSend() {
     asked_ = true;
     withheld_ = done_ || !request_.may_send();
     return !withheld_;
@@ -84,7 +84,7 @@
 
   void OnBytes(const std::string& bytes, std::function<void()> more) {
     if (done_) {
-      AfterLastPiece();
+      AfterLastChunk();
       return;
     }
     if (status_ != kHttpOk) {
@@ -99,7 +99,7 @@
   }
 
   /// Something follows the regular last piece: the connection can not be trusted further.
-  void AfterLastPiece() {
+  void AfterLastChunk() {
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
     CloseUpstream();
@@ -114,11 +114,11 @@
     } else if (regular) {
       Advance();
     } else {
-      Conclude();  // Not held up by a caller that does not read.
+      Complete();  // Not held up by a caller that does not read.
     }
   }
 
-  /// Goes on as far as possible. Not re-entered: `more` may be called from within `on_piece`.
+  /// Goes on as far as possible. Not re-entered: `more` may be called from within `on_chunk`.
   void Advance() {
     if (advancing_) {
       return;
@@ -131,11 +131,11 @@
 
   /// Hands on the next piece, or reads on, or concludes. @return whether there is more to do now.
   bool Step() {
-    if (done_ || piece_under_way_) {
+    if (done_ || chunk_in_flight_) {
       return false;
     }
     if (const std::optional<std::string> line = lines_.Next()) {
-      TakeLine(*line);
+      HandleLine(*line);
       return true;
     }
     if (lines_.TooLong()) {
@@ -144,7 +144,7 @@
       return false;
     }
     if (outcome_) {
-      Conclude();
+      Complete();
       return !done_;
     }
     if (!read_on_) {
@@ -154,51 +154,51 @@
     return read_on_ != nullptr || outcome_.has_value();
   }
 
-  void TakeLine(const std::string& line) {
-    proto::StreamPiece piece;
-    if (!FromJson(line, &piece, UnknownFields::kIgnore).ok()) {
+  void HandleLine(const std::string& line) {
+    proto::StreamChunk chunk;
+    if (!FromJson(line, &chunk, UnknownFields::kIgnore).ok()) {
       check_.Malformed();
       BreakOff();
       return;
     }
-    switch (check_.Check(piece)) {
-      case PieceVerdict::kPass:
-        HandOn(piece);
+    switch (check_.Check(chunk)) {
+      case ChunkCheckResult::kPass:
+        Forward(chunk);
         break;
-      case PieceVerdict::kEnd:
-        HandOn(piece);
-        FinishWhole();
+      case ChunkCheckResult::kEnd:
+        Forward(chunk);
+        FinishSuccessfully();
         break;
-      case PieceVerdict::kReported:
-        FinishReported(piece.error());
+      case ChunkCheckResult::kReported:
+        FinishReported(chunk.error());
         break;
-      case PieceVerdict::kBroken:
+      case ChunkCheckResult::kBroken:
         BreakOff();
         break;
     }
   }
 
-  void HandOn(const proto::StreamPiece& piece) {
-    piece_under_way_ = true;
-    callbacks_.on_piece(piece, [weak = weak_from_this()] {
+  void Forward(const proto::StreamChunk& chunk) {
+    chunk_in_flight_ = true;
+    callbacks_.on_chunk(chunk, [weak = weak_from_this()] {
       const auto self = weak.lock();
-      if (self != nullptr && self->piece_under_way_) {
-        self->piece_under_way_ = false;
+      if (self != nullptr && self->chunk_in_flight_) {
+        self->chunk_in_flight_ = false;
         self->Advance();
       }
     });
   }
 
   /// The body ended, or the call did, with no last piece.
-  void Conclude() {
+  void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
       const TimePoint now = context_.environment.Now();
-      SilenceFacts facts;
+      NoResponseContext facts;
       facts.withheld = withheld_;
       facts.head_came = status_ != 0;
       facts.deadline_reached = now >= request_.deadline;
       facts.patience = request_.deadline - sent_at_;
-      const FailureReading reading = ReadSilence(*outcome_, facts, context_.options);
+      const FailureReading reading = ClassifyTimeout(*outcome_, facts, context_.options);
       Finish(reading.result, reading.health);
       return;
     }
@@ -209,7 +209,7 @@
     }
     const std::string rest = lines_.TakeRest();
     if (!rest.empty()) {
-      TakeLine(rest);
+      HandleLine(rest);
       return;
     }
     check_.BodyEnded();
@@ -244,7 +244,7 @@
 
   /// The last piece is with the caller. The connection is let run out, so that it can be used
   /// again.
-  void FinishWhole() {
+  void FinishSuccessfully() {
     done_ = true;
     if (outcome_) {
       Release(CallEnd::kSuccess);
@@ -253,7 +253,7 @@
       std::exchange(read_on_, nullptr)();
     }
     JsonAttemptResult result;
-    result.end = AttemptEnd::kWhole;
+    result.end = AttemptEnd::kComplete;
     callbacks_.on_done(std::move(result));
   }
 
@@ -294,7 +294,7 @@
   std::optional<HttpOutcome> outcome_;
   bool asked_ = false;  ///< Whether `may_send` was asked: nothing was sent before.
   bool withheld_ = false;
-  bool piece_under_way_ = false;
+  bool chunk_in_flight_ = false;
   bool advancing_ = false;
   bool released_ = false;
   bool done_ = false;
--- a/src/gateway/stream_check.cc
+++ b/src/gateway/stream_check.cc
@@ -24,57 +24,57 @@
   return "none";
 }
 
-PieceVerdict StreamCheck::Check(const proto::StreamPiece& piece) {
-  const StreamFault fault = FaultOf(piece);
+ChunkCheckResult StreamCheck::Check(const proto::StreamChunk& chunk) {
+  const StreamFault fault = FaultOf(chunk);
   if (fault != StreamFault::kNone) {
     return Break(fault);
   }
   if (run_id_.empty()) {
-    run_id_ = piece.run_id();
+    run_id_ = chunk.run_id();
   }
   ++next_sequence_;
-  if (piece.has_error()) {
+  if (chunk.has_error()) {
     over_ = true;
-    return PieceVerdict::kReported;
+    return ChunkCheckResult::kReported;
   }
-  if (piece.end()) {
+  if (chunk.end()) {
     over_ = true;
-    whole_ = true;
-    return PieceVerdict::kEnd;
+    complete_ = true;
+    return ChunkCheckResult::kEnd;
   }
-  return PieceVerdict::kPass;
+  return ChunkCheckResult::kPass;
 }
 
 bool StreamCheck::BodyEnded() {
   if (!over_) {
     Break(StreamFault::kNoEnd);
   }
-  return whole_ && fault_ == StreamFault::kNone;
+  return complete_ && fault_ == StreamFault::kNone;
 }
 
-PieceVerdict StreamCheck::Break(StreamFault fault) {
+ChunkCheckResult StreamCheck::Break(StreamFault fault) {
   over_ = true;
   if (fault_ == StreamFault::kNone) {
     fault_ = fault;
   }
-  return PieceVerdict::kBroken;
+  return ChunkCheckResult::kBroken;
 }
 
-StreamFault StreamCheck::FaultOf(const proto::StreamPiece& piece) const {
+StreamFault StreamCheck::FaultOf(const proto::StreamChunk& chunk) const {
   if (over_) {
     return StreamFault::kAfterEnd;
   }
-  if (piece.call_id() != call_id_) {
+  if (chunk.call_id() != call_id_) {
     return StreamFault::kOtherCall;
   }
-  const bool other_run = !run_id_.empty() && piece.run_id() != run_id_;
-  if (piece.run_id().empty() || other_run) {
+  const bool other_run = !run_id_.empty() && chunk.run_id() != run_id_;
+  if (chunk.run_id().empty() || other_run) {
     return StreamFault::kOtherRun;
   }
-  if (piece.sequence() > next_sequence_) {
+  if (chunk.sequence() > next_sequence_) {
     return StreamFault::kGap;
   }
-  if (piece.sequence() < next_sequence_) {
+  if (chunk.sequence() < next_sequence_) {
     return StreamFault::kRepeat;
   }
   return StreamFault::kNone;
--- a/src/gateway/stream_check.h
+++ b/src/gateway/stream_check.h
@@ -12,7 +12,7 @@
 namespace cloverbank {
 
 /// What to do with a piece.
-enum class PieceVerdict : std::uint8_t {
+enum class ChunkCheckResult : std::uint8_t {
   kPass,      ///< The next piece of the run.
   kEnd,       ///< The regular last piece.
   kReported,  ///< The replica itself ended the run with an error piece.
@@ -39,7 +39,7 @@
   explicit StreamCheck(std::string call_id) : call_id_(std::move(call_id)) {}
 
   /// Judges the next piece. After anything but kPass the stream is over.
-  PieceVerdict Check(const proto::StreamPiece& piece);
+  ChunkCheckResult Check(const proto::StreamChunk& chunk);
   /// The body ended. @return whether it ended whole, i.e. after the regular last piece.
   bool BodyEnded();
   /// Something that was not a piece arrived.
@@ -53,14 +53,14 @@
   std::uint64_t next_sequence() const { return next_sequence_; }
 
  private:
-  PieceVerdict Break(StreamFault fault);
-  StreamFault FaultOf(const proto::StreamPiece& piece) const;
+  ChunkCheckResult Break(StreamFault fault);
+  StreamFault FaultOf(const proto::StreamChunk& chunk) const;
 
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
   bool over_ = false;
-  bool whole_ = false;
+  bool complete_ = false;
   StreamFault fault_ = StreamFault::kNone;
 };
 
--- a/src/gateway/batch_work_ledger.cc
+++ b/src/gateway/work_item_table.cc
@@ -1,4 +1,4 @@
-#include "gateway/batch_work_ledger.h"
+#include "gateway/work_item_table.h"
 
 #include <algorithm>
 #include <set>
@@ -40,7 +40,7 @@
       return "window_over";
     case StartRefusal::kNodeLease:
       return "node_lease";
-    case StartRefusal::kNoRoom:
+    case StartRefusal::kNoCapacity:
       return "no_room";
     case StartRefusal::kPaused:
       return "paused";
@@ -54,8 +54,8 @@
   return "none";
 }
 
-bool BatchWorkLedger::Add(const proto::WorkGrant& grant, NodeId gateway, TimePoint sent,
-                          TimePoint now) {
+bool WorkItemTable::Add(const proto::WorkGrant& grant, NodeId gateway, TimePoint sent,
+                        TimePoint now) {
   Item item;
   item.grant = grant;
   item.gateway = gateway;
@@ -64,7 +64,7 @@
   return items_.emplace(WorkLeaseId(grant.lease_id()), std::move(item)).second;
 }
 
-StartRefusal BatchWorkLedger::MayStart(WorkLeaseId lease, const StartConditions& conditions) const {
+StartRefusal WorkItemTable::CanStart(WorkLeaseId lease, const StartConditions& conditions) const {
   const Item* item = Find(lease);
   if (item == nullptr || IsDone(*item) || item->ended) {
     return StartRefusal::kLeaseEnded;
@@ -86,21 +86,21 @@
   return stricter_now ? StartRefusal::kMustNotRepeat : StartRefusal::kNone;
 }
 
-void BatchWorkLedger::MarkRunning(WorkLeaseId lease) {
+void WorkItemTable::RecordRunning(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item != nullptr && item->phase == Phase::kWaiting) {
     item->phase = Phase::kRunning;
   }
 }
 
-void BatchWorkLedger::MarkLeft(WorkLeaseId lease) {
+void WorkItemTable::RecordDispatched(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item != nullptr && item->phase == Phase::kRunning) {
     item->phase = Phase::kLeft;
   }
 }
 
-void BatchWorkLedger::Refuse(WorkLeaseId lease, StartRefusal refusal) {
+void WorkItemTable::Refuse(WorkLeaseId lease, StartRefusal refusal) {
   Item* item = Find(lease);
   if (item == nullptr || item->phase != Phase::kWaiting) {
     return;
@@ -113,8 +113,7 @@
   }
 }
 
-void BatchWorkLedger::Finish(WorkLeaseId lease, const BackendOutcome& outcome,
-                             bool keep_if_not_run) {
+void WorkItemTable::Finish(WorkLeaseId lease, const BackendOutcome& outcome, bool keep_if_not_run) {
   Item* item = Find(lease);
   if (item == nullptr || IsDone(*item)) {
     return;
@@ -147,7 +146,7 @@
   }
 }
 
-EndedAction BatchWorkLedger::End(WorkLeaseId lease) {
+EndedAction WorkItemTable::End(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item == nullptr || IsDone(*item) || item->ended) {
     return EndedAction::kNothing;
@@ -160,7 +159,7 @@
   return item->phase == Phase::kLeft ? EndedAction::kRunOn : EndedAction::kWithdraw;
 }
 
-void BatchWorkLedger::FinishWithdrawn(WorkLeaseId lease) {
+void WorkItemTable::FinishWithdrawn(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item == nullptr || IsDone(*item)) {
     return;
@@ -170,7 +169,7 @@
            proto::ITEM_OUTCOME_UNSPECIFIED, "", "withdrawn: its work lease ended");
 }
 
-std::vector<WorkLeaseId> BatchWorkLedger::Waiting() const {
+std::vector<WorkLeaseId> WorkItemTable::Waiting() const {
   std::vector<WorkLeaseId> waiting;
   for (const auto& [lease, item] : items_) {
     if (item.phase == Phase::kWaiting) {
@@ -180,17 +179,17 @@
   return waiting;
 }
 
-TimePoint BatchWorkLedger::ArrivedAt(WorkLeaseId lease) const {
+TimePoint WorkItemTable::ArrivedAt(WorkLeaseId lease) const {
   const Item* item = Find(lease);
   return item == nullptr ? TimePoint() : item->arrived;
 }
 
-const proto::WorkGrant* BatchWorkLedger::FindGrant(WorkLeaseId lease) const {
+const proto::WorkGrant* WorkItemTable::FindGrant(WorkLeaseId lease) const {
   const Item* item = Find(lease);
   return item == nullptr ? nullptr : &item->grant;
 }
 
-std::map<std::string, std::uint32_t> BatchWorkLedger::NotYetLeftByRoute() const {
+std::map<std::string, std::uint32_t> WorkItemTable::NotYetLeftByRoute() const {
   std::map<std::string, std::uint32_t> counts;
   for (const auto& [lease, item] : items_) {
     if (item.phase == Phase::kRunning) {
@@ -200,8 +199,8 @@
   return counts;
 }
 
-std::vector<ReportAddress> BatchWorkLedger::Addresses(const OwnerLookup& owner_of,
-                                                      bool running_too) const {
+std::vector<ReportAddress> WorkItemTable::Addresses(const OwnerLookup& owner_of,
+                                                    bool running_too) const {
   std::set<ReportAddress> addresses;
   for (const auto& [lease, item] : items_) {
     const bool counts = item.phase == Phase::kDone || (running_too && !IsDone(item));
@@ -216,8 +215,8 @@
   return {addresses.begin(), addresses.end()};
 }
 
-proto::ReportWorkRequest BatchWorkLedger::TakeReports(const ReportAddress& address,
-                                                      const OwnerLookup& owner_of) {
+proto::ReportWorkRequest WorkItemTable::TakeReports(const ReportAddress& address,
+                                                    const OwnerLookup& owner_of) {
   proto::ReportWorkRequest request;
   request.set_gateway_node_id(address.gateway.value());
   std::size_t bytes = 0;
@@ -240,7 +239,7 @@
   return request;
 }
 
-void BatchWorkLedger::Reported(const proto::ReportWorkRequest& request) {
+void WorkItemTable::Reported(const proto::ReportWorkRequest& request) {
   for (const proto::WorkReport& report : request.reports()) {
     const auto found = items_.find(WorkLeaseId(report.lease_id()));
     if (found == items_.end() || found->second.phase != Phase::kReporting) {
@@ -252,7 +251,7 @@
   }
 }
 
-void BatchWorkLedger::ReportFailed(const proto::ReportWorkRequest& request) {
+void WorkItemTable::ReportFailed(const proto::ReportWorkRequest& request) {
   for (const proto::WorkReport& report : request.reports()) {
     Item* item = Find(WorkLeaseId(report.lease_id()));
     if (item != nullptr && item->phase == Phase::kReporting) {
@@ -261,24 +260,24 @@
   }
 }
 
-bool BatchWorkLedger::Full() const {
-  return items_.size() >= limits_.largest_held ||
+bool WorkItemTable::Full() const {
+  return items_.size() >= limits_.maximum_items ||
          unreported_bytes_ >= limits_.largest_unreported_bytes;
 }
 
-BatchWorkLedger::Item* BatchWorkLedger::Find(WorkLeaseId lease) {
+WorkItemTable::Item* WorkItemTable::Find(WorkLeaseId lease) {
   const auto found = items_.find(lease);
   return found == items_.end() ? nullptr : &found->second;
 }
 
-const BatchWorkLedger::Item* BatchWorkLedger::Find(WorkLeaseId lease) const {
+const WorkItemTable::Item* WorkItemTable::Find(WorkLeaseId lease) const {
   const auto found = items_.find(lease);
   return found == items_.end() ? nullptr : &found->second;
 }
 
-void BatchWorkLedger::Complete(Item& item, proto::WorkDisposition disposition,
-                               proto::ItemOutcome outcome, const std::string& output,
-                               const std::string& error) {
+void WorkItemTable::Complete(Item& item, proto::WorkDisposition disposition,
+                             proto::ItemOutcome outcome, const std::string& output,
+                             const std::string& error) {
   item.phase = Phase::kDone;
   item.report.set_lease_id(item.grant.lease_id());
   item.report.set_partition_id(item.grant.partition_id());
--- a/src/gateway/batch_work_ledger.h
+++ b/src/gateway/work_item_table.h
@@ -30,7 +30,7 @@
   kNone,           ///< It may start.
   kWindowOver,     ///< The grant's time to start has run out.
   kNodeLease,      ///< The gateway may not act.
-  kNoRoom,         ///< Live work took the room back.
+  kNoCapacity,     ///< Live work took the room back.
   kPaused,         ///< Operators stopped batch work.
   kLeaseEnded,     ///< The queue node took the lease back.
   kNoRoute,        ///< The configuration no longer has the route: the item can not run.
@@ -58,8 +58,8 @@
   kRunOn,     ///< It left.
 };
 
-struct LedgerLimits {
-  std::size_t largest_held = 2000;  ///< Items waiting, running or unreported.
+struct WorkItemTableLimits {
+  std::size_t maximum_items = 2000;  ///< Items waiting, running or unreported.
   std::size_t largest_unreported_bytes = 32U << 20U;
   std::size_t reports_per_call = 200;
   std::size_t report_bytes_per_call = 1U << 20U;
@@ -75,9 +75,9 @@
   }
 };
 
-class BatchWorkLedger {
+class WorkItemTable {
  public:
-  explicit BatchWorkLedger(LedgerLimits limits = {}) : limits_(limits) {}
+  explicit WorkItemTable(WorkItemTableLimits limits = {}) : limits_(limits) {}
 
   /// Takes a grant. @return false for a lease that is held already (a repeated answer).
   /// @param sent when the request that brought it was sent: its window counts from then.
@@ -85,11 +85,11 @@
 
   /// @return whether the item of `lease` may start; asked once more right before the request
   /// leaves.
-  StartRefusal MayStart(WorkLeaseId lease, const StartConditions& conditions) const;
+  StartRefusal CanStart(WorkLeaseId lease, const StartConditions& conditions) const;
   /// The call was handed to the back end's caller.
-  void MarkRunning(WorkLeaseId lease);
+  void RecordRunning(WorkLeaseId lease);
   /// The request may have left from now on.
-  void MarkLeft(WorkLeaseId lease);
+  void RecordDispatched(WorkLeaseId lease);
   /// Ends an item that was not started. Final refusals become failed results, others give it back.
   void Refuse(WorkLeaseId lease, StartRefusal refusal);
   /// Takes the outcome of its call.
@@ -144,7 +144,7 @@
   void Complete(Item& item, proto::WorkDisposition disposition, proto::ItemOutcome outcome,
                 const std::string& output, const std::string& error);
 
-  LedgerLimits limits_;
+  WorkItemTableLimits limits_;
   std::map<WorkLeaseId, Item> items_;
   std::size_t unreported_ = 0;
   std::size_t unreported_bytes_ = 0;
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -60,13 +60,13 @@
   virtual void StartStream(int status, HttpHeaders headers) = 0;
   /// Sends one chunk. `written` runs when the caller's socket took it (back-pressure), with false
   /// if the caller is gone.
-  virtual void WritePiece(std::string piece, std::function<void(bool alive)> written) = 0;
+  virtual void WriteChunk(std::string chunk, std::function<void(bool alive)> written) = 0;
   /// Ends the chunked answer in the regular way.
   virtual void FinishStream() = 0;
   /// Breaks the connection, so that the caller can not take the answer for a whole one.
   virtual void Abort() = 0;
   /// `gone` runs once if the caller disconnects before the answer is complete.
-  virtual void OnDisconnect(std::function<void()> gone) = 0;
+  virtual void OnDisconnect(std::function<void()> on_disconnect) = 0;
 };
 
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -82,7 +82,7 @@
   buffer_.commit(size);
   if (state_ == State::kIdle) {
     ReadHead();
-  } else if (state_ == State::kLingering || state_ == State::kSilent) {
+  } else if (state_ == State::kLingering || state_ == State::kBlackholed) {
     buffer_.consume(buffer_.size());
     WatchForBytes();
   }
@@ -90,8 +90,8 @@
 }
 
 void ServerConnection::LeaveIdle() {
-  if (idle_place_) {
-    shared_->idle.erase(*std::exchange(idle_place_, std::nullopt));
+  if (idle_position_) {
+    shared_->idle.erase(*std::exchange(idle_position_, std::nullopt));
   }
 }
 
@@ -150,7 +150,7 @@
   }
   DisarmTimer();
   if (shared_->Blocked(peer_address_)) {
-    state_ = State::kSilent;
+    state_ = State::kBlackholed;
     ArmTimer(shared_->options.idle_timeout);
     buffer_.consume(buffer_.size());
     WatchForBytes();
@@ -264,8 +264,8 @@
   socket_.close(ignored);
   shared_->connections.erase(this);
   FailPendingWrites();
-  if (gone_) {
-    shared_->loop.Post(std::exchange(gone_, nullptr));
+  if (on_disconnect_) {
+    shared_->loop.Post(std::exchange(on_disconnect_, nullptr));
   }
   if (answering) {
     --shared_->calls_in_progress;
@@ -275,11 +275,11 @@
 
 void ServerConnection::FailPendingWrites() {
   // The bytes in flight stay: the socket's pending operation may still refer to them.
-  for (auto* parts : {&in_flight_, &queue_}) {
-    for (OutgoingPart& part : *parts) {
-      if (part.written) {
+  for (auto* chunks : {&in_flight_, &queue_}) {
+    for (OutgoingChunk& chunk : *chunks) {
+      if (chunk.written) {
         shared_->loop.Post(
-            [written = std::exchange(part.written, nullptr)] { written(/*alive=*/false); });
+            [written = std::exchange(chunk.written, nullptr)] { written(/*alive=*/false); });
       }
     }
   }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -68,25 +68,25 @@
   // Of the responder. `call` numbers the request; calls for any but the current one are ignored.
   void Send(std::uint64_t call, HttpResponse response);
   void StartStream(std::uint64_t call, int status, const HttpHeaders& headers);
-  void WritePiece(std::uint64_t call, const std::string& piece,
+  void WriteChunk(std::uint64_t call, const std::string& chunk,
                   std::function<void(bool alive)> written);
   void FinishStream(std::uint64_t call);
   void Abort(std::uint64_t call);
-  void OnDisconnect(std::uint64_t call, std::function<void()> gone);
+  void OnDisconnect(std::uint64_t call, std::function<void()> on_disconnect);
   /// The responder was dropped; breaks the answer if it is not complete.
-  void OnResponderGone(std::uint64_t call);
+  void OnResponderDestroyed(std::uint64_t call);
 
  private:
   enum class State : std::uint8_t {
-    kIdle,       ///< Between requests.
-    kReading,    ///< A request is coming in.
-    kAnswering,  ///< A handler has it.
-    kLingering,  ///< Nothing more to write; waits for the caller to close.
-    kSilent,     ///< Cut off by fault injection: reads and drops.
+    kIdle,        ///< Between requests.
+    kReading,     ///< A request is coming in.
+    kAnswering,   ///< A handler has it.
+    kLingering,   ///< Nothing more to write; waits for the caller to close.
+    kBlackholed,  ///< Cut off by fault injection: reads and drops.
     kClosed,
   };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
-  struct OutgoingPart {
+  struct OutgoingChunk {
     std::string bytes;
     std::function<void(bool alive)> written;
   };
@@ -116,7 +116,7 @@
   boost::asio::ip::tcp::socket socket_;
   std::string peer_address_;
   State state_ = State::kIdle;
-  std::optional<std::list<ServerConnection*>::iterator> idle_place_;
+  std::optional<std::list<ServerConnection*>::iterator> idle_position_;
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   bool watching_ = false;  ///< A read is pending in `WatchForBytes`.
@@ -127,11 +127,11 @@
   bool keep_alive_ = false;
   bool answer_started_ = false;
   bool answer_complete_ = false;  ///< All of it is queued.
-  std::function<void()> gone_;
+  std::function<void()> on_disconnect_;
 
   bool writing_ = false;
-  std::deque<OutgoingPart> in_flight_;  ///< Handed to the socket.
-  std::deque<OutgoingPart> queue_;
+  std::deque<OutgoingChunk> in_flight_;  ///< Handed to the socket.
+  std::deque<OutgoingChunk> queue_;
 };
 
 }  // namespace cloverbank
--- a/src/net/server_connection_answer.cc
+++ b/src/net/server_connection_answer.cc
@@ -62,7 +62,7 @@
   Enqueue(SerializeResponseHead(head), nullptr);
 }
 
-void ServerConnection::WritePiece(std::uint64_t call, const std::string& piece,
+void ServerConnection::WriteChunk(std::uint64_t call, const std::string& chunk,
                                   std::function<void(bool alive)> written) {
   if (!IsCurrent(call) || !answer_started_) {
     if (written) {
@@ -71,11 +71,11 @@
     return;
   }
   // An empty chunk would end the answer.
-  std::string chunk;
-  if (!piece.empty()) {
-    chunk = boost::beast::buffers_to_string(http::make_chunk(asio::buffer(piece)));
+  std::string encoded;
+  if (!chunk.empty()) {
+    encoded = boost::beast::buffers_to_string(http::make_chunk(asio::buffer(chunk)));
   }
-  Enqueue(std::move(chunk), std::move(written));
+  Enqueue(std::move(encoded), std::move(written));
 }
 
 void ServerConnection::FinishStream(std::uint64_t call) {
@@ -88,20 +88,20 @@
 
 void ServerConnection::Abort(std::uint64_t call) {
   if (IsCurrent(call)) {
-    gone_ = nullptr;
+    on_disconnect_ = nullptr;
     Close();
   }
 }
 
-void ServerConnection::OnDisconnect(std::uint64_t call, std::function<void()> gone) {
+void ServerConnection::OnDisconnect(std::uint64_t call, std::function<void()> on_disconnect) {
   if (state_ == State::kClosed && call == call_) {
-    shared_->loop.Post(std::move(gone));
+    shared_->loop.Post(std::move(on_disconnect));
   } else if (IsCurrent(call)) {
-    gone_ = std::move(gone);
+    on_disconnect_ = std::move(on_disconnect);
   }
 }
 
-void ServerConnection::OnResponderGone(std::uint64_t call) {
+void ServerConnection::OnResponderDestroyed(std::uint64_t call) {
   if (!IsCurrent(call)) {
     return;
   }
@@ -131,8 +131,8 @@
   }
   std::vector<asio::const_buffer> buffers;
   buffers.reserve(in_flight_.size());
-  for (const OutgoingPart& part : in_flight_) {
-    buffers.emplace_back(part.bytes.data(), part.bytes.size());
+  for (const OutgoingChunk& chunk : in_flight_) {
+    buffers.emplace_back(chunk.bytes.data(), chunk.bytes.size());
   }
   asio::async_write(socket_, buffers,
                     [self = shared_from_this()](const error_code& error, std::size_t) {
@@ -150,11 +150,11 @@
     return;
   }
   writing_ = false;
-  std::deque<OutgoingPart> done;
+  std::deque<OutgoingChunk> done;
   done.swap(in_flight_);
-  for (OutgoingPart& part : done) {
-    if (part.written) {
-      part.written(/*alive=*/true);
+  for (OutgoingChunk& chunk : done) {
+    if (chunk.written) {
+      chunk.written(/*alive=*/true);
     }
   }
   if (state_ != State::kAnswering || writing_) {
@@ -168,7 +168,7 @@
 }
 
 void ServerConnection::FinishAnswer() {
-  gone_ = nullptr;
+  on_disconnect_ = nullptr;
   --shared_->calls_in_progress;
   if (keep_alive_ && !shared_->draining) {
     BecomeIdle();
@@ -184,7 +184,7 @@
     ReadHead();
     return;
   }
-  idle_place_ = shared_->idle.insert(shared_->idle.end(), this);
+  idle_position_ = shared_->idle.insert(shared_->idle.end(), this);
   ArmTimer(shared_->options.idle_timeout);
   if (!watching_) {
     WatchForBytes();
--- a/src/net/server_responder.cc
+++ b/src/net/server_responder.cc
@@ -11,7 +11,7 @@
  public:
   ServerResponder(std::shared_ptr<ServerConnection> connection, std::uint64_t call)
       : connection_(std::move(connection)), call_(call) {}
-  ~ServerResponder() override { connection_->OnResponderGone(call_); }
+  ~ServerResponder() override { connection_->OnResponderDestroyed(call_); }
   ServerResponder(const ServerResponder&) = delete;
   ServerResponder& operator=(const ServerResponder&) = delete;
 
@@ -19,13 +19,13 @@
   void StartStream(int status, HttpHeaders headers) override {
     connection_->StartStream(call_, status, headers);
   }
-  void WritePiece(std::string piece, std::function<void(bool alive)> written) override {
-    connection_->WritePiece(call_, piece, std::move(written));
+  void WriteChunk(std::string chunk, std::function<void(bool alive)> written) override {
+    connection_->WriteChunk(call_, chunk, std::move(written));
   }
   void FinishStream() override { connection_->FinishStream(call_); }
   void Abort() override { connection_->Abort(call_); }
-  void OnDisconnect(std::function<void()> gone) override {
-    connection_->OnDisconnect(call_, std::move(gone));
+  void OnDisconnect(std::function<void()> on_disconnect) override {
+    connection_->OnDisconnect(call_, std::move(on_disconnect));
   }
 
  private:
--- a/src/net/url.cc
+++ b/src/net/url.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr std::string_view kHexDigits = "0123456789ABCDEF";
-constexpr std::string_view kUnreservedMarks = "-._~";
+constexpr std::string_view kUnreservedPunctuation = "-._~";
 
 std::optional<unsigned> HexValue(char digit) {
   const int upper = std::toupper(static_cast<unsigned char>(digit));
@@ -48,7 +48,7 @@
   for (const char character : text) {
     const auto byte = static_cast<unsigned char>(character);
     const bool plain = (byte < 0x80 && std::isalnum(byte) != 0) ||
-                       kUnreservedMarks.find(character) != std::string_view::npos ||
+                       kUnreservedPunctuation.find(character) != std::string_view::npos ||
                        also_allowed.find(character) != std::string_view::npos;
     if (plain) {
       *encoded += character;
--- a/src/node/batch_partitions.h
+++ b/src/node/batch_partitions.h
@@ -14,7 +14,7 @@
 inline constexpr std::string_view kNotOwnerDetail = "not_owner";
 /// Detail of the kConflict that a batch gets while the keeper of its route's limit can not be
 /// asked: nothing was taken, and it may be submitted again at once.
-inline constexpr std::string_view kKeeperAwayDetail = "keeper_away";
+inline constexpr std::string_view kQuotaOwnerUnavailableDetail = "keeper_away";
 
 /// @return the partition that all batches of `tenant` belong to whose ids the system chooses, and
 /// that keeps the limits of the tenant's routes. Requires `partition_count` > 0.
--- a/src/node/configuration_watch.cc
+++ b/src/node/configuration_watch.cc
@@ -14,12 +14,12 @@
 /// Puts `object` in place of the one of its name, or where it belongs in the sorted `list`.
 template <typename List, typename Named>
 void SetByName(const Named& object, List* list) {
-  auto place = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
-  if (place != list->end() && place->name() == object.name()) {
-    *place = object;
+  auto position = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
+  if (position != list->end() && position->name() == object.name()) {
+    *position = object;
     return;
   }
-  const auto index = place - list->begin();
+  const auto index = position - list->begin();
   *list->Add() = object;
   // Moves the elements' pointers at once: tenants come by the thousand.
   std::rotate(list->pointer_begin() + index, list->pointer_end() - 1, list->pointer_end());
@@ -28,8 +28,9 @@
 /// Adds `object` unless there is one of its name.
 template <typename List, typename Named>
 void EnsureByName(const Named& object, List* list) {
-  const auto place = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
-  if (place == list->end() || place->name() != object.name()) {
+  const auto position =
+      std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
+  if (position == list->end() || position->name() != object.name()) {
     SetByName(object, list);
   }
 }
@@ -86,26 +87,26 @@
 }
 
 ConfigurationVersion ConfigurationWatch::VersionToReport() const {
-  return whole_needed_ ? ConfigurationVersion() : version();
+  return full_update_needed_ ? ConfigurationVersion() : version();
 }
 
-UpdateOutcome ConfigurationWatch::Take(const proto::ConfigurationUpdate& update) {
-  return update.has_full() ? TakeWhole(update.full()) : TakeDelta(update);
+UpdateOutcome ConfigurationWatch::Apply(const proto::ConfigurationUpdate& update) {
+  return update.has_full() ? ApplyFull(update.full()) : ApplyDelta(update);
 }
 
-UpdateOutcome ConfigurationWatch::TakeWhole(const proto::RoutingConfiguration& whole) {
-  whole_needed_ = false;
-  if (whole.version() < configuration_.version()) {
+UpdateOutcome ConfigurationWatch::ApplyFull(const proto::RoutingConfiguration& full) {
+  full_update_needed_ = false;
+  if (full.version() < configuration_.version()) {
     return UpdateOutcome::kOlder;
   }
-  if (whole.version() == configuration_.version()) {
+  if (full.version() == configuration_.version()) {
     return UpdateOutcome::kNothing;
   }
-  configuration_ = whole;
+  configuration_ = full;
   return UpdateOutcome::kTaken;
 }
 
-UpdateOutcome ConfigurationWatch::TakeDelta(const proto::ConfigurationUpdate& update) {
+UpdateOutcome ConfigurationWatch::ApplyDelta(const proto::ConfigurationUpdate& update) {
   if (update.to_version() < configuration_.version()) {
     return UpdateOutcome::kOlder;
   }
@@ -113,7 +114,7 @@
     return UpdateOutcome::kNothing;
   }
   if (update.from_version() != configuration_.version()) {
-    whole_needed_ = true;
+    full_update_needed_ = true;
     return UpdateOutcome::kGap;
   }
   // Checked before the first is applied, so that no copy of the whole is needed to go back to.
@@ -123,7 +124,7 @@
                     return change.change_case() != proto::ConfigurationChange::CHANGE_NOT_SET;
                   });
   if (!all_known) {
-    whole_needed_ = true;
+    full_update_needed_ = true;
     return UpdateOutcome::kGap;
   }
   for (const proto::ConfigurationChange& change : update.changes()) {
@@ -131,7 +132,7 @@
   }
   configuration_.set_version(update.to_version());
   configuration_.set_label(update.label());
-  whole_needed_ = false;
+  full_update_needed_ = false;
   return UpdateOutcome::kTaken;
 }
 
--- a/src/node/configuration_watch.h
+++ b/src/node/configuration_watch.h
@@ -30,16 +30,16 @@
   /// @return the version to report in the next heartbeat; 0 asks for the whole configuration.
   ConfigurationVersion VersionToReport() const;
 
-  UpdateOutcome Take(const proto::ConfigurationUpdate& update);
+  UpdateOutcome Apply(const proto::ConfigurationUpdate& update);
   /// The leader had nothing newer than what was reported to it.
-  void NothingOffered() { whole_needed_ = false; }
+  void NothingOffered() { full_update_needed_ = false; }
 
  private:
-  UpdateOutcome TakeWhole(const proto::RoutingConfiguration& whole);
-  UpdateOutcome TakeDelta(const proto::ConfigurationUpdate& update);
+  UpdateOutcome ApplyFull(const proto::RoutingConfiguration& full);
+  UpdateOutcome ApplyDelta(const proto::ConfigurationUpdate& update);
 
   proto::RoutingConfiguration configuration_;
-  bool whole_needed_ = false;
+  bool full_update_needed_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/node/coordinator_directory.cc
+++ b/src/node/coordinator_directory.cc
@@ -17,7 +17,7 @@
 CoordinatorDirectory::CoordinatorDirectory(std::vector<Endpoint> seeds)
     : seeds_(std::move(seeds)), rotation_(seeds_) {}
 
-void CoordinatorDirectory::TakeMembers(std::vector<Endpoint> members) {
+void CoordinatorDirectory::UpdateMembers(std::vector<Endpoint> members) {
   if (members.empty()) {
     return;
   }
--- a/src/node/coordinator_directory.h
+++ b/src/node/coordinator_directory.h
@@ -17,7 +17,7 @@
   explicit CoordinatorDirectory(std::vector<Endpoint> seeds);
 
   /// Takes the current member list. An empty one is ignored.
-  void TakeMembers(std::vector<Endpoint> members);
+  void UpdateMembers(std::vector<Endpoint> members);
   /// `endpoint` answered as the leader.
   void Answered(const Endpoint& endpoint) { leader_ = endpoint; }
   /// `from` is not the leader; `hint` may name the one it knows (else it is invalid).
--- a/src/node/fleet_watch.cc
+++ b/src/node/fleet_watch.cc
@@ -12,14 +12,14 @@
 }
 
 FleetVersion FleetWatch::VersionToReport() const {
-  return whole_needed_ ? FleetVersion() : view_.version;
+  return full_update_needed_ ? FleetVersion() : view_.version;
 }
 
-UpdateOutcome FleetWatch::Take(const proto::FleetUpdate& update) {
+UpdateOutcome FleetWatch::Apply(const proto::FleetUpdate& update) {
   const FleetVersion to(update.to_version());
-  const bool whole = update.from_version() == 0;
-  if (whole) {
-    whole_needed_ = false;  // Asked for or not, this is what the leader has.
+  const bool full = update.from_version() == 0;
+  if (full) {
+    full_update_needed_ = false;  // Asked for or not, this is what the leader has.
   }
   if (to < view_.version) {
     return UpdateOutcome::kOlder;
@@ -27,16 +27,16 @@
   if (to == view_.version) {
     return UpdateOutcome::kNothing;
   }
-  if (!whole && FleetVersion(update.from_version()) != view_.version) {
-    whole_needed_ = true;
+  if (!full && FleetVersion(update.from_version()) != view_.version) {
+    full_update_needed_ = true;
     return UpdateOutcome::kGap;
   }
-  if (whole) {
+  if (full) {
     view_ = FleetView();
   }
   Merge(update);
   view_.version = to;
-  whole_needed_ = false;
+  full_update_needed_ = false;
   return UpdateOutcome::kTaken;
 }
 
--- a/src/node/fleet_watch.h
+++ b/src/node/fleet_watch.h
@@ -15,13 +15,13 @@
   /// @return the version to report in the next heartbeat; 0 asks for the whole lists.
   FleetVersion VersionToReport() const;
 
-  UpdateOutcome Take(const proto::FleetUpdate& update);
+  UpdateOutcome Apply(const proto::FleetUpdate& update);
 
  private:
   void Merge(const proto::FleetUpdate& update);
 
   FleetView view_;
-  bool whole_needed_ = false;
+  bool full_update_needed_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/node/leader_call.cc
+++ b/src/node/leader_call.cc
@@ -10,7 +10,7 @@
 constexpr std::uint32_t kMaximumRedirects = 3;
 constexpr Duration kMaximumBackoff = milliseconds(150);
 
-bool MayRetry(StatusCode code) {
+bool CanRetry(StatusCode code) {
   return code == StatusCode::kUnavailable || code == StatusCode::kUnknownOutcome;
 }
 
@@ -26,7 +26,7 @@
       call->FinishAtDeadline();
     }
   });
-  call->TryNext();
+  call->AttemptNext();
 }
 
 LeaderCall::LeaderCall(Environment& environment, std::shared_ptr<CoordinatorDirectory> directory,
@@ -40,7 +40,7 @@
       end_(environment.Now() + options_.deadline),
       backoff_(options_.retry_delay) {}
 
-void LeaderCall::TryNext() {
+void LeaderCall::AttemptNext() {
   for (const Endpoint& candidate : directory_->InOrder()) {
     if (!in_flight_.contains(candidate)) {
       SendTo(candidate);
@@ -58,34 +58,34 @@
   in_flight_.insert(target);
   std::string body = options_.make_body(attempts_);
   ++attempts_;
-  ScheduleNext(options_.silence_limit);
+  ScheduleNext(options_.response_timeout);
   environment_.CallPeer(target, options_.method, std::move(body),
                         std::min(options_.attempt_deadline, end_ - sent),
                         [call = shared_from_this(), target, sent](PeerReply reply) {
                           if (!call->owner_.expired()) {
-                            call->TakeReply(target, sent, std::move(reply));
+                            call->HandleReply(target, sent, std::move(reply));
                           }
                         });
 }
 
-void LeaderCall::TakeReply(const Endpoint& from, TimePoint sent, PeerReply reply) {
+void LeaderCall::HandleReply(const Endpoint& from, TimePoint sent, PeerReply reply) {
   in_flight_.erase(from);
   if (finished_) {
     return;
   }
   if (reply.status.code() == StatusCode::kNotLeader) {
-    TakeRedirect(from, reply.status);
+    HandleRedirect(from, reply.status);
     return;
   }
-  if (MayRetry(reply.status.code())) {
-    TakeFailure(from, reply.status);
+  if (CanRetry(reply.status.code())) {
+    HandleFailure(from, reply.status);
     return;
   }
   directory_->Answered(from);
   Finish({std::move(reply), sent});
 }
 
-void LeaderCall::TakeRedirect(const Endpoint& from, const Status& status) {
+void LeaderCall::HandleRedirect(const Endpoint& from, const Status& status) {
   last_failure_ = status;
   const Endpoint hint = ParseEndpoint(status.detail());
   directory_->Redirected(from, hint);
@@ -95,7 +95,7 @@
   ScheduleNext(follow ? Duration::zero() : NextBackoff());
 }
 
-void LeaderCall::TakeFailure(const Endpoint& from, const Status& status) {
+void LeaderCall::HandleFailure(const Endpoint& from, const Status& status) {
   last_failure_ = status;
   redirects_ = 0;
   outcome_unknown_ = outcome_unknown_ || status.code() == StatusCode::kUnknownOutcome;
@@ -110,7 +110,7 @@
       return;
     }
     call->next_timer_ = 0;
-    call->TryNext();
+    call->AttemptNext();
   });
 }
 
--- a/src/node/leader_call.h
+++ b/src/node/leader_call.h
@@ -30,7 +30,7 @@
   std::function<std::string(std::uint32_t attempt)> make_body;
   Duration deadline{};          ///< Of the whole call.
   Duration attempt_deadline{};  ///< Of one attempt at one member.
-  Duration silence_limit{};     ///< Silence after which another member is asked too.
+  Duration response_timeout{};  ///< Silence after which another member is asked too.
   Duration retry_delay{};       ///< Before another round; grows up to a limit, with jitter.
 };
 
@@ -47,11 +47,11 @@
              std::function<void(LeaderReply)> done);
 
  private:
-  void TryNext();
+  void AttemptNext();
   void SendTo(const Endpoint& target);
-  void TakeReply(const Endpoint& from, TimePoint sent, PeerReply reply);
-  void TakeRedirect(const Endpoint& from, const Status& status);
-  void TakeFailure(const Endpoint& from, const Status& status);
+  void HandleReply(const Endpoint& from, TimePoint sent, PeerReply reply);
+  void HandleRedirect(const Endpoint& from, const Status& status);
+  void HandleFailure(const Endpoint& from, const Status& status);
   void ScheduleNext(Duration delay);
   Duration NextBackoff();
   void FinishAtDeadline();
--- a/src/node/node_agent.cc
+++ b/src/node/node_agent.cc
@@ -22,7 +22,7 @@
 /// The longest an attempt of another call may stay unanswered: an acknowledgement of a transaction
 /// waits for up to one node lease.
 constexpr Duration kCallAttemptDeadline = seconds(5);
-constexpr Duration kCallSilenceLimit = seconds(1);
+constexpr Duration kCallResponseTimeout = seconds(1);
 /// Shorter times without a lease are only counted.
 constexpr Duration kLeaseGapToLog = milliseconds(500);
 
@@ -61,22 +61,22 @@
         directory(std::make_shared<CoordinatorDirectory>(options.coordinators)) {}
 
   void Register();
-  void TakeRegistration(const PeerReply& reply);
+  void ApplyRegistration(const PeerReply& reply);
   proto::RegisterServerRequest MakeRegistration() const;
   void Heartbeat();
   void HeartbeatBesideHeldOne();
   void SendHeartbeat(Duration hold, std::function<void(bool took_configuration)> next);
-  bool TakeHeartbeat(const proto::HeartbeatRequest& request, const LeaderReply& reply);
+  bool ApplyHeartbeat(const proto::HeartbeatRequest& request, const LeaderReply& reply);
   void TakeCoordinators(const google::protobuf::RepeatedPtrField<proto::Endpoint>& coordinators);
   /// Lets the leader tell where the coordinators are: seeds may name none.
   void ServeCoordinators();
-  void NoteOutcome(std::string_view what, UpdateOutcome outcome);
+  void RecordOutcome(std::string_view what, UpdateOutcome outcome);
   /// Tells that there was no lease for a while, and how far the configuration had fallen behind.
-  void NoteLeaseGap(Duration gap, std::uint64_t version_before);
-  void EndLife(std::string_view reason);
+  void RecordLeaseGap(Duration gap, std::uint64_t version_before);
+  void EndIncarnation(std::string_view reason);
   void Schedule(Duration delay, void (State::*action)());
   /// Calls the leader on behalf of this life: the answer is dropped once it has ended.
-  void CallInThisLife(LeaderCallOptions call, std::function<void(const LeaderReply&)> done);
+  void CallInThisIncarnation(LeaderCallOptions call, std::function<void(const LeaderReply&)> done);
 
   Environment& environment;
   NodeAgentOptions options;
@@ -87,20 +87,20 @@
   bool beside_running = false;
   bool older_offer_logged = false;  ///< Until a newer one is taken.
   /// Replaced when a life ends.
-  std::shared_ptr<bool> life = std::make_shared<bool>(true);
+  std::shared_ptr<bool> incarnation = std::make_shared<bool>(true);
   TimePoint last_sent{};
   TimePoint last_registered{};
   TimerId timer = 0;
   Observers on_configuration;
   Observers on_fleet;
-  Observers on_gateway_place;
+  Observers on_gateway_rank;
   Observers on_registered;
   Observers on_fenced;
 };
 
-void NodeAgent::State::CallInThisLife(LeaderCallOptions call,
-                                      std::function<void(const LeaderReply&)> done) {
-  LeaderCall::Start(environment, directory, life, std::move(call), std::move(done));
+void NodeAgent::State::CallInThisIncarnation(LeaderCallOptions call,
+                                             std::function<void(const LeaderReply&)> done) {
+  LeaderCall::Start(environment, directory, incarnation, std::move(call), std::move(done));
 }
 
 void NodeAgent::State::Schedule(Duration delay, void (State::*action)()) {
@@ -138,13 +138,13 @@
   call.make_body = [body = std::move(body)](std::uint32_t /*attempt*/) { return body; };
   call.deadline = kSearchDeadline;
   call.attempt_deadline = options.heartbeat_deadline;
-  call.silence_limit = options.heartbeat_deadline / 2;
+  call.response_timeout = options.heartbeat_deadline / 2;
   call.retry_delay = options.retry_delay;
-  CallInThisLife(std::move(call),
-                 [this](const LeaderReply& reply) { TakeRegistration(reply.reply); });
+  CallInThisIncarnation(std::move(call),
+                        [this](const LeaderReply& reply) { ApplyRegistration(reply.reply); });
 }
 
-void NodeAgent::State::TakeRegistration(const PeerReply& reply) {
+void NodeAgent::State::ApplyRegistration(const PeerReply& reply) {
   proto::RegisterServerResponse response;
   const bool usable =
       reply.status.ok() && response.ParseFromString(reply.body) && response.node_id() != 0;
@@ -156,11 +156,11 @@
     Schedule(options.retry_delay, &State::Register);
     return;
   }
-  session.TakeRegistration(response);
+  session.ApplyRegistration(response);
   last_registered = environment.Now();
   Log(LogLevel::kInfo, "node_registered",
       {{"machine", options.machine}, {"node_id", response.node_id()}});
-  const std::weak_ptr<bool> registered_in = life;
+  const std::weak_ptr<bool> registered_in = incarnation;
   RunAll(on_registered);
   if (!registered_in.expired()) {
     Heartbeat();
@@ -195,26 +195,26 @@
   };
   call.deadline = kSearchDeadline;
   call.attempt_deadline = options.heartbeat_deadline;
-  call.silence_limit = hold + kHeartbeatGrace;
+  call.response_timeout = hold + kHeartbeatGrace;
   call.retry_delay = options.retry_delay;
-  CallInThisLife(std::move(call),
-                 [this, request, next = std::move(next)](const LeaderReply& reply) {
-                   const std::weak_ptr<bool> answered_in = life;
-                   const bool took_configuration = TakeHeartbeat(*request, reply);
-                   if (!answered_in.expired()) {
-                     next(took_configuration);
-                   }
-                 });
+  CallInThisIncarnation(std::move(call),
+                        [this, request, next = std::move(next)](const LeaderReply& reply) {
+                          const std::weak_ptr<bool> answered_in = incarnation;
+                          const bool took_configuration = ApplyHeartbeat(*request, reply);
+                          if (!answered_in.expired()) {
+                            next(took_configuration);
+                          }
+                        });
 }
 
-bool NodeAgent::State::TakeHeartbeat(const proto::HeartbeatRequest& request,
-                                     const LeaderReply& reply) {
+bool NodeAgent::State::ApplyHeartbeat(const proto::HeartbeatRequest& request,
+                                      const LeaderReply& reply) {
   const Status& status = reply.reply.status;
   if (!status.ok()) {
     environment.metrics().Increment("node_heartbeat_failed_total",
                                     {{"reason", StatusCodeName(status.code())}});
     if (RefusesNodeId(status.code())) {
-      EndLife(status.message());
+      EndIncarnation(status.message());
     }
     return false;
   }
@@ -225,13 +225,13 @@
   }
   const std::uint64_t version_before = session.configuration().version();
   const HeartbeatEffects effects =
-      session.TakeHeartbeat(request, {reply.sent, environment.Now()}, response);
-  NoteLeaseGap(effects.lease_gap, version_before);
+      session.ApplyHeartbeat(request, {reply.sent, environment.Now()}, response);
+  RecordLeaseGap(effects.lease_gap, version_before);
   TakeCoordinators(response.coordinators());
-  NoteOutcome("configuration", effects.configuration);
-  NoteOutcome("fleet", effects.fleet);
-  if (effects.place_changed) {
-    RunAll(on_gateway_place);
+  RecordOutcome("configuration", effects.configuration);
+  RecordOutcome("fleet", effects.fleet);
+  if (effects.rank_changed) {
+    RunAll(on_gateway_rank);
   }
   if (effects.configuration == UpdateOutcome::kTaken) {
     RunAll(on_configuration);
@@ -243,15 +243,15 @@
 }
 
 void NodeAgent::State::ServeCoordinators() {
-  ServePeer<proto::TakeCoordinatorsRequest, proto::TakeCoordinatorsResponse>(
-      environment, TakeCoordinatorsMethod(options.role),
+  ServePeer<proto::UpdateCoordinatorsRequest, proto::UpdateCoordinatorsResponse>(
+      environment, UpdateCoordinatorsMethod(options.role),
       [this, held = std::weak_ptr<bool>(alive)](
-          const proto::TakeCoordinatorsRequest& request, const std::string&,
-          const std::function<void(Result<proto::TakeCoordinatorsResponse>)>& reply) {
+          const proto::UpdateCoordinatorsRequest& request, const std::string&,
+          const std::function<void(Result<proto::UpdateCoordinatorsResponse>)>& reply) {
         if (!held.expired()) {
           TakeCoordinators(request.coordinators());
         }
-        reply(proto::TakeCoordinatorsResponse());
+        reply(proto::UpdateCoordinatorsResponse());
       });
 }
 
@@ -261,10 +261,10 @@
   for (const proto::Endpoint& member : coordinators) {
     members.push_back({member.host(), static_cast<std::uint16_t>(member.port())});
   }
-  directory->TakeMembers(std::move(members));
+  directory->UpdateMembers(std::move(members));
 }
 
-void NodeAgent::State::NoteOutcome(std::string_view what, UpdateOutcome outcome) {
+void NodeAgent::State::RecordOutcome(std::string_view what, UpdateOutcome outcome) {
   if (outcome == UpdateOutcome::kGap) {
     environment.metrics().Increment("node_update_refused_total",
                                     {{"what", what}, {"reason", "gap"}});
@@ -276,7 +276,7 @@
   }
 }
 
-void NodeAgent::State::NoteLeaseGap(Duration gap, std::uint64_t version_before) {
+void NodeAgent::State::RecordLeaseGap(Duration gap, std::uint64_t version_before) {
   if (gap <= Duration::zero()) {
     return;
   }
@@ -293,15 +293,15 @@
        {"version", session.configuration().version()}});
 }
 
-void NodeAgent::State::EndLife(std::string_view reason) {
+void NodeAgent::State::EndIncarnation(std::string_view reason) {
   if (!session.node_id().valid()) {
     return;
   }
   Log(LogLevel::kWarning, "node_id_ended",
       {{"machine", options.machine}, {"node_id", session.node_id().value()}, {"reason", reason}});
   environment.metrics().Increment("node_fenced_total");
-  session.EndLife();
-  life = std::make_shared<bool>(true);
+  session.EndIncarnation();
+  incarnation = std::make_shared<bool>(true);
   beside_running = false;
   const Duration since = environment.Now() - last_registered;
   Schedule(std::max(Duration::zero(), options.retry_delay - since), &State::Register);
@@ -330,7 +330,7 @@
 
 std::uint32_t NodeAgent::partition_count() const { return state_->session.partition_count(); }
 
-GatewayPlace NodeAgent::gateway_place() const { return state_->session.gateway_place(); }
+GatewayRank NodeAgent::gateway_rank() const { return state_->session.gateway_rank(); }
 
 const std::vector<Endpoint>& NodeAgent::neighbours() const { return state_->session.neighbours(); }
 
@@ -358,8 +358,8 @@
   state_->on_fleet.push_back(std::move(observer));
 }
 
-void NodeAgent::OnGatewayPlace(std::function<void()> observer) {
-  state_->on_gateway_place.push_back(std::move(observer));
+void NodeAgent::OnGatewayRank(std::function<void()> observer) {
+  state_->on_gateway_rank.push_back(std::move(observer));
 }
 
 void NodeAgent::OnRegistered(std::function<void()> observer) {
@@ -380,7 +380,7 @@
   state_->session.SetLoad(free_bytes, open_items, degraded);
 }
 
-void NodeAgent::AbandonNodeId(std::string_view reason) { state_->EndLife(reason); }
+void NodeAgent::AbandonNodeId(std::string_view reason) { state_->EndIncarnation(reason); }
 
 void NodeAgent::CallLeaderRaw(std::string_view method, std::string body, Duration deadline,
                               PeerReplyCallback done) {
@@ -389,7 +389,7 @@
   call.make_body = [body = std::move(body)](std::uint32_t /*attempt*/) { return body; };
   call.deadline = deadline;
   call.attempt_deadline = kCallAttemptDeadline;
-  call.silence_limit = kCallSilenceLimit;
+  call.response_timeout = kCallResponseTimeout;
   call.retry_delay = state_->options.retry_delay;
   LeaderCall::Start(state_->environment, state_->directory, state_->alive, std::move(call),
                     [done = std::move(done)](LeaderReply reply) { done(std::move(reply.reply)); });
--- a/src/node/node_agent.h
+++ b/src/node/node_agent.h
@@ -50,10 +50,10 @@
 };
 
 /// Place of a gateway among the live gateways of its zone, as of the last heartbeat.
-struct GatewayPlace {
+struct GatewayRank {
   std::uint32_t index = 0;  ///< Below `count`.
   std::uint32_t count = 1;
-  bool operator==(const GatewayPlace&) const = default;
+  bool operator==(const GatewayRank&) const = default;
 };
 
 class NodeAgent {
@@ -73,7 +73,7 @@
   std::uint32_t partition_count() const;
   /// @return where this gateway stands among those of its zone: shares of what all of them may take
   /// are divided by it.
-  GatewayPlace gateway_place() const;
+  GatewayRank gateway_rank() const;
   /// @return peer endpoints of other gateways in this zone, a bounded number of them.
   const std::vector<Endpoint>& neighbours() const;
   /// @return the gateways to ask for the list of replicas, in order; nothing before the first
@@ -94,7 +94,7 @@
   void OnConfiguration(std::function<void()> observer);
   void OnFleet(std::function<void()> observer);
   /// Runs after the place among the gateways of the zone has changed.
-  void OnGatewayPlace(std::function<void()> observer);
+  void OnGatewayRank(std::function<void()> observer);
   /// Runs when the node id became valid (first, and again after each fence).
   void OnRegistered(std::function<void()> observer);
   /// Runs when the coordinators refused this node id as dead. The owner must stop every act under
--- a/src/node/node_session.cc
+++ b/src/node/node_session.cc
@@ -36,13 +36,13 @@
 
 }  // namespace
 
-void NodeSession::TakeRegistration(const proto::RegisterServerResponse& response) {
+void NodeSession::ApplyRegistration(const proto::RegisterServerResponse& response) {
   node_id_ = NodeId(response.node_id());
   partition_count_ = response.partition_count();
   lease_end_ = TimePoint();
 }
 
-void NodeSession::EndLife() {
+void NodeSession::EndIncarnation() {
   if (node_id_.valid()) {
     previous_node_id_ = node_id_;
   }
@@ -73,34 +73,34 @@
   return request;
 }
 
-bool NodeSession::TakePlace(const proto::HeartbeatResponse& response) {
+bool NodeSession::UpdateRank(const proto::HeartbeatResponse& response) {
   if (response.zone_gateway_count() == 0) {
     return false;
   }
-  const GatewayPlace place{response.zone_gateway_index(), response.zone_gateway_count()};
-  return std::exchange(gateway_place_, place) != place;
+  const GatewayRank rank{response.zone_gateway_index(), response.zone_gateway_count()};
+  return std::exchange(gateway_rank_, rank) != rank;
 }
 
-HeartbeatEffects NodeSession::TakeHeartbeat(const proto::HeartbeatRequest& request,
-                                            const HeartbeatTimes& times,
-                                            const proto::HeartbeatResponse& response) {
+HeartbeatEffects NodeSession::ApplyHeartbeat(const proto::HeartbeatRequest& request,
+                                             const HeartbeatTimes& times,
+                                             const proto::HeartbeatResponse& response) {
   HeartbeatEffects effects;
   for (const std::uint64_t suspect : request.suspected_node_ids()) {
     suspects_.erase(NodeId(suspect));
   }
   if (response.has_configuration()) {
-    effects.configuration = configuration_.Take(response.configuration());
+    effects.configuration = configuration_.Apply(response.configuration());
   } else {
     configuration_.NothingOffered();
   }
   if (response.has_fleet()) {
-    effects.fleet = fleet_.Take(response.fleet());
+    effects.fleet = fleet_.Apply(response.fleet());
   }
-  effects.place_changed = TakePlace(response);
+  effects.rank_changed = UpdateRank(response);
   neighbours_ = ToEndpoints(response.neighbours());
   list_sources_ = ToListSources(response);
-  const bool same_life = node_id_.valid() && NodeId(request.node_id()) == node_id_;
-  if (same_life && effects.configuration != UpdateOutcome::kGap) {
+  const bool same_incarnation = node_id_.valid() && NodeId(request.node_id()) == node_id_;
+  if (same_incarnation && effects.configuration != UpdateOutcome::kGap) {
     const TimePoint end = times.sent + UsableLease(response.lease_ms());
     effects.lease_extended = end > lease_end_;
     lease_end_ = std::max(lease_end_, end);
--- a/src/node/node_session.h
+++ b/src/node/node_session.h
@@ -30,7 +30,7 @@
   /// How long there had been no lease when this one began; zero if there was one, or never had
   /// been.
   Duration lease_gap{};
-  bool place_changed = false;
+  bool rank_changed = false;
 };
 
 /// When a heartbeat was sent and its answer arrived.
@@ -48,7 +48,7 @@
   NodeId previous_node_id() const { return previous_node_id_; }
   Incarnation incarnation() const { return incarnation_; }
   std::uint32_t partition_count() const { return partition_count_; }
-  GatewayPlace gateway_place() const { return gateway_place_; }
+  GatewayRank gateway_rank() const { return gateway_rank_; }
   const std::vector<Endpoint>& neighbours() const { return neighbours_; }
   /// Nothing before the first heartbeat was answered.
   const std::optional<std::vector<ListSource>>& list_sources() const { return list_sources_; }
@@ -60,9 +60,9 @@
   const FleetView& fleet() const { return fleet_.view(); }
 
   /// A fresh id was given out. There is no lease until the first heartbeat is answered.
-  void TakeRegistration(const proto::RegisterServerResponse& response);
+  void ApplyRegistration(const proto::RegisterServerResponse& response);
   /// Ends this life: the id and its lease are void at once.
-  void EndLife();
+  void EndIncarnation();
 
   /// Adds a peer to report as suspect. @return whether it was not waiting already.
   bool AddSuspect(NodeId peer) { return suspects_.insert(peer).second; }
@@ -71,19 +71,19 @@
   /// @return the request to send now, to be held by the leader for up to `hold`.
   proto::HeartbeatRequest MakeHeartbeat(Duration hold) const;
   /// Takes the answer to `request`, which was sent at `sent`.
-  HeartbeatEffects TakeHeartbeat(const proto::HeartbeatRequest& request,
-                                 const HeartbeatTimes& times,
-                                 const proto::HeartbeatResponse& response);
+  HeartbeatEffects ApplyHeartbeat(const proto::HeartbeatRequest& request,
+                                  const HeartbeatTimes& times,
+                                  const proto::HeartbeatResponse& response);
 
  private:
   /// @return whether the place among the gateways is another one now.
-  bool TakePlace(const proto::HeartbeatResponse& response);
+  bool UpdateRank(const proto::HeartbeatResponse& response);
 
   Incarnation incarnation_;
   NodeId node_id_;
   NodeId previous_node_id_;
   std::uint32_t partition_count_ = 0;
-  GatewayPlace gateway_place_;
+  GatewayRank gateway_rank_;
   std::vector<Endpoint> neighbours_;
   std::optional<std::vector<ListSource>> list_sources_;
   TimePoint lease_end_{};
--- a/src/node/room_refusal.cc
+++ b/src/node/overload_rejection.cc
@@ -1,4 +1,4 @@
-#include "node/room_refusal.h"
+#include "node/overload_rejection.h"
 
 #include <utility>
 
@@ -6,15 +6,14 @@
 
 namespace cloverbank {
 
-Status RefuseForRoom(std::string message, Duration come_after) {
+Status RejectForOverload(std::string message, Duration come_after) {
   const auto wait = std::chrono::duration_cast<milliseconds>(come_after).count();
   return {StatusCode::kResourceExhausted, std::move(message), std::to_string(wait)};
 }
 
-std::optional<Duration> ComeAfter(const Status& status) {
-  const auto wait = status.code() == StatusCode::kResourceExhausted
-                        ? ParseWholeNumber(status.detail())
-                        : std::nullopt;
+std::optional<Duration> RetryAfter(const Status& status) {
+  const auto wait = status.code() == StatusCode::kResourceExhausted ? ParseInteger(status.detail())
+                                                                    : std::nullopt;
   return wait ? std::optional<Duration>(milliseconds(*wait)) : std::nullopt;
 }
 
--- a/src/node/room_refusal.h
+++ b/src/node/overload_rejection.h
@@ -11,8 +11,8 @@
 namespace cloverbank {
 
 /// @return a kResourceExhausted refusal: nothing was taken.
-Status RefuseForRoom(std::string message, Duration come_after);
+Status RejectForOverload(std::string message, Duration come_after);
 /// @return when a batch that got this refusal should come again, if the refusal says so.
-std::optional<Duration> ComeAfter(const Status& status);
+std::optional<Duration> RetryAfter(const Status& status);
 
 }  // namespace cloverbank
--- a/src/queue/backup_directory.cc
+++ b/src/queue/backup_directory.cc
@@ -13,34 +13,34 @@
 
 }  // namespace
 
-const proto::Server* BackupDirectory::Current(const SegmentHolder& holder) const {
+const proto::Server* BackupDirectory::Current(const ReplicaLocation& location) const {
   const auto& servers = agent_.fleet().servers;
-  const auto same = servers.find(holder.node);
+  const auto same = servers.find(location.node);
   if (same != servers.end() && IsLiveBackup(same->second)) {
     return &same->second;
   }
-  if (holder.disk_id.empty()) {
+  if (location.disk_id.empty()) {
     return nullptr;
   }
   for (const auto& [id, server] : servers) {
-    if (IsLiveBackup(server) && server.disk_id() == holder.disk_id) {
+    if (IsLiveBackup(server) && server.disk_id() == location.disk_id) {
       return &server;
     }
   }
   return nullptr;
 }
 
-Endpoint BackupDirectory::EndpointOf(const SegmentHolder& holder) const {
-  const proto::Server* server = Current(holder);
-  return server == nullptr ? holder.endpoint : ToEndpoint(server->peer_endpoint());
+Endpoint BackupDirectory::EndpointOf(const ReplicaLocation& location) const {
+  const proto::Server* server = Current(location);
+  return server == nullptr ? location.endpoint : ToEndpoint(server->peer_endpoint());
 }
 
-SegmentHolder BackupDirectory::HolderOf(NodeId node) const {
+ReplicaLocation BackupDirectory::FindLocation(NodeId node) const {
   const proto::Server& server = agent_.fleet().servers.at(node);
   return {node, server.disk_id(), ToEndpoint(server.peer_endpoint())};
 }
 
-void BackupDirectory::NoteFailure(NodeId node) {
+void BackupDirectory::RecordFailure(NodeId node) {
   failed_at_[node] = environment_.Now();
   agent_.ReportSuspect(node);
 }
@@ -56,20 +56,20 @@
   return nodes;
 }
 
-std::vector<NodeId> BackupDirectory::Select(std::size_t count, std::size_t copies,
-                                            const std::vector<SegmentHolder>& holders,
-                                            const std::vector<SegmentHolder>& excluded) {
+std::vector<NodeId> BackupDirectory::Select(std::size_t count, std::size_t replicas,
+                                            const std::vector<ReplicaLocation>& locations,
+                                            const std::vector<ReplicaLocation>& excluded) {
   BackupRequest request;
   request.count = count;
-  request.copies = copies;
+  request.replicas = replicas;
   request.avoid = RecentlyFailed();
-  for (const SegmentHolder& holder : holders) {
-    const proto::Server* server = Current(holder);
-    request.holders.insert(server == nullptr ? holder.node : NodeId(server->node_id()));
+  for (const ReplicaLocation& location : locations) {
+    const proto::Server* server = Current(location);
+    request.locations.insert(server == nullptr ? location.node : NodeId(server->node_id()));
   }
-  for (const SegmentHolder& holder : excluded) {
-    const proto::Server* server = Current(holder);
-    request.avoid.insert(server == nullptr ? holder.node : NodeId(server->node_id()));
+  for (const ReplicaLocation& location : excluded) {
+    const proto::Server* server = Current(location);
+    request.avoid.insert(server == nullptr ? location.node : NodeId(server->node_id()));
   }
   return SelectBackups(agent_.fleet(), request, [this] { return environment_.Random(); });
 }
--- a/src/queue/backup_directory.h
+++ b/src/queue/backup_directory.h
@@ -16,7 +16,7 @@
 namespace cloverbank {
 
 /// Where one replica is.
-struct SegmentHolder {
+struct ReplicaLocation {
   NodeId node;          ///< The backup's id when it took the replica.
   std::string disk_id;  ///< Empty if the backup named none: then only `node` counts.
   Endpoint endpoint;    ///< Last known.
@@ -28,22 +28,22 @@
       : environment_(environment), agent_(agent), failure_memory_(failure_memory) {}
 
   /// @return the live backup that has the holder's disk now, or nullptr.
-  const proto::Server* Current(const SegmentHolder& holder) const;
+  const proto::Server* Current(const ReplicaLocation& location) const;
   /// @return the holder's present endpoint, or the last known one while it is not live.
-  Endpoint EndpointOf(const SegmentHolder& holder) const;
+  Endpoint EndpointOf(const ReplicaLocation& location) const;
   /// @return the holder that `node` would be; requires that the fleet view has it.
-  SegmentHolder HolderOf(NodeId node) const;
+  ReplicaLocation FindLocation(NodeId node) const;
 
   /// A call to `node` failed: it is reported as suspect and not chosen for the failure memory.
-  void NoteFailure(NodeId node);
+  void RecordFailure(NodeId node);
   /// A call to `node` succeeded.
-  void NoteSuccess(NodeId node) { failed_at_.erase(node); }
+  void RecordSuccess(NodeId node) { failed_at_.erase(node); }
 
   /// Chooses up to `count` backups that hold nothing of the segment.
   /// @param holders hold it; @param excluded may not be chosen.
-  std::vector<NodeId> Select(std::size_t count, std::size_t copies,
-                             const std::vector<SegmentHolder>& holders,
-                             const std::vector<SegmentHolder>& excluded);
+  std::vector<NodeId> Select(std::size_t count, std::size_t replicas,
+                             const std::vector<ReplicaLocation>& locations,
+                             const std::vector<ReplicaLocation>& excluded);
 
  private:
   std::set<NodeId> RecentlyFailed();
--- a/src/queue/backup_selector.cc
+++ b/src/queue/backup_selector.cc
@@ -22,7 +22,8 @@
 Candidates Gather(const FleetView& fleet, const BackupRequest& request) {
   Candidates candidates;
   for (const auto& [id, server] : fleet.servers) {
-    if (!TakesNewSegments(server) || request.holders.contains(id) || request.avoid.contains(id)) {
+    if (!AcceptsNewSegments(server) || request.locations.contains(id) ||
+        request.avoid.contains(id)) {
       continue;
     }
     (server.spare() ? candidates.spare : candidates.regular).push_back(&server);
@@ -46,7 +47,7 @@
 
 }  // namespace
 
-bool TakesNewSegments(const proto::Server& server) {
+bool AcceptsNewSegments(const proto::Server& server) {
   return server.role() == proto::ROLE_BACKUP && server.state() == proto::SERVER_STATE_UP;
 }
 
@@ -56,17 +57,17 @@
   Shuffle(candidates.regular, random);
   Shuffle(candidates.spare, random);
   std::map<std::string, int> zone_use;
-  for (const NodeId holder : request.holders) {
-    const auto server = fleet.servers.find(holder);
+  for (const NodeId location : request.locations) {
+    const auto server = fleet.servers.find(location);
     if (server != fleet.servers.end()) {
       ++zone_use[server->second.zone()];
     }
   }
   std::vector<NodeId> chosen;
   TakeSpread(candidates.regular, request.count, zone_use, &chosen);
-  const std::size_t held = request.holders.size() + chosen.size();
-  const std::size_t short_of_copies = request.copies > held ? request.copies - held : 0;
-  const std::size_t spares = std::min(request.count - chosen.size(), short_of_copies);
+  const std::size_t held = request.locations.size() + chosen.size();
+  const std::size_t missing_replicas = request.replicas > held ? request.replicas - held : 0;
+  const std::size_t spares = std::min(request.count - chosen.size(), missing_replicas);
   TakeSpread(candidates.spare, spares, zone_use, &chosen);
   return chosen;
 }
--- a/src/queue/backup_selector.h
+++ b/src/queue/backup_selector.h
@@ -17,10 +17,11 @@
 namespace cloverbank {
 
 struct BackupRequest {
-  std::size_t count = 0;          ///< How many to choose.
-  std::size_t copies = 0;         ///< Copies wanted in all: spares count only below this.
-  std::set<NodeId> holders = {};  ///< Hold the segment already: not chosen, their zones are taken.
-  std::set<NodeId> avoid = {};    ///< Failed or refused lately, or out of disk: not chosen.
+  std::size_t count = 0;     ///< How many to choose.
+  std::size_t replicas = 0;  ///< Copies wanted in all: spares count only below this.
+  std::set<NodeId> locations =
+      {};                       ///< Hold the segment already: not chosen, their zones are taken.
+  std::set<NodeId> avoid = {};  ///< Failed or refused lately, or out of disk: not chosen.
 };
 
 /// @return up to `count` different backups; fewer when there are no more.
@@ -28,6 +29,6 @@
                                   const std::function<std::uint64_t()>& random);
 
 /// @return whether `server` is a backup that may be given new segments.
-bool TakesNewSegments(const proto::Server& server);
+bool AcceptsNewSegments(const proto::Server& server);
 
 }  // namespace cloverbank
--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -83,7 +83,7 @@
               std::to_string(tenant->max_open_items()) + "; submit again when some are finished"};
 }
 
-bool BatchIntake::MeetEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum,
+bool BatchIntake::JoinEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum,
                               Reply& reply) {
   const std::string& idempotency_key = std::get<2>(key);
   if (idempotency_key.empty()) {
@@ -118,7 +118,7 @@
   const proto::SubmitBatch& batch = request.batch();
   const std::uint64_t checksum = Checksum(batch.SerializeAsString());
   const Key key(partition->id(), batch.tenant(), batch.idempotency_key());
-  if (MeetEarlier(*partition, key, checksum, reply)) {
+  if (JoinEarlier(*partition, key, checksum, reply)) {
     return;
   }
   Status status = Check(batch);
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -38,8 +38,8 @@
               ReserveTokens reserve_tokens, Accepted on_accepted);
 
   /// Refuses kInvalidArgument (malformed), kConflict (key used for another body, or detail
-  /// `kKeeperAwayDetail`), kResourceExhausted (the tenant's or the route's limit), kUnavailable
-  /// (the log takes nothing now): certainly not accepted.
+  /// `kQuotaOwnerUnavailableDetail`), kResourceExhausted (the tenant's or the route's limit),
+  /// kUnavailable (the log takes nothing now): certainly not accepted.
   void Submit(const std::shared_ptr<OwnedPartition>& partition, proto::SubmitBatchRequest request,
               Reply reply);
 
@@ -60,7 +60,7 @@
   Status Check(const proto::SubmitBatch& batch) const;
   Status CheckLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   /// @return whether the request met an earlier submission and needs nothing more.
-  bool MeetEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum, Reply& reply);
+  bool JoinEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum, Reply& reply);
   SubmissionPtr Begin(const std::shared_ptr<OwnedPartition>& partition,
                       proto::SubmitBatchRequest request, std::uint64_t checksum);
   std::string NewBatchId(const OwnedPartition& partition);
--- a/src/queue/batch_store.cc
+++ b/src/queue/batch_store.cc
@@ -18,9 +18,9 @@
 }  // namespace
 
 Status BatchStore::Apply(proto::LogEntry entry) {
-  if (entry.has_partition_mark()) {
+  if (entry.has_partition_watermark()) {
     next_sequence_ =
-        std::max(next_sequence_, PartitionSequence(entry.partition_mark().next_sequence()));
+        std::max(next_sequence_, PartitionSequence(entry.partition_watermark().next_sequence()));
     return Status::Ok();
   }
   const PartitionSequence sequence(entry.sequence());
@@ -47,8 +47,8 @@
     case proto::LogEntry::kBatchCancelled:
       ApplyCancelled(entry.batch_cancelled());
       return Status::Ok();
-    case proto::LogEntry::kBatchSettled:
-      ApplySettled(entry.batch_settled());
+    case proto::LogEntry::kBatchCancellationCompleted:
+      ApplyCancellationCompleted(entry.batch_cancellation_completed());
       return Status::Ok();
     case proto::LogEntry::kBatchRemoved:
       ApplyRemoved(entry.batch_removed().batch_id());
@@ -169,14 +169,15 @@
   }
 }
 
-void BatchStore::ApplySettled(const proto::BatchSettled& settled) {
-  StoredBatch* batch = FindMutable(settled.batch_id());
+void BatchStore::ApplyCancellationCompleted(const proto::BatchCancellationCompleted& completed) {
+  StoredBatch* batch = FindMutable(completed.batch_id());
   if (batch == nullptr || !batch->cancelled) {
     return;
   }
   for (std::uint32_t index = 0; index < batch->items.size(); ++index) {
     if (batch->phases[index] != ItemPhase::kFinished) {
-      AddResult(*batch, {index, proto::ITEM_OUTCOME_CANCELLED, {}, {}}, settled.settled_at_ms());
+      AddResult(*batch, {index, proto::ITEM_OUTCOME_CANCELLED, {}, {}},
+                completed.completed_at_ms());
     }
   }
 }
--- a/src/queue/batch_store.h
+++ b/src/queue/batch_store.h
@@ -69,7 +69,7 @@
   /// Runs `visit` for every batch, in order of acceptance.
   void ForEach(const std::function<void(const StoredBatch&)>& visit) const;
 
-  /// One more than the highest sequence applied or reserved by a PartitionMark.
+  /// One more than the highest sequence applied or reserved by a PartitionWatermark.
   PartitionSequence next_sequence() const { return next_sequence_; }
 
  private:
@@ -86,7 +86,7 @@
   Status ApplyStarted(const proto::ItemStarted& started);
   Status ApplyFinished(proto::ItemFinished& finished);
   void ApplyCancelled(const proto::BatchCancelled& cancelled);
-  void ApplySettled(const proto::BatchSettled& settled);
+  void ApplyCancellationCompleted(const proto::BatchCancellationCompleted& completed);
   void ApplyRemoved(const std::string& batch_id);
   /// Takes tokens of a batch off what its tenant has open.
   void ReleaseTokens(StoredBatch& batch, std::uint64_t tokens);
--- a/src/queue/drain_rate.cc
+++ b/src/queue/drain_rate.cc
@@ -11,7 +11,7 @@
 
 }  // namespace
 
-std::uint64_t DrainRate::Note(std::uint64_t open, std::uint64_t granted, TimePoint now) {
+std::uint64_t DrainRate::Update(std::uint64_t open, std::uint64_t granted, TimePoint now) {
   const Duration interval = now - counted_at_;
   const std::uint64_t before = open_.value_or(0) + granted;
   const std::uint64_t finished = open_ ? before - std::min(before, open) : 0;
--- a/src/queue/drain_rate.h
+++ b/src/queue/drain_rate.h
@@ -14,7 +14,7 @@
  public:
   /// Takes a count. @param open tokens now. @param granted tokens granted since the count before.
   /// @return how many were finished since the count before; 0 at the first one.
-  std::uint64_t Note(std::uint64_t open, std::uint64_t granted, TimePoint now);
+  std::uint64_t Update(std::uint64_t open, std::uint64_t granted, TimePoint now);
   /// @return how long it takes to finish that many; nothing while the rate is not known.
   std::optional<Duration> TimeFor(std::uint64_t tokens) const;
 
--- a/src/queue/head_segment.cc
+++ b/src/queue/head_segment.cc
@@ -27,15 +27,15 @@
 
 void HeadSegment::AllowCommit() {
   commit_allowed_ = true;
-  Pump();
+  Advance();
 }
 
 void HeadSegment::Close() {
   closing_ = true;
-  Pump();
+  Advance();
 }
 
-void HeadSegment::Pump() {
+void HeadSegment::Advance() {
   pump_again_ = true;
   if (pumping_) {
     return;
@@ -43,20 +43,21 @@
   pumping_ = true;
   while (pump_again_ && !context_.stopped) {
     pump_again_ = false;
-    ConsiderChange();
+    EvaluateReplicaSet();
     AddNewcomers();
     // By index: a call may add nothing here, but keeps no reference over the loop.
     for (std::size_t i = 0; i < replicas_.size(); ++i) {
       Drive(replicas_[i]);
     }
-    ConsiderCommit();
-    UpdateHeld();
+    CommitIfReady();
+    UpdateDurableLength();
   }
   pumping_ = false;
 }
 
 bool HeadSegment::IsLost(const Replica& replica) const {
-  return replica.failing || replica.broken || context_.directory.Current(replica.holder) == nullptr;
+  return replica.failing || replica.broken ||
+         context_.directory.Current(replica.location) == nullptr;
 }
 
 bool HeadSegment::IsReady(const Replica& replica) const {
@@ -65,7 +66,7 @@
   return replica.epoch.valid() && replica.synced + context_.options.write_bytes >= content_.size();
 }
 
-std::size_t HeadSegment::copies() const {
+std::size_t HeadSegment::replicas() const {
   return static_cast<std::size_t>(
       std::count_if(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
         return closing_ ? replica.closed : replica.member && !IsLost(replica);
@@ -73,17 +74,17 @@
 }
 
 bool HeadSegment::healthy() const {
-  return committed_epoch_.valid() && copies() >= context_.options.minimum_copies;
+  return committed_epoch_.valid() && replicas() >= context_.options.minimum_replicas;
 }
 
-bool HeadSegment::SetIsWhole() const {
-  return copies() >= context_.options.copies &&
+bool HeadSegment::HasAllReplicas() const {
+  return replicas() >= context_.options.replicas &&
          std::none_of(replicas_.begin(), replicas_.end(),
                       [this](const Replica& replica) { return replica.member && IsLost(replica); });
 }
 
 bool HeadSegment::whole() const {
-  return epoch_.valid() && committed_epoch_ == epoch_ && SetIsWhole();
+  return epoch_.valid() && committed_epoch_ == epoch_ && HasAllReplicas();
 }
 
 bool HeadSegment::NewcomersUnderWay() const {
@@ -96,24 +97,25 @@
   if (closed()) {
     return;
   }
-  std::vector<SegmentHolder> holders;
-  std::vector<SegmentHolder> excluded;
+  std::vector<ReplicaLocation> locations;
+  std::vector<ReplicaLocation> excluded;
   for (const Replica& replica : replicas_) {
-    (IsLost(replica) ? excluded : holders).push_back(replica.holder);
+    (IsLost(replica) ? excluded : locations).push_back(replica.location);
   }
-  const std::size_t wanted = context_.options.copies;
-  if (holders.size() >= wanted) {
+  const std::size_t wanted = context_.options.replicas;
+  if (locations.size() >= wanted) {
     return;
   }
-  const auto chosen = context_.directory.Select(wanted - holders.size(), wanted, holders, excluded);
+  const auto chosen =
+      context_.directory.Select(wanted - locations.size(), wanted, locations, excluded);
   for (const NodeId node : chosen) {
     Replica replica;
     replica.serial = ++last_serial_;
-    replica.holder = context_.directory.HolderOf(node);
+    replica.location = context_.directory.FindLocation(node);
     replicas_.push_back(std::move(replica));
   }
-  if (holders.size() + chosen.size() < wanted) {
-    PumpLater();
+  if (locations.size() + chosen.size() < wanted) {
+    ScheduleAdvance();
   }
 }
 
@@ -124,10 +126,10 @@
     }
     // Backups refuse to open again under the epoch that was freed.
     open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
-    if (context_.directory.Current(replica.holder) == nullptr) {
+    if (context_.directory.Current(replica.location) == nullptr) {
       return true;  // Another disk may be at its endpoint by now.
     }
-    context_.client.FreeSegment(context_.directory.EndpointOf(replica.holder), id_,
+    context_.client.FreeSegment(context_.directory.EndpointOf(replica.location), id_,
                                 [](const Status&) {});
     return true;
   });
@@ -144,7 +146,7 @@
   return next;
 }
 
-void HeadSegment::ConsiderChange() {
+void HeadSegment::EvaluateReplicaSet() {
   if (closing_) {
     return;  // The content is final: newcomers simply become further closed copies.
   }
@@ -153,12 +155,12 @@
     return;
   }
   const NextSet next = ProposeSet();
-  const bool enough = next.size >= context_.options.copies ||
-                      (next.size >= context_.options.minimum_copies && !NewcomersUnderWay());
+  const bool enough = next.size >= context_.options.replicas ||
+                      (next.size >= context_.options.minimum_replicas && !NewcomersUnderWay());
   if (!next.differs || !enough) {
     return;
   }
-  if (next.size < context_.options.copies) {
+  if (next.size < context_.options.replicas) {
     // Look once more for a backup that can still be asked before going on with fewer.
     const std::size_t before = replicas_.size();
     AddNewcomers();
@@ -182,7 +184,7 @@
   context_.environment.metrics().Increment("queue_segment_epochs_total");
 }
 
-void HeadSegment::ConsiderCommit() {
+void HeadSegment::CommitIfReady() {
   if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() ||
       committed_epoch_ == epoch_) {
     return;
@@ -197,7 +199,7 @@
       "coordinator.CommitHead", CommitRequest(), context_.options.commit_deadline,
       [weak = weak_from_this(), epoch = epoch_](const Result<proto::CommitHeadResponse>& result) {
         if (const auto self = weak.lock()) {
-          self->TakeCommit(epoch, result.status());
+          self->HandleCommit(epoch, result.status());
         }
       });
 }
@@ -215,14 +217,14 @@
   head.set_epoch(epoch_.value());
   for (const Replica& replica : replicas_) {
     if (replica.member) {
-      const proto::Server* server = context_.directory.Current(replica.holder);
-      head.add_backups(server == nullptr ? replica.holder.node.value() : server->node_id());
+      const proto::Server* server = context_.directory.Current(replica.location);
+      head.add_backups(server == nullptr ? replica.location.node.value() : server->node_id());
     }
   }
   return commit_request_;
 }
 
-void HeadSegment::TakeCommit(HeadEpoch epoch, const Status& status) {
+void HeadSegment::HandleCommit(HeadEpoch epoch, const Status& status) {
   commit_under_way_ = false;
   if (context_.stopped) {
     return;
@@ -237,15 +239,15 @@
          {"segment", id_.value()},
          {"epoch", epoch.value()},
          {"status", status.ToString()}});
-    PumpLater();
+    ScheduleAdvance();
     return;
   }
   committed_epoch_ = epoch;
-  Pump();
+  Advance();
   on_progress_();
 }
 
-void HeadSegment::UpdateHeld() {
+void HeadSegment::UpdateDurableLength() {
   if (!epoch_.valid() || committed_epoch_ != epoch_) {
     return;
   }
@@ -259,7 +261,7 @@
 }
 
 bool HeadSegment::opened() const {
-  return epoch_.valid() && copies() >= context_.options.minimum_copies &&
+  return epoch_.valid() && replicas() >= context_.options.minimum_replicas &&
          std::all_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
            return !replica.member || (replica.epoch == epoch_ && !replica.copying);
          });
@@ -273,27 +275,27 @@
   if (!closing_) {
     return false;
   }
-  const std::size_t done = copies();
-  if (done >= context_.options.copies) {
+  const std::size_t done = replicas();
+  if (done >= context_.options.replicas) {
     return true;
   }
   const bool waits =
       std::any_of(replicas_.begin(), replicas_.end(),
                   [this](const Replica& replica) { return !replica.closed && !IsLost(replica); });
-  return done >= context_.options.minimum_copies && !waits;
+  return done >= context_.options.minimum_replicas && !waits;
 }
 
-std::vector<SegmentHolder> HeadSegment::holders() const {
-  std::vector<SegmentHolder> holders;
+std::vector<ReplicaLocation> HeadSegment::locations() const {
+  std::vector<ReplicaLocation> locations;
   for (const Replica& replica : replicas_) {
     if (closing_ ? replica.closed : replica.member) {
-      holders.push_back(replica.holder);
+      locations.push_back(replica.location);
     }
   }
-  return holders;
+  return locations;
 }
 
-void HeadSegment::PumpLater() {
+void HeadSegment::ScheduleAdvance() {
   if (timer_set_) {
     return;
   }
@@ -302,7 +304,7 @@
     if (const auto self = weak.lock()) {
       self->timer_set_ = false;
       if (!self->context_.stopped) {
-        self->Pump();
+        self->Advance();
         self->on_progress_();
       }
     }
--- a/src/queue/head_segment.h
+++ b/src/queue/head_segment.h
@@ -37,7 +37,7 @@
               std::function<void()> on_progress);
 
   /// Goes on with whatever is due: call it after `Append`, on fleet changes and on a timer.
-  void Pump();
+  void Advance();
 
   /// Appends a framed entry; requires `Fits`. @return the segment's length with it.
   std::uint64_t Append(const proto::LogEntry& entry);
@@ -67,14 +67,14 @@
   bool healthy() const;
   /// Whether the committed set has as many live members as wanted.
   bool whole() const;
-  std::size_t copies() const;
+  std::size_t replicas() const;
   /// The members (open) or the backups that closed it.
-  std::vector<SegmentHolder> holders() const;
+  std::vector<ReplicaLocation> locations() const;
 
  private:
   struct Replica {
     std::uint64_t serial = 0;  ///< Tells late answers for a replica that was dropped.
-    SegmentHolder holder;
+    ReplicaLocation location;
     HeadEpoch epoch;  ///< Under which it was last known; invalid: not opened.
     std::uint64_t synced = 0;
     bool member = false;   ///< Of the set of `epoch_`; else a newcomer.
@@ -96,14 +96,14 @@
   NextSet ProposeSet() const;
   bool NewcomersUnderWay() const;
   /// Moves to a new set and epoch when one is ready that is better than the present one.
-  void ConsiderChange();
-  bool SetIsWhole() const;
+  void EvaluateReplicaSet();
+  bool HasAllReplicas() const;
   /// Frees the newcomers that are not to be kept.
   void DropNewcomers(const std::function<bool(const Replica&)>& keep);
-  void ConsiderCommit();
+  void CommitIfReady();
   /// @return the commit of the present set; the same one for every try under one epoch.
   const proto::CommitHeadRequest& CommitRequest();
-  void UpdateHeld();
+  void UpdateDurableLength();
 
   /// Makes the next call that `replica` needs, if any.
   void Drive(Replica& replica);
@@ -118,9 +118,9 @@
 
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
   BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
-  void TakeFailure(std::uint64_t serial, const Status& status);
-  void TakeCommit(HeadEpoch epoch, const Status& status);
-  void PumpLater();
+  void HandleFailure(std::uint64_t serial, const Status& status);
+  void HandleCommit(HeadEpoch epoch, const Status& status);
+  void ScheduleAdvance();
   Replica* FindReplica(std::uint64_t serial);
 
   LogContext& context_;
--- a/src/queue/head_segment_calls.cc
+++ b/src/queue/head_segment_calls.cc
@@ -32,7 +32,7 @@
     return;
   }
   if (replica.failing && context_.environment.Now() < replica.retry_at) {
-    PumpLater();
+    ScheduleAdvance();
     return;
   }
   if (!replica.epoch.valid()) {
@@ -50,7 +50,7 @@
 void HeadSegment::Open(Replica& replica) {
   const HeadEpoch epoch = open_epoch_;
   auto done = Answer(replica, [epoch](Replica& opened) { opened.epoch = epoch; });
-  context_.client.OpenSegment(context_.directory.EndpointOf(replica.holder), id_, epoch,
+  context_.client.OpenSegment(context_.directory.EndpointOf(replica.location), id_, epoch,
                               context_.options.segment_bytes, std::move(done));
 }
 
@@ -79,20 +79,20 @@
     written.synced = end;
     written.copying = written.copying && !complete;
   });
-  context_.client.WriteSegment(context_.directory.EndpointOf(replica.holder), id_, epoch,
+  context_.client.WriteSegment(context_.directory.EndpointOf(replica.location), id_, epoch,
                                std::move(write), std::move(done));
 }
 
 void HeadSegment::SetEpoch(Replica& replica) {
   auto done = Answer(replica, [epoch = epoch_](Replica& told) { told.epoch = epoch; });
-  context_.client.SetSegmentEpoch(context_.directory.EndpointOf(replica.holder), id_, epoch_,
+  context_.client.SetSegmentEpoch(context_.directory.EndpointOf(replica.location), id_, epoch_,
                                   std::move(done));
 }
 
 void HeadSegment::CloseAt(Replica& replica) {
   auto done = Answer(replica, [](Replica& closed) { closed.closed = true; });
-  context_.client.CloseSegment(context_.directory.EndpointOf(replica.holder), id_, content_.size(),
-                               std::move(done));
+  context_.client.CloseSegment(context_.directory.EndpointOf(replica.location), id_,
+                               content_.size(), std::move(done));
 }
 
 HeadSegment::Replica* HeadSegment::FindReplica(std::uint64_t serial) {
@@ -114,19 +114,19 @@
       return;
     }
     if (!status.ok()) {
-      self->TakeFailure(serial, status);
+      self->HandleFailure(serial, status);
     } else if (Replica* answered = self->FindReplica(serial)) {
       answered->busy = false;
       answered->failing = false;
-      self->context_.directory.NoteSuccess(answered->holder.node);
+      self->context_.directory.RecordSuccess(answered->location.node);
       on_ok(*answered);
     }
-    self->Pump();
+    self->Advance();
     self->on_progress_();
   };
 }
 
-void HeadSegment::TakeFailure(std::uint64_t serial, const Status& status) {
+void HeadSegment::HandleFailure(std::uint64_t serial, const Status& status) {
   Replica* replica = FindReplica(serial);
   if (replica == nullptr) {
     return;
@@ -134,13 +134,13 @@
   Log(LogLevel::kWarning, "backup_call_failed",
       {{"node", context_.node.value()},
        {"segment", id_.value()},
-       {"backup", replica->holder.node.value()},
+       {"backup", replica->location.node.value()},
        {"status", status.ToString()}});
   context_.environment.metrics().Increment("queue_backup_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
-  const proto::Server* server = context_.directory.Current(replica->holder);
-  context_.directory.NoteFailure(server == nullptr ? replica->holder.node
-                                                   : NodeId(server->node_id()));
+  const proto::Server* server = context_.directory.Current(replica->location);
+  context_.directory.RecordFailure(server == nullptr ? replica->location.node
+                                                     : NodeId(server->node_id()));
   if (!replica->member) {
     std::erase_if(replicas_, [&](const Replica& other) { return other.serial == serial; });
     return;
--- a/src/queue/log_context.h
+++ b/src/queue/log_context.h
@@ -15,8 +15,8 @@
 
 struct SegmentLogOptions {
   std::uint64_t segment_bytes = 4ULL << 20U;
-  std::uint32_t copies = 3;
-  std::uint32_t minimum_copies = 2;               ///< Below this nothing is acknowledged.
+  std::uint32_t replicas = 3;
+  std::uint32_t minimum_replicas = 2;             ///< Below this nothing is acknowledged.
   Duration call_deadline = milliseconds(1000);    ///< Of one call to a backup.
   Duration bulk_deadline = seconds(5);            ///< Of a call that carries a whole segment.
   Duration commit_deadline = milliseconds(2000);  ///< Of CommitHead at the coordinators.
--- a/src/queue/owned_partition.cc
+++ b/src/queue/owned_partition.cc
@@ -6,12 +6,12 @@
 
 namespace cloverbank {
 
-proto::LogEntry MakePartitionMark(PartitionId partition, PartitionSequence next,
-                                  bool discard_earlier) {
+proto::LogEntry MakePartitionWatermark(PartitionId partition, PartitionSequence next,
+                                       bool discard_earlier) {
   proto::LogEntry entry;
   entry.set_partition_tag(PartitionTag(partition));
-  entry.mutable_partition_mark()->set_next_sequence(next.value());
-  entry.mutable_partition_mark()->set_discard_earlier(discard_earlier);
+  entry.mutable_partition_watermark()->set_next_sequence(next.value());
+  entry.mutable_partition_watermark()->set_discard_earlier(discard_earlier);
   return entry;
 }
 
@@ -85,8 +85,8 @@
   return store_->OpenTokens(tenant, route) + under_way;
 }
 
-proto::LogEntry OwnedPartition::Mark() const {
-  return MakePartitionMark(id_, next_sequence_, false);
+proto::LogEntry OwnedPartition::Watermark() const {
+  return MakePartitionWatermark(id_, next_sequence_, false);
 }
 
 }  // namespace cloverbank
--- a/src/queue/owned_partition.h
+++ b/src/queue/owned_partition.h
@@ -48,7 +48,7 @@
   bool active() const { return active_; }
 
   /// @return where the partition stands, for the start of a segment.
-  proto::LogEntry Mark() const;
+  proto::LogEntry Watermark() const;
 
  private:
   PartitionId id_;
@@ -64,7 +64,7 @@
 inline std::uint64_t PartitionTag(PartitionId partition) { return partition.value() + 1; }
 
 /// @return an entry that says where a partition stands.
-proto::LogEntry MakePartitionMark(PartitionId partition, PartitionSequence next,
-                                  bool discard_earlier);
+proto::LogEntry MakePartitionWatermark(PartitionId partition, PartitionSequence next,
+                                       bool discard_earlier);
 
 }  // namespace cloverbank
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -31,7 +31,7 @@
       fenced_(std::move(fenced)),
       sources_(static_cast<std::size_t>(request_.segments_size())) {
   for (const PartitionId partition : partitions) {
-    parts_[partition];
+    recovering_[partition];
   }
 }
 
@@ -39,40 +39,40 @@
 
 void PartitionRecovery::UpdateSources(const proto::RecoverPartitionsRequest& request) {
   for (proto::RecoverySegment& known : *request_.mutable_segments()) {
-    for (const proto::RecoverySegment& told : request.segments()) {
-      if (told.segment_id() == known.segment_id()) {
-        known = told;
+    for (const proto::RecoverySegment& acknowledged : request.segments()) {
+      if (acknowledged.segment_id() == known.segment_id()) {
+        known = acknowledged;
       }
     }
   }
-  const bool held =
-      std::all_of(parts_.begin(), parts_.end(), [](const auto& part) { return part.second.held; });
+  const bool held = std::all_of(recovering_.begin(), recovering_.end(),
+                                [](const auto& recovering) { return recovering.second.held; });
   if (held && sorted_) {
     reported_ = false;
     Report();
   }
 }
 
-void PartitionRecovery::Drop(PartitionId partition) { parts_.erase(partition); }
+void PartitionRecovery::Drop(PartitionId partition) { recovering_.erase(partition); }
 
 std::unique_ptr<BatchStore> PartitionRecovery::TakeStore(PartitionId partition) {
-  const auto part = parts_.find(partition);
-  if (part == parts_.end() || !part->second.held) {
+  const auto recovering = recovering_.find(partition);
+  if (recovering == recovering_.end() || !recovering->second.held) {
     return nullptr;
   }
-  auto store = std::move(part->second.store);
-  parts_.erase(part);
+  auto store = std::move(recovering->second.store);
+  recovering_.erase(recovering);
   return store;
 }
 
-std::vector<proto::LogEntry> PartitionRecovery::Marks() const {
-  std::vector<proto::LogEntry> marks;
-  for (const auto& [partition, part] : parts_) {
-    if (part.held) {
-      marks.push_back(MakePartitionMark(partition, part.next_sequence, false));
+std::vector<proto::LogEntry> PartitionRecovery::Watermarks() const {
+  std::vector<proto::LogEntry> watermarks;
+  for (const auto& [partition, recovering] : recovering_) {
+    if (recovering.held) {
+      watermarks.push_back(MakePartitionWatermark(partition, recovering.next_sequence, false));
     }
   }
-  return marks;
+  return watermarks;
 }
 
 void PartitionRecovery::Later(void (PartitionRecovery::*step)()) {
@@ -84,7 +84,7 @@
 }
 
 void PartitionRecovery::ReadMore() {
-  for (std::size_t i = 0; i < sources_.size() && !waits_for_room_; ++i) {
+  for (std::size_t i = 0; i < sources_.size() && !waits_for_read_slot_; ++i) {
     if (!sources_[i].read && !sources_[i].reading) {
       Read(i);
     }
@@ -104,17 +104,17 @@
     Later(&PartitionRecovery::ReadMore);
     return;
   }
-  if (!TakeRoom()) {
+  if (!AcquireReadSlot()) {
     return;
   }
   const auto backup =
-      static_cast<int>(source.tries % static_cast<std::size_t>(segment.backups_size()));
+      static_cast<int>(source.attempts % static_cast<std::size_t>(segment.backups_size()));
   const Endpoint endpoint{segment.backups(backup).host(),
                           static_cast<std::uint16_t>(segment.backups(backup).port())};
   proto::GetRecoveryDataRequest request;
   request.set_dead_node_id(request_.dead_node_id());
   request.set_segment_id(segment.segment_id());
-  for (const auto& [partition, part] : parts_) {
+  for (const auto& [partition, recovering] : recovering_) {
     request.add_partition_ids(partition.value());
   }
   source.reading = true;
@@ -124,28 +124,28 @@
        position](Result<proto::GetRecoveryDataResponse> result) {
         reads->Release();
         if (const auto self = weak.lock()) {
-          self->TakeRead(position, std::move(result));
+          self->HandleRead(position, std::move(result));
         }
       });
 }
 
-bool PartitionRecovery::TakeRoom() {
-  const bool taken = reads_->Take([weak = weak_from_this()] {
+bool PartitionRecovery::AcquireReadSlot() {
+  const bool taken = reads_->Acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->waits_for_room_ = false;
+      self->waits_for_read_slot_ = false;
       self->ReadMore();
     }
   });
-  waits_for_room_ = !taken;
+  waits_for_read_slot_ = !taken;
   return taken;
 }
 
-void PartitionRecovery::TakeRead(std::size_t position,
-                                 Result<proto::GetRecoveryDataResponse> result) {
+void PartitionRecovery::HandleRead(std::size_t position,
+                                   Result<proto::GetRecoveryDataResponse> result) {
   Source& source = sources_[position];
   source.reading = false;
   if (!result.ok()) {
-    ++source.tries;
+    ++source.attempts;
     Log(LogLevel::kWarning, "recovery_read_failed",
         {{"dead_node", request_.dead_node_id()},
          {"segment", request_.segments(static_cast<int>(position)).segment_id()},
@@ -170,27 +170,28 @@
     }
     source.entries.clear();
   }
-  for (auto& [partition, part] : parts_) {
+  for (auto& [partition, recovering] : recovering_) {
     PartitionReplay& replay = replays[PartitionTag(partition)];
-    part.entries = replay.TakeEntries();
-    part.next_sequence = replay.next_sequence();
-    part.store = std::make_unique<BatchStore>();
+    recovering.entries = replay.TakeEntries();
+    recovering.next_sequence = replay.next_sequence();
+    recovering.store = std::make_unique<BatchStore>();
   }
 }
 
-std::vector<proto::LogEntry> PartitionRecovery::NextChunk(PartitionId partition, Part& part) const {
+std::vector<proto::LogEntry> PartitionRecovery::NextChunk(PartitionId partition,
+                                                          RecoveringPartition& recovering) const {
   std::vector<proto::LogEntry> chunk;
   std::size_t bytes = 0;
-  if (part.logged == 0) {
-    chunk.push_back(MakePartitionMark(partition, PartitionSequence(1), true));
+  if (recovering.logged == 0) {
+    chunk.push_back(MakePartitionWatermark(partition, PartitionSequence(1), true));
   }
-  while (part.logged < part.entries.size() && bytes < kChunkBytes) {
-    bytes += FramedEntryBytes(part.entries[part.logged]);
-    chunk.push_back(part.entries[part.logged]);
-    ++part.logged;
+  while (recovering.logged < recovering.entries.size() && bytes < kChunkBytes) {
+    bytes += FramedEntryBytes(recovering.entries[recovering.logged]);
+    chunk.push_back(recovering.entries[recovering.logged]);
+    ++recovering.logged;
   }
-  if (part.logged == part.entries.size()) {
-    chunk.push_back(MakePartitionMark(partition, part.next_sequence, false));
+  if (recovering.logged == recovering.entries.size()) {
+    chunk.push_back(MakePartitionWatermark(partition, recovering.next_sequence, false));
   }
   return chunk;
 }
@@ -199,13 +200,13 @@
   if (logging_ || !sorted_) {
     return;
   }
-  for (auto& [partition, part] : parts_) {
-    if (part.held) {
+  for (auto& [partition, recovering] : recovering_) {
+    if (recovering.held) {
       continue;
     }
     logging_ = true;
-    const std::size_t before = part.logged;
-    auto chunk = std::make_shared<std::vector<proto::LogEntry>>(NextChunk(partition, part));
+    const std::size_t before = recovering.logged;
+    auto chunk = std::make_shared<std::vector<proto::LogEntry>>(NextChunk(partition, recovering));
     log_.Append(*chunk,
                 [weak = weak_from_this(), id = partition, before, chunk](const Status& status) {
                   const auto self = weak.lock();
@@ -213,20 +214,20 @@
                     return;
                   }
                   self->logging_ = false;
-                  const auto found = self->parts_.find(id);
-                  if (!status.ok() && found != self->parts_.end()) {
+                  const auto found = self->recovering_.find(id);
+                  if (!status.ok() && found != self->recovering_.end()) {
                     found->second.logged = before;
                   }
-                  self->TakeLogged(id, chunk, status);
+                  self->HandleLogged(id, chunk, status);
                 });
     return;
   }
   Report();
 }
 
-void PartitionRecovery::TakeLogged(PartitionId partition,
-                                   const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
-                                   const Status& status) {
+void PartitionRecovery::HandleLogged(PartitionId partition,
+                                     const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
+                                     const Status& status) {
   if (status.code() == StatusCode::kUnknownOutcome) {
     return;  // This life is over.
   }
@@ -234,52 +235,52 @@
     Later(&PartitionRecovery::LogMore);
     return;
   }
-  const auto found = parts_.find(partition);
-  if (found != parts_.end()) {
-    Part& part = found->second;
+  const auto found = recovering_.find(partition);
+  if (found != recovering_.end()) {
+    RecoveringPartition& recovering = found->second;
     for (proto::LogEntry& entry : *chunk) {
-      Status applied = part.store->Apply(std::move(entry));
+      Status applied = recovering.store->Apply(std::move(entry));
       if (!applied.ok()) {
         Log(LogLevel::kError, "recovered_entry_not_applied", {{"status", applied.ToString()}});
         environment_.metrics().Increment("queue_recovery_corrupt_entries_total");
       }
     }
-    part.held = part.logged == part.entries.size();
-    if (part.held) {
-      part.entries.clear();
-      part.logged = 0;
+    recovering.held = recovering.logged == recovering.entries.size();
+    if (recovering.held) {
+      recovering.entries.clear();
+      recovering.logged = 0;
     }
   }
   LogMore();
 }
 
 void PartitionRecovery::Report() {
-  if (reporting_ || reported_ || parts_.empty()) {
+  if (reporting_ || reported_ || recovering_.empty()) {
     return;
   }
   reporting_ = true;
   proto::FinishAssignmentRequest request;
   request.set_dead_node_id(request_.dead_node_id());
   request.set_queue_node_id(agent_.node_id().value());
-  for (const auto& [partition, part] : parts_) {
+  for (const auto& [partition, recovering] : recovering_) {
     request.add_partition_ids(partition.value());
   }
   agent_.CallLeader<proto::FinishAssignmentResponse>(
       "coordinator.FinishAssignment", request, kReportDeadline,
       [weak = weak_from_this()](const Result<proto::FinishAssignmentResponse>& result) {
         if (const auto self = weak.lock()) {
-          self->TakeReport(result.status());
+          self->HandleReport(result.status());
         }
       });
 }
 
-void PartitionRecovery::TakeReport(const Status& status) {
+void PartitionRecovery::HandleReport(const Status& status) {
   reporting_ = false;
   switch (status.code()) {
     case StatusCode::kOk:
       reported_ = true;  // The stores wait until the fleet view names this node as the owner.
       Log(LogLevel::kInfo, "recovery_reported",
-          {{"dead_node", request_.dead_node_id()}, {"partitions", parts_.size()}});
+          {{"dead_node", request_.dead_node_id()}, {"partitions", recovering_.size()}});
       return;
     case StatusCode::kFenced:
       fenced_("coordinators refused a recovery: " + status.message());
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -35,19 +35,19 @@
   void UpdateSources(const proto::RecoverPartitionsRequest& request);
 
   NodeId dead_node() const { return NodeId(request_.dead_node_id()); }
-  bool Covers(PartitionId partition) const { return parts_.contains(partition); }
+  bool Covers(PartitionId partition) const { return recovering_.contains(partition); }
   /// Gives the partition up (it is recovered from another log now).
   void Drop(PartitionId partition);
   /// @return the partition's batches once its entries are held, else nullptr. Taking ends its part.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
   /// Whether no partition is left to it.
-  bool Over() const { return parts_.empty(); }
+  bool Over() const { return recovering_.empty(); }
   /// @return marks of the partitions whose entries are held.
-  std::vector<proto::LogEntry> Marks() const;
+  std::vector<proto::LogEntry> Watermarks() const;
 
  private:
   /// Replay of one partition.
-  struct Part {
+  struct RecoveringPartition {
     std::vector<proto::LogEntry> entries;
     std::size_t logged = 0;
     PartitionSequence next_sequence;
@@ -55,7 +55,7 @@
     bool held = false;
   };
   struct Source {
-    std::size_t tries = 0;
+    std::size_t attempts = 0;
     bool reading = false;
     bool read = false;
     std::vector<proto::LogEntry> entries;
@@ -64,15 +64,17 @@
   void ReadMore();
   void Read(std::size_t position);
   /// @return whether a read may begin now; if not, `ReadMore` runs again later.
-  bool TakeRoom();
-  void TakeRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
+  bool AcquireReadSlot();
+  void HandleRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
   void Sort();
   void LogMore();
-  std::vector<proto::LogEntry> NextChunk(PartitionId partition, Part& part) const;
-  void TakeLogged(PartitionId partition, const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
-                  const Status& status);
+  std::vector<proto::LogEntry> NextChunk(PartitionId partition,
+                                         RecoveringPartition& recovering) const;
+  void HandleLogged(PartitionId partition,
+                    const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
+                    const Status& status);
   void Report();
-  void TakeReport(const Status& status);
+  void HandleReport(const Status& status);
   void Later(void (PartitionRecovery::*step)());
 
   Environment& environment_;
@@ -81,9 +83,9 @@
   std::shared_ptr<ReadLimit> reads_;
   proto::RecoverPartitionsRequest request_;
   std::function<void(const std::string&)> fenced_;
-  std::map<PartitionId, Part> parts_;
-  std::vector<Source> sources_;  ///< One a segment of the request.
-  bool waits_for_room_ = false;  ///< `reads_` calls back.
+  std::map<PartitionId, RecoveringPartition> recovering_;
+  std::vector<Source> sources_;       ///< One a segment of the request.
+  bool waits_for_read_slot_ = false;  ///< `reads_` calls back.
   bool sorted_ = false;
   bool logging_ = false;
   bool reporting_ = false;
--- a/src/queue/partition_replay.cc
+++ b/src/queue/partition_replay.cc
@@ -11,13 +11,13 @@
 namespace cloverbank {
 
 void PartitionReplay::Add(proto::LogEntry entry) {
-  if (entry.has_partition_mark()) {
-    const proto::PartitionMark& mark = entry.partition_mark();
-    if (mark.discard_earlier()) {
+  if (entry.has_partition_watermark()) {
+    const proto::PartitionWatermark& watermark = entry.partition_watermark();
+    if (watermark.discard_earlier()) {
       entries_.clear();
       next_sequence_ = PartitionSequence(1);
     }
-    next_sequence_ = std::max(next_sequence_, PartitionSequence(mark.next_sequence()));
+    next_sequence_ = std::max(next_sequence_, PartitionSequence(watermark.next_sequence()));
     return;
   }
   const PartitionSequence sequence(entry.sequence());
--- a/src/queue/queue_life.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -1,4 +1,4 @@
-#include "queue/queue_life.h"
+#include "queue/queue_node_incarnation.h"
 
 #include <algorithm>
 #include <set>
@@ -16,23 +16,25 @@
 
 }  // namespace
 
-QueueLife::QueueLife(Environment& environment, NodeAgent& agent, QueueOptions options,
-                     std::function<void(const std::string&)> fenced)
+QueueNodeIncarnation::QueueNodeIncarnation(Environment& environment, NodeAgent& agent,
+                                           QueueOptions options,
+                                           std::function<void(const std::string&)> fenced)
     : environment_(environment),
       agent_(agent),
       options_(options),
       fenced_(std::move(fenced)),
       recovery_reads_(std::make_shared<ReadLimit>(kParallelReads)),
       log_(
-          environment, agent, options.log, [this] { return Marks(); },
+          environment, agent, options.log, [this] { return Watermarks(); },
           [this](const std::string& reason) { fenced_(reason); }),
       dispatcher_(std::make_shared<WorkDispatcher>(environment, agent)),
-      keeper_(std::make_shared<TokenKeeper>(environment, agent,
+      quota_owner_(
+          std::make_shared<TokenQuotaOwner>(environment, agent,
                                             [this](const proto::CountOpenTokensRequest& request) {
                                               return CountOwnTokens(request);
                                             })),
       reserver_(std::make_shared<TokenReserver>(
-          environment, agent, keeper_,
+          environment, agent, quota_owner_,
           [this](PartitionId partition, const std::string& tenant, const std::string& route) {
             const auto owned = partitions_.find(partition);
             return owned == partitions_.end() ? 0 : owned->second->OpenTokens(tenant, route);
@@ -47,13 +49,13 @@
             dispatcher_->AddBatch(partition, batch);
           })) {}
 
-void QueueLife::Start() {
+void QueueNodeIncarnation::Start() {
   log_.Start();
   SyncOwnership();
   Tick();
 }
 
-void QueueLife::Stop() {
+void QueueNodeIncarnation::Stop() {
   if (stopped_) {
     return;
   }
@@ -65,29 +67,29 @@
   }
 }
 
-void QueueLife::OnFleet() {
+void QueueNodeIncarnation::OnFleet() {
   log_.OnFleet();
   if (!stopped_) {
     SyncOwnership();
   }
 }
 
-void QueueLife::OnConfiguration() { dispatcher_->OnConfiguration(); }
+void QueueNodeIncarnation::OnConfiguration() { dispatcher_->OnConfiguration(); }
 
-std::vector<proto::LogEntry> QueueLife::Marks() const {
-  std::vector<proto::LogEntry> marks;
+std::vector<proto::LogEntry> QueueNodeIncarnation::Watermarks() const {
+  std::vector<proto::LogEntry> watermarks;
   for (const auto& [id, partition] : partitions_) {
-    marks.push_back(partition->Mark());
+    watermarks.push_back(partition->Watermark());
   }
   for (const auto& recovery : recoveries_) {
-    for (proto::LogEntry& mark : recovery->Marks()) {
-      marks.push_back(std::move(mark));
+    for (proto::LogEntry& watermark : recovery->Watermarks()) {
+      watermarks.push_back(std::move(watermark));
     }
   }
-  return marks;
+  return watermarks;
 }
 
-void QueueLife::SyncOwnership() {
+void QueueNodeIncarnation::SyncOwnership() {
   std::set<PartitionId> owned;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
     if (NodeId(partition.owner()) == agent_.node_id() && agent_.node_id().valid()) {
@@ -113,7 +115,7 @@
   }
 }
 
-void QueueLife::DropRecoveries(PartitionId id, NodeId except) {
+void QueueNodeIncarnation::DropRecoveries(PartitionId id, NodeId except) {
   for (const auto& recovery : recoveries_) {
     if (recovery->dead_node() != except) {
       recovery->Drop(id);
@@ -122,7 +124,7 @@
   std::erase_if(recoveries_, [](const auto& recovery) { return recovery->Over(); });
 }
 
-void QueueLife::Activate(PartitionId id) {
+void QueueNodeIncarnation::Activate(PartitionId id) {
   // Without a recovery it is a partition that was never used: nothing was logged of it anywhere.
   std::unique_ptr<BatchStore> store;
   for (const auto& recovery : recoveries_) {
@@ -142,16 +144,17 @@
   dispatcher_->AddPartition(partition);
 }
 
-void QueueLife::Deactivate(PartitionId id) {
+void QueueNodeIncarnation::Deactivate(PartitionId id) {
   Log(LogLevel::kInfo, "partition_given_up", {{"partition", id.value()}});
   partitions_.at(id)->Deactivate();
   dispatcher_->RemovePartition(id);
-  keeper_->Drop(id);
+  quota_owner_->Drop(id);
   reserver_->Drop(id);
   partitions_.erase(id);
 }
 
-Result<std::shared_ptr<OwnedPartition>> QueueLife::Answerable(std::uint64_t partition_id) const {
+Result<std::shared_ptr<OwnedPartition>> QueueNodeIncarnation::RequireOwnership(
+    std::uint64_t partition_id) const {
   if (!agent_.LeaseValid()) {
     return Status(StatusCode::kUnavailable, "this queue node has lost its lease");
   }
@@ -164,9 +167,9 @@
   return found->second;
 }
 
-void QueueLife::Submit(const proto::SubmitBatchRequest& request,
-                       const Reply<proto::SubmitBatchResponse>& reply) {
-  auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::Submit(const proto::SubmitBatchRequest& request,
+                                  const Reply<proto::SubmitBatchResponse>& reply) {
+  auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -174,44 +177,44 @@
   intake_->Submit(*partition, request, reply);
 }
 
-void QueueLife::ReserveTokens(const proto::ReserveTokensRequest& request,
-                              const Reply<proto::ReserveTokensResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::ReserveTokens(const proto::ReserveTokensRequest& request,
+                                         const Reply<proto::ReserveTokensResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
   }
-  keeper_->Reserve(request, reply);
+  quota_owner_->Reserve(request, reply);
 }
 
-proto::CountOpenTokensResponse QueueLife::CountOwnTokens(
+proto::CountOpenTokensResponse QueueNodeIncarnation::CountOwnTokens(
     const proto::CountOpenTokensRequest& request) {
   proto::CountOpenTokensResponse response;
-  response.set_holder_node_id(agent_.node_id().value());
-  response.set_settled_below(reserver_->settled_below());
+  response.set_owner_node_id(agent_.node_id().value());
+  response.set_completed_below(reserver_->completed_below());
   for (const std::uint64_t sequence : reserver_->PendingRequests()) {
     response.add_pending(sequence);
   }
   for (const std::uint64_t id : request.partition_ids()) {
-    const auto partition = Answerable(id);
+    const auto partition = RequireOwnership(id);
     if (partition.ok()) {
       proto::OpenTokens& count = *response.add_counts();
       count.set_partition_id(id);
       count.set_tokens((*partition)->OpenTokens(request.tenant(), request.route()));
-      reserver_->NoteCounted(PartitionId(id), request.tenant(), request.route(), count.tokens());
+      reserver_->RecordCount(PartitionId(id), request.tenant(), request.route(), count.tokens());
     }
   }
   return response;
 }
 
-void QueueLife::CountOpenTokens(const proto::CountOpenTokensRequest& request,
-                                const Reply<proto::CountOpenTokensResponse>& reply) {
+void QueueNodeIncarnation::CountOpenTokens(const proto::CountOpenTokensRequest& request,
+                                           const Reply<proto::CountOpenTokensResponse>& reply) {
   reply(CountOwnTokens(request));
 }
 
-void QueueLife::Get(const proto::GetBatchRequest& request,
-                    const Reply<proto::GetBatchResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::Get(const proto::GetBatchRequest& request,
+                               const Reply<proto::GetBatchResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -226,9 +229,9 @@
   reply(std::move(response));
 }
 
-void QueueLife::ListBatches(const proto::ListBatchesRequest& request,
-                            const Reply<proto::ListBatchesResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::ListBatches(const proto::ListBatchesRequest& request,
+                                       const Reply<proto::ListBatchesResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -244,9 +247,9 @@
   reply(std::move(response));
 }
 
-void QueueLife::ListResults(const proto::ListResultsRequest& request,
-                            const Reply<proto::ListResultsResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::ListResults(const proto::ListResultsRequest& request,
+                                       const Reply<proto::ListResultsResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -262,9 +265,9 @@
   reply(std::move(response));
 }
 
-void QueueLife::GetItem(const proto::GetItemRequest& request,
-                        const Reply<proto::GetItemResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::GetItem(const proto::GetItemRequest& request,
+                                   const Reply<proto::GetItemResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -279,9 +282,9 @@
   reply(std::move(response));
 }
 
-void QueueLife::Cancel(const proto::CancelBatchRequest& request,
-                       const Reply<proto::CancelBatchResponse>& reply) {
-  const auto partition = Answerable(request.partition_id());
+void QueueNodeIncarnation::Cancel(const proto::CancelBatchRequest& request,
+                                  const Reply<proto::CancelBatchResponse>& reply) {
+  const auto partition = RequireOwnership(request.partition_id());
   if (!partition.ok()) {
     reply(partition.status());
     return;
@@ -289,8 +292,8 @@
   dispatcher_->Cancel(*partition, request.batch_id(), reply);
 }
 
-void QueueLife::Acquire(const proto::AcquireWorkRequest& request,
-                        const Reply<proto::AcquireWorkResponse>& reply) {
+void QueueNodeIncarnation::Acquire(const proto::AcquireWorkRequest& request,
+                                   const Reply<proto::AcquireWorkResponse>& reply) {
   if (!agent_.LeaseValid()) {
     reply(Status(StatusCode::kUnavailable, "this queue node has lost its lease"));
     return;
@@ -298,8 +301,8 @@
   dispatcher_->Acquire(request, reply);
 }
 
-void QueueLife::Report(const proto::ReportWorkRequest& request,
-                       const Reply<proto::ReportWorkResponse>& reply) {
+void QueueNodeIncarnation::Report(const proto::ReportWorkRequest& request,
+                                  const Reply<proto::ReportWorkResponse>& reply) {
   if (!agent_.LeaseValid()) {
     reply(Status(StatusCode::kUnavailable, "this queue node has lost its lease"));
     return;
@@ -307,8 +310,8 @@
   dispatcher_->Report(request, reply);
 }
 
-void QueueLife::Recover(const proto::RecoverPartitionsRequest& request,
-                        const Reply<proto::RecoverPartitionsResponse>& reply) {
+void QueueNodeIncarnation::Recover(const proto::RecoverPartitionsRequest& request,
+                                   const Reply<proto::RecoverPartitionsResponse>& reply) {
   if (NodeId(request.queue_node_id()) != agent_.node_id()) {
     reply(Status(StatusCode::kConflict, "this node has another id now"));
     return;
@@ -343,7 +346,7 @@
   reply(std::move(response));
 }
 
-void QueueLife::Tick() {
+void QueueNodeIncarnation::Tick() {
   environment_.ScheduleAfter(options_.tick, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self == nullptr || self->stopped_) {
@@ -356,7 +359,7 @@
   });
 }
 
-void QueueLife::SweepFinished() {
+void QueueNodeIncarnation::SweepFinished() {
   if (environment_.Now() - swept_at_ < options_.retention_sweep || !log_.Accepting().ok()) {
     return;
   }
@@ -378,7 +381,7 @@
   }
 }
 
-void QueueLife::ReportLoad() {
+void QueueNodeIncarnation::ReportLoad() {
   std::uint64_t open_items = 0;
   for (const auto& [id, partition] : partitions_) {
     open_items += partition->store().open_items();
--- a/src/queue/queue_life.h
+++ b/src/queue/queue_node_incarnation.h
@@ -20,7 +20,7 @@
 #include "queue/owned_partition.h"
 #include "queue/partition_recovery.h"
 #include "queue/segment_log.h"
-#include "queue/token_keeper.h"
+#include "queue/token_quota_owner.h"
 #include "queue/token_reserver.h"
 #include "queue/work_dispatcher.h"
 #include "runtime/environment.h"
@@ -34,13 +34,13 @@
   Duration default_retention = seconds(604'800);  ///< Where the configuration names none.
 };
 
-class QueueLife : public std::enable_shared_from_this<QueueLife> {
+class QueueNodeIncarnation : public std::enable_shared_from_this<QueueNodeIncarnation> {
  public:
   template <typename Response>
   using Reply = std::function<void(Result<Response>)>;
 
-  QueueLife(Environment& environment, NodeAgent& agent, QueueOptions options,
-            std::function<void(const std::string& reason)> fenced);
+  QueueNodeIncarnation(Environment& environment, NodeAgent& agent, QueueOptions options,
+                       std::function<void(const std::string& reason)> fenced);
 
   void Start();
   /// Ends it: what waits for the log gets kUnknownOutcome, what waits for work kUnavailable.
@@ -74,7 +74,7 @@
  private:
   /// @return the partition if this node may answer for it now: kUnavailable without the lease,
   /// kConflict (detail `kNotOwnerDetail`) for one it does not own.
-  Result<std::shared_ptr<OwnedPartition>> Answerable(std::uint64_t partition_id) const;
+  Result<std::shared_ptr<OwnedPartition>> RequireOwnership(std::uint64_t partition_id) const;
   void SyncOwnership();
   /// Gives up replays of the partition from any log but that of `except`: it has another owner, or
   /// is recovered from another log now.
@@ -82,7 +82,7 @@
   void Activate(PartitionId partition);
   void Deactivate(PartitionId partition);
   proto::CountOpenTokensResponse CountOwnTokens(const proto::CountOpenTokensRequest& request);
-  std::vector<proto::LogEntry> Marks() const;
+  std::vector<proto::LogEntry> Watermarks() const;
   void Tick();
   void SweepFinished();
   void ReportLoad();
@@ -94,7 +94,7 @@
   std::shared_ptr<ReadLimit> recovery_reads_;
   SegmentLog log_;
   std::shared_ptr<WorkDispatcher> dispatcher_;
-  std::shared_ptr<TokenKeeper> keeper_;
+  std::shared_ptr<TokenQuotaOwner> quota_owner_;
   std::shared_ptr<TokenReserver> reserver_;
   std::shared_ptr<BatchIntake> intake_;
   std::map<PartitionId, std::shared_ptr<OwnedPartition>> partitions_;
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -21,37 +21,37 @@
       }
     };
   };
-  agent_.OnRegistered(guarded([this] { BeginLife(); }));
-  agent_.OnFenced(guarded([this] { EndLife(); }));
+  agent_.OnRegistered(guarded([this] { BeginIncarnation(); }));
+  agent_.OnFenced(guarded([this] { EndIncarnation(); }));
   agent_.OnFleet(guarded([this] {
-    if (life_ != nullptr) {
-      life_->OnFleet();
+    if (incarnation_ != nullptr) {
+      incarnation_->OnFleet();
     }
   }));
   agent_.OnConfiguration(guarded([this] {
-    if (life_ != nullptr) {
-      life_->OnConfiguration();
+    if (incarnation_ != nullptr) {
+      incarnation_->OnConfiguration();
     }
   }));
 }
 
-void QueueService::BeginLife() {
-  EndLife();
-  life_ = std::make_shared<QueueLife>(
+void QueueService::BeginIncarnation() {
+  EndIncarnation();
+  incarnation_ = std::make_shared<QueueNodeIncarnation>(
       environment_, agent_, options_,
       [this](const std::string& reason) { agent_.AbandonNodeId(reason); });
   Log(LogLevel::kInfo, "queue_life_begins", {{"node", agent_.node_id().value()}});
-  life_->Start();
+  incarnation_->Start();
 }
 
-void QueueService::EndLife() {
-  if (life_ == nullptr) {
+void QueueService::EndIncarnation() {
+  if (incarnation_ == nullptr) {
     return;
   }
   Log(LogLevel::kWarning, "queue_life_ends", {});
   environment_.metrics().Increment("queue_lives_ended_total");
-  const std::shared_ptr<QueueLife> ended = std::move(life_);
-  life_ = nullptr;
+  const std::shared_ptr<QueueNodeIncarnation> ended = std::move(incarnation_);
+  incarnation_ = nullptr;
   ended->Stop();
   // It may be on the stack now, and its log's last answers are still to come.
   environment_.ScheduleAfter(Duration::zero(), [ended] {});
@@ -59,13 +59,13 @@
 
 template <typename Request, typename Response>
 void QueueService::Serve(std::string_view method,
-                         void (QueueLife::*handler)(const Request&,
-                                                    const QueueLife::Reply<Response>&)) {
+                         void (QueueNodeIncarnation::*handler)(
+                             const Request&, const QueueNodeIncarnation::Reply<Response>&)) {
   ServePeer<Request, Response>(
       environment_, method,
       [this, handler, alive = std::weak_ptr<bool>(alive_), name = std::string(method)](
           const Request& request, const std::string&, std::function<void(Result<Response>)> reply) {
-        if (alive.expired() || life_ == nullptr) {
+        if (alive.expired() || incarnation_ == nullptr) {
           reply(Status(StatusCode::kUnavailable, "this queue node is not registered"));
           return;
         }
@@ -77,34 +77,36 @@
           }
           reply(std::move(result));
         };
-        ((*life_).*handler)(request, counted);
+        ((*incarnation_).*handler)(request, counted);
       });
 }
 
 void QueueService::ServeBatches() {
   Serve<proto::SubmitBatchRequest, proto::SubmitBatchResponse>("queue.SubmitBatch",
-                                                               &QueueLife::Submit);
-  Serve<proto::ReserveTokensRequest, proto::ReserveTokensResponse>("queue.ReserveTokens",
-                                                                   &QueueLife::ReserveTokens);
-  Serve<proto::CountOpenTokensRequest, proto::CountOpenTokensResponse>("queue.CountOpenTokens",
-                                                                       &QueueLife::CountOpenTokens);
-  Serve<proto::GetBatchRequest, proto::GetBatchResponse>("queue.GetBatch", &QueueLife::Get);
+                                                               &QueueNodeIncarnation::Submit);
+  Serve<proto::ReserveTokensRequest, proto::ReserveTokensResponse>(
+      "queue.ReserveTokens", &QueueNodeIncarnation::ReserveTokens);
+  Serve<proto::CountOpenTokensRequest, proto::CountOpenTokensResponse>(
+      "queue.CountOpenTokens", &QueueNodeIncarnation::CountOpenTokens);
+  Serve<proto::GetBatchRequest, proto::GetBatchResponse>("queue.GetBatch",
+                                                         &QueueNodeIncarnation::Get);
   Serve<proto::ListBatchesRequest, proto::ListBatchesResponse>("queue.ListBatches",
-                                                               &QueueLife::ListBatches);
+                                                               &QueueNodeIncarnation::ListBatches);
   Serve<proto::ListResultsRequest, proto::ListResultsResponse>("queue.ListResults",
-                                                               &QueueLife::ListResults);
-  Serve<proto::GetItemRequest, proto::GetItemResponse>("queue.GetItem", &QueueLife::GetItem);
+                                                               &QueueNodeIncarnation::ListResults);
+  Serve<proto::GetItemRequest, proto::GetItemResponse>("queue.GetItem",
+                                                       &QueueNodeIncarnation::GetItem);
   Serve<proto::CancelBatchRequest, proto::CancelBatchResponse>("queue.CancelBatch",
-                                                               &QueueLife::Cancel);
+                                                               &QueueNodeIncarnation::Cancel);
 }
 
 void QueueService::ServeWork() {
   Serve<proto::AcquireWorkRequest, proto::AcquireWorkResponse>("queue.AcquireWork",
-                                                               &QueueLife::Acquire);
+                                                               &QueueNodeIncarnation::Acquire);
   Serve<proto::ReportWorkRequest, proto::ReportWorkResponse>("queue.ReportWork",
-                                                             &QueueLife::Report);
+                                                             &QueueNodeIncarnation::Report);
   Serve<proto::RecoverPartitionsRequest, proto::RecoverPartitionsResponse>(
-      "queue.RecoverPartitions", &QueueLife::Recover);
+      "queue.RecoverPartitions", &QueueNodeIncarnation::Recover);
 }
 
 }  // namespace cloverbank
--- a/src/queue/queue_service.h
+++ b/src/queue/queue_service.h
@@ -3,7 +3,8 @@
 /// A queue node (RAMCloud's master): owner of batch partitions. Serves the `queue.*` calls of
 /// batch.proto and log.proto. Each registration begins a new life under a fresh node id with an
 /// empty log
-/// (`QueueLife`); when the id is declared dead, everything waiting ends and the state is dropped.
+/// (`QueueNodeIncarnation`); when the id is declared dead, everything waiting ends and the state is
+/// dropped.
 ///
 /// Threads: the environment's event loop only.
 
@@ -11,7 +12,7 @@
 #include <string>
 
 #include "node/node_agent.h"
-#include "queue/queue_life.h"
+#include "queue/queue_node_incarnation.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
@@ -28,21 +29,22 @@
   /// starts.
   void Start();
   /// Whether its log is not open, or some of it has fewer copies than wanted.
-  bool degraded() const { return life_ == nullptr || life_->degraded(); }
+  bool degraded() const { return incarnation_ == nullptr || incarnation_->degraded(); }
 
  private:
-  void BeginLife();
-  void EndLife();
+  void BeginIncarnation();
+  void EndIncarnation();
   void ServeBatches();
   void ServeWork();
   template <typename Request, typename Response>
   void Serve(std::string_view method,
-             void (QueueLife::*handler)(const Request&, const QueueLife::Reply<Response>&));
+             void (QueueNodeIncarnation::*handler)(const Request&,
+                                                   const QueueNodeIncarnation::Reply<Response>&));
 
   Environment& environment_;
   NodeAgent& agent_;
   QueueOptions options_;
-  std::shared_ptr<QueueLife> life_;
+  std::shared_ptr<QueueNodeIncarnation> incarnation_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/queue/room_line.h
+++ b/src/queue/quota_wait_queue.h
@@ -16,16 +16,16 @@
 
 namespace cloverbank {
 
-class RoomLine {
+class QuotaWaitQueue {
  public:
   /// The batch is there to be taken: it stands at the end, or where it has stood before.
   void Enter(const std::string& batch, std::uint64_t tokens);
   /// The batch was refused for now; its place is kept until then.
-  void KeepUntil(const std::string& batch, TimePoint until);
+  void ReserveUntil(const std::string& batch, TimePoint until);
   /// The batch was taken, or will not come again.
   void Leave(const std::string& batch);
   /// So many tokens were finished: their room is kept for the line, as far as it wants it.
-  void NoteFreed(std::uint64_t tokens);
+  void RecordFreed(std::uint64_t tokens);
   /// Gives up the places of those that did not come in time.
   void DropOverdue(TimePoint now);
 
@@ -37,17 +37,17 @@
   std::uint64_t PositionOf(const std::string& batch) const;
 
  private:
-  struct Place {
+  struct Entry {
     std::string batch;
     std::uint64_t tokens = 0;
     std::uint64_t position = 0;
     std::optional<TimePoint> kept_until;  ///< While its client is away.
   };
 
-  void Remove(std::list<Place>::iterator place);
+  void Remove(std::list<Entry>::iterator entry);
 
-  std::list<Place> places_;
-  std::unordered_map<std::string, std::list<Place>::iterator> by_batch_;
+  std::list<Entry> entries_;
+  std::unordered_map<std::string, std::list<Entry>::iterator> by_batch_;
   std::uint64_t last_position_ = 0;
   std::uint64_t wanted_ = 0;  ///< Tokens of all places.
   std::uint64_t kept_ = 0;    ///< At most `wanted_`.
--- a/src/queue/read_limit.h
+++ b/src/queue/read_limit.h
@@ -15,20 +15,20 @@
  public:
   explicit ReadLimit(std::size_t most) : most_(most) {}
 
-  /// @return whether a read may begin. If not, `on_room` runs once after one has ended.
-  bool Take(std::function<void()> on_room) {
+  /// @return whether a read may begin. If not, `on_capacity` runs once after one has ended.
+  bool Acquire(std::function<void()> on_capacity) {
     if (used_ < most_) {
       ++used_;
       return true;
     }
-    waiting_.push_back(std::move(on_room));
+    waiting_.push_back(std::move(on_capacity));
     return false;
   }
   /// A read has ended.
   void Release() {
     --used_;
-    for (const std::function<void()>& on_room : std::exchange(waiting_, {})) {
-      on_room();
+    for (const std::function<void()>& on_capacity : std::exchange(waiting_, {})) {
+      on_capacity();
     }
   }
 
--- a/src/queue/segment_audit.cc
+++ b/src/queue/segment_audit.cc
@@ -12,17 +12,17 @@
 
 }  // namespace
 
-bool SegmentRepairer::IsAt(const SegmentHolder& holder, NodeId backup) const {
-  const proto::Server* server = context_.directory.Current(holder);
+bool SegmentRepairer::IsAt(const ReplicaLocation& location, NodeId backup) const {
+  const proto::Server* server = context_.directory.Current(location);
   return server != nullptr && NodeId(server->node_id()) == backup;
 }
 
-std::set<SegmentId> SegmentRepairer::HeldBy(NodeId backup) const {
+std::set<SegmentId> SegmentRepairer::SegmentsOn(NodeId backup) const {
   std::set<SegmentId> held;
   for (const auto& [id, segment] : segments_) {
     const bool holds =
-        std::any_of(segment.holders.begin(), segment.holders.end(),
-                    [&](const SegmentHolder& holder) { return IsAt(holder, backup); });
+        std::any_of(segment.locations.begin(), segment.locations.end(),
+                    [&](const ReplicaLocation& location) { return IsAt(location, backup); });
     if (holds) {
       held.insert(id);
     }
@@ -33,17 +33,17 @@
 void SegmentRepairer::Audit(SegmentId head) {
   const TimePoint now = context_.environment.Now();
   for (const auto& [id, server] : context_.agent.fleet().servers) {
-    const SegmentHolder holder = context_.directory.HolderOf(id);
-    if (!IsAt(holder, id) || now < next_audit_[id]) {
+    const ReplicaLocation location = context_.directory.FindLocation(id);
+    if (!IsAt(location, id) || now < next_audit_[id]) {
       continue;
     }
     next_audit_[id] = now + kAuditInterval;
     context_.client.ListSegments(
-        holder.endpoint, [weak = weak_from_this(), backup = id, head, expected = HeldBy(id)](
-                             const Result<proto::ListSegmentsResponse>& listed) {
+        location.endpoint, [weak = weak_from_this(), backup = id, head, expected = SegmentsOn(id)](
+                               const Result<proto::ListSegmentsResponse>& listed) {
           const auto self = weak.lock();
           if (self != nullptr && !self->context_.stopped && listed.ok()) {
-            self->TakeAudit(backup, head, expected, *listed);
+            self->HandleAudit(backup, head, expected, *listed);
           }
         });
   }
@@ -52,8 +52,9 @@
   });
 }
 
-void SegmentRepairer::TakeAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
-                                const proto::ListSegmentsResponse& listed) {
+void SegmentRepairer::HandleAudit(NodeId backup, SegmentId head,
+                                  const std::set<SegmentId>& expected,
+                                  const proto::ListSegmentsResponse& listed) {
   if (!context_.agent.fleet().servers.contains(backup)) {
     return;  // Gone meanwhile.
   }
@@ -68,20 +69,20 @@
     if (segment == segments_.end() || found.contains(id)) {
       continue;
     }
-    std::erase_if(segment->second.holders,
-                  [&](const SegmentHolder& holder) { return IsAt(holder, backup); });
+    std::erase_if(segment->second.locations,
+                  [&](const ReplicaLocation& location) { return IsAt(location, backup); });
     context_.environment.metrics().Increment("queue_replicas_lost_total");
     Log(LogLevel::kWarning, "replica_lost",
         {{"node", context_.node.value()}, {"segment", id.value()}, {"backup", backup.value()}});
   }
   // Closed before the question was sent, so nothing of them is under way but repairs.
-  const std::set<SegmentId> held = HeldBy(backup);
+  const std::set<SegmentId> held = SegmentsOn(backup);
   for (const SegmentId id : found) {
     const auto segment = segments_.find(id);
     const bool repairing = segment != segments_.end() && segment->second.repairing;
     if (id < head && !held.contains(id) && !repairing) {
       context_.environment.metrics().Increment("queue_leftover_replicas_freed_total");
-      FreeAt(context_.directory.HolderOf(backup), id);
+      FreeAt(context_.directory.FindLocation(backup), id);
     }
   }
 }
--- a/src/queue/segment_log.cc
+++ b/src/queue/segment_log.cc
@@ -41,7 +41,7 @@
 void SegmentLog::Start() {
   const SegmentId first(1);
   head_ = std::make_shared<HeadSegment>(context_, first, FirstContent(first, {first}),
-                                        [this] { Pump(); });
+                                        [this] { Advance(); });
   head_->AllowCommit();
   Tick();
 }
@@ -57,8 +57,8 @@
     digest_entry.mutable_log_digest()->add_segment_ids(live.value());
   }
   AppendEntry(&content, segment, digest_entry);
-  for (const proto::LogEntry& mark : preamble_()) {
-    AppendEntry(&content, segment, mark);
+  for (const proto::LogEntry& watermark : preamble_()) {
+    AppendEntry(&content, segment, watermark);
   }
   return content;
 }
@@ -98,7 +98,7 @@
   waiting.done = std::move(done);
   waiting_bytes_ += waiting.bytes;
   waiting_.push_back(std::move(waiting));
-  Pump();
+  Advance();
 }
 
 void SegmentLog::Later(Done done, Status status) {
@@ -106,7 +106,7 @@
       Duration::zero(), [done = std::move(done), status = std::move(status)] { done(status); });
 }
 
-void SegmentLog::Pump() {
+void SegmentLog::Advance() {
   pump_again_ = true;
   if (pumping_) {
     return;
@@ -114,12 +114,12 @@
   pumping_ = true;
   while (pump_again_ && !context_.stopped) {
     pump_again_ = false;
-    PumpOnce();
+    AdvanceOnce();
   }
   pumping_ = false;
 }
 
-void SegmentLog::PumpOnce() {
+void SegmentLog::AdvanceOnce() {
   if (head_ == nullptr) {
     return;
   }
@@ -134,7 +134,7 @@
   bool placed_any = false;
   while (!waiting_.empty() && !rolling_ && head_->healthy()) {
     WaitingAppend& waiting = waiting_.front();
-    if (!PlaceNext(waiting)) {
+    if (!AppendNext(waiting)) {
       rolling_ = true;
       pump_again_ = true;
       break;
@@ -147,11 +147,11 @@
     }
   }
   if (placed_any) {
-    head_->Pump();
+    head_->Advance();
   }
 }
 
-bool SegmentLog::PlaceNext(WaitingAppend& waiting) {
+bool SegmentLog::AppendNext(WaitingAppend& waiting) {
   while (waiting.next < waiting.entries.size()) {
     proto::LogEntry& entry = waiting.entries[waiting.next];
     if (!head_->Fits(FramedEntryBytes(entry))) {
@@ -164,13 +164,13 @@
   return true;
 }
 
-bool SegmentLog::IsHeld(const PlacedAppend& placed) const {
+bool SegmentLog::IsDurable(const PositionedAppend& placed) const {
   // A segment before the head was drained before it was closed.
   return placed.segment < head_->id() || placed.end <= head_->held();
 }
 
 void SegmentLog::Acknowledge() {
-  while (!context_.stopped && !placed_.empty() && IsHeld(placed_.front()) &&
+  while (!context_.stopped && !placed_.empty() && IsDurable(placed_.front()) &&
          context_.agent.LeaseValid()) {
     const Done done = std::move(placed_.front().done);
     placed_.pop_front();
@@ -198,18 +198,18 @@
   std::set<NodeId> members;
   std::size_t spares = 0;
   std::size_t retiring = 0;
-  for (const SegmentHolder& holder : head_->holders()) {
-    const proto::Server* server = context_.directory.Current(holder);
+  for (const ReplicaLocation& location : head_->locations()) {
+    const proto::Server* server = context_.directory.Current(location);
     if (server != nullptr) {
       members.insert(NodeId(server->node_id()));
-      retiring += TakesNewSegments(*server) ? 0 : 1;
+      retiring += AcceptsNewSegments(*server) ? 0 : 1;
       spares += server->spare() ? 1 : 0;
     }
   }
   std::size_t other_regular = 0;
   std::size_t others = 0;
   for (const auto& [id, server] : context_.agent.fleet().servers) {
-    if (TakesNewSegments(server) && !members.contains(id)) {
+    if (AcceptsNewSegments(server) && !members.contains(id)) {
       ++others;
       other_regular += server.spare() ? 0 : 1;
     }
@@ -241,7 +241,7 @@
     successor_->AllowCommit();
   }
   if (head_->closed() && successor_->committed()) {
-    TakeSuccessor();
+    AdoptSuccessor();
   }
 }
 
@@ -255,17 +255,17 @@
   digest.push_back(head_->id());
   digest.push_back(id);
   successor_ =
-      std::make_shared<HeadSegment>(context_, id, FirstContent(id, digest), [this] { Pump(); });
-  successor_->Pump();
+      std::make_shared<HeadSegment>(context_, id, FirstContent(id, digest), [this] { Advance(); });
+  successor_->Advance();
 }
 
-void SegmentLog::TakeSuccessor() {
+void SegmentLog::AdoptSuccessor() {
   ClosedSegment closed;
   closed.id = head_->id();
   closed.epoch = head_->highest_epoch();
   closed.length = head_->length();
   closed.checksum = Checksum(head_->content());
-  closed.holders = head_->holders();
+  closed.locations = head_->locations();
   repairer_->Add(std::move(closed));
   for (const SegmentId freed : freed_by_successor_) {
     repairer_->Free(freed);
@@ -281,7 +281,7 @@
       {{"node", context_.node.value()},
        {"segment", head_->id().value()},
        {"live_segments", live_segments()}});
-  repairer_->Pump();
+  repairer_->Advance();
   pump_again_ = true;
 }
 
@@ -297,12 +297,12 @@
   if (context_.stopped || head_ == nullptr) {
     return;
   }
-  head_->Pump();
+  head_->Advance();
   if (successor_ != nullptr) {
-    successor_->Pump();
+    successor_->Advance();
   }
-  repairer_->Pump();
-  Pump();
+  repairer_->Advance();
+  Advance();
 }
 
 void SegmentLog::Tick() {
@@ -336,7 +336,7 @@
   timer_ = 0;
   const Status unknown(StatusCode::kUnknownOutcome,
                        "this queue node's life ended before the entry was held");
-  for (PlacedAppend& placed : placed_) {
+  for (PositionedAppend& placed : placed_) {
     Later(std::move(placed.done), unknown);
   }
   placed_.clear();
--- a/src/queue/segment_log.h
+++ b/src/queue/segment_log.h
@@ -27,7 +27,7 @@
 class SegmentLog {
  public:
   using Done = std::function<void(Status)>;
-  /// Entries without sequence to be written at the start of a new segment (PartitionMark).
+  /// Entries without sequence to be written at the start of a new segment (PartitionWatermark).
   using Preamble = std::function<std::vector<proto::LogEntry>()>;
 
   /// Begins the log of the agent's present node id, with no segment yet.
@@ -74,22 +74,22 @@
     TimePoint since;
     Done done;
   };
-  struct PlacedAppend {
+  struct PositionedAppend {
     SegmentId segment;
     std::uint64_t end = 0;
     Done done;
   };
 
-  void Pump();
-  void PumpOnce();
+  void Advance();
+  void AdvanceOnce();
   void Place();
-  bool PlaceNext(WaitingAppend& waiting);
+  bool AppendNext(WaitingAppend& waiting);
   void RefuseOverdue();
   void Roll();
   void OpenSuccessor();
-  void TakeSuccessor();
+  void AdoptSuccessor();
   void Acknowledge();
-  bool IsHeld(const PlacedAppend& placed) const;
+  bool IsDurable(const PositionedAppend& placed) const;
   bool ShouldRollEarly() const;
   std::string FirstContent(SegmentId segment, const std::vector<SegmentId>& digest);
   void Fence(const std::string& reason);
@@ -105,7 +105,7 @@
   SegmentUsage usage_;
   std::vector<SegmentId> freed_by_successor_;  ///< Left out of its digest.
   std::deque<WaitingAppend> waiting_;
-  std::deque<PlacedAppend> placed_;
+  std::deque<PositionedAppend> placed_;
   std::uint64_t waiting_bytes_ = 0;
   bool rolling_ = false;     ///< Nothing more goes into the head.
   bool early_roll_ = false;  ///< The head should move once its successor is open.
--- a/src/queue/segment_repairer.cc
+++ b/src/queue/segment_repairer.cc
@@ -25,25 +25,25 @@
   if (found == segments_.end()) {
     return;
   }
-  for (const SegmentHolder& holder : found->second.holders) {
-    FreeAt(holder, segment);
+  for (const ReplicaLocation& location : found->second.locations) {
+    FreeAt(location, segment);
   }
   segments_.erase(found);
 }
 
-void SegmentRepairer::FreeAt(const SegmentHolder& holder, SegmentId segment) {
-  if (context_.directory.Current(holder) == nullptr) {
+void SegmentRepairer::FreeAt(const ReplicaLocation& location, SegmentId segment) {
+  if (context_.directory.Current(location) == nullptr) {
     return;
   }
-  context_.bulk_client.FreeSegment(context_.directory.EndpointOf(holder), segment,
+  context_.bulk_client.FreeSegment(context_.directory.EndpointOf(location), segment,
                                    [](const Status&) {});
 }
 
-std::vector<SegmentHolder> SegmentRepairer::LiveHolders(const ClosedSegment& segment) const {
-  std::vector<SegmentHolder> live;
-  for (const SegmentHolder& holder : segment.holders) {
-    if (context_.directory.Current(holder) != nullptr) {
-      live.push_back(holder);
+std::vector<ReplicaLocation> SegmentRepairer::LiveLocations(const ClosedSegment& segment) const {
+  std::vector<ReplicaLocation> live;
+  for (const ReplicaLocation& location : segment.locations) {
+    if (context_.directory.Current(location) != nullptr) {
+      live.push_back(location);
     }
   }
   return live;
@@ -51,26 +51,27 @@
 
 bool SegmentRepairer::degraded() const {
   return std::any_of(segments_.begin(), segments_.end(), [this](const auto& entry) {
-    return LiveHolders(entry.second).size() < context_.options.copies;
+    return LiveLocations(entry.second).size() < context_.options.replicas;
   });
 }
 
-void SegmentRepairer::Pump() {
+void SegmentRepairer::Advance() {
   for (auto& [id, segment] : segments_) {
     if (context_.stopped || repairs_under_way_ >= context_.options.parallel_repairs) {
       return;
     }
     if (!segment.repairing) {
-      Consider(segment);
+      RepairIfNeeded(segment);
     }
   }
 }
 
-SegmentRepairer::CopyCount SegmentRepairer::Count(const std::vector<SegmentHolder>& live) const {
-  CopyCount count;
-  for (const SegmentHolder& holder : live) {
-    const proto::Server* server = context_.directory.Current(holder);
-    if (!TakesNewSegments(*server)) {
+SegmentRepairer::ReplicaCount SegmentRepairer::Count(
+    const std::vector<ReplicaLocation>& live) const {
+  ReplicaCount count;
+  for (const ReplicaLocation& location : live) {
+    const proto::Server* server = context_.directory.Current(location);
+    if (!AcceptsNewSegments(*server)) {
       ++count.retiring;
     } else if (server->spare()) {
       ++count.spare;
@@ -81,25 +82,25 @@
   return count;
 }
 
-void SegmentRepairer::Consider(ClosedSegment& segment) {
-  const std::vector<SegmentHolder> live = LiveHolders(segment);
-  const CopyCount count = Count(live);
-  const std::size_t copies = context_.options.copies;
-  if (count.regular + count.spare >= copies) {
-    DropUnneeded(segment, count.regular >= copies);
+void SegmentRepairer::RepairIfNeeded(ClosedSegment& segment) {
+  const std::vector<ReplicaLocation> live = LiveLocations(segment);
+  const ReplicaCount count = Count(live);
+  const std::size_t replicas = context_.options.replicas;
+  if (count.regular + count.spare >= replicas) {
+    DropUnneeded(segment, count.regular >= replicas);
   }
-  if (count.regular >= copies || live.empty()) {
+  if (count.regular >= replicas || live.empty()) {
     return;
   }
   // Copies on retiring backups do not count, so that others, spares included, take their place.
-  const auto chosen = context_.directory.Select(1, copies + count.retiring, live, {});
+  const auto chosen = context_.directory.Select(1, replicas + count.retiring, live, {});
   if (chosen.empty()) {
     return;
   }
   auto repair = std::make_shared<Repair>();
   repair->segment = segment.id;
   repair->source = live[context_.environment.Random() % live.size()];
-  repair->target = context_.directory.HolderOf(chosen.front());
+  repair->target = context_.directory.FindLocation(chosen.front());
   segment.epoch = segment.epoch.Next();
   segment.repairing = true;
   repair->epoch = segment.epoch;
@@ -108,12 +109,12 @@
 }
 
 void SegmentRepairer::DropUnneeded(ClosedSegment& segment, bool spares_too) {
-  std::erase_if(segment.holders, [&](const SegmentHolder& holder) {
-    const proto::Server* server = context_.directory.Current(holder);
+  std::erase_if(segment.locations, [&](const ReplicaLocation& location) {
+    const proto::Server* server = context_.directory.Current(location);
     const bool needed =
-        server != nullptr && TakesNewSegments(*server) && !(server->spare() && spares_too);
+        server != nullptr && AcceptsNewSegments(*server) && !(server->spare() && spares_too);
     if (!needed) {
-      FreeAt(holder, segment.id);
+      FreeAt(location, segment.id);
     }
     return !needed;
   });
@@ -145,12 +146,13 @@
       [weak = weak_from_this(), repair](Result<proto::ReadSegmentResponse> result) {
         const auto self = weak.lock();
         if (self != nullptr && !self->context_.stopped) {
-          self->TakeRead(repair, std::move(result));
+          self->HandleRead(repair, std::move(result));
         }
       });
 }
 
-void SegmentRepairer::TakeRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result) {
+void SegmentRepairer::HandleRead(const RepairPtr& repair,
+                                 Result<proto::ReadSegmentResponse> result) {
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
     Fail(repair, repair->source, result.status());
@@ -170,8 +172,9 @@
   }
   if (status.code() == StatusCode::kCorrupt || status.code() == StatusCode::kNotFound) {
     // This backup does not have what was written: it no longer counts as a holder.
-    std::erase_if(segment->second.holders,
-                  [&](const SegmentHolder& holder) { return holder.node == repair->source.node; });
+    std::erase_if(segment->second.locations, [&](const ReplicaLocation& location) {
+      return location.node == repair->source.node;
+    });
   }
   Fail(repair, repair->source, status);
 }
@@ -204,17 +207,17 @@
     FreeAt(repair->target, repair->segment);  // Freed while it was copied.
   } else {
     segment->second.repairing = false;
-    segment->second.holders.push_back(repair->target);
+    segment->second.locations.push_back(repair->target);
     context_.environment.metrics().Increment("queue_segment_repairs_total");
     Log(LogLevel::kInfo, "segment_repaired",
         {{"node", context_.node.value()},
          {"segment", repair->segment.value()},
          {"backup", repair->target.node.value()}});
   }
-  Pump();
+  Advance();
 }
 
-void SegmentRepairer::Fail(const RepairPtr& repair, const SegmentHolder& culprit,
+void SegmentRepairer::Fail(const RepairPtr& repair, const ReplicaLocation& culprit,
                            const Status& status) {
   --repairs_under_way_;
   context_.environment.metrics().Increment("queue_segment_repair_failures_total",
@@ -224,7 +227,7 @@
        {"segment", repair->segment.value()},
        {"backup", culprit.node.value()},
        {"status", status.ToString()}});
-  context_.directory.NoteFailure(culprit.node);
+  context_.directory.RecordFailure(culprit.node);
   const auto segment = segments_.find(repair->segment);
   if (segment != segments_.end()) {
     segment->second.repairing = false;
--- a/src/queue/segment_repairer.h
+++ b/src/queue/segment_repairer.h
@@ -24,7 +24,7 @@
   HeadEpoch epoch;  ///< Highest under which a copy was opened.
   std::uint64_t length = 0;
   std::uint64_t checksum = 0;  ///< Of the whole content.
-  std::vector<SegmentHolder> holders;
+  std::vector<ReplicaLocation> locations;
   bool repairing = false;
 };
 
@@ -37,7 +37,7 @@
   /// Frees the segment everywhere; requires that a head without it in its digest is committed.
   void Free(SegmentId segment);
   /// Starts repairs that are due: call it on fleet changes and on a timer.
-  void Pump();
+  void Advance();
   /// Asks backups that are due what they hold. @param head the segment from which on they are open.
   void Audit(SegmentId head);
 
@@ -49,8 +49,8 @@
   /// One copy under way.
   struct Repair {
     SegmentId segment;
-    SegmentHolder source;
-    SegmentHolder target;
+    ReplicaLocation source;
+    ReplicaLocation target;
     HeadEpoch epoch;
     std::string data;
   };
@@ -58,36 +58,36 @@
   using Step = void (SegmentRepairer::*)(const RepairPtr&);
 
   /// Live copies of a segment by the kind of backup.
-  struct CopyCount {
+  struct ReplicaCount {
     std::size_t regular = 0;
     std::size_t spare = 0;
     std::size_t retiring = 0;
   };
 
-  std::vector<SegmentHolder> LiveHolders(const ClosedSegment& segment) const;
-  CopyCount Count(const std::vector<SegmentHolder>& live) const;
+  std::vector<ReplicaLocation> LiveLocations(const ClosedSegment& segment) const;
+  ReplicaCount Count(const std::vector<ReplicaLocation>& live) const;
   /// Starts a repair of the segment if it needs one and a backup can take it.
-  void Consider(ClosedSegment& segment);
+  void RepairIfNeeded(ClosedSegment& segment);
   /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
   void DropUnneeded(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
-  void TakeRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result);
+  void HandleRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result);
   void Open(const RepairPtr& repair);
   void Write(const RepairPtr& repair);
   void Close(const RepairPtr& repair);
   void Finish(const RepairPtr& repair);
-  void Fail(const RepairPtr& repair, const SegmentHolder& culprit, const Status& status);
+  void Fail(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
   /// @return a callback that goes on with `next`, or ends the repair.
   BackupClient::Done Then(const RepairPtr& repair, Step next);
   /// Frees the replica if the holder's disk is live; never what another disk holds at its endpoint.
-  void FreeAt(const SegmentHolder& holder, SegmentId segment);
+  void FreeAt(const ReplicaLocation& location, SegmentId segment);
 
   // segment_audit.cc
-  std::set<SegmentId> HeldBy(NodeId backup) const;
-  bool IsAt(const SegmentHolder& holder, NodeId backup) const;
-  void TakeAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
-                 const proto::ListSegmentsResponse& listed);
+  std::set<SegmentId> SegmentsOn(NodeId backup) const;
+  bool IsAt(const ReplicaLocation& location, NodeId backup) const;
+  void HandleAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
+                   const proto::ListSegmentsResponse& listed);
 
   LogContext& context_;
   std::map<SegmentId, ClosedSegment> segments_;
--- a/src/queue/segment_usage.cc
+++ b/src/queue/segment_usage.cc
@@ -17,8 +17,8 @@
       return entry.item_finished().batch_id();
     case proto::LogEntry::kBatchCancelled:
       return entry.batch_cancelled().batch_id();
-    case proto::LogEntry::kBatchSettled:
-      return entry.batch_settled().batch_id();
+    case proto::LogEntry::kBatchCancellationCompleted:
+      return entry.batch_cancellation_completed().batch_id();
     case proto::LogEntry::kBatchRemoved:
       return entry.batch_removed().batch_id();
     default:
@@ -28,7 +28,7 @@
 
 void SegmentUsage::AddEntry(SegmentId segment, const proto::LogEntry& entry) {
   const std::uint64_t partition = entry.partition_tag();
-  if (entry.has_partition_mark() && entry.partition_mark().discard_earlier()) {
+  if (entry.has_partition_watermark() && entry.partition_watermark().discard_earlier()) {
     ++generations_[partition];
     auto batch = batches_.lower_bound({partition, 0, ""});
     while (batch != batches_.end() && batch->first.partition_tag == partition) {
--- a/src/queue/segment_usage.h
+++ b/src/queue/segment_usage.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Which segments of the log still hold live entries. An entry is dead once its batch is removed;
-/// the tombstone itself (BatchRemoved, or a PartitionMark that voids what was before it) is live
-/// for as long as an earlier segment still holds an entry that it kills (RAMCloud page, "Log
+/// the tombstone itself (BatchRemoved, or a PartitionWatermark that voids what was before it) is
+/// live for as long as an earlier segment still holds an entry that it kills (RAMCloud page, "Log
 /// Cleaning").
 ///
 /// Pure. Threads: none of its own.
--- a/src/queue/token_allowance.cc
+++ b/src/queue/token_allowance.cc
@@ -4,7 +4,7 @@
 
 namespace cloverbank {
 
-void TokenAllowance::NoteGranted(std::uint64_t tokens) {
+void TokenAllowance::RecordGrant(std::uint64_t tokens) {
   if (allowed_) {
     *allowed_ += tokens;
   }
--- a/src/queue/token_allowance.h
+++ b/src/queue/token_allowance.h
@@ -21,9 +21,9 @@
 class TokenAllowance {
  public:
   /// The owner tells the keeper that so many tokens are open.
-  void NoteCounted(std::uint64_t open) { allowed_ = open; }
+  void RecordCount(std::uint64_t open) { allowed_ = open; }
   /// The keeper granted so many more, those that it lent included.
-  void NoteGranted(std::uint64_t tokens);
+  void RecordGrant(std::uint64_t tokens);
   /// @return what may be taken beside `open` tokens; 0 before the first count.
   std::uint64_t Spare(std::uint64_t open) const;
 
