--- a/src/queue/token_keeper.cc
+++ b/src/queue/token_quota_owner.cc
@@ -1,11 +1,11 @@
-#include "queue/token_keeper.h"
+#include "queue/token_quota_owner.h"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 #include <vector>
 
-#include "node/room_refusal.h"
+#include "node/overload_rejection.h"
 #include "runtime/typed_peer.h"
 
 namespace cloverbank {
@@ -15,7 +15,7 @@
 /// A count that began within this time is not repeated.
 constexpr Duration kCountAge = milliseconds(100);
 /// While less than this part of a limit is open, the rest of the part is lent to the owners.
-constexpr std::uint64_t kLendablePart = 2;
+constexpr std::uint64_t kAllowanceDivisor = 2;
 /// How long a request waits until all partitions can be counted.
 constexpr Duration kLongestWait = milliseconds(1200);
 
@@ -30,43 +30,43 @@
   if (!request.batch().empty()) {
     return request.batch();
   }
-  return std::to_string(request.holder_node_id()) + "/" + std::to_string(request.sequence());
+  return std::to_string(request.owner_node_id()) + "/" + std::to_string(request.sequence());
 }
 
 }  // namespace
 
-TokenKeeper::TokenKeeper(Environment& environment, NodeAgent& agent, CountOwn count_own)
+TokenQuotaOwner::TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountOwn count_own)
     : environment_(environment), agent_(agent), count_own_(std::move(count_own)) {}
 
-bool TokenKeeper::Grant(Limit& limit, const proto::ReserveTokensRequest& request,
-                        std::uint64_t lent) {
-  const std::uint64_t tokens = request.tokens() + lent;
-  const std::uint64_t kept = limit.line.KeptBefore(PlaceOf(request));
-  if (limit.ledger.UpperBound() + kept + tokens > request.limit()) {
+bool TokenQuotaOwner::Grant(Limit& limit, const proto::ReserveTokensRequest& request,
+                            std::uint64_t allowance) {
+  const std::uint64_t tokens = request.tokens() + allowance;
+  const std::uint64_t kept = limit.wait_queue.KeptBefore(PlaceOf(request));
+  if (limit.usage.UpperBound() + kept + tokens > request.limit()) {
     return false;
   }
-  limit.line.Leave(PlaceOf(request));
-  limit.ledger.AddGrant({PartitionId(request.holder_partition_id()),
-                         NodeId(request.holder_node_id()), request.sequence(), tokens});
+  limit.wait_queue.Leave(PlaceOf(request));
+  limit.usage.AddGrant({PartitionId(request.requester_partition_id()),
+                        NodeId(request.owner_node_id()), request.sequence(), tokens});
   limit.granted += request.tokens();
-  limit.lent = limit.lent || lent > 0;
+  limit.allowance = limit.allowance || allowance > 0;
   return true;
 }
 
-std::uint64_t TokenKeeper::ToLend(const Limit& limit,
-                                  const proto::ReserveTokensRequest& request) const {
-  const std::uint64_t taken = limit.ledger.UpperBound() + request.tokens();
-  const std::uint64_t lendable = request.limit() / kLendablePart;
+std::uint64_t TokenQuotaOwner::AllowanceFor(const Limit& limit,
+                                            const proto::ReserveTokensRequest& request) const {
+  const std::uint64_t taken = limit.usage.UpperBound() + request.tokens();
+  const std::uint64_t lendable = request.limit() / kAllowanceDivisor;
   const std::uint64_t left = lendable - std::min(lendable, taken);
-  const std::uint64_t share = limit.waiting.empty() ? left / agent_.partition_count() : 0;
-  return share - std::min(share, request.spare());
+  const std::uint64_t allowance = limit.waiting.empty() ? left / agent_.partition_count() : 0;
+  return allowance - std::min(allowance, request.spare());
 }
 
-bool TokenKeeper::Complete(const Limit& limit) const {
-  return limit.ledger.Complete(agent_.partition_count());
+bool TokenQuotaOwner::Complete(const Limit& limit) const {
+  return limit.usage.Complete(agent_.partition_count());
 }
 
-void TokenKeeper::Reserve(const proto::ReserveTokensRequest& request, Reply reply) {
+void TokenQuotaOwner::Reserve(const proto::ReserveTokensRequest& request, Reply reply) {
   const Key key(request.tenant(), request.route());
   LimitPtr& limit = limits_[key];
   if (limit == nullptr) {
@@ -74,18 +74,18 @@
     limit->partition = PartitionId(request.partition_id());
   }
   const TimePoint now = environment_.Now();
-  limit->line.DropOverdue(now);
+  limit->wait_queue.DropOverdue(now);
   if (request.tokens() <= request.limit()) {
-    limit->line.Enter(PlaceOf(request), request.tokens());
+    limit->wait_queue.Enter(PlaceOf(request), request.tokens());
   }
   proto::ReserveTokensResponse response;
-  response.set_lent(ToLend(*limit, request));
-  if (Complete(*limit) && Grant(*limit, request, response.lent())) {
+  response.set_allowance(AllowanceFor(*limit, request));
+  if (Complete(*limit) && Grant(*limit, request, response.allowance())) {
     reply(std::move(response));
     return;
   }
-  const bool fresh = Complete(*limit) && !limit->lent && now - limit->counted_at <= kCountAge;
-  if (fresh && !limit->counting && !MayWait(*limit, request)) {
+  const bool fresh = Complete(*limit) && !limit->allowance && now - limit->counted_at <= kCountAge;
+  if (fresh && !limit->counting && !ShouldWait(*limit, request)) {
     Refuse(*limit, request, reply);
     return;
   }
@@ -98,7 +98,7 @@
   }
 }
 
-bool TokenKeeper::MayWait(const Limit& limit, const proto::ReserveTokensRequest& request) {
+bool TokenQuotaOwner::ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request) {
   if (request.wait_ms() == 0 || request.tokens() > request.limit()) {
     return false;
   }
@@ -106,26 +106,27 @@
   return !time || *time <= milliseconds(request.wait_ms());
 }
 
-std::uint64_t TokenKeeper::Missing(const Limit& limit, const proto::ReserveTokensRequest& request) {
-  const std::uint64_t before = limit.line.TokensBefore(PlaceOf(request));
-  const std::uint64_t needed = limit.ledger.UpperBound() + before + request.tokens();
+std::uint64_t TokenQuotaOwner::Missing(const Limit& limit,
+                                       const proto::ReserveTokensRequest& request) {
+  const std::uint64_t before = limit.wait_queue.TokensBefore(PlaceOf(request));
+  const std::uint64_t needed = limit.usage.UpperBound() + before + request.tokens();
   return needed - std::min(needed, request.limit());
 }
 
-void TokenKeeper::Refuse(Limit& limit, const proto::ReserveTokensRequest& request,
-                         const Reply& reply) {
-  const std::uint64_t open = limit.ledger.UpperBound();
+void TokenQuotaOwner::Refuse(Limit& limit, const proto::ReserveTokensRequest& request,
+                             const Reply& reply) {
+  const std::uint64_t open = limit.usage.UpperBound();
   const Duration expected =
       limit.drain_rate.TimeFor(Missing(limit, request)).value_or(kLatestReturn);
   const Duration wait = std::clamp(expected, kSoonestReturn, kLatestReturn);
-  limit.line.KeepUntil(PlaceOf(request), environment_.Now() + wait + kReturnMargin);
-  reply(RefuseForRoom("route " + request.route() + " has " + std::to_string(open) +
-                          " tokens waiting and may have " + std::to_string(request.limit()) +
-                          "; submit again when some are finished",
-                      wait));
+  limit.wait_queue.ReserveUntil(PlaceOf(request), environment_.Now() + wait + kReturnMargin);
+  reply(RejectForOverload("route " + request.route() + " has " + std::to_string(open) +
+                              " tokens waiting and may have " + std::to_string(request.limit()) +
+                              "; submit again when some are finished",
+                          wait));
 }
 
-void TokenKeeper::CountSoon(const Key& key, const LimitPtr& limit) {
+void TokenQuotaOwner::CountSoon(const Key& key, const LimitPtr& limit) {
   environment_.ScheduleAfter(kCountAge, [weak = weak_from_this(), key, limit] {
     const auto self = weak.lock();
     if (self != nullptr && !limit->counting && !limit->waiting.empty()) {
@@ -134,7 +135,7 @@
   });
 }
 
-void TokenKeeper::BeginCount(const Key& key, const LimitPtr& limit) {
+void TokenQuotaOwner::BeginCount(const Key& key, const LimitPtr& limit) {
   std::map<NodeId, proto::CountOpenTokensRequest> questions;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
     if (partition.owner() != 0) {
@@ -142,7 +143,7 @@
     }
   }
   limit->counting = true;
-  limit->lent = false;
+  limit->allowance = false;
   limit->count_began = environment_.Now();
   limit->awaited = static_cast<int>(questions.size()) + 1;
   environment_.metrics().Increment("queue_token_counts_total");
@@ -150,12 +151,12 @@
     question.set_tenant(key.first);
     question.set_route(key.second);
     if (owner == agent_.node_id()) {
-      TakeCounts(key, limit, count_own_(question));
+      HandleCounts(key, limit, count_own_(question));
       continue;
     }
     const auto server = agent_.fleet().servers.find(owner);
     if (server == agent_.fleet().servers.end()) {
-      TakeCounts(key, limit, Status(StatusCode::kUnavailable, "its owner is not known"));
+      HandleCounts(key, limit, Status(StatusCode::kUnavailable, "its owner is not known"));
       continue;
     }
     const proto::Endpoint& endpoint = server->second.peer_endpoint();
@@ -165,22 +166,22 @@
         [weak = weak_from_this(), key,
          limit](const Result<proto::CountOpenTokensResponse>& counts) {
           if (const auto self = weak.lock()) {
-            self->TakeCounts(key, limit, counts);
+            self->HandleCounts(key, limit, counts);
           }
         });
   }
   // Stands for the round itself, so that it never ends before all questions are asked.
-  TakeCounts(key, limit, proto::CountOpenTokensResponse());
+  HandleCounts(key, limit, proto::CountOpenTokensResponse());
 }
 
-void TokenKeeper::TakeCounts(const Key& key, const LimitPtr& limit,
-                             const Result<proto::CountOpenTokensResponse>& counts) {
+void TokenQuotaOwner::HandleCounts(const Key& key, const LimitPtr& limit,
+                                   const Result<proto::CountOpenTokensResponse>& counts) {
   if (counts.ok()) {
     for (const proto::OpenTokens& count : counts->counts()) {
-      limit->ledger.TakeCount({PartitionId(count.partition_id()),
-                               NodeId(counts->holder_node_id()),
+      limit->usage.ApplyCount({PartitionId(count.partition_id()),
+                               NodeId(counts->owner_node_id()),
                                count.tokens(),
-                               counts->settled_below(),
+                               counts->completed_below(),
                                {counts->pending().begin(), counts->pending().end()}});
     }
   }
@@ -189,30 +190,31 @@
   }
   limit->counting = false;
   limit->counted_at = limit->count_began;
-  const std::uint64_t finished = limit->drain_rate.Note(
-      limit->ledger.UpperBound(), std::exchange(limit->granted, 0), environment_.Now());
-  limit->line.NoteFreed(finished);
-  SettleWaiting(key, limit);
+  const std::uint64_t finished = limit->drain_rate.Update(
+      limit->usage.UpperBound(), std::exchange(limit->granted, 0), environment_.Now());
+  limit->wait_queue.RecordFreed(finished);
+  AnswerWaiting(key, limit);
 }
 
-void TokenKeeper::SettleWaiting(const Key& key, const LimitPtr& limit) {
+void TokenQuotaOwner::AnswerWaiting(const Key& key, const LimitPtr& limit) {
   const bool complete = Complete(*limit);
   const TimePoint now = environment_.Now();
   std::list<Waiting> still_waiting;
-  limit->line.DropOverdue(now);
-  limit->waiting.sort([&line = limit->line](const Waiting& one, const Waiting& other) {
-    return line.PositionOf(PlaceOf(one.request)) < line.PositionOf(PlaceOf(other.request));
+  limit->wait_queue.DropOverdue(now);
+  limit->waiting.sort([&wait_queue = limit->wait_queue](const Waiting& one, const Waiting& other) {
+    return wait_queue.PositionOf(PlaceOf(one.request)) <
+           wait_queue.PositionOf(PlaceOf(other.request));
   });
   for (Waiting& waiting : std::exchange(limit->waiting, {})) {
     const TimePoint give_up_at = complete ? waiting.wait_until : waiting.deadline;
-    if (complete && Grant(*limit, waiting.request, /*lent=*/0)) {
+    if (complete && Grant(*limit, waiting.request, /*allowance=*/0)) {
       waiting.reply(proto::ReserveTokensResponse());
     } else if (now < give_up_at) {
       still_waiting.push_back(std::move(waiting));
     } else if (complete) {
       Refuse(*limit, waiting.request, waiting.reply);
     } else {
-      limit->line.Leave(PlaceOf(waiting.request));
+      limit->wait_queue.Leave(PlaceOf(waiting.request));
       waiting.reply(Status(StatusCode::kUnavailable, "not all partitions can be counted now"));
     }
   }
@@ -223,7 +225,7 @@
   CountSoon(key, limit);
 }
 
-void TokenKeeper::Drop(PartitionId partition) {
+void TokenQuotaOwner::Drop(PartitionId partition) {
   for (auto entry = limits_.begin(); entry != limits_.end();) {
     if (entry->second->partition != partition) {
       ++entry;
--- a/src/queue/token_keeper.h
+++ b/src/queue/token_quota_owner.h
@@ -22,20 +22,20 @@
 #include "node/node_agent.h"
 #include "proto/batch.pb.h"
 #include "queue/drain_rate.h"
-#include "queue/room_line.h"
-#include "queue/token_ledger.h"
+#include "queue/quota_wait_queue.h"
+#include "queue/token_usage.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
 
-class TokenKeeper : public std::enable_shared_from_this<TokenKeeper> {
+class TokenQuotaOwner : public std::enable_shared_from_this<TokenQuotaOwner> {
  public:
   using Reply = std::function<void(Result<proto::ReserveTokensResponse>)>;
   /// Counts at this node's own partitions.
   using CountOwn =
       std::function<proto::CountOpenTokensResponse(const proto::CountOpenTokensRequest& request)>;
 
-  TokenKeeper(Environment& environment, NodeAgent& agent, CountOwn count_own);
+  TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountOwn count_own);
 
   /// Refuses kResourceExhausted over the limit, and kUnavailable while it can not be told what is
   /// open. The partition of the request must be owned by this node.
@@ -53,12 +53,12 @@
   };
   struct Limit {
     PartitionId partition;  ///< The keeper's.
-    TokenLedger ledger;
+    TokenUsage usage;
     std::list<Waiting> waiting;
-    RoomLine line;  ///< Of those that wait, and of the refused that may come again.
+    QuotaWaitQueue wait_queue;  ///< Of those that wait, and of the refused that may come again.
     DrainRate drain_rate;
     std::uint64_t granted = 0;  ///< Since the last count.
-    bool lent = false;          ///< Since the last count began; a new one takes it back.
+    bool allowance = false;     ///< Since the last count began; a new one takes it back.
     bool counting = false;
     int awaited = 0;  ///< Owners that have not answered the count under way.
     TimePoint count_began{};
@@ -67,20 +67,21 @@
   using LimitPtr = std::shared_ptr<Limit>;
 
   /// Grants if there is room for the request and for all that stand before it.
-  static bool Grant(Limit& limit, const proto::ReserveTokensRequest& request, std::uint64_t lent);
+  static bool Grant(Limit& limit, const proto::ReserveTokensRequest& request,
+                    std::uint64_t allowance);
   /// @return how many tokens must be finished first.
   static std::uint64_t Missing(const Limit& limit, const proto::ReserveTokensRequest& request);
   void Refuse(Limit& limit, const proto::ReserveTokensRequest& request, const Reply& reply);
   /// @return what the holder should get beside what it asks for; nothing while others wait.
-  std::uint64_t ToLend(const Limit& limit, const proto::ReserveTokensRequest& request) const;
+  std::uint64_t AllowanceFor(const Limit& limit, const proto::ReserveTokensRequest& request) const;
   bool Complete(const Limit& limit) const;
   /// Whether room for the request is likely to come before it gives up waiting.
-  static bool MayWait(const Limit& limit, const proto::ReserveTokensRequest& request);
+  static bool ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request);
   void CountSoon(const Key& key, const LimitPtr& limit);
   void BeginCount(const Key& key, const LimitPtr& limit);
-  void TakeCounts(const Key& key, const LimitPtr& limit,
-                  const Result<proto::CountOpenTokensResponse>& counts);
-  void SettleWaiting(const Key& key, const LimitPtr& limit);
+  void HandleCounts(const Key& key, const LimitPtr& limit,
+                    const Result<proto::CountOpenTokensResponse>& counts);
+  void AnswerWaiting(const Key& key, const LimitPtr& limit);
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/queue/token_reserver.cc
+++ b/src/queue/token_reserver.cc
@@ -11,21 +11,22 @@
 /// Longer than a keeper waits for its counts.
 constexpr Duration kDeadline = milliseconds(1600);
 /// A keeper that is silent for so long, beyond what it may let a batch wait, may be gone.
-constexpr Duration kKeeperPatience = milliseconds(300);
+constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
 constexpr Duration kWatchInterval = milliseconds(100);
 
-Status KeeperAway(const std::string& why) {
+Status QuotaOwnerUnavailable(const std::string& why) {
   return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + why,
-          std::string(kKeeperAwayDetail)};
+          std::string(kQuotaOwnerUnavailableDetail)};
 }
 
 }  // namespace
 
 TokenReserver::TokenReserver(Environment& environment, NodeAgent& agent,
-                             std::shared_ptr<TokenKeeper> own_keeper, CountOpen count_open)
+                             std::shared_ptr<TokenQuotaOwner> local_quota_owner,
+                             CountOpen count_open)
     : environment_(environment),
       agent_(agent),
-      own_keeper_(std::move(own_keeper)),
+      local_quota_owner_(std::move(local_quota_owner)),
       count_open_(std::move(count_open)) {}
 
 void TokenReserver::Reserve(PartitionId partition, const proto::SubmitBatch& batch,
@@ -39,8 +40,8 @@
              std::make_shared<Done>(std::move(done))};
   const proto::ReserveTokensRequest request =
       MakeRequest(sequence, pending, reservation, batch.open_token_limit());
-  WatchKeeper(sequence, reservation.longest_wait + kKeeperPatience);
-  Ask(request);
+  WatchQuotaOwner(sequence, reservation.longest_wait + kQuotaOwnerTimeout);
+  SendRequest(request);
 }
 
 proto::ReserveTokensRequest TokenReserver::MakeRequest(std::uint64_t sequence,
@@ -56,15 +57,15 @@
   request.set_tokens(pending.tokens);
   request.set_wait_ms(static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(reservation.longest_wait).count()));
-  request.set_holder_partition_id(partition.value());
-  request.set_holder_node_id(agent_.node_id().value());
+  request.set_requester_partition_id(partition.value());
+  request.set_owner_node_id(agent_.node_id().value());
   request.set_sequence(sequence);
   request.set_batch(pending.batch);
   request.set_spare(Spare(pending.key));
   return request;
 }
 
-void TokenReserver::Ask(const proto::ReserveTokensRequest& request) {
+void TokenReserver::SendRequest(const proto::ReserveTokensRequest& request) {
   const proto::Server* server = agent_.fleet().OwnerOf(PartitionId(request.partition_id()));
   if (server == nullptr) {
     TakeAnswer(request.sequence(),
@@ -77,11 +78,11 @@
     if (const auto self = weak.lock()) {
       self->TakeAnswer(sequence, answer);
     } else {
-      CallOnce(*done, KeeperAway("this queue node's life ended"));
+      CallOnce(*done, QuotaOwnerUnavailable("this queue node's life ended"));
     }
   };
   if (NodeId(server->node_id()) == agent_.node_id()) {
-    own_keeper_->Reserve(request, finish);
+    local_quota_owner_->Reserve(request, finish);
     return;
   }
   const proto::Endpoint& endpoint = server->peer_endpoint();
@@ -97,17 +98,17 @@
     return;  // Taken within the allowance meanwhile.
   }
   if (answer.ok()) {
-    allowances_[found->second.key].NoteGranted(found->second.tokens + answer->lent());
+    allowances_[found->second.key].RecordGrant(found->second.tokens + answer->allowance());
     Finish(sequence, Status::Ok());
   } else if (answer.status().code() == StatusCode::kResourceExhausted) {
     Finish(sequence, answer.status());
   } else {
-    Finish(sequence,
-           Allowed(found->second) ? Status::Ok() : KeeperAway(answer.status().ToString()));
+    Finish(sequence, Allowed(found->second) ? Status::Ok()
+                                            : QuotaOwnerUnavailable(answer.status().ToString()));
   }
 }
 
-void TokenReserver::WatchKeeper(std::uint64_t sequence, Duration patience) {
+void TokenReserver::WatchQuotaOwner(std::uint64_t sequence, Duration patience) {
   environment_.ScheduleAfter(patience, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     const bool pending = self != nullptr && self->pending_.contains(sequence);
@@ -117,7 +118,7 @@
     if (self->Allowed(self->pending_.at(sequence))) {
       self->Finish(sequence, Status::Ok());
     } else {
-      self->WatchKeeper(sequence, kWatchInterval);
+      self->WatchQuotaOwner(sequence, kWatchInterval);
     }
   });
 }
@@ -127,9 +128,9 @@
   return allowances_[key].Spare(count_open_(partition, tenant, route));
 }
 
-void TokenReserver::NoteCounted(PartitionId partition, const std::string& tenant,
+void TokenReserver::RecordCount(PartitionId partition, const std::string& tenant,
                                 const std::string& route, std::uint64_t open) {
-  allowances_[{partition, tenant, route}].NoteCounted(open);
+  allowances_[{partition, tenant, route}].RecordCount(open);
 }
 
 std::vector<std::uint64_t> TokenReserver::PendingRequests() const {
--- a/src/queue/token_reserver.h
+++ b/src/queue/token_reserver.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Asks the keeper of a route's limit for room before a batch is taken (`TokenKeeper`). While the
-/// keeper gives no answer, batches are taken within the partition's own allowance.
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// Asks the keeper of a route's limit for room before a batch is taken (`TokenQuotaOwner`). While
+/// the keeper gives no answer, batches are taken within the partition's own allowance. Threads: the
+/// owner's event loop only. Made by `std::make_shared`.
 
 #include <cstdint>
 #include <functional>
@@ -15,7 +15,7 @@
 #include "node/node_agent.h"
 #include "proto/batch.pb.h"
 #include "queue/token_allowance.h"
-#include "queue/token_keeper.h"
+#include "queue/token_quota_owner.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
@@ -33,21 +33,21 @@
   using CountOpen = std::function<std::uint64_t(PartitionId partition, const std::string& tenant,
                                                 const std::string& route)>;
 
-  /// @param own_keeper answers where this node is the keeper itself.
-  TokenReserver(Environment& environment, NodeAgent& agent, std::shared_ptr<TokenKeeper> own_keeper,
-                CountOpen count_open);
+  /// @param local_quota_owner answers where this node is the keeper itself.
+  TokenReserver(Environment& environment, NodeAgent& agent,
+                std::shared_ptr<TokenQuotaOwner> local_quota_owner, CountOpen count_open);
 
-  /// `done` gets OK, kResourceExhausted, or kConflict with `kKeeperAwayDetail`. If OK, the tokens
-  /// must count as open at `partition` before `done` returns.
+  /// `done` gets OK, kResourceExhausted, or kConflict with `kQuotaOwnerUnavailableDetail`. If OK,
+  /// the tokens must count as open at `partition` before `done` returns.
   void Reserve(PartitionId partition, const proto::SubmitBatch& batch,
                const TokenReservation& reservation, Done done);
   /// A keeper is told that so many tokens are open.
-  void NoteCounted(PartitionId partition, const std::string& tenant, const std::string& route,
+  void RecordCount(PartitionId partition, const std::string& tenant, const std::string& route,
                    std::uint64_t open);
   /// The partition has another owner now.
   void Drop(PartitionId partition) { allowances_.Drop(partition); }
   /// All requests with a lower sequence are over, but for those of `PendingRequests`.
-  std::uint64_t settled_below() const { return next_; }
+  std::uint64_t completed_below() const { return next_; }
   std::vector<std::uint64_t> PendingRequests() const;
 
  private:
@@ -60,10 +60,10 @@
 
   proto::ReserveTokensRequest MakeRequest(std::uint64_t sequence, const Pending& pending,
                                           const TokenReservation& reservation, std::uint64_t limit);
-  void Ask(const proto::ReserveTokensRequest& request);
+  void SendRequest(const proto::ReserveTokensRequest& request);
   void TakeAnswer(std::uint64_t sequence, const Result<proto::ReserveTokensResponse>& answer);
   /// Takes the batch within the allowance as soon as that has room, while no answer comes.
-  void WatchKeeper(std::uint64_t sequence, Duration patience);
+  void WatchQuotaOwner(std::uint64_t sequence, Duration patience);
   std::uint64_t Spare(const TokenAllowances::Key& key);
   bool Allowed(const Pending& pending) { return pending.tokens <= Spare(pending.key); }
   void Finish(std::uint64_t sequence, const Status& status);
@@ -71,7 +71,7 @@
 
   Environment& environment_;
   NodeAgent& agent_;
-  std::shared_ptr<TokenKeeper> own_keeper_;
+  std::shared_ptr<TokenQuotaOwner> local_quota_owner_;
   CountOpen count_open_;
   TokenAllowances allowances_;
   std::uint64_t next_ = 1;
--- /dev/null
+++ b/src/queue/token_usage.cc
@@ -0,0 +1,58 @@
+#include "queue/token_usage.h"
+
+#include <algorithm>
+
+namespace cloverbank {
+
+bool TokenUsage::UpdateOwner(PartitionUsage& usage, NodeId owner) {
+  if (usage.former_owners.contains(owner)) {
+    return false;
+  }
+  if (usage.owner.valid() && usage.owner != owner) {
+    usage.former_owners.insert(usage.owner);
+  }
+  usage.owner = owner;
+  return true;
+}
+
+bool TokenUsage::Count::Settles(const Grant& grant) const {
+  // What an earlier owner logged is in the partition that the present one recovered.
+  return grant.owner != owner ||
+         (grant.sequence < completed_below && !pending.contains(grant.sequence));
+}
+
+void TokenUsage::AddGrant(const Grant& grant) {
+  UpdateOwner(partitions_[grant.partition], grant.owner);
+  grants_.push_back(grant);
+}
+
+void TokenUsage::ApplyCount(const Count& count) {
+  PartitionUsage& usage = partitions_[count.partition];
+  if (!UpdateOwner(usage, count.owner)) {
+    return;
+  }
+  usage.counted = count.tokens;
+  std::erase_if(grants_, [&count](const Grant& grant) {
+    return grant.partition == count.partition && count.Settles(grant);
+  });
+}
+
+bool TokenUsage::Complete(std::uint32_t partition_count) const {
+  const auto counted = std::count_if(partitions_.begin(), partitions_.end(), [](const auto& entry) {
+    return entry.second.counted.has_value();
+  });
+  return counted >= static_cast<std::ptrdiff_t>(partition_count);
+}
+
+std::uint64_t TokenUsage::UpperBound() const {
+  std::uint64_t sum = 0;
+  for (const auto& [partition, usage] : partitions_) {
+    sum += usage.counted.value_or(0);
+  }
+  for (const Grant& grant : grants_) {
+    sum += grant.tokens;
+  }
+  return sum;
+}
+
+}  // namespace cloverbank
--- a/src/queue/token_ledger.h
+++ b/src/queue/token_usage.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Pure core of `TokenKeeper`: how many tokens of one route of one tenant may be open in all
+/// Pure core of `TokenQuotaOwner`: how many tokens of one route of one tenant may be open in all
 /// partitions together. What is open is what partitions counted, and what was granted to them
 /// since.
 ///
@@ -20,22 +20,22 @@
 
 namespace cloverbank {
 
-class TokenLedger {
+class TokenUsage {
  public:
   /// A grant to the owner of a partition, named by the owner's own rising sequence.
   struct Grant {
     PartitionId partition;
-    NodeId holder;
+    NodeId owner;
     std::uint64_t sequence = 0;
     std::uint64_t tokens = 0;
   };
-  /// What the owner of a partition counted there. Its requests below `settled_below` that are not
+  /// What the owner of a partition counted there. Its requests below `completed_below` that are not
   /// `pending` are in the count, if anything came of them.
   struct Count {
     PartitionId partition;
-    NodeId holder;
+    NodeId owner;
     std::uint64_t tokens = 0;
-    std::uint64_t settled_below = 0;
+    std::uint64_t completed_below = 0;
     std::set<std::uint64_t> pending;
 
     bool Settles(const Grant& grant) const;
@@ -43,7 +43,7 @@
 
   void AddGrant(const Grant& grant);
   /// Counts of an owner after which another one was heard of are passed over.
-  void TakeCount(const Count& count);
+  void ApplyCount(const Count& count);
   /// Whether each of so many partitions was counted at least once.
   bool Complete(std::uint32_t partition_count) const;
   std::uint64_t UpperBound() const;
@@ -51,17 +51,17 @@
  private:
   /// What is known of one partition. An owner that lost a partition never gets it back under the
   /// same node id, but node ids of later owners may be lower.
-  struct Place {
-    NodeId holder;  ///< Of whom was heard last.
-    std::set<NodeId> past_holders;
+  struct PartitionUsage {
+    NodeId owner;  ///< Of whom was heard last.
+    std::set<NodeId> former_owners;
     std::optional<std::uint64_t> counted;
   };
 
   /// @return whether `holder` is the owner of whom was heard last, which it is from now on if it
   /// was not heard of before.
-  static bool TakeHolder(Place& place, NodeId holder);
+  static bool UpdateOwner(PartitionUsage& usage, NodeId owner);
 
-  std::map<PartitionId, Place> places_;
+  std::map<PartitionId, PartitionUsage> partitions_;
   std::vector<Grant> grants_;
 };
 
--- a/src/queue/work_dispatcher.cc
+++ b/src/queue/work_dispatcher.cc
@@ -7,8 +7,8 @@
 
 /// Lease ids of different lives never meet.
 WorkLeaseId FirstLeaseId(NodeId node) {
-  constexpr unsigned kLifeShift = 32;
-  return WorkLeaseId((node.value() << kLifeShift) + 1);
+  constexpr unsigned kIncarnationShift = 32;
+  return WorkLeaseId((node.value() << kIncarnationShift) + 1);
 }
 
 }  // namespace
@@ -46,7 +46,7 @@
 
 void WorkDispatcher::AddPartition(const std::shared_ptr<OwnedPartition>& partition) {
   partitions_[partition->id()] = partition;
-  settle_from_[partition->id()] = environment_.Now() + kWorkLeaseSilence;
+  cancellation_allowed_from_[partition->id()] = environment_.Now() + kWorkLeaseTimeout;
   partition->store().ForEach([&](const StoredBatch& batch) {
     if (batch.AllFinished()) {
       return;
@@ -58,12 +58,12 @@
       }
     }
     if (batch.cancelled) {
-      unsettled_.emplace(partition->id(), batch.accepted.batch_id());
+      incomplete_cancellations_.emplace(partition->id(), batch.accepted.batch_id());
     } else {
       Enqueue(*partition, batch);
     }
   });
-  ServeHeld();
+  ServePending();
 }
 
 void WorkDispatcher::RemovePartition(PartitionId partition) {
@@ -78,17 +78,17 @@
   const auto item_of_partition = [&](const WorkItemKey& item) {
     return item.partition == partition;
   };
-  std::erase_if(unsettled_, of_partition);
+  std::erase_if(incomplete_cancellations_, of_partition);
   std::erase_if(unknown_due_, item_of_partition);
   std::erase_if(failed_runs_, [&](const auto& entry) { return item_of_partition(entry.first); });
   leases_.EndPartition(partition);
-  settle_from_.erase(partition);
+  cancellation_allowed_from_.erase(partition);
   partitions_.erase(partition);
 }
 
 void WorkDispatcher::AddBatch(OwnedPartition& partition, const StoredBatch& batch) {
   Enqueue(partition, batch);
-  ServeHeld();
+  ServePending();
 }
 
 void WorkDispatcher::Enqueue(OwnedPartition& partition, const StoredBatch& batch) {
@@ -130,7 +130,7 @@
       queue_.SetBackend(queued, BackendOf(batch->accepted.route()));
     }
   }
-  ServeHeld();
+  ServePending();
 }
 
 void WorkDispatcher::Cancel(const std::shared_ptr<OwnedPartition>& partition,
@@ -156,39 +156,40 @@
   partition->Log(std::move(entries), [weak = weak_from_this(), partition, batch_id, reply,
                                       answer](const Status& status) {
     const auto self = weak.lock();
-    const StoredBatch* held = partition->store().Find(batch_id);
-    if (!status.ok() || self == nullptr || held == nullptr) {
+    const StoredBatch* pending = partition->store().Find(batch_id);
+    if (!status.ok() || self == nullptr || pending == nullptr) {
       reply(status.ok() ? Status(StatusCode::kUnknownOutcome, "the batch is gone") : status);
       return;
     }
-    if (held->cancelled) {
+    if (pending->cancelled) {
       self->Dequeue({partition->id(), batch_id});
-      self->unsettled_.emplace(partition->id(), batch_id);
+      self->incomplete_cancellations_.emplace(partition->id(), batch_id);
     }
-    reply(answer(*held));
+    reply(answer(*pending));
   });
 }
 
 void WorkDispatcher::Tick() {
-  EndSilentLeases();
+  EndExpiredLeases();
   LogUnknown();
-  Settle();
+  CompleteCancellations();
 }
 
-bool WorkDispatcher::MaySettle(const BatchKey& key) const {
-  const auto from = settle_from_.find(key.first);
+bool WorkDispatcher::CanCompleteCancellation(const BatchKey& key) const {
+  const auto from = cancellation_allowed_from_.find(key.first);
   const WorkItemKey first{key.first, key.second, 0};
   const auto due = unknown_due_.lower_bound(first);
   const bool unknown_left =
       due != unknown_due_.end() && due->partition == key.first && due->batch_id == key.second;
-  return from != settle_from_.end() && environment_.Now() >= from->second && !unknown_left &&
-         !settling_.contains(key) && leases_.CountOf(key.first, key.second) == 0;
+  return from != cancellation_allowed_from_.end() && environment_.Now() >= from->second &&
+         !unknown_left && !completing_cancellations_.contains(key) &&
+         leases_.CountOf(key.first, key.second) == 0;
 }
 
-void WorkDispatcher::Settle() {
+void WorkDispatcher::CompleteCancellations() {
   std::vector<BatchKey> due;
-  for (const BatchKey& key : unsettled_) {
-    if (MaySettle(key)) {
+  for (const BatchKey& key : incomplete_cancellations_) {
+    if (CanCompleteCancellation(key)) {
       due.push_back(key);
     }
   }
@@ -196,25 +197,26 @@
     const auto partition = FindPartition(key.first);
     const StoredBatch* batch = FindBatch({key.first, key.second, 0});
     if (batch == nullptr || batch->AllFinished()) {
-      unsettled_.erase(key);
+      incomplete_cancellations_.erase(key);
       continue;
     }
-    settling_.insert(key);
+    completing_cancellations_.insert(key);
     std::vector<proto::LogEntry> entries(1);
-    entries[0].mutable_batch_settled()->set_batch_id(key.second);
-    entries[0].mutable_batch_settled()->set_settled_at_ms(environment_.WallMilliseconds());
+    entries[0].mutable_batch_cancellation_completed()->set_batch_id(key.second);
+    entries[0].mutable_batch_cancellation_completed()->set_completed_at_ms(
+        environment_.WallMilliseconds());
     partition->Log(std::move(entries), [weak = weak_from_this(), key](const Status& status) {
       if (const auto self = weak.lock()) {
-        self->TakeSettled(key, status);
+        self->HandleCancellationLogged(key, status);
       }
     });
   }
 }
 
-void WorkDispatcher::TakeSettled(const BatchKey& key, const Status& status) {
-  settling_.erase(key);
+void WorkDispatcher::HandleCancellationLogged(const BatchKey& key, const Status& status) {
+  completing_cancellations_.erase(key);
   if (status.ok()) {
-    unsettled_.erase(key);
+    incomplete_cancellations_.erase(key);
   }
 }
 
--- a/src/queue/work_dispatcher.h
+++ b/src/queue/work_dispatcher.h
@@ -64,7 +64,7 @@
  private:
   using BatchKey = std::pair<PartitionId, std::string>;
   /// A held AcquireWork.
-  struct HeldAcquire {
+  struct PendingAcquire {
     proto::AcquireWorkRequest request;
     TimePoint arrived;
     AcquireReply reply;
@@ -72,7 +72,7 @@
   };
   /// Grants whose starts are being logged.
   struct PendingGrants {
-    HeldAcquire held;
+    PendingAcquire pending;
     std::vector<WorkItemKey> items;
     std::size_t logs_under_way = 0;
   };
@@ -96,45 +96,47 @@
   void ReturnItem(const WorkItemKey& item);
   const StoredBatch* FindBatch(const WorkItemKey& item) const;
   std::shared_ptr<OwnedPartition> FindPartition(PartitionId partition) const;
-  void Settle();
-  void TakeSettled(const BatchKey& key, const Status& status);
-  bool MaySettle(const BatchKey& key) const;
+  void CompleteCancellations();
+  void HandleCancellationLogged(const BatchKey& key, const Status& status);
+  bool CanCompleteCancellation(const BatchKey& key) const;
 
   // Grants (work_grants.cc).
-  void ServeHeld();
+  void ServePending();
   /// Answers some of the questions that were held for long, so that their gateways ask again.
-  void WakeHeld();
+  void WakePending();
   /// Answers such questions of the own zone, or of others, until their room reaches `wanted`.
-  std::size_t WakeZone(bool own, std::size_t room, std::size_t wanted);
-  bool IsFresh(const HeldAcquire& held) const;
+  std::size_t WakeZone(bool own, std::size_t capacity, std::size_t wanted);
+  bool IsFresh(const PendingAcquire& pending) const;
   /// @return the slots of the request for which items wait.
-  std::size_t UsableRoom(const proto::AcquireWorkRequest& request) const;
-  void ExpireHeld(std::list<HeldAcquire>::iterator held);
+  std::size_t UsableSlots(const proto::AcquireWorkRequest& request) const;
+  void ExpirePending(std::list<PendingAcquire>::iterator pending);
   /// @return the items taken for the request, leased.
-  std::vector<WorkItemKey> TakeItems(const proto::AcquireWorkRequest& request,
-                                     StartEntries* starts);
+  std::vector<WorkItemKey> SelectItems(const proto::AcquireWorkRequest& request,
+                                       StartEntries* starts);
   bool LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
                  StartEntries* starts);
   void LogStarts(const PendingGrantsPtr& grants, StartEntries* starts);
-  void TakeStarted(const PendingGrantsPtr& grants, PartitionId partition, const Status& status);
+  void HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
+                          const Status& status);
   void SendGrants(const PendingGrantsPtr& grants);
-  bool MayGrant(const WorkItemKey& item) const;
-  proto::WorkGrant MakeGrant(const WorkItemKey& item, Duration held) const;
+  bool CanGrant(const WorkItemKey& item) const;
+  proto::WorkGrant MakeGrant(const WorkItemKey& item, Duration pending) const;
 
   // Results (work_results.cc).
   Status CheckReports(const proto::ReportWorkRequest& request) const;
   void Renew(const proto::ReportWorkRequest& request, proto::ReportWorkResponse* response);
   /// Decides one report. @return a result entry to log, or nothing.
-  bool TakeReport(const proto::WorkReport& report, PendingReport* pending, proto::LogEntry* entry);
+  bool HandleReport(const proto::WorkReport& report, PendingReport* pending,
+                    proto::LogEntry* entry);
   void LogResults(const PendingReportPtr& pending, PartitionId partition,
                   std::vector<proto::LogEntry> entries);
-  void TakeResults(PartitionId partition, const std::vector<WorkItemKey>& items,
-                   const Status& status);
+  void HandleResultsLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
+                           const Status& status);
   static void Answer(const PendingReportPtr& pending);
   /// Counts and logs a result that is held later than its batch was due.
-  void NoteLateResult(const StoredBatch& batch) const;
+  void RecordLateResult(const StoredBatch& batch) const;
   proto::LogEntry MakeFinished(const WorkItemKey& item, proto::ItemOutcome outcome) const;
-  void EndSilentLeases();
+  void EndExpiredLeases();
   void LogUnknown();
 
   Environment& environment_;
@@ -143,12 +145,12 @@
   WorkLeases leases_;
   std::map<PartitionId, std::shared_ptr<OwnedPartition>> partitions_;
   /// Cancelled batches of a partition are not settled before: leases of the last owner may run.
-  std::map<PartitionId, TimePoint> settle_from_;
+  std::map<PartitionId, TimePoint> cancellation_allowed_from_;
   std::map<BatchKey, QueuedBatchId> queued_;
   std::map<QueuedBatchId, BatchKey> queued_keys_;
-  std::set<BatchKey> unsettled_;
-  std::set<BatchKey> settling_;
-  std::list<HeldAcquire> held_;
+  std::set<BatchKey> incomplete_cancellations_;
+  std::set<BatchKey> completing_cancellations_;
+  std::list<PendingAcquire> pending_;
   TimePoint next_wake_{};  ///< Before, those that were woken last are waited for.
   bool wake_scheduled_ = false;
   /// Failed runs of items that came back. Not logged: a new owner counts anew.
--- a/src/queue/work_grants.cc
+++ b/src/queue/work_grants.cc
@@ -23,63 +23,63 @@
 }  // namespace
 
 void WorkDispatcher::Acquire(const proto::AcquireWorkRequest& request, AcquireReply reply) {
-  held_.push_back({request, environment_.Now(), std::move(reply), 0});
-  const auto held = std::prev(held_.end());
+  pending_.push_back({request, environment_.Now(), std::move(reply), 0});
+  const auto pending = std::prev(pending_.end());
   const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kLongestHold);
-  held->timer = environment_.ScheduleAfter(hold, [weak = weak_from_this(), held] {
+  pending->timer = environment_.ScheduleAfter(hold, [weak = weak_from_this(), pending] {
     if (const auto self = weak.lock()) {
-      self->ExpireHeld(held);
+      self->ExpirePending(pending);
     }
   });
-  ServeHeld();
+  ServePending();
 }
 
-void WorkDispatcher::ExpireHeld(std::list<HeldAcquire>::iterator held) {
-  const AcquireReply reply = std::move(held->reply);
-  held_.erase(held);
+void WorkDispatcher::ExpirePending(std::list<PendingAcquire>::iterator pending) {
+  const AcquireReply reply = std::move(pending->reply);
+  pending_.erase(pending);
   reply(proto::AcquireWorkResponse());
 }
 
 void WorkDispatcher::Shutdown() {
-  for (const HeldAcquire& held : held_) {
-    environment_.CancelTimer(held.timer);
-    held.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
+  for (const PendingAcquire& pending : pending_) {
+    environment_.CancelTimer(pending.timer);
+    pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
   }
-  held_.clear();
+  pending_.clear();
 }
 
-void WorkDispatcher::ServeHeld() {
+void WorkDispatcher::ServePending() {
   if (agent_.configuration().batch().paused() || !agent_.LeaseValid()) {
     return;
   }
-  for (auto held = held_.begin(); held != held_.end() && queue_.waiting_count() > 0;) {
-    const auto next = std::next(held);
-    if (!IsFresh(*held)) {
-      held = next;
+  for (auto pending = pending_.begin(); pending != pending_.end() && queue_.waiting_count() > 0;) {
+    const auto next = std::next(pending);
+    if (!IsFresh(*pending)) {
+      pending = next;
       continue;
     }
     StartEntries starts;
-    std::vector<WorkItemKey> items = TakeItems(held->request, &starts);
+    std::vector<WorkItemKey> items = SelectItems(pending->request, &starts);
     if (!items.empty()) {
-      environment_.CancelTimer(held->timer);
+      environment_.CancelTimer(pending->timer);
       auto grants = std::make_shared<PendingGrants>();
-      grants->held = std::move(*held);
+      grants->pending = std::move(*pending);
       grants->items = std::move(items);
-      held_.erase(held);
+      pending_.erase(pending);
       LogStarts(grants, &starts);
     }
-    held = next;
+    pending = next;
   }
-  WakeHeld();
+  WakePending();
 }
 
-bool WorkDispatcher::IsFresh(const HeldAcquire& held) const {
-  return environment_.Now() - held.arrived <= kFreshQuestion;
+bool WorkDispatcher::IsFresh(const PendingAcquire& pending) const {
+  return environment_.Now() - pending.arrived <= kFreshQuestion;
 }
 
-void WorkDispatcher::WakeHeld() {
+void WorkDispatcher::WakePending() {
   const TimePoint now = environment_.Now();
-  if (queue_.waiting_count() == 0 || held_.empty() || wake_scheduled_) {
+  if (queue_.waiting_count() == 0 || pending_.empty() || wake_scheduled_) {
     return;
   }
   if (now >= next_wake_) {
@@ -92,43 +92,43 @@
   environment_.ScheduleAfter(next_wake_ - now, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->wake_scheduled_ = false;
-      self->ServeHeld();
+      self->ServePending();
     }
   });
 }
 
-std::size_t WorkDispatcher::UsableRoom(const proto::AcquireWorkRequest& request) const {
+std::size_t WorkDispatcher::UsableSlots(const proto::AcquireWorkRequest& request) const {
   std::size_t slots = 0;
-  for (const proto::WorkRoom& room : request.room()) {
-    slots += queue_.HasWaiting(room.backend()) ? room.slots() : 0;
+  for (const proto::BackendCapacity& capacity : request.capacity()) {
+    slots += queue_.HasWaiting(capacity.backend()) ? capacity.slots() : 0;
   }
   return slots;
 }
 
-std::size_t WorkDispatcher::WakeZone(bool own, std::size_t room, std::size_t wanted) {
-  for (auto held = held_.begin(); held != held_.end() && room < wanted;) {
-    const auto next = std::next(held);
-    const std::size_t usable = UsableRoom(held->request);
-    const bool in_zone = held->request.zone() == agent_.zone();
-    if (!IsFresh(*held) && in_zone == own && usable > 0) {
-      room += usable;
-      environment_.CancelTimer(held->timer);
-      ExpireHeld(held);
+std::size_t WorkDispatcher::WakeZone(bool own, std::size_t capacity, std::size_t wanted) {
+  for (auto pending = pending_.begin(); pending != pending_.end() && capacity < wanted;) {
+    const auto next = std::next(pending);
+    const std::size_t usable = UsableSlots(pending->request);
+    const bool in_zone = pending->request.zone() == agent_.zone();
+    if (!IsFresh(*pending) && in_zone == own && usable > 0) {
+      capacity += usable;
+      environment_.CancelTimer(pending->timer);
+      ExpirePending(pending);
     }
-    held = next;
+    pending = next;
   }
-  return room;
+  return capacity;
 }
 
-std::vector<WorkItemKey> WorkDispatcher::TakeItems(const proto::AcquireWorkRequest& request,
-                                                   StartEntries* starts) {
+std::vector<WorkItemKey> WorkDispatcher::SelectItems(const proto::AcquireWorkRequest& request,
+                                                     StartEntries* starts) {
   std::vector<WorkItemKey> items;
   std::size_t bytes = 0;
-  for (const proto::WorkRoom& room : request.room()) {
-    std::size_t slots = room.slots();
+  for (const proto::BackendCapacity& capacity : request.capacity()) {
+    std::size_t slots = capacity.slots();
     while (slots > 0 && items.size() < kLargestGrants && bytes < kLargestGrantBytes) {
       const std::size_t asked = std::min(slots, FairQueue::kLongestRun);
-      const auto picked = queue_.Pick(room.backend(), asked);
+      const auto picked = queue_.Pick(capacity.backend(), asked);
       if (picked.empty()) {
         break;
       }
@@ -176,16 +176,16 @@
     FindPartition(id)->Log(
         std::move(entries), [weak = weak_from_this(), grants, id = id](const Status& status) {
           if (const auto self = weak.lock()) {
-            self->TakeStarted(grants, id, status);
+            self->HandleStartsLogged(grants, id, status);
           } else if (--grants->logs_under_way == 0) {
-            grants->held.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
+            grants->pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
           }
         });
   }
 }
 
-void WorkDispatcher::TakeStarted(const PendingGrantsPtr& grants, PartitionId partition,
-                                 const Status& status) {
+void WorkDispatcher::HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
+                                        const Status& status) {
   if (!status.ok()) {
     // Certain that the grant did not leave: the items wait again.
     std::erase_if(grants->items, [&](const WorkItemKey& item) {
@@ -203,14 +203,14 @@
   }
 }
 
-bool WorkDispatcher::MayGrant(const WorkItemKey& item) const {
+bool WorkDispatcher::CanGrant(const WorkItemKey& item) const {
   const StoredBatch* batch = FindBatch(item);
   return batch != nullptr && !batch->cancelled &&
          batch->phases[item.index] != ItemPhase::kFinished &&
          !agent_.configuration().batch().paused() && agent_.LeaseValid();
 }
 
-proto::WorkGrant WorkDispatcher::MakeGrant(const WorkItemKey& item, Duration held) const {
+proto::WorkGrant WorkDispatcher::MakeGrant(const WorkItemKey& item, Duration pending) const {
   const StoredBatch* batch = FindBatch(item);
   proto::WorkGrant grant;
   grant.set_lease_id(leases_.Find(item)->id.value());
@@ -223,27 +223,27 @@
   const auto failed = failed_runs_.find(item);
   grant.set_failed_runs(failed == failed_runs_.end() ? 0 : failed->second);
   // Counts from when the request was sent, which was before it arrived and was held here.
-  const auto window = std::chrono::duration_cast<milliseconds>(held + kWorkLeaseStartWindow);
+  const auto window = std::chrono::duration_cast<milliseconds>(pending + kWorkLeaseStartWindow);
   grant.set_start_within_ms(static_cast<std::uint32_t>(window.count()));
   return grant;
 }
 
 void WorkDispatcher::SendGrants(const PendingGrantsPtr& grants) {
   proto::AcquireWorkResponse response;
-  const Duration held = environment_.Now() - grants->held.arrived;
+  const Duration pending = environment_.Now() - grants->pending.arrived;
   for (const WorkItemKey& item : grants->items) {
     if (leases_.Find(item) == nullptr) {
       continue;  // Its partition was given up.
     }
-    if (MayGrant(item)) {
-      *response.add_grants() = MakeGrant(item, held);
+    if (CanGrant(item)) {
+      *response.add_grants() = MakeGrant(item, pending);
     } else {
       leases_.End(item);
       ReturnItem(item);
     }
   }
   environment_.metrics().Increment("queue_grants_total", {}, response.grants_size());
-  grants->held.reply(std::move(response));
+  grants->pending.reply(std::move(response));
 }
 
 }  // namespace cloverbank
--- a/src/queue/work_leases.cc
+++ b/src/queue/work_leases.cc
@@ -72,10 +72,10 @@
   by_item_.erase(found);
 }
 
-std::vector<WorkLease> WorkLeases::EndSilent(TimePoint now) {
+std::vector<WorkLease> WorkLeases::EndExpired(TimePoint now) {
   std::vector<WorkLease> ended;
   for (const auto& [id, lease] : by_id_) {
-    if (!lease.reporting && now - lease.heard >= kWorkLeaseSilence) {
+    if (!lease.reporting && now - lease.heard >= kWorkLeaseTimeout) {
       ended.push_back(lease);
     }
   }
--- a/src/queue/work_leases.h
+++ b/src/queue/work_leases.h
@@ -22,7 +22,7 @@
 namespace cloverbank {
 
 /// A lease that was neither renewed nor reported for this long is over.
-inline constexpr Duration kWorkLeaseSilence = seconds(5);
+inline constexpr Duration kWorkLeaseTimeout = seconds(5);
 /// An item must be started within this time of its grant.
 inline constexpr Duration kWorkLeaseStartWindow = seconds(2);
 
@@ -75,8 +75,8 @@
   void SetReporting(const WorkItemKey& item, bool reporting, TimePoint now);
   /// Ends the item's lease, if any.
   void End(const WorkItemKey& item);
-  /// Ends and returns the leases that were silent for `kWorkLeaseSilence`.
-  std::vector<WorkLease> EndSilent(TimePoint now);
+  /// Ends and returns the leases that were silent for `kWorkLeaseTimeout`.
+  std::vector<WorkLease> EndExpired(TimePoint now);
   /// Ends every lease of the partition (it went to another owner).
   void EndPartition(PartitionId partition);
 
--- a/src/queue/work_results.cc
+++ b/src/queue/work_results.cc
@@ -53,11 +53,11 @@
   std::map<PartitionId, std::vector<proto::LogEntry>> results;
   for (const proto::WorkReport& report : request.reports()) {
     proto::LogEntry entry;
-    if (TakeReport(report, pending.get(), &entry)) {
+    if (HandleReport(report, pending.get(), &entry)) {
       results[PartitionId(report.partition_id())].push_back(std::move(entry));
     }
   }
-  ServeHeld();
+  ServePending();
   if (results.empty()) {
     Answer(pending);
     return;
@@ -68,8 +68,8 @@
   }
 }
 
-bool WorkDispatcher::TakeReport(const proto::WorkReport& report, PendingReport* pending,
-                                proto::LogEntry* entry) {
+bool WorkDispatcher::HandleReport(const proto::WorkReport& report, PendingReport* pending,
+                                  proto::LogEntry* entry) {
   const WorkItemKey item = KeyOf(report);
   const StoredBatch* batch = FindBatch(item);
   if (batch == nullptr) {
@@ -130,7 +130,7 @@
   FindPartition(partition)->Log(std::move(entries), [weak = weak_from_this(), pending, partition,
                                                      items](const Status& status) {
     if (const auto self = weak.lock()) {
-      self->TakeResults(partition, items, status);
+      self->HandleResultsLogged(partition, items, status);
     }
     if (!status.ok()) {
       pending->status = status;
@@ -149,8 +149,9 @@
   }
 }
 
-void WorkDispatcher::TakeResults(PartitionId partition, const std::vector<WorkItemKey>& items,
-                                 const Status& status) {
+void WorkDispatcher::HandleResultsLogged(PartitionId partition,
+                                         const std::vector<WorkItemKey>& items,
+                                         const Status& status) {
   const auto owned = FindPartition(partition);
   if (owned == nullptr) {
     return;
@@ -165,16 +166,16 @@
     failed_runs_.erase(item);
     const StoredBatch* batch = FindBatch(item);
     if (batch != nullptr) {
-      NoteLateResult(*batch);
+      RecordLateResult(*batch);
     }
     if (batch != nullptr && batch->AllFinished()) {
       Dequeue({partition, item.batch_id});
-      unsettled_.erase({partition, item.batch_id});
+      incomplete_cancellations_.erase({partition, item.batch_id});
     }
   }
 }
 
-void WorkDispatcher::NoteLateResult(const StoredBatch& batch) const {
+void WorkDispatcher::RecordLateResult(const StoredBatch& batch) const {
   const proto::Route* route = FindRoute(batch.accepted.route());
   if (route == nullptr || route->batch_target_ms() == 0 || batch.cancelled) {
     return;
@@ -193,8 +194,8 @@
        {"waiting_items", queue_.waiting_count()}});
 }
 
-void WorkDispatcher::EndSilentLeases() {
-  for (const WorkLease& lease : leases_.EndSilent(environment_.Now())) {
+void WorkDispatcher::EndExpiredLeases() {
+  for (const WorkLease& lease : leases_.EndExpired(environment_.Now())) {
     const StoredBatch* batch = FindBatch(lease.item);
     if (batch == nullptr || batch->phases[lease.item.index] == ItemPhase::kFinished) {
       continue;
@@ -210,7 +211,7 @@
       unknown_due_.insert(lease.item);
     }
   }
-  ServeHeld();
+  ServePending();
 }
 
 void WorkDispatcher::LogUnknown() {
@@ -235,7 +236,7 @@
       for (const WorkItemKey& item : logged) {
         self->unknown_under_way_.erase(item);
       }
-      self->TakeResults(id, logged, status);
+      self->HandleResultsLogged(id, logged, status);
     });
   }
 }
--- a/src/replicas/gateway_share.cc
+++ b/src/replicas/gateway_quota.cc
@@ -1,4 +1,4 @@
-#include "replicas/gateway_share.h"
+#include "replicas/gateway_quota.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,30 +14,30 @@
 
 }  // namespace
 
-bool GatewayShare::Drawn(std::string_view replica_id, std::uint32_t parts) const {
+bool GatewayQuota::IsSelected(std::string_view replica_id, std::uint32_t divisor) const {
   // A fraction of the ring rather than a place: when a gateway comes or goes, few places move.
-  constexpr double kWhole = 18446744073709551616.0;  // 2 to the power of 64.
-  const double fraction = static_cast<double>(Checksum(replica_id)) / kWhole;
+  constexpr double kHashRange = 18446744073709551616.0;  // 2 to the power of 64.
+  const double fraction = static_cast<double>(Checksum(replica_id)) / kHashRange;
   const auto first = static_cast<std::uint32_t>(fraction * count);
-  return (index + count - std::min(first, count - 1)) % count < parts;
+  return (index + count - std::min(first, count - 1)) % count < divisor;
 }
 
-std::uint32_t GatewayShare::SlotsOf(std::string_view replica_id, std::string_view replica_zone,
+std::uint32_t GatewayQuota::SlotsOf(std::string_view replica_id, std::string_view replica_zone,
                                     std::uint32_t slots) const {
   if (replica_zone != zone) {
     return 0;
   }
-  return slots / count + (Drawn(replica_id, slots % count) ? 1 : 0);
+  return slots / count + (IsSelected(replica_id, slots % count) ? 1 : 0);
 }
 
-double GatewayShare::RateOf(std::string_view replica_id, std::string_view replica_zone,
+double GatewayQuota::RateOf(std::string_view replica_id, std::string_view replica_zone,
                             double per_second) const {
   if (replica_zone != zone) {
     return 0;
   }
   const auto most = static_cast<std::uint32_t>(std::max(1.0, std::floor(per_second / kLeastRate)));
-  const std::uint32_t parts = std::min(count, most);
-  return Drawn(replica_id, parts) ? per_second / parts : 0;
+  const std::uint32_t divisor = std::min(count, most);
+  return IsSelected(replica_id, divisor) ? per_second / divisor : 0;
 }
 
 }  // namespace cloverbank
--- a/src/replicas/gateway_share.h
+++ b/src/replicas/gateway_quota.h
@@ -11,12 +11,12 @@
 
 namespace cloverbank {
 
-struct GatewayShare {
+struct GatewayQuota {
   std::string zone;         ///< The gateway's own.
   std::uint32_t index = 0;  ///< Below `count`; another one for each gateway of the zone.
   std::uint32_t count = 1;
 
-  bool operator==(const GatewayShare&) const = default;
+  bool operator==(const GatewayQuota&) const = default;
 
   /// @return this gateway's part of the slots of a replica. The parts of all add up to `slots`.
   std::uint32_t SlotsOf(std::string_view replica_id, std::string_view replica_zone,
@@ -28,7 +28,7 @@
 
  private:
   /// @return whether this is one of `parts` gateways that are drawn for the replica.
-  bool Drawn(std::string_view replica_id, std::uint32_t parts) const;
+  bool IsSelected(std::string_view replica_id, std::uint32_t divisor) const;
 };
 
 }  // namespace cloverbank
--- a/src/replicas/json_list_reader.cc
+++ b/src/replicas/json_list_reader.cc
@@ -70,7 +70,7 @@
 
 ListReadEnd EndWithoutAnswer(const HttpOutcome& outcome) {
   return outcome.kind == HttpOutcomeKind::kNotSent ? ListReadEnd::kNotConnected
-                                                   : ListReadEnd::kSilent;
+                                                   : ListReadEnd::kNoResponse;
 }
 
 std::unique_ptr<ReplicaListReader> MakeJsonListReader(HttpClient& client,
--- a/src/replicas/prefill_gossip.cc
+++ b/src/replicas/prefill_gossip.cc
@@ -19,23 +19,23 @@
 
 PrefillGossip::PrefillGossip(Environment& environment, Neighbours neighbours, Heard heard)
     : environment_(environment), neighbours_(std::move(neighbours)), heard_(std::move(heard)) {
-  ServePeer<proto::NotePrefillRequest, proto::NotePrefillResponse>(
+  ServePeer<proto::ReportPrefillRequest, proto::ReportPrefillResponse>(
       environment_, kMethod,
       [this, alive = std::weak_ptr<bool>(alive_)](
-          const proto::NotePrefillRequest& request, const std::string&,
-          const std::function<void(Result<proto::NotePrefillResponse>)>& reply) {
+          const proto::ReportPrefillRequest& request, const std::string&,
+          const std::function<void(Result<proto::ReportPrefillResponse>)>& reply) {
         if (!alive.expired()) {
           for (const proto::PrefillStart& start : request.starts()) {
             heard_(start.replica(), start.tokens(), start.key());
           }
         }
-        reply(proto::NotePrefillResponse());
+        reply(proto::ReportPrefillResponse());
       });
 }
 
 PrefillGossip::~PrefillGossip() { environment_.CancelTimer(timer_); }
 
-void PrefillGossip::Tell(const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
+void PrefillGossip::Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
   if (tokens < kLeastTokens) {
     return;
   }
@@ -52,10 +52,10 @@
 }
 
 void PrefillGossip::Send() {
-  const proto::NotePrefillRequest request = std::exchange(pending_, {});
+  const proto::ReportPrefillRequest request = std::exchange(pending_, {});
   for (const Endpoint& neighbour : neighbours_()) {
-    CallPeer<proto::NotePrefillResponse>(environment_, neighbour, kMethod, request, kDeadline,
-                                         [](const Result<proto::NotePrefillResponse>&) {});
+    CallPeer<proto::ReportPrefillResponse>(environment_, neighbour, kMethod, request, kDeadline,
+                                           [](const Result<proto::ReportPrefillResponse>&) {});
   }
 }
 
--- a/src/replicas/prefill_gossip.h
+++ b/src/replicas/prefill_gossip.h
@@ -32,7 +32,7 @@
   PrefillGossip& operator=(const PrefillGossip&) = delete;
 
   /// A call of this gateway goes to the replica.
-  void Tell(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
+  void Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
 
  private:
   void Send();
@@ -40,7 +40,7 @@
   Environment& environment_;
   Neighbours neighbours_;
   Heard heard_;
-  proto::NotePrefillRequest pending_;
+  proto::ReportPrefillRequest pending_;
   TimerId timer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/replicas/prefill_load.cc
+++ b/src/replicas/prefill_load.cc
@@ -29,12 +29,12 @@
 
 Duration PrefillLoad::Lately(std::string_view replica, TimePoint now) const {
   const auto found = replicas_.find(replica);
-  return found == replicas_.end() ? Duration::zero() : LatelyOf(found->second, now);
+  return found == replicas_.end() ? Duration::zero() : RecentLoadAt(found->second, now);
 }
 
-Duration PrefillLoad::LatelyOf(const Replica& replica, TimePoint now) const {
-  const double half_lives = std::chrono::duration<double>(now - replica.lately_at) /
-                            std::chrono::duration<double>(options_.lately_half_life);
+Duration PrefillLoad::RecentLoadAt(const Replica& replica, TimePoint now) const {
+  const double half_lives = std::chrono::duration<double>(now - replica.recent_load_at) /
+                            std::chrono::duration<double>(options_.recent_load_half_life);
   return std::chrono::duration_cast<Duration>(replica.lately * std::exp2(-half_lives));
 }
 
@@ -103,8 +103,8 @@
   Replica& entry = replicas_[replica];
   const Duration reading = TimeFor(replica, tokens);
   entry.busy_until = std::max(entry.busy_until, now) + reading;
-  entry.lately = LatelyOf(entry, now) + reading;
-  entry.lately_at = now;
+  entry.lately = RecentLoadAt(entry, now) + reading;
+  entry.recent_load_at = now;
   if (IsLong(tokens)) {
     backends_[entry.backend].last_long_prompt = now;
   }
--- a/src/replicas/prefill_load.h
+++ b/src/replicas/prefill_load.h
@@ -18,7 +18,7 @@
 #include <unordered_map>
 
 #include "base/time.h"
-#include "replicas/reading_speed.h"
+#include "replicas/prefill_throughput.h"
 
 namespace cloverbank {
 
@@ -46,7 +46,7 @@
   double delay_weight = 0.5;
   Duration delay_half_life = milliseconds(400);
   /// How fast what a replica was given to read fades, see `Lately`.
-  Duration lately_half_life = milliseconds(300);
+  Duration recent_load_half_life = milliseconds(300);
   /// Delays up to this are noise of the way and of processor time, and say nothing of a replica.
   Duration delay_tolerance = milliseconds(10);
 };
@@ -92,9 +92,9 @@
   struct Replica {
     TimePoint busy_until{};
     std::string backend;
-    ReadingSpeed speed;
-    Duration lately{};  ///< Reading begun, decayed, as of `lately_at`.
-    TimePoint lately_at{};
+    PrefillThroughput speed;
+    Duration lately{};  ///< Reading begun, decayed, as of `recent_load_at`.
+    TimePoint recent_load_at{};
     Duration delay{};  ///< Unexpected, as of `delay_at`.
     TimePoint delay_at{};
     std::list<std::uint64_t> recent;  ///< Keys, the one used last first.
@@ -102,7 +102,7 @@
   };
   /// What is known of the replicas of a back end together.
   struct BackendSpeed {
-    ReadingSpeed speed;
+    PrefillThroughput speed;
     RecentQuantile fixed_latency_ms{1};
     std::optional<TimePoint> last_long_prompt;
   };
@@ -111,7 +111,7 @@
   void Learn(const std::string& replica, std::uint32_t tokens, Duration latency);
   void Remember(Replica& replica, std::uint64_t key);
   Duration DelayOf(const Replica& replica, TimePoint now) const;
-  Duration LatelyOf(const Replica& replica, TimePoint now) const;
+  Duration RecentLoadAt(const Replica& replica, TimePoint now) const;
 
   PrefillOptions options_;
   std::map<std::string, Replica, std::less<>> replicas_;
--- a/src/replicas/reading_speed.cc
+++ b/src/replicas/prefill_throughput.cc
@@ -1,4 +1,4 @@
-#include "replicas/reading_speed.h"
+#include "replicas/prefill_throughput.h"
 
 namespace cloverbank {
 namespace {
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-std::size_t ReadingSpeed::ClassOf(std::uint32_t tokens) {
+std::size_t PrefillThroughput::ClassOf(std::uint32_t tokens) {
   std::size_t found = 0;
   std::uint64_t longest = kShortest;
   while (found + 1 < kClasses && tokens > longest) {
@@ -19,11 +19,11 @@
   return found;
 }
 
-void ReadingSpeed::Add(std::uint32_t tokens, double tokens_per_ms) {
+void PrefillThroughput::Add(std::uint32_t tokens, double tokens_per_ms) {
   rates_.at(ClassOf(tokens)).Add(tokens_per_ms);
 }
 
-std::optional<double> ReadingSpeed::TokensPerMs(std::uint32_t tokens) const {
+std::optional<double> PrefillThroughput::TokensPerMs(std::uint32_t tokens) const {
   const std::size_t own = ClassOf(tokens);
   for (std::size_t distance = 0; distance < kClasses; ++distance) {
     if (own >= distance && rates_.at(own - distance).value()) {
--- a/src/replicas/reading_speed.h
+++ b/src/replicas/prefill_throughput.h
@@ -13,7 +13,7 @@
 
 namespace cloverbank {
 
-class ReadingSpeed {
+class PrefillThroughput {
  public:
   /// An answer began after a prompt of that length was read at that rate, or faster.
   void Add(std::uint32_t tokens, double tokens_per_ms);
--- a/src/replicas/share_pacer.h
+++ b/src/replicas/rate_pacer.h
@@ -11,10 +11,10 @@
 
 namespace cloverbank {
 
-class SharePacer {
+class RatePacer {
  public:
   /// @param share to begin with. @param growth of it with each smooth report.
-  SharePacer(double share, double growth) : share_(share), growth_(growth) {}
+  RatePacer(double ratio, double growth) : ratio_(ratio), growth_(growth) {}
 
   /// Own calls were at a replica that was fuller than it should have become.
   void OnCollision(TimePoint now);
@@ -24,10 +24,10 @@
   /// rounded up or down at random, so that a small share means a start now and then.
   std::uint32_t Allowance(std::uint32_t free, std::uint64_t random) const;
 
-  double share() const { return share_; }
+  double ratio() const { return ratio_; }
 
  private:
-  double share_;
+  double ratio_;
   double growth_;
   TimePoint last_collision_{};
 };
--- a/src/replicas/replica_directory.cc
+++ b/src/replicas/replica_directory.cc
@@ -11,7 +11,7 @@
 
 constexpr std::uint32_t kLargestPort = 65535;
 constexpr std::string_view kLongPromptsKey = "long prompts";
-constexpr std::size_t kReplicasPerLongPromptPlace = 3;
+constexpr std::size_t kReplicasPerLongPromptReplica = 3;
 
 bool WellFormed(const proto::Replica& replica) {
   const bool reachable = !replica.endpoint().host().empty() && replica.endpoint().port() != 0 &&
@@ -35,7 +35,7 @@
   return record;
 }
 
-bool SameLife(const ReplicaRecord& left, const ReplicaRecord& right) {
+bool IsSameIncarnation(const ReplicaRecord& left, const ReplicaRecord& right) {
   return left.instance_id == right.instance_id && left.endpoint == right.endpoint;
 }
 
@@ -57,8 +57,8 @@
   for (const auto& [id, record] : records) {
     const ReplicaRecord* previous = Find(id);
     const bool was_ready = previous != nullptr && previous->ready;
-    if (record.ready && (!was_ready || !SameLife(*previous, record))) {
-      change.cold.push_back(id);
+    if (record.ready && (!was_ready || !IsSameIncarnation(*previous, record))) {
+      change.warming_up.push_back(id);
     }
     if (!record.ready && was_ready) {
       change.stopped.push_back(id);
@@ -88,7 +88,7 @@
   return found == ready_.end() ? none : found->second;
 }
 
-void ReplicaDirectory::DrawLongPromptPlaces(const std::vector<const ReplicaRecord*>& ready) {
+void ReplicaDirectory::SelectLongPromptReplicas(const std::vector<const ReplicaRecord*>& ready) {
   std::map<std::string_view, std::vector<std::pair<std::uint64_t, const ReplicaRecord*>>> zones;
   for (const ReplicaRecord* replica : ready) {
     const std::uint64_t weight = Checksum(kLongPromptsKey, Checksum(replica->id));
@@ -96,23 +96,23 @@
   }
   for (auto& [zone, replicas] : zones) {
     std::sort(replicas.begin(), replicas.end(), std::greater<>());
-    replicas.resize(std::max<std::size_t>(1, replicas.size() / kReplicasPerLongPromptPlace));
+    replicas.resize(std::max<std::size_t>(1, replicas.size() / kReplicasPerLongPromptReplica));
     for (const auto& [weight, replica] : replicas) {
-      long_prompt_places_.insert(replica->id);
+      long_prompt_replicas_.insert(replica->id);
     }
   }
 }
 
 void ReplicaDirectory::RebuildIndex() {
   ready_.clear();
-  long_prompt_places_.clear();
+  long_prompt_replicas_.clear();
   for (const auto& [id, record] : records_) {
     if (record.ready) {
       ready_[BackendKey(record.kind, record.backend)].push_back(&record);
     }
   }
   for (const auto& [backend, ready] : ready_) {
-    DrawLongPromptPlaces(ready);
+    SelectLongPromptReplicas(ready);
   }
 }
 
--- a/src/replicas/replica_directory.h
+++ b/src/replicas/replica_directory.h
@@ -39,7 +39,7 @@
 struct DirectoryChange {
   /// Ids that must be taken as cold: new, restarted (other instance or endpoint), or ready again
   /// after draining.
-  std::vector<std::string> cold;
+  std::vector<std::string> warming_up;
   std::vector<std::string> stopped;  ///< Ids that went from ready to draining.
   std::vector<std::string> removed;  ///< Ids no longer named.
   std::uint32_t skipped = 0;         ///< Malformed or repeated entries, which are left out.
@@ -58,8 +58,8 @@
                                                  const std::string& backend) const;
   /// Whether it is one of those replicas of its zone that long prompts go to: one in three of each
   /// back end, at least one, the same ones as seen by every gateway.
-  bool TakesLongPrompts(const ReplicaRecord& replica) const {
-    return long_prompt_places_.contains(replica.id);
+  bool AcceptsLongPrompts(const ReplicaRecord& replica) const {
+    return long_prompt_replicas_.contains(replica.id);
   }
   const std::map<std::string, ReplicaRecord, std::less<>>& records() const { return records_; }
   /// Whether any list has been applied.
@@ -70,13 +70,13 @@
   using BackendKey = std::pair<proto::BackendKind, std::string>;
 
   void RebuildIndex();
-  void DrawLongPromptPlaces(const std::vector<const ReplicaRecord*>& ready);
+  void SelectLongPromptReplicas(const std::vector<const ReplicaRecord*>& ready);
 
   bool loaded_ = false;
   std::uint64_t version_ = 0;
   std::map<std::string, ReplicaRecord, std::less<>> records_;
   std::map<BackendKey, std::vector<const ReplicaRecord*>> ready_;
-  std::set<std::string, std::less<>> long_prompt_places_;
+  std::set<std::string, std::less<>> long_prompt_replicas_;
 };
 
 }  // namespace cloverbank
--- a/src/replicas/replica_health.cc
+++ b/src/replicas/replica_health.cc
@@ -23,7 +23,7 @@
     fresh.condition = ReplicaCondition::kHealthy;
     fresh.start_delay = Duration::zero();
     fresh.at_work = true;
-    fresh.ramp_start = TimePoint() - options_.ramp_time;
+    fresh.slow_start_began = TimePoint() - options_.slow_start_time;
   }
   watches_[id] = fresh;
 }
@@ -36,16 +36,16 @@
     return;
   }
   if (!answered) {
-    OnSilence(*watch, now);
+    OnTimeout(*watch, now);
     return;
   }
-  watch->silences = 0;
+  watch->consecutive_timeouts = 0;
   switch (watch->condition) {
     case ReplicaCondition::kUnproven:
       BecomeHealthy(*watch, now);
       if (warm) {
         watch->at_work = true;
-        watch->ramp_start = now - options_.ramp_time;
+        watch->slow_start_began = now - options_.slow_start_time;
       }
       break;
     case ReplicaCondition::kSuspect:
@@ -95,9 +95,9 @@
         EjectSoftly(*watch, now);
       }
       break;
-    case CallEnd::kSilent:
+    case CallEnd::kNoResponse:
     case CallEnd::kNotConnected:
-      OnSilence(*watch, now);
+      OnTimeout(*watch, now);
       break;
     case CallEnd::kRefused:
     case CallEnd::kWithdrawn:
@@ -145,11 +145,11 @@
     }
   }
   for (const auto& [backend, peers] : by_backend) {
-    JudgeLatency(peers, now);
+    EvaluateLatency(peers, now);
   }
 }
 
-void ReplicaHealth::JudgeLatency(const std::vector<Watch*>& peers, TimePoint now) {
+void ReplicaHealth::EvaluateLatency(const std::vector<Watch*>& peers, TimePoint now) {
   if (peers.size() < kFewestPeers) {
     return;
   }
@@ -214,12 +214,12 @@
   if (trial || !watch->at_work) {
     return 1;
   }
-  const Duration elapsed = now - watch->ramp_start;
-  if (elapsed >= options_.ramp_time) {
+  const Duration elapsed = now - watch->slow_start_began;
+  if (elapsed >= options_.slow_start_time) {
     return capacity;
   }
   const double share =
-      static_cast<double>(elapsed.count()) / static_cast<double>(options_.ramp_time.count());
+      static_cast<double>(elapsed.count()) / static_cast<double>(options_.slow_start_time.count());
   const auto grown = static_cast<std::uint32_t>(share * (capacity - 1));
   return 1 + grown;
 }
@@ -230,7 +230,7 @@
     return false;
   }
   const bool healthy = watch->condition == ReplicaCondition::kHealthy;
-  const bool grown = watch->at_work && now - watch->ramp_start >= options_.ramp_time;
+  const bool grown = watch->at_work && now - watch->slow_start_began >= options_.slow_start_time;
   return watch->condition == ReplicaCondition::kTrial || (healthy && !grown);
 }
 
@@ -241,7 +241,7 @@
   }
   if (watch != nullptr && watch->condition == ReplicaCondition::kHealthy && !watch->at_work) {
     watch->at_work = true;
-    watch->ramp_start = now;
+    watch->slow_start_began = now;
   }
 }
 
@@ -257,7 +257,7 @@
 
 void ReplicaHealth::BecomeHealthy(Watch& watch, TimePoint now) {
   watch.failures = 0;
-  watch.silences = 0;
+  watch.consecutive_timeouts = 0;
   watch.at_work = false;
   if (watch.condition == ReplicaCondition::kTrial) {
     watch.start_delay = Duration::zero();
@@ -269,7 +269,7 @@
 
 void ReplicaHealth::OnGoodCall(Watch& watch, TimePoint now) {
   watch.failures = 0;
-  watch.silences = 0;
+  watch.consecutive_timeouts = 0;
   switch (watch.condition) {
     case ReplicaCondition::kTrial:
       BecomeHealthy(watch, now);
@@ -284,11 +284,11 @@
   }
 }
 
-void ReplicaHealth::OnSilence(Watch& watch, TimePoint now) {
-  ++watch.silences;
+void ReplicaHealth::OnTimeout(Watch& watch, TimePoint now) {
+  ++watch.consecutive_timeouts;
   const bool proven = watch.condition == ReplicaCondition::kHealthy ||
                       watch.condition == ReplicaCondition::kSuspect;
-  const bool enough = proven && watch.silences >= options_.silences_to_eject;
+  const bool enough = proven && watch.consecutive_timeouts >= options_.timeouts_to_eject;
   if (watch.condition == ReplicaCondition::kTrial || enough) {
     Eject(watch, now);
   } else if (proven) {
@@ -312,12 +312,12 @@
 }
 
 void ReplicaHealth::EjectSoftly(Watch& watch, TimePoint now) {
-  if (MayEjectSoftly(watch.backend)) {
+  if (IsSoftEjectionAllowed(watch.backend)) {
     Eject(watch, now);
   }
 }
 
-bool ReplicaHealth::MayEjectSoftly(const std::string& backend) const {
+bool ReplicaHealth::IsSoftEjectionAllowed(const std::string& backend) const {
   std::uint32_t all = 0;
   std::uint32_t ejected = 0;
   for (const auto& [id, watch] : watches_) {
--- a/src/replicas/replica_health.h
+++ b/src/replicas/replica_health.h
@@ -34,14 +34,14 @@
   /// show otherwise, and one call tries an ejected one again when its time is over.
   bool probed = true;
   std::uint32_t failures_to_eject = 4;         ///< Consecutive failed answers (soft).
-  std::uint32_t silences_to_eject = 2;         ///< Consecutive silent calls or probes (hard).
+  std::uint32_t timeouts_to_eject = 2;         ///< Consecutive silent calls or probes (hard).
   std::uint32_t maximum_ejected_percent = 50;  ///< Of a back end's replicas, by soft evidence.
   /// Nothing heard of it for this long while calls wait there: only a last resort. Zero: never.
   Duration stall_limit{};
   Duration base_ejection = seconds(1);  ///< Doubles with each ejection in a row.
   Duration maximum_ejection = seconds(30);
   Duration forgive_after = seconds(30);     ///< Healthy time after which one ejection is forgotten.
-  Duration ramp_time = seconds(6);          ///< From one call to full capacity.
+  Duration slow_start_time = seconds(6);    ///< From one call to full capacity.
   double slow_factor = 4;                   ///< Times the median of its peers that counts as slow.
   Duration slow_floor = milliseconds(500);  ///< Never slow below this.
   std::uint32_t slow_samples = 10;          ///< Answers needed before judging.
@@ -52,7 +52,7 @@
   kSuccess,
   kRefused,       ///< 429 or 503: full or stopping, but alive.
   kFailed,        ///< An answer that shows a fault (5xx, broken stream).
-  kSilent,        ///< Bytes went out and nothing came back in time.
+  kNoResponse,    ///< Bytes went out and nothing came back in time.
   kNotConnected,  ///< The connection was refused or could not be made.
   kWithdrawn,     ///< Ended by this gateway; says nothing of the replica.
 };
@@ -102,18 +102,18 @@
   struct Watch {
     std::string backend;
     ReplicaCondition condition = ReplicaCondition::kUnproven;
-    std::uint32_t failures = 0;   ///< In a row.
-    std::uint32_t silences = 0;   ///< In a row.
-    std::uint32_t ejections = 0;  ///< In a row; decays.
-    std::uint32_t successes = 0;  ///< Since the ramp began.
+    std::uint32_t failures = 0;              ///< In a row.
+    std::uint32_t consecutive_timeouts = 0;  ///< In a row.
+    std::uint32_t ejections = 0;             ///< In a row; decays.
+    std::uint32_t successes = 0;             ///< Since the ramp began.
     std::uint32_t in_flight = 0;
     /// When it was last heard, or got its first call after it had none.
     TimePoint quiet_since{};
     std::uint32_t warm_level = 0;  ///< Calls known to be safe when the ramp began.
     std::uint32_t latency_samples = 0;
-    Duration latency{};      ///< Moving average.
-    bool at_work = false;    ///< Seen at work since it became healthy.
-    TimePoint ramp_start{};  ///< When it was first seen at work.
+    Duration latency{};            ///< Moving average.
+    bool at_work = false;          ///< Seen at work since it became healthy.
+    TimePoint slow_start_began{};  ///< When it was first seen at work.
     TimePoint ejected_until{};
     TimePoint healthy_since{};
     TimePoint forgiven_at{};  ///< When it became healthy, or last had an ejection forgotten.
@@ -126,10 +126,10 @@
   void BecomeHealthy(Watch& watch, TimePoint now);
   void Eject(Watch& watch, TimePoint now);
   void EjectSoftly(Watch& watch, TimePoint now);
-  void OnSilence(Watch& watch, TimePoint now);
+  void OnTimeout(Watch& watch, TimePoint now);
   void OnGoodCall(Watch& watch, TimePoint now);
-  bool MayEjectSoftly(const std::string& backend) const;
-  void JudgeLatency(const std::vector<Watch*>& peers, TimePoint now);
+  bool IsSoftEjectionAllowed(const std::string& backend) const;
+  void EvaluateLatency(const std::vector<Watch*>& peers, TimePoint now);
 
   ReplicaHealthOptions options_;
   std::map<std::string, Watch, std::less<>> watches_;
--- a/src/replicas/replica_list_poller.cc
+++ b/src/replicas/replica_list_poller.cc
@@ -38,14 +38,14 @@
 }
 
 void ReplicaListPoller::OnReading(TimePoint sent_at, const ListReading& reading) {
-  const std::string result = Take(reading);
+  const std::string result = Apply(reading);
   environment_.metrics().Increment("gateway_replica_list_polls_total", {{"result", result}});
   polled_ = true;
   last_ended_sent_at_ = reading.read_at.value_or(sent_at);
   ScheduleNext(sent_at, reading.next_waits);
 }
 
-std::string ReplicaListPoller::Take(const ListReading& reading) {
+std::string ReplicaListPoller::Apply(const ListReading& reading) {
   switch (reading.end) {
     case ListReadEnd::kUnchanged:
       return "unchanged";
@@ -53,7 +53,7 @@
       return "refused";
     case ListReadEnd::kNotConnected:
       return "not_connected";
-    case ListReadEnd::kSilent:
+    case ListReadEnd::kNoResponse:
       return "silent";
     case ListReadEnd::kMalformed:
       Log(LogLevel::kWarning, "replica_list_unusable", {{"reason", reading.reason}});
--- a/src/replicas/replica_list_poller.h
+++ b/src/replicas/replica_list_poller.h
@@ -39,7 +39,7 @@
   void Poll();
   void OnReading(TimePoint sent_at, const ListReading& reading);
   /// @return "unchanged", "changed", or why the list could not be read.
-  std::string Take(const ListReading& reading);
+  std::string Apply(const ListReading& reading);
   void ScheduleNext(TimePoint sent_at, bool next_waits);
 
   Environment& environment_;
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -22,11 +22,11 @@
   kRefused,       ///< The platform answered, without a list.
   kMalformed,     ///< What came is no list.
   kNotConnected,  ///< No connection was made.
-  kSilent,        ///< No answer came in time.
+  kNoResponse,    ///< No answer came in time.
 };
 
 struct ListReading {
-  ListReadEnd end = ListReadEnd::kSilent;
+  ListReadEnd end = ListReadEnd::kNoResponse;
   proto::ReplicaList list;  ///< Set when read.
   std::string reason;       ///< For people, when malformed.
   /// When the platform was asked, if that was not when `Read` was called.
--- a/src/replicas/replica_load.cc
+++ b/src/replicas/replica_load.cc
@@ -40,7 +40,7 @@
 }
 
 void ReplicaLoad::OnStart(WorkKind kind) {
-  cold_allowance_ -= std::min(cold_allowance_, 1U);
+  slow_start_allowance_ -= std::min(slow_start_allowance_, 1U);
   if (kind == WorkKind::kBatch) {
     ++own_batch_;
     batch_allowance_ -= std::min(batch_allowance_, 1U);
@@ -66,9 +66,9 @@
 
 void ReplicaLoad::OnRefused(TimePoint now) { refusing_until_ = now + kRefusalPause; }
 
-void ReplicaLoad::SetColdAllowance(std::uint32_t calls, TimePoint now) {
-  cold_allowance_ = calls;
-  cold_allowance_until_ = now + kColdReportLifetime;
+void ReplicaLoad::SetSlowStartAllowance(std::uint32_t calls, TimePoint now) {
+  slow_start_allowance_ = calls;
+  slow_start_allowance_until_ = now + kSlowStartReportLifetime;
 }
 
 void ReplicaLoad::SetBatchAllowance(std::uint32_t items, TimePoint now) {
--- a/src/replicas/replica_load.h
+++ b/src/replicas/replica_load.h
@@ -29,7 +29,7 @@
 inline constexpr Duration kRefusalPause = milliseconds(200);
 
 /// How long a report of a replica in slow start is acted on.
-inline constexpr Duration kColdReportLifetime = milliseconds(150);
+inline constexpr Duration kSlowStartReportLifetime = milliseconds(150);
 /// How long a report is acted on for batch work.
 inline constexpr Duration kBatchReportLifetime = milliseconds(1200);
 
@@ -58,10 +58,10 @@
   std::uint32_t Capacity(std::uint32_t listed) const;
   /// Calls that may still be started before the next report at a replica in slow start. What was
   /// seen at the last report is not acted on for long, since others saw it too.
-  std::uint32_t cold_allowance(TimePoint now) const {
-    return now < cold_allowance_until_ ? cold_allowance_ : 0;
+  std::uint32_t slow_start_allowance(TimePoint now) const {
+    return now < slow_start_allowance_until_ ? slow_start_allowance_ : 0;
   }
-  void SetColdAllowance(std::uint32_t calls, TimePoint now);
+  void SetSlowStartAllowance(std::uint32_t calls, TimePoint now);
   /// Batch items that may still be started before the next report: the room that was free at the
   /// last one is seen by every gateway, so each takes only a part of it.
   std::uint32_t batch_allowance(TimePoint now) const {
@@ -75,8 +75,8 @@
   std::uint32_t own_batch_ = 0;
   std::uint32_t others_ = 0;
   std::uint32_t reported_capacity_ = 0;
-  std::uint32_t cold_allowance_ = 0;
-  TimePoint cold_allowance_until_{};
+  std::uint32_t slow_start_allowance_ = 0;
+  TimePoint slow_start_allowance_until_{};
   std::uint32_t batch_allowance_ = 0;
   TimePoint batch_allowance_until_{};
   bool reported_ = false;
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -63,8 +63,8 @@
 
 SharedListReader::~SharedListReader() {
   environment_.CancelTimer(timer_);
-  for (const Held& held : held_) {
-    environment_.CancelTimer(held.timer);
+  for (const PendingRequest& pending : pending_) {
+    environment_.CancelTimer(pending.timer);
   }
 }
 
@@ -72,7 +72,7 @@
   done_ = std::move(done);
   deadline_ = deadline;
   if (sources_().has_value()) {
-    AskSource();
+    RequestFromSource();
   } else {
     WaitForSources();
   }
@@ -80,7 +80,7 @@
 
 void SharedListReader::WaitForSources() {
   if (sources_().has_value()) {
-    AskSource();
+    RequestFromSource();
     return;
   }
   if (waited_for_sources_ >= kFirstWait) {
@@ -111,7 +111,7 @@
   return source.in_zone ? kHold : kRemoteHold;
 }
 
-void SharedListReader::AskSource() {
+void SharedListReader::RequestFromSource() {
   const std::optional<ListSource> source = NextSource();
   if (!source.has_value()) {
     ReadPlatform();
@@ -140,7 +140,7 @@
   if (answer.ok() && !answer->failing()) {
     const Duration oldest = awaits_ && !answer->has_list() ? kOldestAwaited : kOldest;
     if (milliseconds(answer->read_ms_ago()) <= oldest) {
-      TakeAnswer(sent, *answer);
+      HandleAnswer(sent, *answer);
     } else {
       ReadPlatform();
     }
@@ -150,18 +150,18 @@
   // Time was lost with a source that was silent or failed itself: no second one is waited for.
   const bool not_reached = !answer.ok() && answer.status().code() == StatusCode::kUnavailable;
   if (not_reached) {
-    AskSource();
+    RequestFromSource();
   } else {
     ReadPlatform();
   }
 }
 
-void SharedListReader::TakeAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer) {
+void SharedListReader::HandleAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer) {
   ListReading reading;
   reading.next_waits = true;
   // A lower bound also if this process was stopped before it took the answer in.
   reading.read_at =
-      sent + milliseconds(answer.held_ms()) - Duration(milliseconds(answer.read_ms_ago()));
+      sent + milliseconds(answer.waited_ms()) - Duration(milliseconds(answer.read_ms_ago()));
   if (answer.has_list()) {
     reading.end = ListReadEnd::kRead;
     reading.list = answer.list();
@@ -178,11 +178,11 @@
 
 void SharedListReader::ReadPlatform() {
   platform_->Read(deadline_, [this, sent = environment_.Now()](ListReading reading) {
-    TakePlatform(sent, std::move(reading));
+    HandlePlatformReading(sent, std::move(reading));
   });
 }
 
-void SharedListReader::TakePlatform(TimePoint sent, ListReading reading) {
+void SharedListReader::HandlePlatformReading(TimePoint sent, ListReading reading) {
   reading.read_at = sent;
   if (reading.end == ListReadEnd::kRead) {
     reading.list.set_version(++version_);
@@ -193,7 +193,7 @@
     Publish(sent);
   } else {
     failing_ = true;
-    AnswerHeld();
+    AnswerPending();
   }
   Finish(std::move(reading));
 }
@@ -214,13 +214,13 @@
 void SharedListReader::Publish(TimePoint read_at) {
   read_at_ = read_at;
   failing_ = false;
-  AnswerHeld();
+  AnswerPending();
 }
 
-void SharedListReader::AnswerHeld() {
-  for (const Held& held : std::exchange(held_, {})) {
-    environment_.CancelTimer(held.timer);
-    Answer(held);
+void SharedListReader::AnswerPending() {
+  for (const PendingRequest& pending : std::exchange(pending_, {})) {
+    environment_.CancelTimer(pending.timer);
+    Answer(pending);
   }
 }
 
@@ -234,33 +234,33 @@
     reply(Status(StatusCode::kUnavailable, "this gateway waits for the asking one's list"));
     return;
   }
-  Held held{request.known_id(), environment_.Now(), 0, std::move(reply)};
-  if (Recent() && held.known != id_) {
-    Answer(held);
+  PendingRequest pending{request.known_id(), environment_.Now(), 0, std::move(reply)};
+  if (Recent() && pending.known != id_) {
+    Answer(pending);
     return;
   }
-  const auto place = held_.insert(held_.end(), std::move(held));
+  const auto position = pending_.insert(pending_.end(), std::move(pending));
   const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kHold);
-  place->timer = environment_.ScheduleAfter(hold, [this, place] {
-    const Held late = std::move(*place);
-    held_.erase(place);
+  position->timer = environment_.ScheduleAfter(hold, [this, position] {
+    const PendingRequest late = std::move(*position);
+    pending_.erase(position);
     Answer(late);
   });
 }
 
-void SharedListReader::Answer(const Held& held) const {
+void SharedListReader::Answer(const PendingRequest& pending) const {
   if (id_ == 0) {
-    held.reply(Status(StatusCode::kUnavailable, "no list of replicas was read yet"));
+    pending.reply(Status(StatusCode::kUnavailable, "no list of replicas was read yet"));
     return;
   }
   proto::GetReplicaListResponse response;
-  response.set_held_ms(ToMilliseconds(environment_.Now() - held.arrival));
+  response.set_waited_ms(ToMilliseconds(environment_.Now() - pending.arrival));
   response.set_failing(failing_);
   response.set_read_ms_ago(ToMilliseconds(environment_.Now() - read_at_));
-  if (held.known != id_) {
+  if (pending.known != id_) {
     *response.mutable_list() = list_;
   }
-  held.reply(std::move(response));
+  pending.reply(std::move(response));
 }
 
 }  // namespace cloverbank
--- a/src/replicas/shared_list_reader.h
+++ b/src/replicas/shared_list_reader.h
@@ -45,31 +45,31 @@
  private:
   using Reply = std::function<void(Result<proto::GetReplicaListResponse>)>;
   /// A gateway's call that waits for the next reading.
-  struct Held {
+  struct PendingRequest {
     std::uint64_t known = 0;
     TimePoint arrival{};
     TimerId timer = 0;
     Reply reply;
   };
-  using HeldList = std::list<Held>;
+  using PendingList = std::list<PendingRequest>;
 
   void WaitForSources();
-  void AskSource();
+  void RequestFromSource();
   std::optional<ListSource> NextSource() const;
   /// @return how long the call may wait at the source for its next reading.
   Duration HoldAt(const ListSource& source) const;
   void OnAnswer(TimePoint sent, const Result<proto::GetReplicaListResponse>& answer);
-  void TakeAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer);
+  void HandleAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer);
   void ReadPlatform();
-  void TakePlatform(TimePoint sent, ListReading reading);
+  void HandlePlatformReading(TimePoint sent, ListReading reading);
   void Finish(ListReading reading);
 
   /// The list held is what the platform showed at `read_at` or later.
   void Publish(TimePoint read_at);
-  void AnswerHeld();
+  void AnswerPending();
   /// @param address IP number of the asking gateway.
   void Serve(const proto::GetReplicaListRequest& request, const std::string& address, Reply reply);
-  void Answer(const Held& held) const;
+  void Answer(const PendingRequest& pending) const;
   bool Recent() const;
 
   Environment& environment_;
@@ -94,7 +94,7 @@
   TimePoint read_at_{};
   bool failing_ = false;  ///< The last try brought no list.
   std::uint64_t version_ = 0;
-  HeldList held_;
+  PendingList pending_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -9,9 +9,9 @@
 namespace {
 
 constexpr std::uint32_t kPercent = 100;
-constexpr std::uint32_t kDefaultHeadroomPercent = 70;
+constexpr std::uint32_t kDefaultCapacityReservePercent = 70;
 /// Where loads are not reported, a gateway's part of the room is not all used at once.
-constexpr std::uint32_t kUnreportedHeadroomPercent = 90;
+constexpr std::uint32_t kUnreportedCapacityReservePercent = 90;
 constexpr std::uint32_t kElsewhereRank = 4;   // After own zone and region, busy or not.
 constexpr std::uint32_t kLastResortRank = 5;  // Added to the rank of a suspect.
 constexpr Duration kLastResortCost = seconds(10);
@@ -24,8 +24,8 @@
   return found != list.end() && found->name() == name ? &*found : nullptr;
 }
 
-std::uint32_t HeadroomPercent(const proto::RoutingConfiguration& configuration,
-                              std::uint32_t standard) {
+std::uint32_t CapacityReservePercent(const proto::RoutingConfiguration& configuration,
+                                     std::uint32_t standard) {
   const std::uint32_t percent = configuration.batch().live_headroom_percent();
   return percent == 0 ? standard : std::min(percent, kPercent);
 }
@@ -42,7 +42,7 @@
       return "no_open_zone";
     case RoutingFailure::kNoHealthyReplica:
       return "no_healthy_replica";
-    case RoutingFailure::kNoRoom:
+    case RoutingFailure::kNoCapacity:
       return "no_room";
   }
   return "none";
@@ -127,14 +127,14 @@
     Candidate candidate = Examine(*replica, query, now);
     candidate.last_resort = usability == Usability::kLastResort;
     candidate.rank = RankOf(candidate, *query.configuration);
-    if (candidate.has_room) {
+    if (candidate.has_capacity) {
       candidates.push_back(candidate);
     }
   }
   if (!candidates.empty()) {
     *failure = RoutingFailure::kNone;
   } else if (healthy) {
-    *failure = RoutingFailure::kNoRoom;
+    *failure = RoutingFailure::kNoCapacity;
   } else if (open) {
     *failure = RoutingFailure::kNoHealthyReplica;
   } else {
@@ -155,14 +155,15 @@
   const bool excluded = query.excluded != nullptr &&
                         std::find(query.excluded->begin(), query.excluded->end(), replica.id) !=
                             query.excluded->end();
-  const bool allowance_spent =
-      options_.load_reported && health_.Ramping(replica.id, now) && load.cold_allowance(now) == 0;
-  const bool paced = cold_ != nullptr && !cold_->MayStart(replica.id, now);
-  const bool held_back = allowance_spent || paced;
-  const bool barred = excluded || held_back || load.Refusing(now);
-  candidate.has_room = candidate.load < candidate.limit && !barred;
+  const bool allowance_spent = options_.load_reported && health_.Ramping(replica.id, now) &&
+                               load.slow_start_allowance(now) == 0;
+  const bool paced = warming_up_ != nullptr && !warming_up_->CanStart(replica.id, now);
+  const bool throttled = allowance_spent || paced;
+  const bool barred = excluded || throttled || load.Refusing(now);
+  candidate.has_capacity = candidate.load < candidate.limit && !barred;
   if (query.work == WorkKind::kBatch) {
-    candidate.has_room = candidate.has_room && BatchRoom(replica, *query.configuration, now) > 0;
+    candidate.has_capacity =
+        candidate.has_capacity && BatchCapacity(replica, *query.configuration, now) > 0;
   }
   return candidate;
 }
@@ -206,10 +207,10 @@
   Duration cost = prefill_->Backlog(replica.id, now) + prefill_->TimeFor(replica.id, tokens);
   cost += candidate.load * options_.running_call_cost;
   cost += std::chrono::duration_cast<Duration>(prefill_->Lately(replica.id, now) *
-                                               options_.lately_weight);
+                                               options_.recent_load_weight);
   cost += replica.zone == options_.zone ? Duration::zero() : options_.other_zone_cost;
   cost += candidate.last_resort ? kLastResortCost : Duration::zero();
-  const bool for_long_ones = directory_.TakesLongPrompts(replica);
+  const bool for_long_ones = directory_.AcceptsLongPrompts(replica);
   if (prefill_->IsLong(query.prompt.prompt_tokens)) {
     cost += for_long_ones ? Duration::zero() : options_.long_elsewhere_cost;
   } else if (for_long_ones && prefill_->ExpectsLongPrompts(replica.id, now)) {
@@ -268,52 +269,53 @@
       const proto::Zone* zone = FindZone(configuration, replica->zone);
       const bool open = zone != nullptr && zone->state() == proto::ZONE_STATE_OPEN;
       const bool healthy = health_.UsabilityOf(replica->id, now) == Usability::kYes;
-      slots += open && healthy ? BatchRoom(*replica, configuration, now) : 0;
+      slots += open && healthy ? BatchCapacity(*replica, configuration, now) : 0;
     }
   }
   return slots;
 }
 
-std::uint32_t Router::BatchRoom(const ReplicaRecord& replica,
-                                const proto::RoutingConfiguration& configuration,
-                                TimePoint now) const {
+std::uint32_t Router::BatchCapacity(const ReplicaRecord& replica,
+                                    const proto::RoutingConfiguration& configuration,
+                                    TimePoint now) const {
   const auto found = loads_.find(replica.id);
   if (!options_.load_reported) {
     const bool refusing = found != loads_.end() && found->second.Refusing(now);
-    const bool paced = cold_ != nullptr && !cold_->MayStart(replica.id, now);
+    const bool paced = warming_up_ != nullptr && !warming_up_->CanStart(replica.id, now);
     const bool reading =
         prefill_ != nullptr && prefill_->Backlog(replica.id, now) > options_.batch_backlog;
     const bool closed = refusing || paced || reading;
-    return closed ? 0 : UnreportedHeadroom(replica, configuration, now).free;
+    return closed ? 0 : UnreportedCapacityReserve(replica, configuration, now).free;
   }
   if (found == loads_.end() || found->second.Refusing(now)) {
     return 0;
   }
-  std::uint32_t room =
-      std::min(HeadroomOf(replica, configuration, now).free, found->second.batch_allowance(now));
+  std::uint32_t room = std::min(CapacityReserveFor(replica, configuration, now).free,
+                                found->second.batch_allowance(now));
   if (health_.Ramping(replica.id, now)) {
-    room = std::min(room, found->second.cold_allowance(now));
+    room = std::min(room, found->second.slow_start_allowance(now));
   }
   return room;
 }
 
-Router::BatchHeadroom Router::UnreportedHeadroom(const ReplicaRecord& replica,
-                                                 const proto::RoutingConfiguration& configuration,
-                                                 TimePoint now) const {
+Router::BatchCapacityReserve Router::UnreportedCapacityReserve(
+    const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
+    TimePoint now) const {
   const auto found = loads_.find(replica.id);
   const std::uint32_t own = found == loads_.end() ? 0 : found->second.own();
   const std::uint32_t all =
-      replica.capacity * HeadroomPercent(configuration, kUnreportedHeadroomPercent) / kPercent;
-  BatchHeadroom headroom;
+      replica.capacity * CapacityReservePercent(configuration, kUnreportedCapacityReservePercent) /
+      kPercent;
+  BatchCapacityReserve headroom;
   headroom.bound = std::min(share_.SlotsOf(replica.id, replica.zone, all),
                             health_.LimitOf(replica.id, replica.capacity, now));
   headroom.free = headroom.bound - std::min(headroom.bound, own);
   return headroom;
 }
 
-Router::BatchHeadroom Router::HeadroomOf(const ReplicaRecord& replica,
-                                         const proto::RoutingConfiguration& configuration,
-                                         TimePoint now) const {
+Router::BatchCapacityReserve Router::CapacityReserveFor(
+    const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
+    TimePoint now) const {
   const auto found = loads_.find(replica.id);
   if (found == loads_.end() || !found->second.reported()) {
     return {};  // Its load is not known.
@@ -321,9 +323,10 @@
   const ReplicaLoad& load = found->second;
   const std::uint32_t capacity = load.Capacity(replica.capacity);
   // At least one, or batches would never run on replicas that take one call at a time.
-  const std::uint32_t share =
-      std::max(1U, capacity * HeadroomPercent(configuration, kDefaultHeadroomPercent) / kPercent);
-  BatchHeadroom headroom;
+  const std::uint32_t share = std::max(
+      1U,
+      capacity * CapacityReservePercent(configuration, kDefaultCapacityReservePercent) / kPercent);
+  BatchCapacityReserve headroom;
   headroom.bound = std::min(share, health_.LimitOf(replica.id, capacity, now));
   headroom.free = headroom.bound - std::min(headroom.bound, load.total());
   return headroom;
@@ -337,7 +340,7 @@
   const bool same_region = own != nullptr && other != nullptr && own->region() == other->region();
   std::uint32_t rank = kElsewhereRank;
   if (zone == options_.zone || same_region) {
-    const bool busy = candidate.load >= options_.busy_share * candidate.limit;
+    const bool busy = candidate.load >= options_.busy_ratio * candidate.limit;
     rank = (zone == options_.zone ? 0 : 1) + (busy ? 2 : 0);
   }
   return rank + (candidate.last_resort ? kLastResortRank : 0);
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -16,12 +16,12 @@
 
 #include "base/time.h"
 #include "proto/configuration.pb.h"
-#include "replicas/cold_pacing.h"
-#include "replicas/gateway_share.h"
+#include "replicas/gateway_quota.h"
 #include "replicas/prefill_load.h"
 #include "replicas/replica_directory.h"
 #include "replicas/replica_health.h"
 #include "replicas/replica_load.h"
+#include "replicas/slow_start.h"
 
 namespace cloverbank {
 
@@ -32,16 +32,16 @@
   std::string zone;                  ///< The gateway's own.
   double affinity_bound = 1.25;      ///< Most load of the affine replica, in times of the average.
   std::uint32_t affinity_slack = 1;  ///< Calls above the bound that are always allowed.
-  double busy_share = 0.8;  ///< Of its limit, from which on calls rather go to another zone.
+  double busy_ratio = 0.8;  ///< Of its limit, from which on calls rather go to another zone.
   /// Whether replicas report their load. If not, room for batch work is an equal part for each
-  /// gateway, and slow start is left to `ColdPacing`.
+  /// gateway, and slow start is left to `SlowStart`.
   bool load_reported = true;
   /// What a call to another zone costs, in time that its prompt might take at home instead.
   Duration other_zone_cost = milliseconds(30);
   /// The same for each of this gateway's calls at a replica.
   Duration running_call_cost = std::chrono::microseconds(400);
   /// Part of what a replica was given to read lately that counts as a cost of its own.
-  double lately_weight = 0.2;
+  double recent_load_weight = 0.2;
   /// Where long prompts are expected they go to some replicas of a zone, which the others avoid.
   /// Each side's cost of leaving its place.
   Duration long_elsewhere_cost = milliseconds(80);
@@ -67,7 +67,7 @@
   kNoReadyReplica,    ///< The platform lists none that is ready for this back end.
   kNoOpenZone,        ///< Some are ready, but in no zone that is open and allowed.
   kNoHealthyReplica,  ///< All that remain are ejected, or not proven yet.
-  kNoRoom,            ///< All that remain are full.
+  kNoCapacity,        ///< All that remain are full.
 };
 
 /// @return the stable snake_case name, for metrics and error codes.
@@ -94,18 +94,18 @@
  public:
   /// @param cold, @param prefill may be nullptr. All referred to must outlive the router.
   Router(RouterOptions options, const ReplicaDirectory& directory, const ReplicaHealth& health,
-         const LoadTable& loads, const ColdPacing* cold = nullptr,
+         const LoadTable& loads, const SlowStart* warming_up = nullptr,
          const PrefillLoad* prefill = nullptr)
       : options_(std::move(options)),
         directory_(directory),
         health_(health),
         loads_(loads),
-        cold_(cold),
+        warming_up_(warming_up),
         prefill_(prefill),
         share_{options_.zone} {}
 
   /// Which part of the room for batch work is this gateway's; only if loads are not reported.
-  void SetShare(GatewayShare share) { share_ = std::move(share); }
+  void SetQuota(GatewayQuota share) { share_ = std::move(share); }
 
   RoutingChoice Choose(const RoutingQuery& query, TimePoint now) const;
 
@@ -117,19 +117,20 @@
                                const std::string& backend, TimePoint now) const;
 
   /// Room of one replica for batch work, as of its last report.
-  struct BatchHeadroom {
+  struct BatchCapacityReserve {
     std::uint32_t bound = 0;  ///< Most calls there, for batch work to be started.
     std::uint32_t free = 0;   ///< What the bound leaves.
   };
-  BatchHeadroom HeadroomOf(const ReplicaRecord& replica,
-                           const proto::RoutingConfiguration& configuration, TimePoint now) const;
+  BatchCapacityReserve CapacityReserveFor(const ReplicaRecord& replica,
+                                          const proto::RoutingConfiguration& configuration,
+                                          TimePoint now) const;
 
  private:
   struct Candidate {
     const ReplicaRecord* replica = nullptr;
     std::uint32_t load = 0;   ///< Estimated calls there, of everyone.
     std::uint32_t limit = 0;  ///< Most calls there now.
-    bool has_room = false;
+    bool has_capacity = false;
     bool last_resort = false;
     std::uint32_t rank = 0;  ///< Lower is preferred; see `RankOf`.
   };
@@ -137,16 +138,17 @@
   std::vector<Candidate> Candidates(const RoutingQuery& query, TimePoint now,
                                     RoutingFailure* failure) const;
   Candidate Examine(const ReplicaRecord& replica, const RoutingQuery& query, TimePoint now) const;
-  std::uint32_t BatchRoom(const ReplicaRecord& replica,
-                          const proto::RoutingConfiguration& configuration, TimePoint now) const;
+  std::uint32_t BatchCapacity(const ReplicaRecord& replica,
+                              const proto::RoutingConfiguration& configuration,
+                              TimePoint now) const;
   /// Own zone, then own region, while they are not busy; then the same though they are; then
   /// everywhere else. Suspects come after all others.
   std::uint32_t RankOf(const Candidate& candidate,
                        const proto::RoutingConfiguration& configuration) const;
   /// Room that is known without reports: this gateway's part of the bound, less its own calls.
-  BatchHeadroom UnreportedHeadroom(const ReplicaRecord& replica,
-                                   const proto::RoutingConfiguration& configuration,
-                                   TimePoint now) const;
+  BatchCapacityReserve UnreportedCapacityReserve(const ReplicaRecord& replica,
+                                                 const proto::RoutingConfiguration& configuration,
+                                                 TimePoint now) const;
   /// @return of each zone the replica where calls of the query's key go.
   std::vector<const ReplicaRecord*> Homes(const RoutingQuery& query) const;
   /// @param home whether the query's key belongs to the candidate.
@@ -162,9 +164,9 @@
   const ReplicaDirectory& directory_;
   const ReplicaHealth& health_;
   const LoadTable& loads_;
-  const ColdPacing* cold_;
+  const SlowStart* warming_up_;
   const PrefillLoad* prefill_;
-  GatewayShare share_;
+  GatewayQuota share_;
 };
 
 }  // namespace cloverbank
--- a/src/runtime/node_methods.h
+++ b/src/runtime/node_methods.h
@@ -9,7 +9,7 @@
 namespace cloverbank {
 
 /// @return the method by which the leader tells the agent of that role where the coordinators are.
-inline std::string TakeCoordinatorsMethod(proto::Role role) {
+inline std::string UpdateCoordinatorsMethod(proto::Role role) {
   return "node.TakeCoordinators." + std::to_string(static_cast<int>(role));
 }
 
--- a/src/scheduler/fair_queue.cc
+++ b/src/scheduler/fair_queue.cc
@@ -146,7 +146,7 @@
     tenant.virtual_time = batch.pass;
     Deactivate(id, batch);
     const std::size_t taken =
-        TakeRun(id, batch, std::min(limit - picked.size(), kLongestRun), &picked);
+        PopRun(id, batch, std::min(limit - picked.size(), kLongestRun), &picked);
     waiting_count_ -= taken;
     batch.pass += taken * kPassScale;
     const Pass charge = taken * kPassScale / Weight(tenant_name);
@@ -162,8 +162,8 @@
   return picked;
 }
 
-std::size_t FairQueue::TakeRun(QueuedBatchId id, Batch& batch, std::size_t limit,
-                               std::vector<PickedItem>* picked) {
+std::size_t FairQueue::PopRun(QueuedBatchId id, Batch& batch, std::size_t limit,
+                              std::vector<PickedItem>* picked) {
   std::size_t taken = 0;
   while (taken < limit && !batch.returned.empty()) {
     picked->push_back({id, batch.returned.front()});
--- a/src/scheduler/fair_queue.h
+++ b/src/scheduler/fair_queue.h
@@ -93,8 +93,8 @@
 
   void Activate(QueuedBatchId id, Batch& batch);
   void Deactivate(QueuedBatchId id, const Batch& batch);
-  std::size_t TakeRun(QueuedBatchId id, Batch& batch, std::size_t limit,
-                      std::vector<PickedItem>* picked);
+  std::size_t PopRun(QueuedBatchId id, Batch& batch, std::size_t limit,
+                     std::vector<PickedItem>* picked);
   Pass Weight(const std::string& tenant) const;
 
   std::map<QueuedBatchId, Batch> batches_;
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -14,7 +14,7 @@
 constexpr NumberBounds kLeaseBounds{500, 10000};
 constexpr NumberBounds kPartitionBounds{1, 4096};
 constexpr NumberBounds kSegmentBounds{64 << 10, 64 << 20};
-constexpr NumberBounds kCopiesBounds{1, 7};
+constexpr NumberBounds kReplicaCountBounds{1, 7};
 constexpr NumberBounds kLossesBounds{0, 20};
 constexpr NumberBounds kReplaceBounds{0, 3'600'000};
 constexpr NumberBounds kArrivalBounds{50, 10000};
@@ -178,7 +178,7 @@
   }
   ReadDuration(reader, "control.arrival_quiet_ms", kArrivalBounds, &settings->arrival_quiet);
   ReadDuration(reader, "control.replace_silent_after_ms", kReplaceBounds,
-               &settings->replace_silent_after);
+               &settings->replace_unresponsive_after);
   if (const auto losses = reader.Number("control.losses_borne", kLossesBounds)) {
     settings->losses_borne = static_cast<std::uint32_t>(*losses);
   }
@@ -194,15 +194,15 @@
   if (const auto bytes = reader.Number("log.segment_bytes", kSegmentBounds)) {
     settings->segment_bytes = static_cast<std::uint64_t>(*bytes);
   }
-  if (const auto copies = reader.Number("log.copies", kCopiesBounds)) {
-    settings->copies = static_cast<std::uint32_t>(*copies);
+  if (const auto replicas = reader.Number("log.copies", kReplicaCountBounds)) {
+    settings->replicas = static_cast<std::uint32_t>(*replicas);
   }
-  if (const auto copies = reader.Number("log.minimum_copies", kCopiesBounds)) {
-    settings->minimum_copies = static_cast<std::uint32_t>(*copies);
+  if (const auto replicas = reader.Number("log.minimum_copies", kReplicaCountBounds)) {
+    settings->minimum_replicas = static_cast<std::uint32_t>(*replicas);
   }
-  if (settings->minimum_copies > settings->copies) {
-    reader.Reject("log.minimum_copies", std::to_string(settings->minimum_copies),
-                  "at most log.copies (" + std::to_string(settings->copies) + ")");
+  if (settings->minimum_replicas > settings->replicas) {
+    reader.Reject("log.minimum_copies", std::to_string(settings->minimum_replicas),
+                  "at most log.copies (" + std::to_string(settings->replicas) + ")");
   }
 }
 
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -58,15 +58,15 @@
   Duration death_after = seconds(3);   ///< Silence after which a queue or backup node is dead.
   std::uint32_t partition_count = 12;  ///< Used only when the group is first formed.
   Duration arrival_quiet = milliseconds(700);  ///< control.arrival_quiet_ms
-  Duration replace_silent_after{};             ///< control.replace_silent_after_ms
+  Duration replace_unresponsive_after{};       ///< control.replace_silent_after_ms
   /// control.losses_borne: coordinators that may be lost at once, with their disks.
   std::uint32_t losses_borne = 0;
   bool form_group = true;            ///< Whether empty seeds may form a new group.
   Duration serve_without_control{};  ///< How long live calls are served after the lease.
   // [log]
   std::uint64_t segment_bytes = 4ULL << 20U;
-  std::uint32_t copies = 3;
-  std::uint32_t minimum_copies = 2;
+  std::uint32_t replicas = 3;
+  std::uint32_t minimum_replicas = 2;
   // [logging]
   LoggingOptions logging;
 };
--- a/src/simulation/simulated_machine.cc
+++ b/src/simulation/simulated_machine.cc
@@ -31,14 +31,14 @@
   }
   disk_.Open();
   process_ = std::make_shared<SimulatedProcess>();
-  Life life;
-  life.environment =
+  ProcessRun run;
+  run.environment =
       std::make_unique<SimulatedEnvironment>(queue_, network_, process_, endpoint_, random_.Next());
-  life.folder = std::make_unique<SimulatedFolder>(
-      queue_, disk_, disks_, process_, SimulatedFolder::Timing::kDelayed, random_.Next());
-  Environment& environment = *life.environment;
-  DataFolder& folder = *life.folder;
-  lives_.push_back(std::move(life));
+  run.folder = std::make_unique<SimulatedFolder>(queue_, disk_, disks_, process_,
+                                                 SimulatedFolder::Timing::kDelayed, random_.Next());
+  Environment& environment = *run.environment;
+  DataFolder& folder = *run.folder;
+  runs_.push_back(std::move(run));
   const std::shared_ptr<SimulatedProcess> process = process_;
   process->Deliver([this, &process, &environment, &folder] {
     process->SetProgram(program_(environment, folder));
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -47,7 +47,7 @@
 
  private:
   /// What a life used. Kept to the world's end, since its program's remains may still refer to it.
-  struct Life {
+  struct ProcessRun {
     std::unique_ptr<SimulatedEnvironment> environment;
     std::unique_ptr<SimulatedFolder> folder;
   };
@@ -62,7 +62,7 @@
   SimulatedDisk disk_;
   SimulatedFolder outside_folder_;
   Program program_;
-  std::vector<Life> lives_;
+  std::vector<ProcessRun> runs_;
   std::shared_ptr<SimulatedProcess> process_;
 };
 
--- a/src/simulation/simulated_network.cc
+++ b/src/simulation/simulated_network.cc
@@ -58,13 +58,13 @@
 
 void SimulatedNetwork::Transmit(const Message& message, double loss, std::function<void()> arrive) {
   const bool within_host = message.from == message.to;
-  if (!within_host && (random_.Chance(loss) || IsCut(message.from, message.to))) {
+  if (!within_host && (random_.Chance(loss) || IsPartitioned(message.from, message.to))) {
     return;
   }
   const Duration delay = random_.Between(behaviour_.minimum_delay, behaviour_.maximum_delay);
   queue_.Schedule(PassLink(message) + delay,
                   [this, from = message.from, to = message.to, arrive = std::move(arrive)] {
-                    if (!IsCut(from, to)) {
+                    if (!IsPartitioned(from, to)) {
                       arrive();
                     }
                   });
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -57,7 +57,7 @@
   using CallPointer = std::shared_ptr<PendingCall>;
   using Body = std::shared_ptr<const std::string>;
 
-  bool IsCut(const std::string& from, const std::string& to) const {
+  bool IsPartitioned(const std::string& from, const std::string& to) const {
     return cuts_.contains({from, to});
   }
   /// A message of `bytes` between two hosts.
--- a/src/storage/file_name.cc
+++ b/src/storage/file_name.cc
@@ -4,9 +4,10 @@
 
 namespace {
 
-bool IsPartAllowed(std::string_view part) {
-  return !part.empty() && part.front() != '.' && !part.ends_with(kTemporarySuffix) &&
-         part.find('/') == std::string_view::npos && part.find('\0') == std::string_view::npos;
+bool IsNameComponentAllowed(std::string_view component) {
+  return !component.empty() && component.front() != '.' && !component.ends_with(kTemporarySuffix) &&
+         component.find('/') == std::string_view::npos &&
+         component.find('\0') == std::string_view::npos;
 }
 
 }  // namespace
@@ -14,7 +15,7 @@
 Status CheckFileName(std::string_view name) {
   const auto [folder, bare_name] = SplitFileName(name);
   const bool has_folder = name.find('/') != std::string_view::npos;
-  if (IsPartAllowed(bare_name) && (!has_folder || IsPartAllowed(folder))) {
+  if (IsNameComponentAllowed(bare_name) && (!has_folder || IsNameComponentAllowed(folder))) {
     return Status::Ok();
   }
   return {StatusCode::kInvalidArgument, "not a file name of a data folder: " + std::string(name)};
--- a/tests/backup/backup_service_test.cc
+++ b/tests/backup/backup_service_test.cc
@@ -13,8 +13,8 @@
 
 /// A backup with an open segment that holds `content`: its start and an entry of partitions 0
 /// and 1.
-struct HeldSegment : BackupWorld {
-  HeldSegment() {
+struct StoredSegmentFixture : BackupWorld {
+  StoredSegmentFixture() {
     content = SegmentStart(node, kSegment, {2, kSegment}) + Framed(kSegment, NumberedEntry(0, 1)) +
               Framed(kSegment, NumberedEntry(1, 2));
     EXPECT_EQ(Open(kSegment), StatusCode::kOk);
@@ -24,7 +24,7 @@
 };
 
 TEST(BackupServiceTest, RecoveryFindsWhatWasWritten) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   const auto offers = backup.Offers();
   ASSERT_EQ(offers.size(), 1U);
   const proto::StoredSegment& stored = offers.at(kSegment);
@@ -41,7 +41,7 @@
 }
 
 TEST(BackupServiceTest, AcknowledgedBytesAndEpochOutlastAPowerLoss) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.SetEpoch(kSegment, 4), StatusCode::kOk);
   backup.RestartAfterPowerLoss();
   const auto read = backup.Read(kSegment);
@@ -64,7 +64,7 @@
 }
 
 TEST(BackupServiceTest, FenceRefusesAFrozenOwnersLateCallsForGood) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   const auto offers = backup.Offers();
   const std::string late = Framed(kSegment, NumberedEntry(0, 3));
   for (const bool after_restart : {false, true}) {
@@ -88,7 +88,7 @@
 }
 
 TEST(BackupServiceTest, ReleaseRemovesTheSegmentsAndKeepsTheFence) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_EQ(backup.Release(), StatusCode::kOk);
   EXPECT_EQ(backup.Release(), StatusCode::kOk);
@@ -120,7 +120,7 @@
 }
 
 TEST(BackupServiceTest, TornTailIsCutAtTheFirstBadEntry) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   const std::string tail = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.Kill();
   backup.machine.disk().WriteAt(kFile, kDataOffset + backup.content.size(),
@@ -133,7 +133,7 @@
 }
 
 TEST(BackupServiceTest, DamagedClosedReplicaIsNeverOffered) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -145,7 +145,7 @@
 }
 
 TEST(BackupServiceTest, DamageBelowTheLengthOfTheLastHeaderIsNoTornTail) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.SetEpoch(kSegment, 2), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -154,7 +154,7 @@
 }
 
 TEST(BackupServiceTest, RecoveryDataNeedsStartReadingData) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kConflict);
   ASSERT_EQ(backup.Offers().size(), 1U);
   backup.RestartAfterPowerLoss();
@@ -162,7 +162,7 @@
 }
 
 TEST(BackupServiceTest, DamageAfterTheOfferIsFoundWhenRead) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kCorrupt);
@@ -170,7 +170,7 @@
 }
 
 TEST(BackupServiceTest, ScrubbingFindsRot) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + 20).ok());
   backup.world.RunFor(backup.options.scrub_interval * 2);
@@ -179,19 +179,19 @@
             std::string::npos);
   // The owner copies it anew.
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
-  EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, Copy::kLast), StatusCode::kOk);
+  EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, ReplaceStep::kLast), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
 }
 
 TEST(BackupServiceTest, OneDamagedHeaderSlotOrFenceFileLosesNothing) {
   for (const std::uint64_t slot_offset : {0U, 4096U}) {
-    HeldSegment backup;
+    StoredSegmentFixture backup;
     ASSERT_TRUE(backup.machine.FlipBit(kFile, slot_offset + 33).ok());
     backup.Restart();
     EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
   }
   for (const char* file : {"fenced", "fenced_copy"}) {
-    HeldSegment backup;
+    StoredSegmentFixture backup;
     ASSERT_EQ(backup.Offers().size(), 1U);
     ASSERT_TRUE(backup.machine.FlipBit(file, 5).ok());
     backup.Restart();
@@ -200,7 +200,7 @@
 }
 
 TEST(BackupServiceTest, ADiskWithoutReadableFencesIsNotServed) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit("fenced", 5).ok());
   ASSERT_TRUE(backup.machine.FlipBit("fenced_copy", 5).ok());
@@ -214,17 +214,18 @@
     BackupWorld backup;
     const std::string content = SegmentStart(backup.node, kSegment, {kSegment});
     ASSERT_EQ(backup.Open(kSegment, 2), StatusCode::kOk);
-    ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, Copy::kPart), StatusCode::kOk);
-    ASSERT_EQ(
-        backup.Write(kSegment, 10, content.substr(10), 2, complete ? Copy::kLast : Copy::kPart),
-        StatusCode::kOk);
+    ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, ReplaceStep::kPartial),
+              StatusCode::kOk);
+    ASSERT_EQ(backup.Write(kSegment, 10, content.substr(10), 2,
+                           complete ? ReplaceStep::kLast : ReplaceStep::kPartial),
+              StatusCode::kOk);
     backup.RestartAfterPowerLoss();
     EXPECT_EQ(backup.Offers().contains(kSegment), complete);
   }
 }
 
 TEST(BackupServiceTest, FullDiskRefusesOpensClearlyAndStillFences) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   constexpr std::uint64_t kNearlyAllTaken = 128U << 10U;  // The open segment takes 72 KiB.
   backup.machine.SetDiskLimit(kNearlyAllTaken);
   EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kResourceExhausted);
@@ -236,7 +237,7 @@
 }
 
 TEST(BackupServiceTest, AFailedSyncIsNeverAcknowledged) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   const std::string more = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.FailSyncs(true);
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kIoError);
@@ -256,7 +257,7 @@
 }
 
 TEST(BackupServiceTest, OverlappingStartReadingDataShareTheWork) {
-  HeldSegment backup;
+  StoredSegmentFixture backup;
   const auto first = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
                                                                   backup.StartReadingRequest());
   const auto second = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
--- a/tests/backup/backup_world.h
+++ b/tests/backup/backup_world.h
@@ -70,8 +70,8 @@
         .code();
   }
   StatusCode Write(std::uint64_t segment, std::uint64_t offset, const std::string& data,
-                   std::uint64_t epoch = 1, Copy copy = Copy::kNo) {
-    const auto request = WriteRequest(node, segment, offset, data, epoch, copy);
+                   std::uint64_t epoch = 1, ReplaceStep step = ReplaceStep::kNo) {
+    const auto request = WriteRequest(node, segment, offset, data, epoch, step);
     return Call<proto::WriteSegmentResponse>("backup.WriteSegment", request).status().code();
   }
   StatusCode SetEpoch(std::uint64_t segment, std::uint64_t epoch) {
--- a/tests/backup/segment_messages.h
+++ b/tests/backup/segment_messages.h
@@ -53,16 +53,17 @@
   return request;
 }
 /// Whether a write is part of a replacement copy.
-enum class Copy : std::uint8_t { kNo, kPart, kLast };
+enum class ReplaceStep : std::uint8_t { kNo, kPartial, kLast };
 inline proto::WriteSegmentRequest WriteRequest(std::uint64_t node, std::uint64_t segment,
                                                std::uint64_t offset, const std::string& data,
-                                               std::uint64_t epoch, Copy copy = Copy::kNo) {
+                                               std::uint64_t epoch,
+                                               ReplaceStep step = ReplaceStep::kNo) {
   auto request = About<proto::WriteSegmentRequest>(node, segment);
   request.set_epoch(epoch);
   request.set_offset(offset);
   request.set_data(data);
-  request.set_atomic_replace(copy != Copy::kNo);
-  request.set_replace_complete(copy == Copy::kLast);
+  request.set_atomic_replace(step != ReplaceStep::kNo);
+  request.set_replace_complete(step == ReplaceStep::kLast);
   return request;
 }
 inline proto::SetSegmentEpochRequest EpochRequest(std::uint64_t node, std::uint64_t segment,
--- a/tests/backup/segment_store_test.cc
+++ b/tests/backup/segment_store_test.cc
@@ -26,8 +26,8 @@
     return Do(store.Open(OpenRequest(kNode, kSegment, epoch, capacity), free_bytes, now));
   }
   Status Write(std::uint64_t offset, const std::string& data, std::uint64_t epoch = 1,
-               Copy copy = Copy::kNo) {
-    return Do(store.Write(WriteRequest(kNode, kSegment, offset, data, epoch, copy)));
+               ReplaceStep step = ReplaceStep::kNo) {
+    return Do(store.Write(WriteRequest(kNode, kSegment, offset, data, epoch, step)));
   }
   Status SetEpoch(std::uint64_t epoch) {
     return Do(store.SetEpoch(EpochRequest(kNode, kSegment, epoch)));
@@ -120,13 +120,14 @@
   Core core;
   ASSERT_TRUE(core.Open(2).ok());
   EXPECT_FALSE(core.replica().offered());
-  ASSERT_TRUE(core.Write(0, core.one.substr(0, 7), 2, Copy::kPart).ok());
+  ASSERT_TRUE(core.Write(0, core.one.substr(0, 7), 2, ReplaceStep::kPartial).ok());
   EXPECT_EQ(core.last.header_before->state, ReplicaState::kReplacing);
   EXPECT_FALSE(core.replica().offered());
   EXPECT_EQ(core.Write(7, core.one.substr(7), 2).code(), StatusCode::kConflict);
   EXPECT_EQ(core.Close(7).code(), StatusCode::kConflict);
-  EXPECT_EQ(core.Write(7, core.one.substr(7, 5), 2, Copy::kLast).code(), StatusCode::kCorrupt);
-  ASSERT_TRUE(core.Write(7, core.one.substr(7), 3, Copy::kLast).ok());
+  EXPECT_EQ(core.Write(7, core.one.substr(7, 5), 2, ReplaceStep::kLast).code(),
+            StatusCode::kCorrupt);
+  ASSERT_TRUE(core.Write(7, core.one.substr(7), 3, ReplaceStep::kLast).ok());
   EXPECT_TRUE(core.replica().offered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(3));
   EXPECT_TRUE(core.Write(core.one.size(), core.two, 3).ok());
@@ -139,10 +140,10 @@
   ASSERT_TRUE(core.Open(2).ok());
   EXPECT_EQ(core.Write(core.one.size(), core.two, 1).code(), StatusCode::kStaleEpoch);
   EXPECT_EQ(core.Write(core.one.size(), core.two, 2).code(), StatusCode::kConflict);
-  ASSERT_TRUE(core.Write(0, core.one + core.two.substr(0, 5), 2, Copy::kPart).ok());
+  ASSERT_TRUE(core.Write(0, core.one + core.two.substr(0, 5), 2, ReplaceStep::kPartial).ok());
   EXPECT_TRUE(core.replica().offered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(1));
-  ASSERT_TRUE(core.Write(core.one.size() + 5, core.two.substr(5), 2, Copy::kLast).ok());
+  ASSERT_TRUE(core.Write(core.one.size() + 5, core.two.substr(5), 2, ReplaceStep::kLast).ok());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(2));
   EXPECT_EQ(core.replica().staging, core.one + core.two);
 }
@@ -205,12 +206,12 @@
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
   ASSERT_TRUE(core.Close(core.one.size()).ok());
-  core.store.MarkCorrupt(kKey);
+  core.store.SetCorrupt(kKey);
   EXPECT_FALSE(core.replica().offered());
   ASSERT_TRUE(core.Open(1).ok());
   EXPECT_TRUE(core.last.remove && core.last.create);
   EXPECT_EQ(core.replica().length, 0U);
-  EXPECT_TRUE(core.Write(0, core.one, 1, Copy::kLast).ok());
+  EXPECT_TRUE(core.Write(0, core.one, 1, ReplaceStep::kLast).ok());
   EXPECT_TRUE(core.replica().offered());
 }
 
--- a/tests/consensus/raft_cluster.cc
+++ b/tests/consensus/raft_cluster.cc
@@ -41,8 +41,8 @@
   return Status::Ok();
 }
 
-MemberLife::MemberLife(Environment& real, DataFolder& folder, int clock_rate, RunRecord& record,
-                       RaftNodeOptions options)
+MemberProcess::MemberProcess(Environment& real, DataFolder& folder, int clock_rate,
+                             RunRecord& record, RaftNodeOptions options)
     : environment(real, clock_rate),
       machine(record),
       node(environment, folder, machine, [&options, &record] {
@@ -78,7 +78,7 @@
 
 RaftCluster::RaftCluster(const ClusterOptions& options) : options_(options), world_(options.seed) {
   ConfigureLogging({LogLevel::kError, false, {}});
-  lives_.resize(options.size);
+  processes_.resize(options.size);
   for (std::size_t member = 0; member < options.size; ++member) {
     names_.push_back("m" + std::to_string(member));
     SimulatedMachine& machine =
@@ -95,9 +95,10 @@
 void RaftCluster::SetProgram(std::size_t member) {
   machine(member).SetProgram([this, member](Environment& environment, DataFolder& folder) {
     const int rate = options_.clock_rates[member % options_.clock_rates.size()];
-    auto life = std::make_shared<MemberLife>(environment, folder, rate, record_, options_.node);
-    lives_[member] = life;
-    return life;
+    auto process =
+        std::make_shared<MemberProcess>(environment, folder, rate, record_, options_.node);
+    processes_[member] = process;
+    return process;
   });
 }
 
@@ -108,12 +109,12 @@
   SetProgram(member);
 }
 
-MemberLife* RaftCluster::life(std::size_t member) {
+MemberProcess* RaftCluster::process(std::size_t member) {
   if (!machine(member).running()) {
     return nullptr;
   }
-  const auto life = lives_[member].lock();
-  return life && life->loaded ? life.get() : nullptr;
+  const auto process = processes_[member].lock();
+  return process && process->loaded ? process.get() : nullptr;
 }
 
 void RaftCluster::StartAll() {
@@ -146,8 +147,9 @@
 std::size_t RaftCluster::Leader() {
   std::size_t leader = size();
   for (std::size_t member = 0; member < size(); ++member) {
-    const bool leads = life(member) != nullptr && life(member)->node.IsReadyLeader();
-    if (leads && (leader == size() || life(member)->node.term() > life(leader)->node.term())) {
+    const bool leads = process(member) != nullptr && process(member)->node.IsReadyLeader();
+    if (leads &&
+        (leader == size() || process(member)->node.term() > process(leader)->node.term())) {
       leader = member;
     }
   }
@@ -159,15 +161,15 @@
   if (leader == size()) {
     return false;
   }
-  const RaftCore& core = life(leader)->node.core();
+  const RaftCore& core = process(leader)->node.core();
   std::set<std::uint64_t> present;
   for (std::size_t member = 0; member < size(); ++member) {
-    if (life(member) != nullptr) {
-      present.insert(life(member)->node.core().member_id());
+    if (process(member) != nullptr) {
+      present.insert(process(member)->node.core().member_id());
     }
   }
   std::set<std::uint64_t> voters;
-  for (const LogMember& member : life(leader)->node.members()) {
+  for (const LogMember& member : process(leader)->node.members()) {
     if (!member.learner) {
       voters.insert(member.member_id);
     }
@@ -178,7 +180,7 @@
 
 bool RaftCluster::HasConverged() {
   for (std::size_t member = 0; member < size(); ++member) {
-    if (life(member) == nullptr || life(member)->machine.commands() != record_.applied) {
+    if (process(member) == nullptr || process(member)->machine.commands() != record_.applied) {
       return false;
     }
   }
@@ -188,7 +190,7 @@
 void RaftCluster::CheckInvariants() {
   std::size_t leases = 0;
   for (std::size_t member = 0; member < size(); ++member) {
-    const MemberLife* present = life(member);
+    const MemberProcess* present = process(member);
     if (present == nullptr) {
       continue;
     }
@@ -213,10 +215,10 @@
 
 void RaftCluster::CheckLogs() {
   for (std::size_t member = 0; member < size(); ++member) {
-    if (life(member) == nullptr) {
+    if (process(member) == nullptr) {
       continue;
     }
-    const RaftLog& log = life(member)->node.core().log();
+    const RaftLog& log = process(member)->node.core().log();
     for (std::uint64_t index = log.base_index() + 1; index <= log.last_index(); ++index) {
       const proto::RaftEntry& entry = log.At(index);
       const std::string content =
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -73,9 +73,9 @@
 };
 
 /// One life of one member. "test.Propose" proposes the body; "handover..." hands leadership over.
-struct MemberLife {
-  MemberLife(Environment& real, DataFolder& folder, int clock_rate, RunRecord& record,
-             RaftNodeOptions options);
+struct MemberProcess {
+  MemberProcess(Environment& real, DataFolder& folder, int clock_rate, RunRecord& record,
+                RaftNodeOptions options);
 
   DriftingEnvironment environment;
   ListMachine machine;
@@ -101,7 +101,7 @@
   const std::string& name(std::size_t member) const { return names_[member]; }
   SimulatedMachine& machine(std::size_t member) { return world_.machine(names_[member]); }
   /// @return null while the member does not run.
-  MemberLife* life(std::size_t member);
+  MemberProcess* process(std::size_t member);
   void StartAll();
   /// Puts a new machine with an empty disk and address in the place of `member`, in the seeds too;
   /// members take up the changed seeds when they start next.
@@ -127,7 +127,7 @@
   RunRecord record_;
   ClusterOptions options_;
   std::vector<std::string> names_;
-  std::vector<std::weak_ptr<MemberLife>> lives_;
+  std::vector<std::weak_ptr<MemberProcess>> processes_;
   std::uint64_t commands_ = 0;
   SimulatedWorld world_;
 };
--- a/tests/consensus/raft_core_fixture.h
+++ b/tests/consensus/raft_core_fixture.h
@@ -57,7 +57,7 @@
     }
     return Take();
   }
-  void PassPromise() { now_ += options_.minimum_election_timeout; }
+  void PassPreVote() { now_ += options_.minimum_election_timeout; }
 
   static proto::RequestVoteRequest Vote(std::uint64_t candidate, std::uint64_t term,
                                         std::uint64_t last_index = 1, std::uint64_t last_term = 1) {
--- a/tests/consensus/raft_core_membership_test.cc
+++ b/tests/consensus/raft_core_membership_test.cc
@@ -20,7 +20,7 @@
 /// A machine is replaced by an empty one at another address: without this the group goes on with
 /// two voters, and the next loss stops it.
 TEST_F(RaftCoreTest, ALongSilentVoterGivesItsPlaceToAMemberAtAnotherAddress) {
-  options_.replace_silent_after = seconds(2);
+  options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
   Exchange(Heartbeat(), {2, 3});
@@ -41,7 +41,7 @@
 }
 
 TEST_F(RaftCoreTest, OneSilentVoterHasOneSuccessorAtATime) {
-  options_.replace_silent_after = seconds(2);
+  options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
   Exchange(Heartbeat(), {2, 3});
--- a/tests/consensus/raft_core_test.cc
+++ b/tests/consensus/raft_core_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 TEST_F(RaftCoreTest, VoteIsAnsweredOnlyWhenItIsSynced) {
-  PassPromise();
+  PassPreVote();
   core_->HandleRequestVote(now_, Vote(2, 5), 9);
   const RaftEffects asked = Take();
   EXPECT_TRUE(asked.replies.empty());
@@ -17,7 +17,7 @@
 }
 
 TEST_F(RaftCoreTest, VotesOnceInATermAndOnlyForAnUpToDateLog) {
-  PassPromise();
+  PassPreVote();
   EXPECT_TRUE(VoteAnswer(Vote(2, 5)).granted());
   EXPECT_FALSE(VoteAnswer(Vote(3, 5)).granted());
   EXPECT_TRUE(VoteAnswer(Vote(2, 5)).granted());
@@ -27,7 +27,7 @@
 
 TEST_F(RaftCoreTest, RefusesVotesWhileALeaderMayCountOnIt) {
   EXPECT_FALSE(VoteAnswer(Vote(2, 5)).granted()) << "just started: may have promised before";
-  PassPromise();
+  PassPreVote();
   AppendAnswer(Append(1, 1, 1));
   now_ += options_.minimum_election_timeout - milliseconds(1);
   EXPECT_FALSE(VoteAnswer(Vote(3, 5)).granted());
@@ -38,7 +38,7 @@
 }
 
 TEST_F(RaftCoreTest, PreVoteChangesNothing) {
-  PassPromise();
+  PassPreVote();
   auto pre_vote = Vote(2, 2);
   pre_vote.set_pre_vote(true);
   EXPECT_TRUE(VoteAnswer(pre_vote).granted());
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -43,12 +43,12 @@
         limit);
   }
   void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFull); }
-  void MakeRoom() {
+  void DisplaceLowerRanked() {
     for (std::size_t member = 0; member < kMembers; ++member) {
       cluster.machine(member).SetDiskLimit(kAmple);
     }
   }
-  std::uint64_t Term(std::size_t member) { return cluster.life(member)->node.term(); }
+  std::uint64_t Term(std::size_t member) { return cluster.process(member)->node.term(); }
 
   RaftCluster cluster;
 };
@@ -63,7 +63,7 @@
   ASSERT_TRUE(run.HasLeader(seconds(2)));
   EXPECT_NE(run.cluster.Leader(), leader);
   EXPECT_TRUE(run.cluster.record().failures.empty()) << "the member must not stop";
-  run.MakeRoom();
+  run.DisplaceLowerRanked();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
@@ -81,7 +81,7 @@
   }
   EXPECT_EQ(run.cluster.Leader(), leader);
   EXPECT_EQ(run.Term(leader), term);
-  run.MakeRoom();
+  run.DisplaceLowerRanked();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
 }
 
@@ -92,7 +92,7 @@
     run.Fill(member);
   }
   EXPECT_FALSE(run.Acknowledges(seconds(3)));
-  run.MakeRoom();
+  run.DisplaceLowerRanked();
   EXPECT_TRUE(run.Acknowledges(seconds(3)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
@@ -117,7 +117,7 @@
         }
       }
       run.cluster.StartAll();
-      run.MakeRoom();
+      run.DisplaceLowerRanked();
       ASSERT_TRUE(run.Acknowledges(seconds(8))) << "round " << round;
     }
     EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(8)));
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -22,7 +22,7 @@
   options.seeds = kSeeds;
   options.seed = seed;
   options.node.wanted_voters = kVoters;
-  options.node.replace_silent_after = milliseconds(1500);
+  options.node.replace_unresponsive_after = milliseconds(1500);
   return options;
 }
 
@@ -37,10 +37,10 @@
     if (leader == cluster.size()) {
       return voters;
     }
-    for (const LogMember& member : cluster.life(leader)->node.members()) {
+    for (const LogMember& member : cluster.process(leader)->node.members()) {
       for (std::size_t at = 0; at < cluster.size(); ++at) {
-        const bool here = cluster.life(at) != nullptr &&
-                          cluster.life(at)->node.core().member_id() == member.member_id;
+        const bool here = cluster.process(at) != nullptr &&
+                          cluster.process(at)->node.core().member_id() == member.member_id;
         if (here && !member.learner) {
           voters.push_back(at);
         }
@@ -106,11 +106,11 @@
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
     ASSERT_TRUE(run.Complete(seconds(10)));
-    for (std::size_t gone = 0; gone < kSeeds; ++gone) {
-      run.cluster.machine(gone).LosePower();  // And never comes back.
+    for (std::size_t removed = 0; removed < kSeeds; ++removed) {
+      run.cluster.machine(removed).LosePower();  // And never comes back.
       run.cluster.RunFor(seconds(8));
-      ASSERT_TRUE(run.Acknowledges(seconds(3))) << "seed machine " << gone;
-      EXPECT_EQ(run.Voters().size(), kVoters) << "seed machine " << gone;
+      ASSERT_TRUE(run.Acknowledges(seconds(3))) << "seed machine " << removed;
+      EXPECT_EQ(run.Voters().size(), kVoters) << "seed machine " << removed;
     }
     EXPECT_TRUE(run.cluster.record().failures.empty());
   }
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -30,7 +30,7 @@
   /// @return a member that does not lead.
   std::size_t Follower() { return cluster.Leader() == 0 ? 1 : 0; }
   RunRecord& record() { return cluster.record(); }
-  std::uint64_t Id(std::size_t member) { return cluster.life(member)->node.core().member_id(); }
+  std::uint64_t Id(std::size_t member) { return cluster.process(member)->node.core().member_id(); }
 
   RaftCluster cluster;
 };
@@ -57,7 +57,7 @@
   cluster.machine(0).Start();
   cluster.machine(1).Start();
   cluster.RunFor(seconds(20));
-  EXPECT_TRUE(cluster.life(0)->node.core().IsEmpty());
+  EXPECT_TRUE(cluster.process(0)->node.core().IsEmpty());
   cluster.machine(2).Start();
   EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(5)));
 }
@@ -69,9 +69,9 @@
   cluster.machine(1).LoseDisk();
   cluster.StartAll();
   cluster.RunFor(seconds(30));
-  EXPECT_TRUE(cluster.life(0)->node.core().IsEmpty());
-  EXPECT_TRUE(cluster.life(1)->node.core().IsEmpty());
-  EXPECT_FALSE(cluster.life(2)->node.core().IsEmpty());
+  EXPECT_TRUE(cluster.process(0)->node.core().IsEmpty());
+  EXPECT_TRUE(cluster.process(1)->node.core().IsEmpty());
+  EXPECT_FALSE(cluster.process(2)->node.core().IsEmpty());
   EXPECT_EQ(cluster.Leader(), cluster.size());
 }
 
@@ -117,7 +117,7 @@
   const auto reached = [&] {
     const std::size_t leader = cluster.Leader();
     return leader != cluster.size() &&
-           cluster.life(leader)->node.members().at(2).endpoint == cluster.machine(2).endpoint();
+           cluster.process(leader)->node.members().at(2).endpoint == cluster.machine(2).endpoint();
   };
   ASSERT_TRUE(cluster.RunUntil(reached, seconds(8)));
   EXPECT_EQ(Id(2), id);
@@ -131,7 +131,7 @@
   for (int round = 0; round < 20; ++round) {
     const std::size_t old_leader = cluster.Leader();
     const TimePoint start = cluster.world().Now();
-    ASSERT_TRUE(cluster.life(old_leader)->node.TransferLeadership().ok());
+    ASSERT_TRUE(cluster.process(old_leader)->node.TransferLeadership().ok());
     ASSERT_TRUE(cluster.RunUntil(
         [&] { return cluster.Leader() != old_leader && cluster.Leader() != cluster.size(); },
         seconds(2)));
@@ -156,25 +156,25 @@
 TEST_F(RaftNodeTest, WokenLeaderHasNoLease) {
   Form();
   const std::size_t old_leader = cluster.Leader();
-  ASSERT_TRUE(cluster.life(old_leader)->node.HasLeaderLease());
+  ASSERT_TRUE(cluster.process(old_leader)->node.HasLeaderLease());
   cluster.machine(old_leader).Freeze();
   ASSERT_TRUE(cluster.RunUntil([&] { return cluster.Leader() != old_leader; }, seconds(2)));
-  EXPECT_FALSE(cluster.life(old_leader)->node.HasLeaderLease());
+  EXPECT_FALSE(cluster.process(old_leader)->node.HasLeaderLease());
   cluster.machine(old_leader).Wake();
   cluster.RunFor(seconds(1));
-  EXPECT_EQ(cluster.life(old_leader)->node.core().role(), RaftRole::kFollower);
+  EXPECT_EQ(cluster.process(old_leader)->node.core().role(), RaftRole::kFollower);
   EXPECT_TRUE(record().failures.empty());
 }
 
 TEST_F(RaftNodeTest, ReturningMemberDoesNotDisturbTheLeader) {
   Form();
-  const std::uint64_t term = cluster.life(cluster.Leader())->node.term();
+  const std::uint64_t term = cluster.process(cluster.Leader())->node.term();
   const std::size_t member = Follower();
   cluster.world().Isolate(cluster.name(member));
   cluster.RunFor(seconds(10));
   cluster.world().HealAll();
   cluster.RunFor(seconds(3));
-  EXPECT_EQ(cluster.life(cluster.Leader())->node.term(), term);
+  EXPECT_EQ(cluster.process(cluster.Leader())->node.term(), term);
 }
 
 TEST_F(RaftNodeTest, MemberWhoseSyncFailsStopsAndLeadsNoMore) {
@@ -187,7 +187,7 @@
       seconds(3)));
   ASSERT_EQ(record().failures.size(), 1U);
   EXPECT_NE(record().failures[0].find("a member stopped: io_error"), std::string::npos);
-  EXPECT_FALSE(cluster.life(leader)->node.HasLeaderLease());
+  EXPECT_FALSE(cluster.process(leader)->node.HasLeaderLease());
 }
 
 TEST_F(RaftNodeTest, DamageBeforeTheLastWriteIsNotTakenForATornTail) {
@@ -212,9 +212,9 @@
   }
   cluster.machine(member).Start();
   ASSERT_TRUE(cluster.RunUntil([this] { return cluster.HasConverged(); }, seconds(5)));
-  EXPECT_GE(cluster.life(member)->node.core().log().base_index(), 40U);
-  EXPECT_LE(cluster.life(cluster.Leader())->node.core().log().last_index() -
-                cluster.life(cluster.Leader())->node.core().log().base_index(),
+  EXPECT_GE(cluster.process(member)->node.core().log().base_index(), 40U);
+  EXPECT_LE(cluster.process(cluster.Leader())->node.core().log().last_index() -
+                cluster.process(cluster.Leader())->node.core().log().base_index(),
             20U);
   EXPECT_TRUE(record().failures.empty());
 }
@@ -226,7 +226,7 @@
   cluster.Propose(0);
   cluster.RunFor(seconds(1));
   EXPECT_EQ(cluster.record().acknowledged.size(), 1U);
-  EXPECT_TRUE(cluster.life(0)->node.HasLeaderLease());
+  EXPECT_TRUE(cluster.process(0)->node.HasLeaderLease());
 }
 
 /// A seed is struck at every moment of the founding.
--- a/tests/consensus/raft_simulation_test.cc
+++ b/tests/consensus/raft_simulation_test.cc
@@ -130,7 +130,7 @@
         world_.Isolate(cluster_.name(Victim()));
         return HealLater();
       case 5:
-        return CutOneWay();
+        return PartitionOneWay();
       case 6:
         return Split();
       case 7:
@@ -199,7 +199,7 @@
                          [this, member] { cluster_.machine(member).Wake(); });
   }
 
-  void CutOneWay() {
+  void PartitionOneWay() {
     const std::size_t from = Victim();
     const std::size_t to = AnyMember();
     if (from != to) {
--- a/tests/consensus/raft_storage_test.cc
+++ b/tests/consensus/raft_storage_test.cc
@@ -77,8 +77,8 @@
 }
 
 /// The program of one life.
-struct StorageLife {
-  StorageLife(DataFolder& folder, RaftWriteId& persisted)
+struct StorageProcess {
+  StorageProcess(DataFolder& folder, RaftWriteId& persisted)
       : storage(
             folder, [&persisted](RaftWriteId write) { persisted = std::max(persisted, write); },
             [](const Status& status) { ADD_FAILURE() << status.ToString(); },
@@ -102,40 +102,40 @@
 struct StorageWorld {
   explicit StorageWorld(std::uint64_t seed) : world(seed) {
     machine.SetProgram([this](Environment&, DataFolder& folder) {
-      life = std::make_shared<StorageLife>(folder, persisted);
-      return life;
+      process = std::make_shared<StorageProcess>(folder, persisted);
+      return process;
     });
     machine.Start();
-    life->storage.Start();
+    process->storage.Start();
   }
 
   SimulatedWorld world;
   SimulatedMachine& machine = world.AddMachine("m", "10.0.0.1");
   RaftWriteId persisted = 0;
-  std::shared_ptr<StorageLife> life;
+  std::shared_ptr<StorageProcess> process;
 };
 
 /// What is written after a torn tail must not be hidden behind it.
 void CheckThatTheNextWriteLasts(SimulatedWorld& world, SimulatedMachine& machine,
-                                const std::shared_ptr<StorageLife>& life) {
+                                const std::shared_ptr<StorageProcess>& process) {
   RaftWrite write = Metadata(9);
   write.id = 10;
-  write.entries = {Entry(life->last_index + 1, 9)};
-  const std::string expected = life->log + "9,";
-  life->storage.Start();
-  life->storage.Write(write);
+  write.entries = {Entry(process->last_index + 1, 9)};
+  const std::string expected = process->log + "9,";
+  process->storage.Start();
+  process->storage.Write(write);
   world.RunFor(seconds(1));
   machine.LosePower();
   machine.Start();
-  EXPECT_EQ(life->log, expected);
+  EXPECT_EQ(process->log, expected);
 }
 
 TEST(RaftStorageTest, PowerLossAtAnyMomentLeavesTheStateOfOneOfTheWrites) {
   for (std::uint64_t moment = 0; moment < 300; ++moment) {
     StorageWorld storage_world(moment + 1);
-    auto& [world, machine, persisted, life] = storage_world;
+    auto& [world, machine, persisted, process] = storage_world;
     for (const RaftWrite& write : Script()) {
-      life->storage.Write(write);
+      process->storage.Write(write);
       world.RunFor(milliseconds(moment % 3 == 0 ? 0 : world.RandomBelow(12)));
       if (world.RandomBelow(8) == 0) {
         break;
@@ -145,37 +145,37 @@
     machine.LosePower();
     machine.Start();
     const auto from = static_cast<std::ptrdiff_t>(persisted);
-    const bool known = std::find(kLogs.begin() + from, kLogs.end(), life->log) != kLogs.end();
-    EXPECT_TRUE(known) << moment << ": " << life->log << " after " << persisted;
-    EXPECT_GE(life->term, kTerms[persisted]) << moment;
-    CheckThatTheNextWriteLasts(world, machine, life);
+    const bool known = std::find(kLogs.begin() + from, kLogs.end(), process->log) != kLogs.end();
+    EXPECT_TRUE(known) << moment << ": " << process->log << " after " << persisted;
+    EXPECT_GE(process->term, kTerms[persisted]) << moment;
+    CheckThatTheNextWriteLasts(world, machine, process);
   }
 }
 
 TEST(RaftStorageTest, WritesThatFindTheDiskFullAreCarriedOutOnceThereIsRoom) {
   for (std::size_t full_from = 0; full_from < Script().size(); ++full_from) {
     StorageWorld storage_world(full_from + 1);
-    auto& [world, machine, persisted, life] = storage_world;
+    auto& [world, machine, persisted, process] = storage_world;
     for (const RaftWrite& write : Script()) {
       if (write.id == full_from + 1) {
         world.RunFor(milliseconds(50));
         machine.SetDiskLimit(1);
       }
-      life->storage.Write(write);
+      process->storage.Write(write);
     }
     world.RunFor(milliseconds(50));
-    life->storage.Retry();
+    process->storage.Retry();
     world.RunFor(milliseconds(50));
     // The last two writes need no more room than what they replace.
     EXPECT_EQ(persisted < Script().size(), full_from < 7) << "full from write " << full_from;
     machine.SetDiskLimit(1U << 20U);
-    while (life->found_full > 0 && persisted < Script().size()) {
-      life->storage.Retry();
+    while (process->found_full > 0 && persisted < Script().size()) {
+      process->storage.Retry();
       world.RunFor(milliseconds(50));
     }
     machine.LosePower();
     machine.Start();
-    EXPECT_EQ(life->log, kLogs.back()) << "full from write " << full_from;
+    EXPECT_EQ(process->log, kLogs.back()) << "full from write " << full_from;
   }
 }
 
--- a/tests/coordinator/configuration_store_test.cc
+++ b/tests/coordinator/configuration_store_test.cc
@@ -126,8 +126,8 @@
   const auto transaction = TenantTransaction("a", 1, "x");
   EXPECT_EQ(control.Submit(transaction).in_force_at_ms(), 0);
   proto::ControlCommand command;
-  command.mutable_mark_in_force()->set_version(2);
-  command.mutable_mark_in_force()->set_wall_ms(77);
+  command.mutable_record_in_force()->set_version(2);
+  command.mutable_record_in_force()->set_wall_ms(77);
   control.Apply(command);
   EXPECT_EQ(control.Submit(transaction).in_force_at_ms(), 77);
   EXPECT_EQ(control.state.configuration().History(1).at(0).in_force_at_ms(), 77);
@@ -150,7 +150,7 @@
 TEST(ConfigurationStore, UpdatesFromAnyVersionEqualTheWhole) {
   std::mt19937_64 random(7);
   ConfigurationStore store;
-  std::map<std::uint64_t, proto::RoutingConfiguration> whole_at{{1, store.Whole()}};
+  std::map<std::uint64_t, proto::RoutingConfiguration> full_at{{1, store.FullConfiguration()}};
   std::size_t deltas = 0;
   for (int round = 0; round < 300; ++round) {
     auto transaction = MakeTransaction(std::to_string(round), store.version().value());
@@ -163,25 +163,26 @@
       }
     }
     store.Apply(transaction, round);  // Those that change an object twice are refused.
-    whole_at[store.version().value()] = store.Whole();
-    const std::uint64_t held = 1 + random() % store.version().value();
-    const proto::ConfigurationUpdate& update = store.UpdateFrom(ConfigurationVersion(held));
+    full_at[store.version().value()] = store.FullConfiguration();
+    const std::uint64_t known = 1 + random() % store.version().value();
+    const proto::ConfigurationUpdate& update = store.UpdateFrom(ConfigurationVersion(known));
     EXPECT_EQ(update.to_version(), store.version().value());
     if (update.has_full()) {
-      EXPECT_EQ(update.full().SerializeAsString(), store.Whole().SerializeAsString());
+      EXPECT_EQ(update.full().SerializeAsString(), store.FullConfiguration().SerializeAsString());
       continue;
     }
     ++deltas;
-    ASSERT_EQ(update.from_version(), held);
-    EXPECT_LT(update.ByteSizeLong(), store.Whole().ByteSizeLong() + 16);  // Plus the versions.
+    ASSERT_EQ(update.from_version(), known);
+    EXPECT_LT(update.ByteSizeLong(),
+              store.FullConfiguration().ByteSizeLong() + 16);  // Plus the versions.
     ConfigurationObjects objects;
-    objects.Load(whole_at.at(held));
+    objects.Load(full_at.at(known));
     for (const proto::ConfigurationChange& change : update.changes()) {
       objects.Apply(change);
     }
     proto::RoutingConfiguration reached = objects.ToProto();
     reached.set_version(update.to_version());
-    EXPECT_EQ(reached.SerializeAsString(), store.Whole().SerializeAsString());
+    EXPECT_EQ(reached.SerializeAsString(), store.FullConfiguration().SerializeAsString());
   }
   EXPECT_GT(deltas, 20U);
   EXPECT_GT(store.version(), ConfigurationVersion(100));
@@ -196,7 +197,7 @@
   ASSERT_EQ(store.Apply(all, 0).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   ASSERT_EQ(store.Apply(TenantTransaction("one", 2, "tenant-5"), 0).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
-  EXPECT_EQ(store.Whole().tenants_size(), 22'000);
+  EXPECT_EQ(store.FullConfiguration().tenants_size(), 22'000);
   EXPECT_EQ(store.UpdateFrom(ConfigurationVersion(2)).changes_size(), 1);
 }
 
--- a/tests/coordinator/control_commands.h
+++ b/tests/coordinator/control_commands.h
@@ -42,9 +42,9 @@
     command.mutable_register_server()->set_previous_node_id(previous.value());
     return NodeId(Apply(command).node_id());
   }
-  void MarkDead(NodeId node) {
+  void DeclareDead(NodeId node) {
     proto::ControlCommand command;
-    command.mutable_mark_server_dead()->set_node_id(node.value());
+    command.mutable_declare_server_dead()->set_node_id(node.value());
     Apply(command);
   }
   StatusCode Assign(NodeId node, const std::vector<std::uint64_t>& partitions) {
--- a/tests/coordinator/control_state_test.cc
+++ b/tests/coordinator/control_state_test.cc
@@ -28,19 +28,21 @@
 
 TEST(ControlState, SameMachineAtAnotherAddressIsNotDeadBeforeItsLeaseIs) {
   ControlDriver control;
-  const NodeId old_life = control.Register(proto::ROLE_QUEUE, "store-1", 11, {}, "10.0.0.1");
-  const NodeId new_life = control.Register(proto::ROLE_QUEUE, "store-1", 12, {}, "10.0.0.9");
-  const proto::Server& old_server = *control.state.servers().Find(old_life);
+  const NodeId old_incarnation = control.Register(proto::ROLE_QUEUE, "store-1", 11, {}, "10.0.0.1");
+  const NodeId new_incarnation = control.Register(proto::ROLE_QUEUE, "store-1", 12, {}, "10.0.0.9");
+  const proto::Server& old_server = *control.state.servers().Find(old_incarnation);
   EXPECT_TRUE(IsLive(old_server));
-  EXPECT_EQ(control.state.servers().LaterLifeOf(old_server), new_life);
+  EXPECT_EQ(control.state.servers().FindLaterIncarnation(old_server), new_incarnation);
 }
 
 TEST(ControlState, BackupWithTheSameDiskSupersedesWithoutRecovery) {
   ControlDriver control;
-  const NodeId old_life = control.Register(proto::ROLE_BACKUP, "store-1", 11, {}, "10.0.0.1");
-  const NodeId new_life = control.Register(proto::ROLE_BACKUP, "store-1", 12, {}, "10.0.0.9");
-  EXPECT_FALSE(IsLive(*control.state.servers().Find(old_life)));
-  EXPECT_TRUE(control.state.servers().SameDisk(old_life, new_life));
+  const NodeId old_incarnation =
+      control.Register(proto::ROLE_BACKUP, "store-1", 11, {}, "10.0.0.1");
+  const NodeId new_incarnation =
+      control.Register(proto::ROLE_BACKUP, "store-1", 12, {}, "10.0.0.9");
+  EXPECT_FALSE(IsLive(*control.state.servers().Find(old_incarnation)));
+  EXPECT_TRUE(control.state.servers().SameDisk(old_incarnation, new_incarnation));
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
 }
 
@@ -49,7 +51,7 @@
   const FleetVersion before = control.state.fleet_version();
   const NodeId gateway = control.Register(proto::ROLE_GATEWAY, "front-1", 11);
   EXPECT_EQ(control.state.fleet_version(), before);
-  control.MarkDead(gateway);
+  control.DeclareDead(gateway);
   EXPECT_EQ(control.state.servers().Find(gateway), nullptr);
 }
 
@@ -67,7 +69,7 @@
   EXPECT_EQ(control.CommitHead(node, 2, 1, {backup}), StatusCode::kOk);
   EXPECT_EQ(control.CommitHead(node, 1, 4, {backup}), StatusCode::kStaleEpoch);
   EXPECT_EQ(control.state.partitions().heads().at(node).previous->epoch(), 3U);
-  control.MarkDead(node);
+  control.DeclareDead(node);
   EXPECT_EQ(control.CommitHead(node, 3, 1, {backup}), StatusCode::kFenced);
 }
 
@@ -76,7 +78,7 @@
   const NodeId node = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   EXPECT_EQ(control.Assign(node, {0, 1}), StatusCode::kOk);
   EXPECT_EQ(control.Assign(node, {1, 2}), StatusCode::kConflict);
-  control.MarkDead(node);
+  control.DeclareDead(node);
   EXPECT_EQ(control.state.partitions().Free().size(), 4U);
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
   EXPECT_EQ(control.Assign(node, {0}), StatusCode::kFenced);
@@ -92,11 +94,11 @@
   control.Assign(b, {2});
   control.CommitHead(a, 1, 1, {NodeId(100)});
   control.CommitHead(b, 1, 1, {NodeId(100)});
-  control.MarkDead(a);
+  control.DeclareDead(a);
   EXPECT_EQ(control.StartReplay(a, b, {0, 1}), StatusCode::kOk);
   EXPECT_EQ(control.StartReplay(a, c, {1}), StatusCode::kConflict);
   EXPECT_EQ(control.FinishAssignment(a, b, {1}), StatusCode::kOk);
-  control.MarkDead(b);
+  control.DeclareDead(b);
   EXPECT_EQ(NodeId(control.partition(0).recovering_from()), a);
   EXPECT_EQ(NodeId(control.partition(1).recovering_from()), b);
   EXPECT_EQ(NodeId(control.partition(2).recovering_from()), b);
@@ -133,7 +135,7 @@
   std::uint64_t version = 0;
   std::map<std::uint64_t, std::string> servers;
   std::map<std::uint64_t, std::string> partitions;
-  void Take(const proto::FleetUpdate& update) {
+  void Apply(const proto::FleetUpdate& update) {
     if (update.from_version() == 0) {
       servers.clear();
       partitions.clear();
@@ -189,7 +191,7 @@
       server.mutable_peer_endpoint()->set_host(server.machine());
       server.set_incarnation(Below(100));
     } else if (kind == 3) {
-      command.mutable_mark_server_dead()->set_node_id(AnyNode().value());
+      command.mutable_declare_server_dead()->set_node_id(AnyNode().value());
     } else if (kind < 6) {
       proto::LogHead& head = *command.mutable_commit_head()->mutable_head();
       head.set_node_id(AnyNode().value());
@@ -251,9 +253,9 @@
     if (Below(5) != 0) {
       return;
     }
-    follower_.Take(control_.state.FleetUpdateFrom(FleetVersion(follower_.version)));
+    follower_.Apply(control_.state.FleetUpdateFrom(FleetVersion(follower_.version)));
     Follower fresh;
-    fresh.Take(control_.state.FleetUpdateFrom(FleetVersion(0)));
+    fresh.Apply(control_.state.FleetUpdateFrom(FleetVersion(0)));
     ASSERT_EQ(follower_.servers, fresh.servers);
     ASSERT_EQ(follower_.partitions, fresh.partitions);
   }
--- a/tests/coordinator/labelled_configuration_test.cc
+++ b/tests/coordinator/labelled_configuration_test.cc
@@ -9,9 +9,9 @@
 namespace {
 
 /// A whole configuration: one back end and a route for each prefix.
-proto::ConfigurationTransaction Whole(const std::string& operation_id, std::uint64_t base,
-                                      std::uint64_t label,
-                                      const std::vector<std::string>& prefixes) {
+proto::ConfigurationTransaction FullConfiguration(const std::string& operation_id,
+                                                  std::uint64_t base, std::uint64_t label,
+                                                  const std::vector<std::string>& prefixes) {
   proto::ConfigurationTransaction transaction;
   transaction.set_operation_id(operation_id);
   transaction.set_label(label);
@@ -34,11 +34,11 @@
 
 TEST(LabelledConfiguration, RisesInUnevenStepsAndReadsBackAsItWasSent) {
   ControlDriver control;
-  EXPECT_EQ(control.Submit(Whole("a", 0, 3, {"/x/", "/y/"})).outcome(),
+  EXPECT_EQ(control.Submit(FullConfiguration("a", 0, 3, {"/x/", "/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
-  EXPECT_EQ(control.Submit(Whole("b", 3, 10, {"/x/"})).outcome(),
+  EXPECT_EQ(control.Submit(FullConfiguration("b", 3, 10, {"/x/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
-  const proto::RoutingConfiguration& whole = control.state.configuration().Whole();
+  const proto::RoutingConfiguration& whole = control.state.configuration().FullConfiguration();
   EXPECT_EQ(whole.label(), 10U);
   EXPECT_EQ(whole.document().source(), "document 10");
   EXPECT_EQ(whole.routes_size(), 1);  // What the document does not name is gone.
@@ -46,12 +46,12 @@
 
 TEST(LabelledConfiguration, OneOfTwoOnTheSameBaseWinsAndAResendIsAcknowledgedAgain) {
   ControlDriver control;
-  control.Submit(Whole("a", 0, 3, {"/x/"}));
-  const auto winner = Whole("w", 3, 5, {"/x/", "/y/"});
-  const auto loser = Whole("l", 3, 5, {"/x/", "/z/"});
+  control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
+  const auto winner = FullConfiguration("w", 3, 5, {"/x/", "/y/"});
+  const auto loser = FullConfiguration("l", 3, 5, {"/x/", "/z/"});
   EXPECT_EQ(control.Submit(winner).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_EQ(control.Submit(loser).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
-  control.Submit(Whole("n", 5, 8, {"/x/"}));
+  control.Submit(FullConfiguration("n", 5, 8, {"/x/"}));
   ControlDriver restored;
   ASSERT_TRUE(restored.state.RestoreSnapshot(control.state.TakeSnapshot()).ok());
   // The gateway that resends may hold another configuration, so its changes may read differently.
@@ -74,39 +74,40 @@
 
 TEST(LabelledConfiguration, AnInquiryThatItsBaseOvertookRefusesNothing) {
   ControlDriver control;
-  control.Submit(Whole("a", 0, 3, {"/x/"}));
+  control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
-  control.Submit(Whole("b", 3, 5, {"/x/"}));  // Applied after the gateway had read label 3.
+  control.Submit(
+      FullConfiguration("b", 3, 5, {"/x/"}));  // Applied after the gateway had read label 3.
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_MAY_BE_SENT);
   EXPECT_EQ(control.state.configuration().label(), 5U);
-  EXPECT_EQ(control.Submit(Whole("patch", 5, 9, {"/x/", "/y/"})).outcome(),
+  EXPECT_EQ(control.Submit(FullConfiguration("patch", 5, 9, {"/x/", "/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
 }
 
 TEST(LabelledConfiguration, AnInquiryThatIsRefusedIsNeverTakenLater) {
   ControlDriver control;
-  control.Submit(Whole("a", 0, 3, {"/x/"}));
+  control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
-  control.Submit(Whole("b", 3, 5, {"/x/"}));
-  EXPECT_EQ(control.Submit(Whole("patch", 5, 9, {"/y/"})).outcome(),
+  control.Submit(FullConfiguration("b", 3, 5, {"/x/"}));
+  EXPECT_EQ(control.Submit(FullConfiguration("patch", 5, 9, {"/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
   EXPECT_EQ(control.state.configuration().label(), 5U);
 }
 
 TEST(LabelledConfiguration, InvalidOnesChangeNothing) {
   ControlDriver control;
-  control.Submit(Whole("a", 0, 3, {"/x/"}));
+  control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   std::vector<proto::ConfigurationTransaction> invalid;
-  invalid.push_back(Whole("same-place", 3, 4, {"/x/", "/x/"}));
-  invalid.push_back(Whole("same-label", 3, 3, {"/x/"}));
-  invalid.push_back(Whole("lower-label", 3, 2, {"/x/"}));
-  invalid.push_back(Whole("no-timeout", 3, 4, {"/x/"}));
+  invalid.push_back(FullConfiguration("same-place", 3, 4, {"/x/", "/x/"}));
+  invalid.push_back(FullConfiguration("same-label", 3, 3, {"/x/"}));
+  invalid.push_back(FullConfiguration("lower-label", 3, 2, {"/x/"}));
+  invalid.push_back(FullConfiguration("no-timeout", 3, 4, {"/x/"}));
   invalid.back().mutable_changes(1)->mutable_set_route()->set_deadline_ms(0);
-  invalid.push_back(Whole("unknown-backend", 3, 4, {"/x/"}));
+  invalid.push_back(FullConfiguration("unknown-backend", 3, 4, {"/x/"}));
   invalid.back().mutable_changes(1)->mutable_set_route()->set_backend("nothing");
-  invalid.push_back(Whole("no-weight", 3, 4, {"/x/"}));
+  invalid.push_back(FullConfiguration("no-weight", 3, 4, {"/x/"}));
   invalid.back().mutable_changes(1)->mutable_set_route()->add_split()->set_backend("blobs");
   for (const auto& transaction : invalid) {
     EXPECT_EQ(control.Submit(transaction).outcome(), proto::TRANSACTION_OUTCOME_INVALID)
@@ -117,7 +118,7 @@
 
 TEST(LabelledConfiguration, ADrainedZoneStaysDrainedUnderNewConfigurations) {
   ControlDriver control;
-  auto first = Whole("a", 0, 3, {"/x/"});
+  auto first = FullConfiguration("a", 0, 3, {"/x/"});
   proto::Zone& zone = *first.add_changes()->mutable_ensure_zone();
   zone.set_name("z");
   zone.set_state(proto::ZONE_STATE_OPEN);
@@ -132,7 +133,7 @@
   drain.mutable_changes(0)->mutable_set_zone()->set_state(proto::ZONE_STATE_DRAINED);
   EXPECT_EQ(control.Submit(drain).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_EQ(control.state.configuration().label(), 3U);
-  auto second = Whole("b", 3, 4, {"/x/"});
+  auto second = FullConfiguration("b", 3, 4, {"/x/"});
   *second.add_changes()->mutable_ensure_zone() = zone;
   EXPECT_EQ(control.Submit(second).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_EQ(control.state.configuration().objects().zones.at("z").state(),
@@ -147,16 +148,16 @@
   for (int count = 0; count < kPrefixes; ++count) {
     prefixes.push_back("/p" + std::to_string(count) + "/");
   }
-  control.Submit(Whole("a", 0, 3, prefixes));
+  control.Submit(FullConfiguration("a", 0, 3, prefixes));
   ConfigurationWatch watch;
-  watch.Take(control.state.configuration().UpdateFrom(ConfigurationVersion()));
+  watch.Apply(control.state.configuration().UpdateFrom(ConfigurationVersion()));
   prefixes.pop_back();
-  control.Submit(Whole("b", 3, 9, prefixes));
+  control.Submit(FullConfiguration("b", 3, 9, prefixes));
   const proto::ConfigurationUpdate& update =
       control.state.configuration().UpdateFrom(watch.version());
   EXPECT_FALSE(update.has_full());
-  watch.Take(update);
-  proto::RoutingConfiguration whole = control.state.configuration().Whole();
+  watch.Apply(update);
+  proto::RoutingConfiguration whole = control.state.configuration().FullConfiguration();
   EXPECT_EQ(whole.document().source(), "document 9");
   whole.mutable_document()->clear_source();  // Read back from the coordinators, not by nodes.
   EXPECT_EQ(watch.configuration().SerializeAsString(), whole.SerializeAsString());
@@ -181,16 +182,16 @@
     }
     return transaction;
   };
-  control.Submit(with_document(Whole("a", 0, 3, prefixes)));
+  control.Submit(with_document(FullConfiguration("a", 0, 3, prefixes)));
   ConfigurationWatch watch;
   const auto& first = control.state.configuration().UpdateFrom(ConfigurationVersion());
   EXPECT_LT(first.ByteSizeLong(), kDocumentBytes);
-  watch.Take(first);
+  watch.Apply(first);
   prefixes.back() = "/other/";
-  control.Submit(with_document(Whole("b", 3, 9, prefixes)));
+  control.Submit(with_document(FullConfiguration("b", 3, 9, prefixes)));
   const auto& update = control.state.configuration().UpdateFrom(watch.version());
   EXPECT_LT(update.ByteSizeLong(), kMostBytes);
-  watch.Take(update);
+  watch.Apply(update);
   EXPECT_EQ(watch.configuration().document().limits().header_bytes(), 99U);
   EXPECT_EQ(watch.configuration().routes_size(), kPrefixes);
 }
--- a/tests/coordinator/large_recovery_test.cc
+++ b/tests/coordinator/large_recovery_test.cc
@@ -28,7 +28,7 @@
       }
     }
     for (const NodeId node : earlier) {
-      fleet_.MarkDead(node);
+      fleet_.DeclareDead(node);
     }
   }
   /// @return the readings and releases to be called now.
--- a/tests/coordinator/lease_test.cc
+++ b/tests/coordinator/lease_test.cc
@@ -95,7 +95,7 @@
   leases.Grant(first, ConfigurationVersion(1), kStart);
   leases.Grant(second, ConfigurationVersion(1), kStart + seconds(1));
   const auto in_force = [&](Duration after) {
-    return VersionHeldByAll(control.state, leases, kStart + after).value();
+    return VersionConfirmedByAll(control.state, leases, kStart + after).value();
   };
   EXPECT_EQ(in_force(seconds(1)), 1U);
   leases.Confirm(first, ConfigurationVersion(2));
--- a/tests/coordinator/recovery_test.cc
+++ b/tests/coordinator/recovery_test.cc
@@ -113,7 +113,7 @@
     *disks[at][owner].add_segments() = Stored(1, 10, 1, false, {1});
   }
 
-  void Carry(const StartReadingAction& action) {
+  void Execute(const StartReadingAction& action) {
     if (unreachable.contains(action.backup)) {
       manager.OnReadingData(action.dead, action.backup,
                             Status(StatusCode::kUnavailable, "no route"));
@@ -121,12 +121,12 @@
     }
     manager.OnReadingData(action.dead, action.backup, disks[action.backup][action.dead]);
   }
-  void Carry(const ProposeReplayAction& action) {
+  void Execute(const ProposeReplayAction& action) {
     proto::ControlCommand command;
     *command.mutable_start_replay() = action.command;
     EXPECT_EQ(ControlDriver::CodeOf(control.Apply(command)), StatusCode::kOk);
   }
-  void Carry(const RecoverPartitionsAction& action) {
+  void Execute(const RecoverPartitionsAction& action) {
     const NodeId node(action.request.queue_node_id());
     EXPECT_FALSE(action.request.segments().empty());
     replays.push_back(action.request);
@@ -136,20 +136,20 @@
                                {ids.begin(), ids.end()});
     }
   }
-  void Carry(const ReleaseAction& action) {
+  void Execute(const ReleaseAction& action) {
     disks[action.backup].erase(action.dead);
     manager.OnReleased(action.dead, action.backup,
                        unreachable.contains(action.backup)
                            ? Status(StatusCode::kUnavailable, "no route")
                            : Status::Ok());
   }
-  void Carry(const ProposeFinishAction& action) { control.FinishRecovery(action.dead); }
+  void Execute(const ProposeFinishAction& action) { control.FinishRecovery(action.dead); }
 
   void Step(int times = 1) {
     for (int time = 0; time < times; ++time) {
       facts.now += milliseconds(600);
       for (const RecoveryAction& action : manager.Step(control.state, facts)) {
-        std::visit([this](const auto& one) { Carry(one); }, action);
+        std::visit([this](const auto& one) { Execute(one); }, action);
       }
     }
   }
@@ -167,7 +167,7 @@
 };
 
 TEST_F(RecoveryTest, SpreadsOverTheLiveAndReleases) {
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   Step(6);
   EXPECT_TRUE(Over());
   EXPECT_EQ(Owned(first), 2U);
@@ -177,7 +177,7 @@
 
 TEST_F(RecoveryTest, WaitsInWordsUntilTheHeadIsFound) {
   unreachable.insert(backup);
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   Step(20);
   EXPECT_THAT(replays, IsEmpty());
   EXPECT_THAT(
@@ -192,11 +192,11 @@
 
 TEST_F(RecoveryTest, DeadAssigneeIsReplaced) {
   stuck = {first, second};
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   Step(3);
   control.CommitHead(first, 1, 1, {backup});
   Store(backup, first);
-  control.MarkDead(first);
+  control.DeclareDead(first);
   stuck.clear();
   Step(8);
   EXPECT_TRUE(Over());
@@ -204,9 +204,9 @@
 }
 
 TEST_F(RecoveryTest, GoesOnWithoutQueueNodesOnceOneComes) {
-  control.MarkDead(dead);
-  control.MarkDead(first);
-  control.MarkDead(second);
+  control.DeclareDead(dead);
+  control.DeclareDead(first);
+  control.DeclareDead(second);
   Step(5);
   EXPECT_THAT(manager.WaitingFor(control.state, dead), HasSubstr("a queue node"));
   const NodeId third = control.Register(proto::ROLE_QUEUE, "q3", 9);
@@ -216,12 +216,12 @@
 
 TEST_F(RecoveryTest, ReleaseWaitsForEveryLiveBackup) {
   unreachable.insert(spare);
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   Step(8);
   EXPECT_EQ(control.state.partitions().recoveries().at(dead).phase(),
             proto::RECOVERY_PHASE_RELEASING);
   EXPECT_THAT(manager.WaitingFor(control.state, dead), HasSubstr("the backup on s2"));
-  control.MarkDead(spare);
+  control.DeclareDead(spare);
   Step(2);
   EXPECT_TRUE(Over());
 }
@@ -231,7 +231,7 @@
 
 TEST_P(LeaderChangeTest, RecoveryGoesOn) {
   stuck = {first, second};
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   for (int step = 0; step < 10; ++step) {
     if (step == GetParam()) {
       manager.Reset();
@@ -252,10 +252,10 @@
   control.CommitHead(first, 1, 1, {spare});
   Store(spare, first);
   stuck = {first, second};
-  control.MarkDead(dead);
+  control.DeclareDead(dead);
   Step(2);
   control.FinishAssignment(dead, first, {0});
-  control.MarkDead(first);
+  control.DeclareDead(first);
   EXPECT_EQ(control.state.partitions().recoveries().size(), 2U);
   stuck.clear();
   Step(8);
@@ -277,7 +277,7 @@
     fleet.Register(proto::ROLE_QUEUE, machine, 2);
   }
   for (const NodeId owner : owners) {
-    fleet.MarkDead(owner);
+    fleet.DeclareDead(owner);
   }
   RecoveryManager recoveries{RecoveryOptions()};
   recoveries.Step(fleet.state, {TimePoint(seconds(100)), false, {}});
@@ -313,8 +313,8 @@
 
 TEST_F(RecoveryTest, LeftoversAreThoseOfTheDeadThatNobodyNeeds) {
   const NodeId over = control.Register(proto::ROLE_QUEUE, "over", 1);
-  control.MarkDead(over);
-  control.MarkDead(dead);  // Its recovery needs them.
+  control.DeclareDead(over);
+  control.DeclareDead(dead);  // Its recovery needs them.
   proto::ListSegmentsResponse replicas;
   for (const NodeId owner : {over, dead, first, NodeId(9999)}) {
     replicas.add_replicas()->set_node_id(owner.value());
--- a/tests/coordinator/test_node.h
+++ b/tests/coordinator/test_node.h
@@ -105,7 +105,7 @@
         "coordinator.Heartbeat", request,
         [this, sent](const Result<proto::HeartbeatResponse>& response) {
           if (response.ok()) {
-            Take(sent, *response);
+            Apply(sent, *response);
           } else if (response.status().code() == StatusCode::kFenced) {
             ++fenced;
             previous_ = node_id;
@@ -117,7 +117,7 @@
         });
   }
 
-  void Take(TimePoint sent, const proto::HeartbeatResponse& response) {
+  void Apply(TimePoint sent, const proto::HeartbeatResponse& response) {
     if (response.configuration().to_version() > configuration_version) {
       old_lease_end = lease_end;
       configuration_version = response.configuration().to_version();
--- a/tests/coordinator/absent_nodes_test.cc
+++ b/tests/coordinator/unreachable_nodes_test.cc
@@ -1,5 +1,5 @@
 // Which nodes the leader tells where the coordinators are.
-#include "coordinator/absent_nodes.h"
+#include "coordinator/unreachable_nodes.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -12,24 +12,24 @@
 using ::testing::IsEmpty;
 using ::testing::SizeIs;
 
-class AbsentNodesTest : public testing::Test {
+class UnreachableNodesTest : public testing::Test {
  protected:
-  AbsentNodesTest() {
+  UnreachableNodesTest() {
     gateway_ = control_.Register(proto::ROLE_GATEWAY, "g1", 1);
     queue_ = control_.Register(proto::ROLE_QUEUE, "q1", 1);
   }
-  auto Due(const std::set<NodeId>& silent = {}) {
-    return absent_.Due(control_.state, silent, now_);
+  auto Due(const std::set<NodeId>& unresponsive = {}) {
+    return absent_.Due(control_.state, unresponsive, now_);
   }
 
   ControlDriver control_;
-  AbsentNodes absent_;
+  UnreachableNodes absent_;
   NodeId gateway_;
   NodeId queue_;
   TimePoint now_{seconds(100)};
 };
 
-TEST_F(AbsentNodesTest, EveryNodeIsToldOnceWhenAMemberBeginsToLead) {
+TEST_F(UnreachableNodesTest, EveryNodeIsToldOnceWhenAMemberBeginsToLead) {
   EXPECT_THAT(Due(), SizeIs(2));
   now_ += seconds(2);
   EXPECT_THAT(Due(), IsEmpty());
@@ -37,19 +37,19 @@
   EXPECT_THAT(Due(), SizeIs(2));
 }
 
-TEST_F(AbsentNodesTest, ASilentNodeIsToldAgainAndAgainAlsoOnceItIsDead) {
+TEST_F(UnreachableNodesTest, ASilentNodeIsToldAgainAndAgainAlsoOnceItIsDead) {
   Due();
   now_ += seconds(2);
   EXPECT_THAT(Due({gateway_}), SizeIs(1));
   EXPECT_THAT(Due({gateway_}), IsEmpty()) << "not more often than twice a second";
-  control_.MarkDead(gateway_);
+  control_.DeclareDead(gateway_);
   now_ += seconds(1);
   EXPECT_THAT(Due(), SizeIs(1));
 }
 
-TEST_F(AbsentNodesTest, OneThatStaysAwayIsGivenUp) {
+TEST_F(UnreachableNodesTest, OneThatStaysAwayIsGivenUp) {
   Due();
-  control_.MarkDead(gateway_);
+  control_.DeclareDead(gateway_);
   now_ += seconds(61);
   Due();
   now_ += seconds(1);
--- a/tests/emulation/model_replica_test.cc
+++ b/tests/emulation/model_replica_test.cc
@@ -29,11 +29,11 @@
   return request;
 }
 
-std::vector<EmittedPiece> RunToEnd(ModelReplica& replica) {
-  std::vector<EmittedPiece> all;
+std::vector<EmittedChunk> RunToEnd(ModelReplica& replica) {
+  std::vector<EmittedChunk> all;
   while (const auto next = replica.NextEvent()) {
-    for (EmittedPiece& piece : replica.Advance(*next)) {
-      all.push_back(std::move(piece));
+    for (EmittedChunk& chunk : replica.Advance(*next)) {
+      all.push_back(std::move(chunk));
     }
   }
   return all;
@@ -53,9 +53,9 @@
   ASSERT_EQ(replica.Start(kLoaded, "b", Request("second", 3)), StartOutcome::kAccepted);
   std::map<std::string, std::string> text;
   std::map<std::string, std::uint64_t> next;
-  for (const EmittedPiece& emitted : RunToEnd(replica)) {
-    EXPECT_EQ(emitted.piece.sequence(), next[emitted.call_key]++);
-    text[emitted.call_key] += emitted.piece.text();
+  for (const EmittedChunk& emitted : RunToEnd(replica)) {
+    EXPECT_EQ(emitted.chunk.sequence(), next[emitted.call_key]++);
+    text[emitted.call_key] += emitted.chunk.text();
   }
   EXPECT_EQ(text["a"], ExpectedAnswer("first", 5));
   EXPECT_EQ(text["b"], ExpectedAnswer("second", 3));
--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -17,10 +17,10 @@
     response = std::move(sent);
   }
   void StartStream(int /*status*/, HttpHeaders /*headers*/) override {}
-  void WritePiece(std::string /*piece*/, std::function<void(bool)> /*written*/) override {}
+  void WriteChunk(std::string /*chunk*/, std::function<void(bool)> /*written*/) override {}
   void FinishStream() override {}
   void Abort() override {}
-  void OnDisconnect(std::function<void()> /*gone*/) override {}
+  void OnDisconnect(std::function<void()> /*on_disconnect*/) override {}
 
   /// @return the body read as a `Message`, or an empty one.
   template <typename Message>
--- a/tests/gateway/admission_test.cc
+++ b/tests/gateway/admission_test.cc
@@ -24,7 +24,7 @@
   int taken = 0;
   for (int step = 0; step < 20'000; ++step) {
     now += std::chrono::microseconds(random() % 4000);
-    const Duration wait = bucket.Take(50, seconds(1), now);
+    const Duration wait = bucket.Acquire(50, seconds(1), now);
     taken += wait == Duration::zero() ? 1 : 0;
     ASSERT_LE(wait, milliseconds(21));
     ASSERT_LE(taken, 50 + std::chrono::duration<double>(now - start_time).count() * 50 + 1);
@@ -163,8 +163,8 @@
   int retries = 0;
   for (int call = 0; call < 10'000; ++call) {
     budget.OnFirstAttempt();
-    retries += budget.TakeRetry() ? 1 : 0;
-    retries += budget.TakeRetry() ? 1 : 0;
+    retries += budget.ConsumeRetry() ? 1 : 0;
+    retries += budget.ConsumeRetry() ? 1 : 0;
   }
   EXPECT_LE(retries, 10'000 * options.budget_ratio + options.budget_reserve);
   EXPECT_GE(retries, 1900);
@@ -177,7 +177,7 @@
   IdempotencyCache cache(options);
   TimePoint now = start_time;
   int waited = 0;
-  KeptAnswer answer;
+  CachedResponse answer;
   answer.succeeded = true;
   answer.answer.set_text(std::string(500, 'x'));
   for (int key = 0; key < 100; ++key) {
@@ -185,15 +185,15 @@
     ASSERT_EQ(cache.Begin(name, 1, now), KeyState::kNew);
     ASSERT_EQ(cache.Begin(name, 1, now), KeyState::kRunning);
     ASSERT_EQ(cache.Begin(name, 2, now), KeyState::kMismatch);
-    cache.Join(name, [&](const KeptAnswer&) { ++waited; });
-    cache.Keep(name, answer, now);
+    cache.Join(name, [&](const CachedResponse&) { ++waited; });
+    cache.Store(name, answer, now);
     ASSERT_LE(cache.kept_bytes(), options.largest_total);
   }
   EXPECT_EQ(waited, 100);
   EXPECT_EQ(cache.Begin("99", 1, now), KeyState::kFinished);
   EXPECT_EQ(cache.Begin("0", 1, now), KeyState::kNew);  // Dropped for room.
   answer.answer.set_text(std::string(2000, 'x'));
-  cache.Keep("0", answer, now);
+  cache.Store("0", answer, now);
   EXPECT_FALSE(cache.Find("0")->text_kept);
   now += options.keep;
   EXPECT_EQ(cache.Begin("99", 1, now), KeyState::kNew);
--- a/tests/gateway/answer_timing_test.cc
+++ b/tests/gateway/answer_timing_test.cc
@@ -31,13 +31,13 @@
   AnswerTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(301));
   timing.OnEvent(kStart + milliseconds(900));
-  EXPECT_EQ(timing.lateness(), Lateness::kFirstPiece);
+  EXPECT_EQ(timing.lateness(), Lateness::kFirstChunk);
 }
 
 TEST(AnswerTimingTest, AnAnswerInOnePieceIsLateAsAWhole) {
   AnswerTiming timing(kTargets, kStart);
-  timing.OnWhole(kStart + milliseconds(301));
-  EXPECT_EQ(timing.lateness(), Lateness::kWholeAnswer);
+  timing.OnComplete(kStart + milliseconds(301));
+  EXPECT_EQ(timing.lateness(), Lateness::kCompleteAnswer);
 }
 
 TEST(AnswerTimingTest, WithoutTargetsNothingIsLate) {
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -14,7 +14,7 @@
  protected:
   BatchCallTest() {
     h.AddRoute("audit", proto::BACKEND_KIND_MODEL, false);
-    h.options.sharing.first_batch_share = 1;
+    h.options.sharing.initial_batch_quota = 1;
   }
   std::shared_ptr<BackendCall> Run(bool may_start = true) {
     proto::CallRequest request;
--- a/tests/gateway/batch_worker_fixture.h
+++ b/tests/gateway/batch_worker_fixture.h
@@ -96,12 +96,12 @@
         [this](const proto::AcquireWorkRequest& request, const std::string&, auto reply) {
           ++queue_.questions;
           const TimePoint until = environment_.Now() + milliseconds(request.hold_ms());
-          Grant(request.room(0).slots(), until, reply);
+          Grant(request.capacity(0).slots(), until, reply);
         });
     ServePeer<proto::ReportWorkRequest, proto::ReportWorkResponse>(
         environment, "queue.ReportWork",
         [this](const proto::ReportWorkRequest& request, const std::string&, auto reply) {
-          reply(TakeReport(request));
+          reply(HandleReport(request));
         });
   }
 
@@ -121,7 +121,7 @@
     environment_.ScheduleAfter(queue_.answer_delay, [reply, response] { reply(response); });
   }
 
-  Result<proto::ReportWorkResponse> TakeReport(const proto::ReportWorkRequest& request) {
+  Result<proto::ReportWorkResponse> HandleReport(const proto::ReportWorkRequest& request) {
     ++queue_.report_calls;
     if (queue_.report_code != StatusCode::kOk) {
       return Status(queue_.report_code, "scripted");
--- a/tests/gateway/batch_worker_test.cc
+++ b/tests/gateway/batch_worker_test.cc
@@ -158,7 +158,7 @@
 }
 
 TEST_F(BatchWorkerTest, StopsAskingWhileTooMuchIsUnreported) {
-  options.limits.largest_held = 5;
+  options.limits.maximum_items = 5;
   Start();
   q1.report_code = StatusCode::kUnavailable;
   for (std::uint64_t lease = 1; lease <= 50; ++lease) {
@@ -204,12 +204,12 @@
 
 TEST(WorkOffersTest, IdleNodesShareTheRoomAndBusyOnesGetAllOfIt) {
   const std::vector<NodeId> nodes = {NodeId(1), NodeId(2), NodeId(3)};
-  const BatchRoom free = {{"model", 6}};
+  const BatchCapacity free = {{"model", 6}};
   WorkOffers offers;
   TimePoint now{};
   std::uint32_t offered = 0;
   for (const WorkOffer& offer : offers.Next(now, nodes, free)) {
-    offered += offer.room.at("model");
+    offered += offer.capacity.at("model");
     EXPECT_GT(offer.hold, Duration::zero());
   }
   EXPECT_EQ(offered, 6U);
@@ -221,7 +221,7 @@
   offers.Failed(NodeId(3), now + seconds(1));
   for (const WorkOffer& offer : offers.Next(now, nodes, free)) {
     ASSERT_NE(offer.node, NodeId(3)) << "not before its retry time";
-    EXPECT_EQ(offer.room.at("model"), offer.node == NodeId(1) ? 6U : 2U);
+    EXPECT_EQ(offer.capacity.at("model"), offer.node == NodeId(1) ? 6U : 2U);
     EXPECT_EQ(offer.hold == Duration::zero(), offer.node == NodeId(1));
   }
   EXPECT_TRUE(offers.Next(now + seconds(2), nodes, {{"model", 0}}).empty());
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -135,14 +135,14 @@
     bool closed = false;
     for (std::size_t at = 0; at < body.size();) {
       const std::size_t end = body.find('\n', at);
-      proto::StreamPiece piece;
-      ASSERT_TRUE(FromJson(body.substr(at, end - at), &piece).ok());
+      proto::StreamChunk chunk;
+      ASSERT_TRUE(FromJson(body.substr(at, end - at), &chunk).ok());
       at = end + 1;
       ASSERT_FALSE(closed);
-      ASSERT_EQ(piece.sequence(), expected++);
-      ASSERT_TRUE(run.empty() || run == piece.run_id());
-      run = piece.run_id();
-      closed = piece.end() || piece.has_error();
+      ASSERT_EQ(chunk.sequence(), expected++);
+      ASSERT_TRUE(run.empty() || run == chunk.run_id());
+      run = chunk.run_id();
+      closed = chunk.end() || chunk.has_error();
     }
     EXPECT_TRUE(closed);
   }
@@ -169,7 +169,7 @@
         EXPECT_TRUE(!promised || runs[error.call_id()] == 0) << error.code();
         EXPECT_NE(error.executed(), proto::EXECUTED_UNSPECIFIED);
       }
-      if (responder.pieces > 0 && responder.complete) {
+      if (responder.chunks > 0 && responder.complete) {
         CheckStream(responder.body);
       }
     }
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -30,7 +30,13 @@
   std::vector<std::uint32_t> running_then;  ///< How many ran when each arrived.
   std::uint32_t probes = 0;
   Duration work_time = milliseconds(50);
-  enum class Mode : std::uint8_t { kServe, kSilent, kRefuse, kFail, kScripted } mode = Mode::kServe;
+  enum class Mode : std::uint8_t {
+    kServe,
+    kNoResponse,
+    kRefuse,
+    kFail,
+    kScripted
+  } mode = Mode::kServe;
   std::vector<ExchangePtr> exchanges;  ///< Of calls; answered by the test in kScripted.
 };
 
@@ -42,15 +48,15 @@
   proto::RoutingConfiguration held;
 };
 
-inline std::string PieceLine(const std::string& run, const std::string& call,
+inline std::string ChunkLine(const std::string& run, const std::string& call,
                              std::uint64_t sequence, const std::string& text, bool end = false) {
-  proto::StreamPiece piece;
-  piece.set_run_id(run);
-  piece.set_call_id(call);
-  piece.set_sequence(sequence);
-  piece.set_text(text);
-  piece.set_end(end);
-  return ToJson(piece) + "\n";
+  proto::StreamChunk chunk;
+  chunk.set_run_id(run);
+  chunk.set_call_id(call);
+  chunk.set_sequence(sequence);
+  chunk.set_text(text);
+  chunk.set_end(end);
+  return ToJson(chunk) + "\n";
 }
 
 /// The data plane of one gateway.
@@ -64,7 +70,7 @@
         {environment, client, *pool, options.calls}, right, *queue, budget, options.retry};
     live = std::make_unique<LiveCallHandler>(context, options);
     batch = std::make_unique<ReplicaBackendCaller>(context, options.forward_headers);
-    pool->OnRoom([this] { queue->DispatchSoon(); });
+    pool->OnCapacity([this] { queue->DispatchSoon(); });
     live->Register(router);
   }
 
@@ -88,7 +94,7 @@
     client = std::make_unique<FakeHttpClient>(*environment);
     options.zone = "a";
     options.replica_list.endpoint = {"127.0.0.9", 80};
-    options.sharing.first_cold_share = 1;  // Most tests have one gateway only.
+    options.sharing.initial_slow_start_quota = 1;  // Most tests have one gateway only.
     for (const char* name : {"a", "b", "c"}) {
       proto::Zone* zone = right.held.add_zones();
       zone->set_name(name);
@@ -170,7 +176,7 @@
     for (auto& [id, replica] : replicas) {
       replica.report_running = 1;
     }
-    world.RunFor(options.health.ramp_time + seconds(3));
+    world.RunFor(options.health.slow_start_time + seconds(3));
     for (auto& [id, replica] : replicas) {
       replica.report_running = 0;
     }
@@ -250,7 +256,7 @@
       }
     }
     switch (replica.mode) {
-      case FakeReplica::Mode::kSilent:
+      case FakeReplica::Mode::kNoResponse:
         return;
       case FakeReplica::Mode::kRefuse:
         exchange->Answer({probe ? 200 : 503, LoadOf(replica), ""});
@@ -282,7 +288,7 @@
       const std::string run = "run-of-" + call_id;
       if (exchange->request.path == "/generate") {
         const std::string lines =
-            PieceLine(run, call_id, 0, "hello ") + PieceLine(run, call_id, 1, "world", true);
+            ChunkLine(run, call_id, 0, "hello ") + ChunkLine(run, call_id, 1, "world", true);
         exchange->Answer({200, load, lines});
         return;
       }
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(answer.text(), "hello world");
   EXPECT_EQ(answer.tokens(), 2U);
   EXPECT_EQ(stream->status, 200);
-  EXPECT_EQ(stream->pieces, 2);
+  EXPECT_EQ(stream->chunks, 2);
   EXPECT_TRUE(stream->complete);
   ASSERT_TRUE(FromJson(served->body, &answer, UnknownFields::kIgnore).ok());
   EXPECT_EQ(answer.text(), "served");
@@ -225,8 +225,8 @@
   h.world.RunFor(milliseconds(100));
   const std::string call_id = model.received.at(0);
   model.exchanges[0]->Head(200, {});
-  model.exchanges[0]->Bytes(PieceLine("r", call_id, 0, "mine"));
-  model.exchanges[0]->Bytes(PieceLine("r", "another", 1, "secret"));
+  model.exchanges[0]->Bytes(ChunkLine("r", call_id, 0, "mine"));
+  model.exchanges[0]->Bytes(ChunkLine("r", "another", 1, "secret"));
   service.exchanges.at(0)->Answer({200, {}, R"({"call_id":"another","text":"secret"})"});
   h.world.RunFor(seconds(1));
   EXPECT_THAT(stream->body, ::testing::HasSubstr("mine"));
@@ -247,7 +247,7 @@
   const auto stream = h.Call("ask", R"({"stream":true})");
   h.world.RunFor(milliseconds(100));
   model.exchanges.at(0)->Head(200, {});
-  model.exchanges[0]->Bytes(PieceLine("r", model.received[0], 0, "begun"));
+  model.exchanges[0]->Bytes(ChunkLine("r", model.received[0], 0, "begun"));
   model.exchanges[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(seconds(5));
   EXPECT_THAT(stream->body, ::testing::HasSubstr("replica_silent"));
@@ -265,14 +265,14 @@
   h.world.RunFor(milliseconds(100));
   const std::string call_id = model.received.at(0);
   model.exchanges[0]->Head(200, {});
-  model.exchanges[0]->Bytes(PieceLine("r", call_id, 0, "x"));
-  model.exchanges[0]->Bytes(PieceLine("r", call_id, 1, "y", true));
+  model.exchanges[0]->Bytes(ChunkLine("r", call_id, 0, "x"));
+  model.exchanges[0]->Bytes(ChunkLine("r", call_id, 1, "y", true));
   h.world.RunFor(milliseconds(100));
-  EXPECT_EQ(slow->pieces, 1);
+  EXPECT_EQ(slow->chunks, 1);
   EXPECT_GT(model.exchanges[0]->unread(), 0U);
   slow->held.at(0)(true);
   h.world.RunFor(milliseconds(100));
-  EXPECT_EQ(slow->pieces, 2);
+  EXPECT_EQ(slow->chunks, 2);
   EXPECT_TRUE(slow->complete);
   EXPECT_EQ(h.pool->loads().at("m1").own(), 1U);  // Until the body has ended.
   model.exchanges[0]->End(HttpOutcomeKind::kAnswered);
--- a/tests/gateway/stream_check_test.cc
+++ b/tests/gateway/stream_check_test.cc
@@ -7,45 +7,45 @@
 namespace cloverbank {
 namespace {
 
-proto::StreamPiece Piece(const std::string& run, const std::string& call, std::uint64_t sequence,
+proto::StreamChunk Chunk(const std::string& run, const std::string& call, std::uint64_t sequence,
                          bool end = false) {
-  proto::StreamPiece piece;
-  piece.set_run_id(run);
-  piece.set_call_id(call);
-  piece.set_sequence(sequence);
-  piece.set_end(end);
-  return piece;
+  proto::StreamChunk chunk;
+  chunk.set_run_id(run);
+  chunk.set_call_id(call);
+  chunk.set_sequence(sequence);
+  chunk.set_end(end);
+  return chunk;
 }
 
 TEST(StreamCheckTest, PassesAnUnbrokenRunOnly) {
   StreamCheck check("c");
-  EXPECT_EQ(check.Check(Piece("r", "c", 0)), PieceVerdict::kPass);
-  EXPECT_EQ(check.Check(Piece("r", "c", 1)), PieceVerdict::kPass);
-  EXPECT_EQ(check.Check(Piece("r", "c", 2, true)), PieceVerdict::kEnd);
+  EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
+  EXPECT_EQ(check.Check(Chunk("r", "c", 1)), ChunkCheckResult::kPass);
+  EXPECT_EQ(check.Check(Chunk("r", "c", 2, true)), ChunkCheckResult::kEnd);
   EXPECT_TRUE(check.BodyEnded());
-  EXPECT_EQ(check.Check(Piece("r", "c", 3)), PieceVerdict::kBroken);
+  EXPECT_EQ(check.Check(Chunk("r", "c", 3)), ChunkCheckResult::kBroken);
   EXPECT_EQ(check.fault(), StreamFault::kAfterEnd);
 }
 
 TEST(StreamCheckTest, NamesEachFault) {
-  const auto fault_of = [](const proto::StreamPiece& second) {
+  const auto fault_of = [](const proto::StreamChunk& second) {
     StreamCheck check("c");
-    EXPECT_EQ(check.Check(Piece("r", "c", 0)), PieceVerdict::kPass);
-    EXPECT_EQ(check.Check(second), PieceVerdict::kBroken);
+    EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
+    EXPECT_EQ(check.Check(second), ChunkCheckResult::kBroken);
     EXPECT_FALSE(check.BodyEnded());
     return check.fault();
   };
-  EXPECT_EQ(fault_of(Piece("r", "other", 1)), StreamFault::kOtherCall);
-  EXPECT_EQ(fault_of(Piece("r", "", 1)), StreamFault::kOtherCall);
-  EXPECT_EQ(fault_of(Piece("s", "c", 1)), StreamFault::kOtherRun);
-  EXPECT_EQ(fault_of(Piece("", "c", 1)), StreamFault::kOtherRun);
-  EXPECT_EQ(fault_of(Piece("r", "c", 2)), StreamFault::kGap);
-  EXPECT_EQ(fault_of(Piece("r", "c", 0)), StreamFault::kRepeat);
+  EXPECT_EQ(fault_of(Chunk("r", "other", 1)), StreamFault::kOtherCall);
+  EXPECT_EQ(fault_of(Chunk("r", "", 1)), StreamFault::kOtherCall);
+  EXPECT_EQ(fault_of(Chunk("s", "c", 1)), StreamFault::kOtherRun);
+  EXPECT_EQ(fault_of(Chunk("", "c", 1)), StreamFault::kOtherRun);
+  EXPECT_EQ(fault_of(Chunk("r", "c", 2)), StreamFault::kGap);
+  EXPECT_EQ(fault_of(Chunk("r", "c", 0)), StreamFault::kRepeat);
   StreamCheck late("c");
-  EXPECT_EQ(late.Check(Piece("r", "c", 1)), PieceVerdict::kBroken);
+  EXPECT_EQ(late.Check(Chunk("r", "c", 1)), ChunkCheckResult::kBroken);
   EXPECT_EQ(late.fault(), StreamFault::kGap);
   StreamCheck cut("c");
-  EXPECT_EQ(cut.Check(Piece("r", "c", 0)), PieceVerdict::kPass);
+  EXPECT_EQ(cut.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
   EXPECT_FALSE(cut.BodyEnded());
   EXPECT_EQ(cut.fault(), StreamFault::kNoEnd);
 }
@@ -58,35 +58,35 @@
     std::uint64_t expected = 0;
     bool ended = false;
     for (std::uint64_t sequence = 0; sequence < 12; ++sequence) {
-      proto::StreamPiece piece = Piece("r", "c", sequence, sequence == 11);
+      proto::StreamChunk chunk = Chunk("r", "c", sequence, sequence == 11);
       switch (random() % 30) {
         case 0:
           continue;  // Lost.
         case 1:
-          piece.set_sequence(random() % 12);
+          chunk.set_sequence(random() % 12);
           break;
         case 2:
-          piece.set_run_id("s");
+          chunk.set_run_id("s");
           break;
         case 3:
-          piece.set_call_id("other");
+          chunk.set_call_id("other");
           break;
         case 4:
-          piece.set_end(true);
+          chunk.set_end(true);
           break;
         default:
           break;
       }
-      const PieceVerdict verdict = check.Check(piece);
-      if (verdict == PieceVerdict::kBroken) {
+      const ChunkCheckResult verdict = check.Check(chunk);
+      if (verdict == ChunkCheckResult::kBroken) {
         break;
       }
       ASSERT_FALSE(ended);
-      ASSERT_EQ(piece.sequence(), expected++);
-      ASSERT_EQ(piece.run_id(), check.run_id());
-      ASSERT_EQ(piece.call_id(), "c");
-      ended = verdict == PieceVerdict::kEnd;
-      ASSERT_EQ(ended, piece.end());
+      ASSERT_EQ(chunk.sequence(), expected++);
+      ASSERT_EQ(chunk.run_id(), check.run_id());
+      ASSERT_EQ(chunk.call_id(), "c");
+      ended = verdict == ChunkCheckResult::kEnd;
+      ASSERT_EQ(ended, chunk.end());
     }
     const bool clean = ended && check.fault() == StreamFault::kNone;
     ASSERT_EQ(check.BodyEnded(), clean);
