--- a/tests/net/http_stream_test.cc
+++ b/tests/net/http_stream_test.cc
@@ -45,11 +45,11 @@
 
 TEST_F(HttpStreamTest, DeliversPiecesInOrderAndReusesTheConnection) {
   ServeStream([](const ResponderPointer& responder) {
-    responder->WritePiece("one ", nullptr);
-    responder->WritePiece("", nullptr);
-    responder->WritePiece("two ", [responder](bool alive) {
+    responder->WriteChunk("one ", nullptr);
+    responder->WriteChunk("", nullptr);
+    responder->WriteChunk("two ", [responder](bool alive) {
       EXPECT_TRUE(alive);
-      responder->WritePiece("three", nullptr);
+      responder->WriteChunk("three", nullptr);
       responder->FinishStream();
     });
   });
@@ -73,12 +73,12 @@
 }
 
 TEST_F(HttpStreamTest, AReaderThatStopsHoldsTheWriterBack) {
-  constexpr std::size_t kPieceBytes = 1U << 20U;
-  constexpr int kPieces = 64;
+  constexpr std::size_t kChunkBytes = 1U << 20U;
+  constexpr int kChunks = 64;
   int written = 0;
   std::function<void(const ResponderPointer&)> write_next = [&](const ResponderPointer& responder) {
-    responder->WritePiece(std::string(kPieceBytes, 'x'), [&, responder](bool alive) {
-      if (alive && ++written < kPieces) {
+    responder->WriteChunk(std::string(kChunkBytes, 'x'), [&, responder](bool alive) {
+      if (alive && ++written < kChunks) {
         write_next(responder);
       } else {
         responder->FinishStream();
@@ -101,15 +101,15 @@
   callbacks.on_end = [&](const HttpOutcome&) { loop_.Stop(); };
   client_->Stream(server_->endpoint(), Get("/"), seconds(30), seconds(30), callbacks);
   RunUntilStopped();
-  EXPECT_LT(written, kPieces) << "the writer ran ahead of a reader that took nothing";
+  EXPECT_LT(written, kChunks) << "the writer ran ahead of a reader that took nothing";
   held_more();
   RunUntilStopped();
-  EXPECT_EQ(received, kPieces * kPieceBytes);
+  EXPECT_EQ(received, kChunks * kChunkBytes);
 }
 
 TEST_F(HttpStreamTest, AbortedStreamIsUnknown) {
   ServeStream([](const ResponderPointer& responder) {
-    responder->WritePiece("part", [responder](bool) { responder->Abort(); });
+    responder->WriteChunk("part", [responder](bool) { responder->Abort(); });
   });
   StreamAndWait();
   EXPECT_EQ(body_, "part");
@@ -121,7 +121,7 @@
   ResponderPointer held;
   ServeStream([&](const ResponderPointer& responder) {
     held = responder;
-    responder->WritePiece("part", nullptr);
+    responder->WriteChunk("part", nullptr);
   });
   StreamAndWait(milliseconds(50));
   EXPECT_EQ(body_, "part");
@@ -134,12 +134,12 @@
   ServeStream([&](const ResponderPointer& responder) {
     responder->OnDisconnect([&, responder] {
       gone = true;
-      responder->WritePiece("into the void", [this](bool alive) {
+      responder->WriteChunk("into the void", [this](bool alive) {
         EXPECT_FALSE(alive);
         loop_.Stop();
       });
     });
-    responder->WritePiece("part", nullptr);
+    responder->WriteChunk("part", nullptr);
   });
   HttpStreamCallbacks callbacks;
   callbacks.on_bytes = [&](const std::string&, const std::function<void()>&) { call->Cancel(); };
--- a/tests/node/coordinator_referral_test.cc
+++ b/tests/node/coordinator_referral_test.cc
@@ -69,11 +69,11 @@
 TEST_F(CoordinatorReferralTest, ANodeThatKnowsNobodyIsToldByTheLeader) {
   AddGateway("lost", "10.0.2.1", {Endpoint{"10.0.2.9", 7401}});
   EXPECT_FALSE(Joins("lost", seconds(2)));
-  proto::TakeCoordinatorsRequest request;
+  proto::UpdateCoordinatorsRequest request;
   for (const auto& [name, endpoint] : endpoints_) {
     *request.add_coordinators() = ToMessage(endpoint);
   }
-  world_.CallPeer(world_.machine("lost").endpoint(), TakeCoordinatorsMethod(proto::ROLE_GATEWAY),
+  world_.CallPeer(world_.machine("lost").endpoint(), UpdateCoordinatorsMethod(proto::ROLE_GATEWAY),
                   request.SerializeAsString(), seconds(1), [](const PeerReply&) {});
   EXPECT_TRUE(Joins("lost", seconds(2)));
 }
--- a/tests/node/fake_control.h
+++ b/tests/node/fake_control.h
@@ -62,7 +62,7 @@
     ServePeer<proto::HeartbeatRequest, proto::HeartbeatResponse>(
         environment_, "coordinator.Heartbeat",
         [this](const proto::HeartbeatRequest& request, const std::string&,
-               const HeartbeatReply& reply) { TakeHeartbeat(request, reply); });
+               const HeartbeatReply& reply) { ApplyHeartbeat(request, reply); });
   }
 
  private:
@@ -141,24 +141,24 @@
            request.fleet_version() != control_.fleet.to_version();
   }
 
-  void TakeHeartbeat(const proto::HeartbeatRequest& request, const HeartbeatReply& reply) {
+  void ApplyHeartbeat(const proto::HeartbeatRequest& request, const HeartbeatReply& reply) {
     if (control_.leader != name_) {
       reply(NotLeader());
       return;
     }
     control_.heartbeats.push_back(request);
-    WaitForNews(request, environment_.Now() + milliseconds(request.hold_ms()), reply);
+    WaitForUpdate(request, environment_.Now() + milliseconds(request.hold_ms()), reply);
   }
 
-  void WaitForNews(const proto::HeartbeatRequest& request, TimePoint until,
-                   const HeartbeatReply& reply) {
+  void WaitForUpdate(const proto::HeartbeatRequest& request, TimePoint until,
+                     const HeartbeatReply& reply) {
     if (!control_.alive.contains(request.node_id())) {
       reply(Status(StatusCode::kFenced, "declared dead"));
     } else if (Behind(request) || environment_.Now() >= until) {
       reply(MakeAnswer(request));
     } else {
       environment_.ScheduleAfter(
-          milliseconds(5), [this, request, until, reply] { WaitForNews(request, until, reply); });
+          milliseconds(5), [this, request, until, reply] { WaitForUpdate(request, until, reply); });
     }
   }
 
--- a/tests/node/watch_test.cc
+++ b/tests/node/watch_test.cc
@@ -29,7 +29,7 @@
       ->set_state(proto::ZONE_STATE_DRAINED);
   update.add_changes()->mutable_set_batch()->set_paused(true);
   ConfigurationWatch watch;
-  ASSERT_EQ(watch.Take(update), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(update), UpdateOutcome::kTaken);
   const proto::RoutingConfiguration& held = watch.configuration();
   ASSERT_EQ(held.routes_size(), 2);
   EXPECT_EQ(held.routes(0).name(), "a");
@@ -48,7 +48,7 @@
   update.add_changes()->mutable_set_route()->set_name("a");
   update.add_changes();
   ConfigurationWatch watch;
-  EXPECT_EQ(watch.Take(update), UpdateOutcome::kGap);
+  EXPECT_EQ(watch.Apply(update), UpdateOutcome::kGap);
   EXPECT_EQ(watch.configuration().routes_size(), 0);
   EXPECT_EQ(watch.VersionToReport(), ConfigurationVersion(0));
 }
@@ -61,13 +61,13 @@
   }
   whole.add_partitions()->set_owner(10);
   FleetWatch watch;
-  ASSERT_EQ(watch.Take(whole), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(whole), UpdateOutcome::kTaken);
   ASSERT_NE(watch.view().OwnerOf(PartitionId(0)), nullptr);
 
   proto::FleetUpdate gap;
   gap.set_from_version(5);
   gap.set_to_version(6);
-  EXPECT_EQ(watch.Take(gap), UpdateOutcome::kGap);
+  EXPECT_EQ(watch.Apply(gap), UpdateOutcome::kGap);
   EXPECT_EQ(watch.VersionToReport(), FleetVersion(0));
 
   proto::FleetUpdate delta;
@@ -76,11 +76,11 @@
   proto::Server* dead = delta.add_servers();
   dead->set_node_id(10);
   dead->set_state(proto::SERVER_STATE_DEAD);
-  ASSERT_EQ(watch.Take(delta), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(delta), UpdateOutcome::kTaken);
   EXPECT_EQ(watch.view().servers.size(), 1U);
   EXPECT_EQ(watch.view().OwnerOf(PartitionId(0)), nullptr) << "nobody owns what a dead node owned";
 
-  EXPECT_EQ(watch.Take(whole), UpdateOutcome::kOlder);
+  EXPECT_EQ(watch.Apply(whole), UpdateOutcome::kOlder);
   EXPECT_EQ(watch.view().version, FleetVersion(5));
 }
 
--- a/tests/queue/backup_selector_test.cc
+++ b/tests/queue/backup_selector_test.cc
@@ -36,7 +36,7 @@
   std::set<NodeId> ever;
   for (int i = 0; i < 100; ++i) {
     std::set<std::string> zones;
-    for (const NodeId id : Select({.count = 3, .copies = 3})) {
+    for (const NodeId id : Select({.count = 3, .replicas = 3})) {
       zones.insert(fleet_.servers[id].zone());
       ever.insert(id);
     }
@@ -49,7 +49,7 @@
   for (std::uint64_t id = 1; id <= 6; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
-  const auto chosen = Select({.count = 1, .copies = 3, .holders = {NodeId(1), NodeId(2)}});
+  const auto chosen = Select({.count = 1, .replicas = 3, .locations = {NodeId(1), NodeId(2)}});
   ASSERT_EQ(chosen.size(), 1U);
   EXPECT_EQ(fleet_.servers[*chosen.begin()].zone(), "zone0");
 }
@@ -60,11 +60,12 @@
   Add(3, "c");
   Add(11, "a", true);
   Add(12, "b", true);
-  EXPECT_EQ(Select({.count = 3, .copies = 3}), (std::set<NodeId>{NodeId(1), NodeId(2), NodeId(3)}));
-  const auto chosen = Select({.count = 3, .copies = 3, .avoid = {NodeId(2)}});
+  EXPECT_EQ(Select({.count = 3, .replicas = 3}),
+            (std::set<NodeId>{NodeId(1), NodeId(2), NodeId(3)}));
+  const auto chosen = Select({.count = 3, .replicas = 3, .avoid = {NodeId(2)}});
   EXPECT_EQ(chosen, (std::set<NodeId>{NodeId(1), NodeId(3), NodeId(12)}));
   EXPECT_TRUE(
-      Select({.count = 1, .copies = 3, .holders = {NodeId(1), NodeId(2), NodeId(3)}}).empty());
+      Select({.count = 1, .replicas = 3, .locations = {NodeId(1), NodeId(2), NodeId(3)}}).empty());
 }
 
 TEST_F(BackupSelectorTest, TakesNoRetiringDeadOrAvoidedOnes) {
@@ -72,7 +73,7 @@
   Add(2, "b", false, proto::SERVER_STATE_DEAD);
   Add(3, "c");
   Add(4, "c");
-  EXPECT_EQ(Select({.count = 3, .copies = 3, .avoid = {NodeId(4)}}), std::set<NodeId>{NodeId(3)});
+  EXPECT_EQ(Select({.count = 3, .replicas = 3, .avoid = {NodeId(4)}}), std::set<NodeId>{NodeId(3)});
 }
 
 }  // namespace
--- a/tests/queue/batch_store_test.cc
+++ b/tests/queue/batch_store_test.cc
@@ -154,10 +154,10 @@
   Apply(cancelled);
   EXPECT_EQ(store_.Find("b1")->state(), proto::BATCH_STATE_CANCELLED);
   Apply(writer_.Finished("b1", 3, "was running"));
-  proto::LogEntry settled = writer_.Next();
-  settled.mutable_batch_settled()->set_batch_id("b1");
-  settled.mutable_batch_settled()->set_settled_at_ms(70);
-  Apply(settled);
+  proto::LogEntry completed = writer_.Next();
+  completed.mutable_batch_cancellation_completed()->set_batch_id("b1");
+  completed.mutable_batch_cancellation_completed()->set_completed_at_ms(70);
+  Apply(completed);
   const auto list = store_.ListResults("b1", "", 0);
   ASSERT_EQ(list->results_size(), 4);
   EXPECT_EQ(list->results(2).item_index(), 0U);
@@ -174,9 +174,9 @@
     Apply(entry);
   }
   EXPECT_EQ(store_.open_items(), 1U);
-  proto::LogEntry mark;
-  mark.mutable_partition_mark()->set_next_sequence(40);
-  Apply(mark);
+  proto::LogEntry watermark;
+  watermark.mutable_partition_watermark()->set_next_sequence(40);
+  Apply(watermark);
   EXPECT_EQ(store_.next_sequence(), PartitionSequence(40));
 }
 
--- a/tests/queue/batch_workload.cc
+++ b/tests/queue/batch_workload.cc
@@ -203,8 +203,8 @@
   proto::AcquireWorkRequest request;
   request.set_gateway_node_id(kGateway);
   request.set_incarnation(1);
-  request.add_room()->set_backend("model");
-  request.mutable_room(0)->set_slots(static_cast<std::uint32_t>(1 + world_.RandomBelow(10)));
+  request.add_capacity()->set_backend("model");
+  request.mutable_capacity(0)->set_slots(static_cast<std::uint32_t>(1 + world_.RandomBelow(10)));
   request.set_hold_ms(300);
   const TimePoint sent = world_.Now();
   Call<proto::AcquireWorkResponse>(
--- a/tests/queue/drain_rate_test.cc
+++ b/tests/queue/drain_rate_test.cc
@@ -9,14 +9,14 @@
 
 TEST(DrainRateTest, IsNotKnownFromOneCount) {
   DrainRate rate;
-  rate.Note(1'000, 0, kStart);
+  rate.Update(1'000, 0, kStart);
   EXPECT_FALSE(rate.TimeFor(100).has_value());
 }
 
 TEST(DrainRateTest, CountsWhatWasFinishedBesideWhatWasGranted) {
   DrainRate rate;
-  rate.Note(1'000, 0, kStart);
-  rate.Note(1'000, 50, kStart + milliseconds(100));
+  rate.Update(1'000, 0, kStart);
+  rate.Update(1'000, 50, kStart + milliseconds(100));
   ASSERT_TRUE(rate.TimeFor(500).has_value());
   EXPECT_EQ(*rate.TimeFor(500), seconds(1));
 }
@@ -25,27 +25,27 @@
   DrainRate rate;
   std::uint64_t open = 100'000;
   TimePoint now = kStart;
-  rate.Note(open, 0, now);
+  rate.Update(open, 0, now);
   for (const std::uint64_t finished : {100U, 100U, 100U}) {
     open -= finished;
     now += milliseconds(100);
-    rate.Note(open, 0, now);
+    rate.Update(open, 0, now);
   }
   EXPECT_EQ(*rate.TimeFor(1'000), seconds(1));
   for (int count = 0; count < 20; ++count) {
     open -= 200;
     now += milliseconds(100);
-    rate.Note(open, 0, now);
+    rate.Update(open, 0, now);
   }
   EXPECT_NEAR(std::chrono::duration<double>(*rate.TimeFor(1'000)).count(), 0.5, 0.01);
 }
 
 TEST(DrainRateTest, ForgetsWhatItKnewOverALongPause) {
   DrainRate rate;
-  rate.Note(1'000, 0, kStart);
-  rate.Note(900, 0, kStart + milliseconds(100));
+  rate.Update(1'000, 0, kStart);
+  rate.Update(900, 0, kStart + milliseconds(100));
   EXPECT_TRUE(rate.TimeFor(100).has_value());
-  rate.Note(0, 0, kStart + seconds(10));
+  rate.Update(0, 0, kStart + seconds(10));
   EXPECT_FALSE(rate.TimeFor(100).has_value());
 }
 
--- a/tests/queue/durability_simulation_test.cc
+++ b/tests/queue/durability_simulation_test.cc
@@ -78,10 +78,10 @@
 }
 
 TEST_P(DurabilityTest, TwoStoresLoseTheirDisksAtOnce) {
-  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.Whole(); }, seconds(20)));
+  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   fleet.world.RunFor(RandomTime(1000));
-  if (!fleet.Whole()) {
-    ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.Whole(); }, seconds(20)));
+  if (!fleet.FullConfiguration()) {
+    ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   }
   const std::uint64_t kept = fleet.world.RandomBelow(3);
   for (std::uint64_t i = 0; i < 3; ++i) {
@@ -96,7 +96,7 @@
 
 TEST_P(DurabilityTest, OneDiskAfterTheOtherOnceRepaired) {
   for (int round = 0; round < 3; ++round) {
-    ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.Whole(); }, seconds(60)));
+    ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(60)));
     const std::string first = RandomOf(fleet.stores);
     Machine(first).LoseDisk();
     StartLater(first, RandomTime(6000));
@@ -106,7 +106,7 @@
 }
 
 TEST_P(DurabilityTest, AnIsolatedStoreAndThenBothOthersLost) {
-  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.Whole(); }, seconds(20)));
+  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   const std::string isolated = RandomOf(fleet.stores);
   fleet.world.Isolate(isolated);
   // At no moment may the loss of both others lose what was acknowledged.
@@ -140,7 +140,7 @@
 }
 
 TEST_P(DurabilityTest, RetiredStoreIsEmptiedAndThenLost) {
-  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.Whole(); }, seconds(20)));
+  ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   const std::string retired = RandomOf(fleet.stores);
   proto::RetireServerRequest request;
   request.set_machine(retired);
@@ -196,8 +196,9 @@
     }
     fleet.world.RunFor(seconds(2) + RandomTime(2000));
   }
-  const TimePoint with_room = fleet.world.Now();
-  EXPECT_TRUE(fleet.world.RunUntil([&] { return workload.ServedSince(with_room); }, seconds(10)));
+  const TimePoint space_available_at = fleet.world.Now();
+  EXPECT_TRUE(
+      fleet.world.RunUntil([&] { return workload.ServedSince(space_available_at); }, seconds(10)));
   Conclude(20);
 }
 
--- a/tests/queue/fake_coordinator.h
+++ b/tests/queue/fake_coordinator.h
@@ -30,7 +30,7 @@
     const auto server = servers.find(node);
     return server == servers.end() || server->second.state() == proto::SERVER_STATE_DEAD;
   }
-  void MarkDead(std::uint64_t node) {
+  void DeclareDead(std::uint64_t node) {
     servers[node].set_state(proto::SERVER_STATE_DEAD);
     for (auto& [id, partition] : partitions) {
       if (partition.owner() == node) {
@@ -90,10 +90,11 @@
 
   Result<proto::RegisterServerResponse> Register(const proto::RegisterServerRequest& request) {
     for (const auto& [id, server] : state_.servers) {
-      const bool earlier_life = server.machine() == request.server().machine() &&
-                                server.role() == request.server().role() && !state_.IsDead(id);
-      if (earlier_life) {
-        state_.MarkDead(id);
+      const bool earlier_incarnation = server.machine() == request.server().machine() &&
+                                       server.role() == request.server().role() &&
+                                       !state_.IsDead(id);
+      if (earlier_incarnation) {
+        state_.DeclareDead(id);
       }
     }
     proto::RegisterServerResponse response;
--- a/tests/queue/fleet_world.h
+++ b/tests/queue/fleet_world.h
@@ -50,7 +50,7 @@
   }
 
   /// Whether every store machine but `except` runs and has all copies wanted of its log.
-  bool Whole(const std::string& except = "") {
+  bool FullConfiguration(const std::string& except = "") {
     for (const std::string& name : stores) {
       if (name == except) {
         continue;
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -121,8 +121,8 @@
     proto::AcquireWorkRequest request;
     request.set_gateway_node_id(kGateway);
     request.set_incarnation(1);
-    request.add_room()->set_backend("model");
-    request.mutable_room(0)->set_slots(kWorkSlots);
+    request.add_capacity()->set_backend("model");
+    request.mutable_capacity(0)->set_slots(kWorkSlots);
     request.set_hold_ms(200);
     Call<proto::AcquireWorkResponse>(
         store, "queue.AcquireWork", request, seconds(1),
--- a/tests/queue/log_world.h
+++ b/tests/queue/log_world.h
@@ -84,11 +84,11 @@
   /// Fences `node` at every running backup and finds its whole log.
   /// @return the segments and where they are, or what is missing.
   Result<std::vector<proto::RecoverySegment>> Collect(std::uint64_t node) {
-    struct Copy {
+    struct ReplaceStep {
       std::string backup;
       proto::StoredSegment stored;
     };
-    std::map<std::uint64_t, std::vector<Copy>> copies;
+    std::map<std::uint64_t, std::vector<ReplaceStep>> replicas;
     for (const std::string& backup : backups) {
       proto::StartReadingDataRequest request;
       request.set_dead_node_id(node);
@@ -98,7 +98,7 @@
         continue;
       }
       for (const proto::StoredSegment& stored : found->segments()) {
-        copies[stored.segment_id()].push_back({backup, stored});
+        replicas[stored.segment_id()].push_back({backup, stored});
       }
     }
     const proto::LogHead& head = coordinator.heads[node];
@@ -108,17 +108,17 @@
     std::uint64_t next = head.segment_id();
     std::size_t position = 0;
     while (true) {
-      std::vector<Copy> whole;
-      for (const Copy& copy : copies[next]) {
+      std::vector<ReplaceStep> whole;
+      for (const ReplaceStep& step : replicas[next]) {
         const bool valid =
-            next == head.segment_id() ? copy.stored.epoch() >= head.epoch() : copy.stored.closed();
-        if (!valid || (!whole.empty() && copy.stored.length() < whole[0].stored.length())) {
+            next == head.segment_id() ? step.stored.epoch() >= head.epoch() : step.stored.closed();
+        if (!valid || (!whole.empty() && step.stored.length() < whole[0].stored.length())) {
           continue;
         }
-        if (!whole.empty() && copy.stored.length() > whole[0].stored.length()) {
+        if (!whole.empty() && step.stored.length() > whole[0].stored.length()) {
           whole.clear();
         }
-        whole.push_back(copy);
+        whole.push_back(step);
       }
       if (whole.empty()) {
         return Status(StatusCode::kUnavailable, "segment " + std::to_string(next) + " is missing");
@@ -129,8 +129,8 @@
       }
       const std::size_t place = next == head.segment_id() ? live.size() - 1 : position++;
       segments[place].set_segment_id(next);
-      for (const Copy& copy : whole) {
-        const Endpoint& endpoint = world.machine(copy.backup).endpoint();
+      for (const ReplaceStep& step : whole) {
+        const Endpoint& endpoint = world.machine(step.backup).endpoint();
         proto::Endpoint* listed = segments[place].add_backups();
         listed->set_host(endpoint.host);
         listed->set_port(endpoint.port);
--- a/tests/queue/held_questions_test.cc
+++ b/tests/queue/pending_acquire_test.cc
@@ -9,9 +9,9 @@
 namespace {
 
 /// Many gateways, each of which asks again as soon as it was answered.
-class HeldQuestionsTest : public testing::Test {
+class PendingAcquireTest : public testing::Test {
  protected:
-  HeldQuestionsTest() : world(21) {
+  PendingAcquireTest() : world(21) {
     world.AddQueue("q1");
     world.Own("q1");
   }
@@ -23,18 +23,18 @@
   void AskAll(const std::string& backend = "model") {
     for (int gateway = 0; gateway < kGateways; ++gateway) {
       // A third of them are in the queue node's zone.
-      Ask(gateway, gateway % 3 == 0 ? "zone-b1" : "zone-b2", backend);
+      SendRequest(gateway, gateway % 3 == 0 ? "zone-b1" : "zone-b2", backend);
     }
     world.world.RunFor(seconds(1));
     asked_ = 0;
   }
-  void Ask(int gateway, const std::string& zone, const std::string& backend) {
+  void SendRequest(int gateway, const std::string& zone, const std::string& backend) {
     ++asked_;
     proto::AcquireWorkRequest request;
     request.set_gateway_node_id(kFirstGatewayId + static_cast<std::uint64_t>(gateway));
     request.set_zone(zone);
-    request.add_room()->set_backend(backend);
-    request.mutable_room(0)->set_slots(kSlots);
+    request.add_capacity()->set_backend(backend);
+    request.mutable_capacity(0)->set_slots(kSlots);
     request.set_hold_ms(4000);
     world.world.CallPeer(world.world.machine("q1").endpoint(), "queue.AcquireWork",
                          request.SerializeAsString(), seconds(5),
@@ -44,7 +44,7 @@
                            granted_ += response.grants_size();
                            granted_in_zone_ += zone == "zone-b1" ? response.grants_size() : 0;
                            if (response.grants_size() == 0) {
-                             Ask(gateway, zone, backend);
+                             SendRequest(gateway, zone, backend);
                            }
                          });
   }
@@ -55,7 +55,7 @@
   int granted_in_zone_ = 0;
 };
 
-TEST_F(HeldQuestionsTest, ABatchWakesAsManyGatewaysAsHaveRoomForIt) {
+TEST_F(PendingAcquireTest, ABatchWakesAsManyGatewaysAsHaveRoomForIt) {
   AskAll();
   world.Accept("q1", "key", 6);
   world.world.RunFor(milliseconds(100));
@@ -63,7 +63,7 @@
   EXPECT_LE(asked_, 12) << "twice the room of 6 items, not all 60 gateways";
 }
 
-TEST_F(HeldQuestionsTest, GatewaysOfTheOwnZoneAreWokenFirst) {
+TEST_F(PendingAcquireTest, GatewaysOfTheOwnZoneAreWokenFirst) {
   AskAll();
   world.Accept("q1", "key", 10);
   world.world.RunFor(milliseconds(100));
@@ -71,14 +71,14 @@
   EXPECT_EQ(granted_in_zone_, 10);
 }
 
-TEST_F(HeldQuestionsTest, ALargeBatchReachesAllThatHaveRoom) {
+TEST_F(PendingAcquireTest, ALargeBatchReachesAllThatHaveRoom) {
   AskAll();
   world.Accept("q1", "key", 2 * kGateways * static_cast<int>(kSlots));
   world.world.RunFor(milliseconds(300));
   EXPECT_EQ(granted_, kGateways * static_cast<int>(kSlots));
 }
 
-TEST_F(HeldQuestionsTest, GatewaysWithRoomForOtherBackEndsAreLeftAlone) {
+TEST_F(PendingAcquireTest, GatewaysWithRoomForOtherBackEndsAreLeftAlone) {
   AskAll("other");
   world.Accept("q1", "key", 6);
   world.world.RunFor(seconds(1));
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -105,8 +105,8 @@
 
 TEST_F(QueueServiceTest, NewBatchEndsAHeldRequestAndTheNextOneGetsWork) {
   proto::AcquireWorkRequest request;
-  request.add_room()->set_backend("model");
-  request.mutable_room(0)->set_slots(3);
+  request.add_capacity()->set_backend("model");
+  request.mutable_capacity(0)->set_slots(3);
   request.set_hold_ms(2000);
   std::optional<proto::AcquireWorkResponse> response;
   const auto ask = [&] {
@@ -278,7 +278,7 @@
   std::vector<std::string> ids = AcceptMany(4, 5);
   const std::uint64_t first = world.QueueId("q1");
   world.world.machine("q1").Kill();
-  world.coordinator.MarkDead(first);
+  world.coordinator.DeclareDead(first);
   // q2 replays, but its report never arrives; q3 is given the partition and then dies too.
   world.world.Cut("q2", "control");
   ASSERT_TRUE(world.StartRecovery(first, "q2").ok());
@@ -299,7 +299,7 @@
   std::vector<std::string> ids = {world.Accept("q1", "first", 5)};
   const std::uint64_t first = world.QueueId("q1");
   world.world.machine("q1").Kill();
-  world.coordinator.MarkDead(first);
+  world.coordinator.DeclareDead(first);
   // q2 replays in vain: the partition goes to q3, where the batch is worked off and removed.
   world.world.Cut("q2", "control");
   ASSERT_TRUE(world.StartRecovery(first, "q2").ok());
@@ -329,7 +329,7 @@
   world.Accept("q1", "key", 2);
   const std::uint64_t first = world.QueueId("q1");
   world.world.machine("q1").Freeze();
-  world.coordinator.MarkDead(first);
+  world.coordinator.DeclareDead(first);
   ASSERT_TRUE(world.StartRecovery(first, "q2").ok());
   ASSERT_TRUE(world.world.RunUntil([&] { return world.Owns("q2"); }, seconds(10)));
   world.world.machine("q1").Wake();
--- a/tests/queue/queue_world.h
+++ b/tests/queue/queue_world.h
@@ -133,8 +133,8 @@
     proto::AcquireWorkRequest request;
     request.set_gateway_node_id(kGateway);
     request.set_incarnation(1);
-    request.add_room()->set_backend("model");
-    request.mutable_room(0)->set_slots(slots);
+    request.add_capacity()->set_backend("model");
+    request.mutable_capacity(0)->set_slots(slots);
     request.set_hold_ms(hold_ms);
     const auto response = Call<proto::AcquireWorkResponse>(queue, "queue.AcquireWork", request);
     EXPECT_TRUE(response.ok()) << response.status().ToString();
@@ -198,7 +198,7 @@
   void FailOver(const std::string& from, const std::string& to, std::uint64_t partition = 0) {
     const std::uint64_t node = QueueId(from);
     world.machine(from).Kill();
-    coordinator.MarkDead(node);
+    coordinator.DeclareDead(node);
     const Status started = StartRecovery(node, to, partition);
     ASSERT_TRUE(started.ok()) << started.ToString();
     ASSERT_TRUE(world.RunUntil([&] { return Owns(to, partition); }, seconds(10)));
--- a/tests/queue/segment_log_test.cc
+++ b/tests/queue/segment_log_test.cc
@@ -52,8 +52,8 @@
   ASSERT_TRUE(AppendAndWait());
   std::string lost;
   for (const std::string& backup : logs.backups) {
-    const std::uint64_t holder = logs.coordinator.NodeOf(backup, proto::ROLE_BACKUP);
-    lost = holder == Head().backups(0) ? backup : lost;
+    const std::uint64_t location = logs.coordinator.NodeOf(backup, proto::ROLE_BACKUP);
+    lost = location == Head().backups(0) ? backup : lost;
   }
   logs.world.machine(lost).LosePower();
   ASSERT_TRUE(AppendAndWait());
@@ -115,7 +115,7 @@
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("q").Freeze();
-  logs.coordinator.MarkDead(node);
+  logs.coordinator.DeclareDead(node);
   ASSERT_TRUE(logs.Collect(node).ok());
   logs.world.machine("q").Wake();
   const std::uint64_t late = Append();
@@ -144,7 +144,7 @@
     Append();
   }
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 200; }));
-  logs.coordinator.MarkDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
+  logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
   logs.world.machine("b2").LoseDisk();
   ASSERT_TRUE(WaitFor([this] { return process->log->degraded(); }));
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
@@ -168,7 +168,7 @@
     ASSERT_TRUE(logs.world.machine("b1").FlipBit(file, kDamagedByte).ok());
   }
   // Only the damaged copies can be read while b3 is down.
-  logs.coordinator.MarkDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
+  logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
   logs.world.machine("b2").LoseDisk();
   logs.world.machine("b3").Kill();
   logs.AddBackup("b4", "zone-b4");
--- a/tests/queue/segment_usage_test.cc
+++ b/tests/queue/segment_usage_test.cc
@@ -26,11 +26,11 @@
   entry.mutable_batch_removed()->set_batch_id(batch);
   return entry;
 }
-proto::LogEntry Mark(bool discard, std::uint64_t next = 0) {
+proto::LogEntry Watermark(bool discard, std::uint64_t next = 0) {
   proto::LogEntry entry;
   entry.set_partition_tag(kTag);
-  entry.mutable_partition_mark()->set_discard_earlier(discard);
-  entry.mutable_partition_mark()->set_next_sequence(next);
+  entry.mutable_partition_watermark()->set_discard_earlier(discard);
+  entry.mutable_partition_watermark()->set_next_sequence(next);
   return entry;
 }
 
@@ -61,7 +61,7 @@
 TEST(SegmentUsageTest, DiscardingMarkKillsWhatIsBeforeIt) {
   SegmentUsage usage;
   usage.AddEntry(SegmentId(1), Items("a"));
-  usage.AddEntry(SegmentId(2), Mark(true));
+  usage.AddEntry(SegmentId(2), Watermark(true));
   usage.AddEntry(SegmentId(2), Items("a"));
   usage.AddEntry(SegmentId(3), Items("a"));
   EXPECT_TRUE(usage.IsDead(SegmentId(1)));
@@ -76,7 +76,7 @@
 TEST(PartitionReplayTest, OrdersAndDropsWhatIsDeadVoidOrDouble) {
   PartitionReplay replay;
   replay.Add(Accepted("void", 90));
-  replay.Add(Mark(true));
+  replay.Add(Watermark(true));
   replay.Add(Items("b", 3));
   replay.Add(Accepted("b", 4));
   replay.Add(Items("a", 1));
@@ -95,7 +95,7 @@
 TEST(PartitionReplayTest, NumbersOfCleanedEntriesAreNotUsedAgain) {
   PartitionReplay replay;
   replay.Add(Accepted("a", 2));
-  replay.Add(Mark(false, 40));
+  replay.Add(Watermark(false, 40));
   EXPECT_EQ(replay.next_sequence(), PartitionSequence(40));
 }
 
--- a/tests/queue/token_allowance_test.cc
+++ b/tests/queue/token_allowance_test.cc
@@ -6,7 +6,7 @@
 #include <random>
 #include <vector>
 
-#include "queue/token_ledger.h"
+#include "queue/token_usage.h"
 #include "support/test_seeds.h"
 
 namespace cloverbank {
@@ -14,32 +14,32 @@
 
 TEST(TokenAllowanceTest, NothingIsSpareBeforeTheFirstCount) {
   TokenAllowance allowance;
-  allowance.NoteGranted(50);
+  allowance.RecordGrant(50);
   EXPECT_EQ(allowance.Spare(0), 0U);
 }
 
 TEST(TokenAllowanceTest, WhatWasFinishedOrLentSinceTheCountIsSpare) {
   TokenAllowance allowance;
-  allowance.NoteCounted(100);
+  allowance.RecordCount(100);
   EXPECT_EQ(allowance.Spare(100), 0U);
   EXPECT_EQ(allowance.Spare(70), 30U);
-  allowance.NoteGranted(25);
+  allowance.RecordGrant(25);
   EXPECT_EQ(allowance.Spare(100), 25U);
   EXPECT_EQ(allowance.Spare(130), 0U);
 }
 
 TEST(TokenAllowanceTest, ACountTakesBackWhatWasLent) {
   TokenAllowance allowance;
-  allowance.NoteCounted(0);
-  allowance.NoteGranted(40);
-  allowance.NoteCounted(10);
+  allowance.RecordCount(0);
+  allowance.RecordGrant(40);
+  allowance.RecordCount(10);
   EXPECT_EQ(allowance.Spare(10), 0U);
 }
 
 TEST(TokenAllowanceTest, APartitionThatIsGivenUpLosesItsAllowances) {
   TokenAllowances allowances;
-  allowances[{PartitionId(1), "studio", "audit"}].NoteCounted(10);
-  allowances[{PartitionId(2), "studio", "audit"}].NoteCounted(10);
+  allowances[{PartitionId(1), "studio", "audit"}].RecordCount(10);
+  allowances[{PartitionId(2), "studio", "audit"}].RecordCount(10);
   allowances.Drop(PartitionId(1));
   EXPECT_EQ((allowances[{PartitionId(1), "studio", "audit"}].Spare(0)), 0U);
   EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Spare(0)), 10U);
@@ -68,27 +68,27 @@
     }
   }
   std::uint64_t open() const { return open_; }
-  std::uint64_t bound() const { return ledger_.UpperBound(); }
+  std::uint64_t bound() const { return usage_.UpperBound(); }
 
  private:
   struct OnItsWay {
     std::uint64_t sequence;
     std::uint64_t tokens;
-    std::uint64_t lent;
+    std::uint64_t allowance;
   };
   void Count() {
-    allowance_.NoteCounted(open_);
+    allowance_.RecordCount(open_);
     std::set<std::uint64_t> pending;
     for (const OnItsWay& answer : answers_) {
       pending.insert(answer.sequence);
     }
     if (random_() % 4 != 0) {  // Else the answer gets lost.
-      ledger_.TakeCount({PartitionId(0), NodeId(1), open_, next_, pending});
+      usage_.ApplyCount({PartitionId(0), NodeId(1), open_, next_, pending});
     }
   }
   void Grant() {
     const OnItsWay answer{next_++, random_() % 100, random_() % 30};
-    ledger_.AddGrant({PartitionId(0), NodeId(1), answer.sequence, answer.tokens + answer.lent});
+    usage_.AddGrant({PartitionId(0), NodeId(1), answer.sequence, answer.tokens + answer.allowance});
     answers_.push_back(answer);
   }
   void DeliverOne() {
@@ -97,14 +97,14 @@
     }
     const auto chosen = answers_.begin() + static_cast<std::ptrdiff_t>(random_() % answers_.size());
     if (random_() % 4 != 0) {  // Else the request was given up before.
-      allowance_.NoteGranted(chosen->tokens + chosen->lent);
+      allowance_.RecordGrant(chosen->tokens + chosen->allowance);
       open_ += chosen->tokens;
     }
     answers_.erase(chosen);
   }
 
   std::mt19937_64 random_;
-  TokenLedger ledger_;
+  TokenUsage usage_;
   TokenAllowance allowance_;
   std::uint64_t open_ = 0;
   std::uint64_t next_ = 1;
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "node/batch_partitions.h"
-#include "node/room_refusal.h"
+#include "node/overload_rejection.h"
 #include "queue/queue_world.h"
 
 namespace cloverbank {
@@ -181,8 +181,8 @@
   EXPECT_TRUE(Submit(2, "b", 5).ok());
   const auto refused = Submit(0, "returns", 5);
   ASSERT_EQ(refused.status().code(), StatusCode::kResourceExhausted);
-  ASSERT_TRUE(ComeAfter(refused.status()).has_value());
-  world_.world.RunFor(*ComeAfter(refused.status()));
+  ASSERT_TRUE(RetryAfter(refused.status()).has_value());
+  world_.world.RunFor(*RetryAfter(refused.status()));
   SubmitWaiting(2, "newcomer", 5, milliseconds(600));
   world_.world.RunFor(milliseconds(20));
   SubmitWaiting(0, "returns", 5, milliseconds(600));
@@ -230,7 +230,7 @@
   world_.world.machine(Name(Keeper())).Kill();
   const auto refused = Submit(other, "a", 1);
   EXPECT_EQ(refused.status().code(), StatusCode::kConflict);
-  EXPECT_EQ(refused.status().detail(), kKeeperAwayDetail);
+  EXPECT_EQ(refused.status().detail(), kQuotaOwnerUnavailableDetail);
   proto::GetBatchRequest question;
   question.set_partition_id(other);
   question.set_batch_id("a");
@@ -246,7 +246,7 @@
   world_.world.machine(Name(Keeper())).Kill();
   EXPECT_TRUE(Submit(other, "b", 1).ok());
   const auto beyond = Submit(other, "c", 1);
-  EXPECT_EQ(beyond.status().detail(), kKeeperAwayDetail) << "more than was lent";
+  EXPECT_EQ(beyond.status().detail(), kQuotaOwnerUnavailableDetail) << "more than was lent";
 }
 
 TEST_F(TokenLimitTest, WhatIsFinishedMakesRoomInItsPartitionWhileTheKeeperIsGone) {
--- /dev/null
+++ b/tests/queue/token_usage_test.cc
@@ -0,0 +1,75 @@
+// The limit of open tokens over all partitions, as a pure core.
+#include "queue/token_usage.h"
+
+#include <gtest/gtest.h>
+
+namespace cloverbank {
+namespace {
+
+constexpr PartitionId kFirst(0);
+constexpr PartitionId kSecond(1);
+constexpr NodeId kOwner(7);
+/// Node ids of later owners may be lower: they registered before.
+constexpr NodeId kLaterOwner(5);
+
+class TokenUsageTest : public testing::Test {
+ protected:
+  TokenUsageTest() {
+    usage_.ApplyCount({kFirst, kOwner, 100, 1, {}});
+    usage_.ApplyCount({kSecond, kOwner, 50, 1, {}});
+  }
+  TokenUsage usage_;
+};
+
+TEST_F(TokenUsageTest, IsCompleteOnceEveryPartitionWasCounted) {
+  EXPECT_TRUE(usage_.Complete(2));
+  EXPECT_FALSE(usage_.Complete(3));
+  EXPECT_EQ(usage_.UpperBound(), 150U);
+}
+
+TEST_F(TokenUsageTest, AGrantCountsUntilACountIncludesIt) {
+  usage_.AddGrant({kFirst, kOwner, 4, 30});
+  EXPECT_EQ(usage_.UpperBound(), 180U);
+  usage_.ApplyCount(
+      {kFirst, kOwner, 100, 4, {}});  // The answer to request 4 has not arrived there.
+  EXPECT_EQ(usage_.UpperBound(), 180U);
+  usage_.ApplyCount({kFirst, kOwner, 130, 5, {}});
+  EXPECT_EQ(usage_.UpperBound(), 180U);
+  usage_.ApplyCount({kFirst, kOwner, 90, 5, {}});
+  EXPECT_EQ(usage_.UpperBound(), 140U);
+}
+
+TEST_F(TokenUsageTest, AGrantIsSettledWhileEarlierRequestsOfItsHolderStillWait) {
+  usage_.AddGrant({kFirst, kOwner, 5, 30});
+  usage_.ApplyCount({kFirst, kOwner, 130, 6, {4}});
+  EXPECT_EQ(usage_.UpperBound(), 180U) << "request 4 waits; request 5 is in the count";
+}
+
+TEST_F(TokenUsageTest, AGrantThatIsStillUnderWayCountsBesideLaterOnes) {
+  usage_.AddGrant({kFirst, kOwner, 4, 30});
+  usage_.AddGrant({kFirst, kOwner, 5, 20});
+  usage_.ApplyCount({kFirst, kOwner, 120, 6, {4}});
+  EXPECT_EQ(usage_.UpperBound(), 200U);
+}
+
+TEST_F(TokenUsageTest, ACountOfOnePartitionSaysNothingOfGrantsToAnother) {
+  usage_.AddGrant({kFirst, kOwner, 4, 30});
+  usage_.ApplyCount({kSecond, kOwner, 50, 9, {}});
+  EXPECT_EQ(usage_.UpperBound(), 180U);
+}
+
+TEST_F(TokenUsageTest, GrantsToAnOwnerThatWasReplacedAreInTheCountOfItsSuccessor) {
+  usage_.AddGrant({kFirst, kOwner, 4, 30});
+  usage_.ApplyCount({kFirst, kLaterOwner, 130, 1, {}});
+  EXPECT_EQ(usage_.UpperBound(), 180U);
+}
+
+TEST_F(TokenUsageTest, ALateCountOfTheReplacedOwnerIsPassedOver) {
+  usage_.ApplyCount({kFirst, kLaterOwner, 130, 1, {}});
+  usage_.AddGrant({kFirst, kLaterOwner, 1, 30});
+  usage_.ApplyCount({kFirst, kOwner, 0, 9, {}});
+  EXPECT_EQ(usage_.UpperBound(), 210U);
+}
+
+}  // namespace
+}  // namespace cloverbank
--- a/tests/queue/work_leases_test.cc
+++ b/tests/queue/work_leases_test.cc
@@ -32,8 +32,8 @@
 TEST_F(WorkLeasesTest, SilenceEndsALeaseAndRenewalKeepsIt) {
   const WorkLeaseId id = Grant(true);
   EXPECT_NE(leases_.Renew(id, kGateway, incarnation, now_ + seconds(4)), nullptr);
-  EXPECT_TRUE(leases_.EndSilent(now_ + seconds(8)).empty());
-  const auto ended = leases_.EndSilent(now_ + seconds(9));
+  EXPECT_TRUE(leases_.EndExpired(now_ + seconds(8)).empty());
+  const auto ended = leases_.EndExpired(now_ + seconds(9));
   ASSERT_EQ(ended.size(), 1U);
   EXPECT_EQ(ended[0].item, item);
   EXPECT_EQ(leases_.Renew(id, kGateway, incarnation, now_ + seconds(9)), nullptr);
@@ -69,11 +69,11 @@
 TEST_F(WorkLeasesTest, SilenceDoesNotEndALeaseWhoseResultIsBeingLogged) {
   const WorkLeaseId id = Grant(true);
   leases_.SetReporting(item, true, now_);
-  EXPECT_TRUE(leases_.EndSilent(now_ + seconds(60)).empty());
+  EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
   EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
   leases_.SetReporting(item, false, now_ + seconds(60));
-  EXPECT_TRUE(leases_.EndSilent(now_ + seconds(64)).empty());
-  EXPECT_EQ(leases_.EndSilent(now_ + seconds(65)).size(), 1U);
+  EXPECT_TRUE(leases_.EndExpired(now_ + seconds(64)).empty());
+  EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
 }
 
 TEST_F(WorkLeasesTest, EndsAPartitionsLeasesOnly) {
--- a/tests/replicas/fake_http.h
+++ b/tests/replicas/fake_http.h
@@ -168,9 +168,9 @@
     status = stream_status;
     headers = std::move(stream_headers);
   }
-  void WritePiece(std::string piece, std::function<void(bool alive)> written) override {
-    body += piece;
-    ++pieces;
+  void WriteChunk(std::string chunk, std::function<void(bool alive)> written) override {
+    body += chunk;
+    ++chunks;
     if (hold_writes) {
       held.push_back(std::move(written));
     } else {
@@ -179,11 +179,13 @@
   }
   void FinishStream() override { complete = true; }
   void Abort() override { aborted = true; }
-  void OnDisconnect(std::function<void()> gone) override { disconnect = std::move(gone); }
+  void OnDisconnect(std::function<void()> on_disconnect) override {
+    disconnect = std::move(on_disconnect);
+  }
 
   int answers = 0;
   int status = 0;
-  int pieces = 0;
+  int chunks = 0;
   HttpHeaders headers;
   std::string body;
   bool complete = false;
--- a/tests/replicas/prefill_gossip_test.cc
+++ b/tests/replicas/prefill_gossip_test.cc
@@ -16,7 +16,7 @@
 
 constexpr int kGateways = 3;
 /// Longer than prompts are gathered and told.
-constexpr Duration kTold = milliseconds(20);
+constexpr Duration kPropagationDelay = milliseconds(20);
 
 struct HeardPrompt {
   std::string replica;
@@ -64,8 +64,8 @@
 };
 
 TEST_F(PrefillGossipTest, EveryNeighbourHearsOfAnOrdinaryPromptOnce) {
-  gossips_["g0"]->Tell("r1", 1'200, 42);
-  world_.RunFor(kTold);
+  gossips_["g0"]->Announce("r1", 1'200, 42);
+  world_.RunFor(kPropagationDelay);
   const std::vector<HeardPrompt> expected = {{"r1", 1'200, 42}};
   EXPECT_EQ(heard_["g1"], expected);
   EXPECT_EQ(heard_["g2"], expected);
@@ -73,23 +73,23 @@
 }
 
 TEST_F(PrefillGossipTest, PromptsThatStartTogetherAllArriveInOrder) {
-  gossips_["g0"]->Tell("r1", 1'200, 1);
-  gossips_["g0"]->Tell("r2", 800, 2);
-  world_.RunFor(kTold);
+  gossips_["g0"]->Announce("r1", 1'200, 1);
+  gossips_["g0"]->Announce("r2", 800, 2);
+  world_.RunFor(kPropagationDelay);
   const std::vector<HeardPrompt> expected = {{"r1", 1'200, 1}, {"r2", 800, 2}};
   EXPECT_EQ(heard_["g1"], expected);
 }
 
 TEST_F(PrefillGossipTest, TheShortestPromptsAreNotTold) {
-  gossips_["g0"]->Tell("r1", 100, 1);
-  world_.RunFor(kTold);
+  gossips_["g0"]->Announce("r1", 100, 1);
+  world_.RunFor(kPropagationDelay);
   EXPECT_TRUE(heard_["g1"].empty());
 }
 
 TEST_F(PrefillGossipTest, ANeighbourThatIsGoneKeepsNothingFromTheOthers) {
   world_.machine("g1").Kill();
-  gossips_["g0"]->Tell("r1", 1'200, 42);
-  world_.RunFor(kTold);
+  gossips_["g0"]->Announce("r1", 1'200, 42);
+  world_.RunFor(kPropagationDelay);
   EXPECT_EQ(heard_["g2"].size(), 1U);
 }
 
@@ -101,10 +101,10 @@
   PrefillLoad load(options);
   const TimePoint now{seconds(1)};
   for (int prompt = 0; prompt < 5; ++prompt) {
-    gossips_["g0"]->Tell("r1", 1'000, 0);
-    gossips_["g1"]->Tell("r1", 1'000, 0);
+    gossips_["g0"]->Announce("r1", 1'000, 0);
+    gossips_["g1"]->Announce("r1", 1'000, 0);
   }
-  world_.RunFor(kTold);
+  world_.RunFor(kPropagationDelay);
   for (const HeardPrompt& prompt : heard_["g2"]) {
     load.OnStart(prompt.replica, prompt.tokens, prompt.key, now);
   }
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -118,9 +118,9 @@
 TEST_F(PrefillLoadTest, WhatAReplicaWasGivenToReadLatelyFades) {
   load_.OnStart("r", 10'000, 0, now_);
   EXPECT_EQ(load_.Lately("r", now_), milliseconds(100));
-  EXPECT_EQ(load_.Lately("r", now_ + Options().lately_half_life), milliseconds(50));
-  load_.OnStart("r", 10'000, 0, now_ + Options().lately_half_life);
-  EXPECT_EQ(load_.Lately("r", now_ + Options().lately_half_life), milliseconds(150));
+  EXPECT_EQ(load_.Lately("r", now_ + Options().recent_load_half_life), milliseconds(50));
+  load_.OnStart("r", 10'000, 0, now_ + Options().recent_load_half_life);
+  EXPECT_EQ(load_.Lately("r", now_ + Options().recent_load_half_life), milliseconds(150));
   EXPECT_EQ(load_.Lately("other", now_), Duration::zero());
 }
 
--- a/tests/replicas/reading_speed_test.cc
+++ b/tests/replicas/reading_speed_test.cc
@@ -1,7 +1,7 @@
-#include "replicas/reading_speed.h"
-
 #include <gtest/gtest.h>
 
+#include "replicas/prefill_throughput.h"
+
 namespace cloverbank {
 namespace {
 
@@ -30,7 +30,7 @@
 }
 
 TEST(ReadingSpeedTest, SlowAnswersAmongFastOnesHardlyCount) {
-  ReadingSpeed speed;
+  PrefillThroughput speed;
   for (int sample = 0; sample < 30; ++sample) {
     speed.Add(kShort, sample % 2 == 0 ? 100 : 5);
   }
@@ -38,7 +38,7 @@
 }
 
 TEST(ReadingSpeedTest, OneAnswerFasterThanTheOthersDoesNotSetTheRate) {
-  ReadingSpeed speed;
+  PrefillThroughput speed;
   for (int sample = 0; sample < 15; ++sample) {
     speed.Add(kShort, 100);
   }
@@ -47,7 +47,7 @@
 }
 
 TEST(ReadingSpeedTest, FollowsAReplicaThatBecameSlower) {
-  ReadingSpeed speed;
+  PrefillThroughput speed;
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kShort, 100);
   }
@@ -58,7 +58,7 @@
 }
 
 TEST(ReadingSpeedTest, LongPromptsHaveARateOfTheirOwn) {
-  ReadingSpeed speed;
+  PrefillThroughput speed;
   EXPECT_FALSE(speed.TokensPerMs(kShort).has_value());
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kShort, 160);
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -37,7 +37,7 @@
 
 TEST_F(ReplicaHealthTest, SilenceMakesSuspectThenEjectsAndATrialBringsBack) {
   Add("x");
-  End("x", CallEnd::kSilent);
+  End("x", CallEnd::kNoResponse);
   EXPECT_EQ(Use("x"), Usability::kLastResort);
   health_.OnProbe("x", true, false, now_);
   EXPECT_EQ(Use("x"), Usability::kYes);
@@ -61,8 +61,8 @@
   Add("x");
   Duration expected = options_.base_ejection;
   for (int round = 0; round < 8; ++round) {
-    End("x", CallEnd::kSilent);
-    End("x", CallEnd::kSilent);
+    End("x", CallEnd::kNoResponse);
+    End("x", CallEnd::kNoResponse);
     ASSERT_EQ(health_.ConditionOf("x"), ReplicaCondition::kEjected);
     health_.OnProbe("x", true, false, now_ + expected - milliseconds(1));
     ASSERT_EQ(health_.ConditionOf("x"), ReplicaCondition::kEjected);
@@ -76,8 +76,8 @@
     now_ += options_.forgive_after;
     health_.Evaluate(now_);
   }
-  End("x", CallEnd::kSilent);
-  End("x", CallEnd::kSilent);
+  End("x", CallEnd::kNoResponse);
+  End("x", CallEnd::kNoResponse);
   now_ += options_.base_ejection;
   health_.OnProbe("x", true, false, now_);
   EXPECT_EQ(health_.ConditionOf("x"), ReplicaCondition::kTrial);
@@ -123,7 +123,7 @@
     ASSERT_GE(limit, last);
     ASSERT_LE(limit, 1U + 7U * static_cast<std::uint32_t>(step) / 60U);
     last = limit;
-    now_ += options_.ramp_time / 60;
+    now_ += options_.slow_start_time / 60;
   }
   EXPECT_EQ(health_.LimitOf("x", 8, now_), 8U);
   EXPECT_FALSE(health_.Ramping("x", now_));
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "replicas/share_pacer.h"
+#include "replicas/rate_pacer.h"
 
 namespace cloverbank {
 namespace {
@@ -83,7 +83,7 @@
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoHealthyReplica);
   Load();
   loads_["b1"].OnReport({8, 0, 8});
-  EXPECT_EQ(Choose().failure, RoutingFailure::kNoRoom);
+  EXPECT_EQ(Choose().failure, RoutingFailure::kNoCapacity);
   list_.mutable_replicas(0)->set_zone("unknown");
   Load();
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoOpenZone);
@@ -101,7 +101,7 @@
     loads_[replica->id].OnStart(WorkKind::kLive);
     order.push_back(replica->zone);
   }
-  EXPECT_EQ(Choose().failure, RoutingFailure::kNoRoom);
+  EXPECT_EQ(Choose().failure, RoutingFailure::kNoCapacity);
   // 7 of 8 in each near zone, the rest of both, and only then the far region.
   const std::vector<std::string> near_first(order.begin(), order.begin() + 16);
   EXPECT_EQ(std::count(order.begin(), order.begin() + 7, "a"), 7);
@@ -118,7 +118,7 @@
   excluded_ = {"c1"};
   EXPECT_EQ(Choose().replica->id, "a1");
   excluded_ = {"a1", "c1"};
-  EXPECT_EQ(Choose().failure, RoutingFailure::kNoRoom);
+  EXPECT_EQ(Choose().failure, RoutingFailure::kNoCapacity);
 }
 
 TEST_F(RouterTest, AffinityIsStableAndItsLoadIsBounded) {
@@ -154,8 +154,8 @@
     const double average = (static_cast<double>(running.size()) + 1) / kReplicas;
     const std::uint32_t load = loads_[choice.replica->id].total() + 1;
     ASSERT_LE(load, kCapacity);
-    const bool most_have_room = running.size() < kReplicas * kCapacity / 2;
-    if (most_have_room) {
+    const bool most_have_capacity = running.size() < kReplicas * kCapacity / 2;
+    if (most_have_capacity) {
       ASSERT_LE(load, std::ceil(1.25 * average) + 1);
     }
     loads_[choice.replica->id].OnStart(WorkKind::kLive);
@@ -188,7 +188,7 @@
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 1U);
   ASSERT_NE(Choose("", WorkKind::kBatch).replica, nullptr);
   loads_["a1"].OnStart(WorkKind::kBatch);
-  EXPECT_EQ(Choose("", WorkKind::kBatch).failure, RoutingFailure::kNoRoom);
+  EXPECT_EQ(Choose("", WorkKind::kBatch).failure, RoutingFailure::kNoCapacity);
   EXPECT_NE(Choose().replica, nullptr);
   configuration_.mutable_batch()->set_live_headroom_percent(90);
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 2U);
@@ -215,12 +215,12 @@
   }
 }
 
-TEST(SharePacerTest, HalvesAfterACollisionAndRoundsFairly) {
-  SharePacer pacer(0.25, 0.01);
+TEST(RatePacerTest, HalvesAfterACollisionAndRoundsFairly) {
+  RatePacer pacer(0.25, 0.01);
   TimePoint now(seconds(10));
   pacer.OnCollision(now);
   pacer.OnCollision(now + milliseconds(100));  // The same one.
-  EXPECT_DOUBLE_EQ(pacer.share(), 0.125);
+  EXPECT_DOUBLE_EQ(pacer.ratio(), 0.125);
   std::mt19937_64 random(3);
   std::uint32_t sum = 0;
   for (int draw = 0; draw < 8000; ++draw) {
@@ -253,7 +253,7 @@
   ASSERT_TRUE(directory.Apply(list).ok());
   std::map<std::string, int> places;
   for (const auto& [id, record] : directory.records()) {
-    places[record.zone] += directory.TakesLongPrompts(record) ? 1 : 0;
+    places[record.zone] += directory.AcceptsLongPrompts(record) ? 1 : 0;
   }
   EXPECT_EQ(places, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
 }
@@ -280,17 +280,17 @@
   };
   const std::vector<std::string> x = {"x"};
   DirectoryChange change = apply();
-  EXPECT_EQ(change.cold, x);
+  EXPECT_EQ(change.warming_up, x);
   EXPECT_EQ(change.skipped, 2U);
-  EXPECT_TRUE(apply().cold.empty());
+  EXPECT_TRUE(apply().warming_up.empty());
   list.mutable_replicas(0)->set_instance_id("2");
-  EXPECT_EQ(apply().cold, x);
+  EXPECT_EQ(apply().warming_up, x);
   list.mutable_replicas(0)->set_state(proto::REPLICA_STATE_DRAINING);
   change = apply();
   EXPECT_EQ(change.stopped, x);
   EXPECT_TRUE(directory.Ready(proto::BACKEND_KIND_SERVICE, "s").empty());
   list.mutable_replicas(0)->set_state(proto::REPLICA_STATE_READY);
-  EXPECT_EQ(apply().cold, x);
+  EXPECT_EQ(apply().warming_up, x);
   list.clear_replicas();
   EXPECT_EQ(apply().removed, x);
 }
@@ -325,7 +325,7 @@
   std::set<std::string> KeptForLongPrompts() {
     std::set<std::string> kept;
     for (const auto& [id, record] : directory_.records()) {
-      if (directory_.TakesLongPrompts(record)) {
+      if (directory_.AcceptsLongPrompts(record)) {
         kept.insert(id);
       }
     }
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -43,7 +43,7 @@
   EXPECT_FALSE(settings->roles.gateway);
   EXPECT_EQ(settings->peer, (Endpoint{"127.0.0.1", 7401}));
   EXPECT_EQ(settings->seeds.size(), 3U);
-  EXPECT_EQ(settings->copies, 3U);
+  EXPECT_EQ(settings->replicas, 3U);
 }
 
 TEST(SettingsTest, TakesTheLossesThatAPlatformMayAskFor) {
--- a/tests/simulation/configuration_in_force_test.cc
+++ b/tests/simulation/configuration_in_force_test.cc
@@ -18,7 +18,7 @@
 /// The place of a lost voter is taken.
 constexpr Duration kLongestRepair = seconds(6);
 
-void ExpectWhole(const ConfigurationWorld& fleet) {
+void ExpectComplete(const ConfigurationWorld& fleet) {
   EXPECT_TRUE(fleet.failures.empty())
       << fleet.failures.size() << " failures, the first: " << fleet.failures.front();
   EXPECT_LE(fleet.longest_wait, kLongestWait);
@@ -31,7 +31,7 @@
     options.seed = seed;
     options.document_bytes = 160'000;
     ConfigurationWorld fleet(options);
-    ASSERT_TRUE(fleet.RunUntilWhole(seconds(20)));
+    ASSERT_TRUE(fleet.RunUntilFormed(seconds(20)));
     fleet.RunFor(seconds(30));  // The log grows.
     for (int round = 0; round < 2; ++round) {
       const std::string leader = fleet.Leader();
@@ -41,7 +41,7 @@
       fleet.world().machine(leader).Wake();
       fleet.RunFor(seconds(6));
     }
-    ExpectWhole(fleet);
+    ExpectComplete(fleet);
   }
 }
 
@@ -50,7 +50,7 @@
   explicit LossesSchedule(ConfigurationWorld& fleet) : fleet_(fleet) {}
 
   void Round() {
-    ASSERT_TRUE(fleet_.RunUntilWhole(kLongestRepair));
+    ASSERT_TRUE(fleet_.RunUntilFormed(kLongestRepair));
     const std::vector<std::string> voters = fleet_.Voters();
     const std::string leader = fleet_.Leader();
     const std::string& other = voters[fleet_.world().RandomBelow(voters.size())];
@@ -110,13 +110,13 @@
     ConfigurationWorldOptions options;
     options.seed = seed;
     ConfigurationWorld fleet(options);
-    ASSERT_TRUE(fleet.RunUntilWhole(seconds(20)));
+    ASSERT_TRUE(fleet.RunUntilFormed(seconds(20)));
     LossesSchedule schedule(fleet);
     for (int round = 0; round < kRounds; ++round) {
       schedule.Round();
     }
     fleet.RunFor(seconds(5));
-    ExpectWhole(fleet);
+    ExpectComplete(fleet);
     EXPECT_GE(fleet.acknowledgements, 40U);
   }
 }
--- a/tests/simulation/configuration_world.cc
+++ b/tests/simulation/configuration_world.cc
@@ -17,8 +17,9 @@
 
 }  // namespace
 
-CoordinatorLife::CoordinatorLife(Environment& environment, DataFolder& folder,
-                                 const RaftNodeOptions& raft, const CoordinatorOptions& options)
+CoordinatorProcess::CoordinatorProcess(Environment& environment, DataFolder& folder,
+                                       const RaftNodeOptions& raft,
+                                       const CoordinatorOptions& options)
     : state(kPartitions),
       log(environment, folder, state, raft),
       service(environment, log, state, options) {
@@ -59,16 +60,16 @@
     RaftNodeOptions raft;
     raft.seeds = seeds_;
     raft.wanted_voters = 2 * options_.losses_borne + 1;
-    raft.may_found = may_found && lives_.find(name) == lives_.end();
-    raft.replace_silent_after = milliseconds(1500);
+    raft.may_found = may_found && processes_.find(name) == processes_.end();
+    raft.replace_unresponsive_after = milliseconds(1500);
     raft.election_timeout = kElectionTimeout;
     raft.heartbeat_interval = kElectionTimeout / 4;
     CoordinatorOptions service;
     service.node_lease = kNodeLease;
     service.death_after = kNodeLease;
-    auto life = std::make_shared<CoordinatorLife>(environment, folder, raft, service);
-    lives_[name] = life;
-    return life;
+    auto process = std::make_shared<CoordinatorProcess>(environment, folder, raft, service);
+    processes_[name] = process;
+    return process;
   });
 }
 
@@ -97,19 +98,19 @@
   world_.ScheduleAfter(seconds(2), [this, name] { world_.machine(name).Start(); });
 }
 
-CoordinatorLife* ConfigurationWorld::LifeOf(const std::string& machine) const {
-  const auto found = lives_.find(machine);
-  return found == lives_.end() ? nullptr : found->second.lock().get();
+CoordinatorProcess* ConfigurationWorld::FindCoordinator(const std::string& machine) const {
+  const auto found = processes_.find(machine);
+  return found == processes_.end() ? nullptr : found->second.lock().get();
 }
 
 std::string ConfigurationWorld::Leader() const {
   std::string leader;
   std::uint64_t term = 0;
   for (const std::string& name : coordinators_) {
-    const CoordinatorLife* life = LifeOf(name);
-    if (life != nullptr && life->log.IsReadyLeader() && life->log.term() > term) {
+    const CoordinatorProcess* process = FindCoordinator(name);
+    if (process != nullptr && process->log.IsReadyLeader() && process->log.term() > term) {
       leader = name;
-      term = life->log.term();
+      term = process->log.term();
     }
   }
   return leader;
@@ -121,14 +122,15 @@
   if (leader.empty()) {
     return voters;
   }
-  const RaftCore& core = LifeOf(leader)->log.core();
+  const RaftCore& core = FindCoordinator(leader)->log.core();
   if (core.log().configuration_index() > core.commit_index()) {
     return voters;  // Others may not know it yet.
   }
-  for (const LogMember& member : LifeOf(leader)->log.members()) {
+  for (const LogMember& member : FindCoordinator(leader)->log.members()) {
     for (const std::string& name : coordinators_) {
-      const CoordinatorLife* life = LifeOf(name);
-      if (!member.learner && life != nullptr && life->log.core().member_id() == member.member_id) {
+      const CoordinatorProcess* process = FindCoordinator(name);
+      if (!member.learner && process != nullptr &&
+          process->log.core().member_id() == member.member_id) {
         voters.push_back(name);
       }
     }
@@ -136,7 +138,7 @@
   return voters;
 }
 
-bool ConfigurationWorld::RunUntilWhole(Duration limit) {
+bool ConfigurationWorld::RunUntilFormed(Duration limit) {
   return world_.RunUntil(
       [this] { return Voters().size() == 2 * options_.losses_borne + 1 && acknowledged > 0; },
       limit);
@@ -179,10 +181,11 @@
   const std::uint64_t label = next_label_++;
   proto::SubmitTransactionRequest order;
   *order.mutable_transaction() = MakeOrder(label);
-  TryOrder(order.SerializeAsString(), label, world_.Now());
+  AttemptOrder(order.SerializeAsString(), label, world_.Now());
 }
 
-void ConfigurationWorld::TryOrder(const std::string& order, std::uint64_t label, TimePoint begun) {
+void ConfigurationWorld::AttemptOrder(const std::string& order, std::uint64_t label,
+                                      TimePoint begun) {
   const std::string leader = Leader();
   const std::string& to = leader.empty() ? coordinators_.front() : leader;
   world_.CallPeer(world_.machine(to).endpoint(), "coordinator.SubmitTransaction", order,
@@ -191,7 +194,7 @@
                     const bool read = reply.status.ok() && response.ParseFromString(reply.body);
                     if (!read) {
                       world_.ScheduleAfter(kOrderRetry, [this, order, label, begun] {
-                        TryOrder(order, label, begun);
+                        AttemptOrder(order, label, begun);
                       });
                     } else if (response.result().outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
                       TakeAcknowledgement(label, begun);
--- a/tests/simulation/configuration_world.h
+++ b/tests/simulation/configuration_world.h
@@ -31,9 +31,9 @@
 };
 
 /// One life of a coordinator.
-struct CoordinatorLife {
-  CoordinatorLife(Environment& environment, DataFolder& folder, const RaftNodeOptions& raft,
-                  const CoordinatorOptions& options);
+struct CoordinatorProcess {
+  CoordinatorProcess(Environment& environment, DataFolder& folder, const RaftNodeOptions& raft,
+                     const CoordinatorOptions& options);
   ControlState state;
   RaftNode log;
   CoordinatorService service;
@@ -47,7 +47,7 @@
   /// Lets time pass, with changes and checks.
   void RunFor(Duration time);
   /// Until the group has all its voters, by a committed configuration, and took an order.
-  bool RunUntilWhole(Duration limit);
+  bool RunUntilFormed(Duration limit);
   /// @return the name of the machine whose coordinator may answer now; empty if none.
   std::string Leader() const;
   /// @return machines whose coordinators vote by the leader's committed configuration.
@@ -68,10 +68,10 @@
 
   void AddCoordinator(const std::string& host, bool may_found);
   void AddGateway(std::size_t number);
-  CoordinatorLife* LifeOf(const std::string& machine) const;
+  CoordinatorProcess* FindCoordinator(const std::string& machine) const;
   void ScheduleChange();
   void SendOrder();
-  void TryOrder(const std::string& order, std::uint64_t label, TimePoint begun);
+  void AttemptOrder(const std::string& order, std::uint64_t label, TimePoint begun);
   void TakeAcknowledgement(std::uint64_t label, TimePoint begun);
   void CheckInForce(std::uint64_t label);
   proto::ConfigurationTransaction MakeOrder(std::uint64_t label) const;
@@ -79,7 +79,7 @@
   const ConfigurationWorldOptions options_;
   std::vector<Endpoint> seeds_;
   std::vector<std::string> coordinators_;
-  std::map<std::string, std::weak_ptr<CoordinatorLife>> lives_;
+  std::map<std::string, std::weak_ptr<CoordinatorProcess>> processes_;
   std::vector<Gateway> gateways_;
   std::uint64_t next_label_ = 1;
   int replacements_ = 0;
--- a/tests/storage/record_file_test.cc
+++ b/tests/storage/record_file_test.cc
@@ -36,21 +36,21 @@
     AppendRecord(bytes, payload, kSeed);
     ends.push_back(bytes.size());
   }
-  const auto whole_before = [&ends](std::size_t position) {
+  const auto complete_before = [&ends](std::size_t position) {
     std::size_t count = 0;
     while (count + 1 < ends.size() && ends[count + 1] <= position) {
       ++count;
     }
     return count;
   };
-  const std::string_view whole_file = bytes;
+  const std::string_view complete_file = bytes;
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
-    RecordReader reader(whole_file.substr(0, cut), kSeed);
-    const std::size_t whole = whole_before(cut);
+    RecordReader reader(complete_file.substr(0, cut), kSeed);
+    const std::size_t whole = complete_before(cut);
     EXPECT_EQ(ReadAll(reader),
               std::vector<std::string>(payloads.begin(), payloads.begin() + whole));
     EXPECT_EQ(reader.valid_bytes(), ends[whole]);
-    const std::string_view rest = whole_file.substr(ends[whole], cut - ends[whole]);
+    const std::string_view rest = complete_file.substr(ends[whole], cut - ends[whole]);
     const bool zeros = rest.find_first_not_of('\0') == std::string_view::npos;
     const RecordTail unfinished = zeros ? RecordTail::kReserved : RecordTail::kTorn;
     EXPECT_EQ(reader.tail(), rest.empty() ? RecordTail::kClean : unfinished);
@@ -59,7 +59,7 @@
     std::string damaged = bytes;
     damaged[bit / 8] = static_cast<char>(damaged[bit / 8] ^ (1 << (bit % 8)));
     RecordReader reader(damaged, kSeed);
-    const std::size_t whole = whole_before(bit / 8);
+    const std::size_t whole = complete_before(bit / 8);
     EXPECT_EQ(ReadAll(reader).size(), whole);
     EXPECT_EQ(reader.valid_bytes(), ends[whole]);
     const std::size_t place = bit / 8 - ends[whole];
--- a/tests/stored_data/stored_backup.cc
+++ b/tests/stored_data/stored_backup.cc
@@ -17,7 +17,7 @@
 proto::LogEntry PartitionRecord(std::uint64_t partition, std::uint64_t next_sequence) {
   proto::LogEntry entry;
   entry.set_partition_tag(partition + 1);
-  entry.mutable_partition_mark()->set_next_sequence(next_sequence);
+  entry.mutable_partition_watermark()->set_next_sequence(next_sequence);
   return entry;
 }
 
@@ -101,10 +101,10 @@
   cancelled.mutable_batch_cancelled()->set_batch_id("1-1");
   cancelled.mutable_batch_cancelled()->set_cancelled_at_ms(kAcceptedAtMs + 60);
   entries.push_back(cancelled);
-  proto::LogEntry settled = EntryOf(kSecondPartition, 5);
-  settled.mutable_batch_settled()->set_batch_id("1-1");
-  settled.mutable_batch_settled()->set_settled_at_ms(kAcceptedAtMs + 70);
-  entries.push_back(settled);
+  proto::LogEntry completed = EntryOf(kSecondPartition, 5);
+  completed.mutable_batch_cancellation_completed()->set_batch_id("1-1");
+  completed.mutable_batch_cancellation_completed()->set_completed_at_ms(kAcceptedAtMs + 70);
+  entries.push_back(completed);
   entries.push_back(Items(kFirstPartition, 7, "0-2", 1));
   entries.push_back(Accepted(kFirstPartition, 8, "0-2", 1, true));
   entries.push_back(Finished(kFirstPartition, 9, "0-2", 0, proto::ITEM_OUTCOME_SUCCEEDED));
--- a/tests/stored_data/stored_coordinator.cc
+++ b/tests/stored_data/stored_coordinator.cc
@@ -36,10 +36,10 @@
   return command.SerializeAsString();
 }
 
-std::string MarkInForce() {
+std::string RecordInForce() {
   proto::ControlCommand command;
-  command.mutable_mark_in_force()->set_version(1);
-  command.mutable_mark_in_force()->set_wall_ms(1'700'000'000'100);
+  command.mutable_record_in_force()->set_version(1);
+  command.mutable_record_in_force()->set_wall_ms(1'700'000'000'100);
   return command.SerializeAsString();
 }
 
@@ -69,8 +69,8 @@
 
 std::string DeclareDead(std::uint64_t node) {
   proto::ControlCommand command;
-  command.mutable_mark_server_dead()->set_node_id(node);
-  command.mutable_mark_server_dead()->set_reason("silent");
+  command.mutable_declare_server_dead()->set_node_id(node);
+  command.mutable_declare_server_dead()->set_reason("silent");
   return command.SerializeAsString();
 }
 
@@ -147,7 +147,7 @@
           Register(proto::ROLE_BACKUP, "store-1", 101),
           Register(proto::ROLE_QUEUE, "store-2", 102),
           ApplyTransaction(),
-          MarkInForce(),
+          RecordInForce(),
           Assign(1, 0, 1),
           CommitHead(1, 2),
           "",
