--- a/apps/bench/hollow_nodes.h
+++ b/apps/bench/hollow_nodes.h
@@ -9,10 +9,10 @@
 #include <vector>
 
 #include "bench/counting_client.h"
+#include "control_client/node_agent.h"
 #include "net/asio_environment.h"
 #include "net/beast_http_client.h"
 #include "net/event_loop.h"
-#include "node/node_agent.h"
 
 namespace cloverbank {
 
--- a/apps/cloverbankd/coordinator_role.cc
+++ b/apps/cloverbankd/coordinator_role.cc
@@ -1,7 +1,7 @@
 // Assembly of the coordinator: control state, replicated log, service.
 #include "cloverbankd/role.h"
 #include "consensus/raft_node.h"
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 #include "coordinator/coordinator_service.h"
 
 namespace cloverbank {
--- a/apps/cloverbankd/gateway_role.cc
+++ b/apps/cloverbankd/gateway_role.cc
@@ -1,8 +1,8 @@
 // Assembly of the gateway: its agent and its service on the client port.
 #include "cloverbankd/node_readiness.h"
 #include "cloverbankd/role.h"
+#include "control_client/coordinator_referral.h"
 #include "gateway/gateway_service.h"
-#include "node/coordinator_referral.h"
 #include "platform/adapter.h"
 
 namespace cloverbank {
--- a/apps/cloverbankd/node_readiness.h
+++ b/apps/cloverbankd/node_readiness.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "settings/settings.h"
 
 namespace cloverbank {
--- a/apps/cloverbankd/process_status.cc
+++ b/apps/cloverbankd/process_status.cc
@@ -3,7 +3,7 @@
 #include <memory>
 #include <utility>
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 
 namespace cloverbank {
 namespace {
--- a/bench/backup/backup_benchmark.cc
+++ b/bench/backup/backup_benchmark.cc
@@ -22,7 +22,7 @@
 
 #include "backup/backup_service.h"
 #include "base/metrics.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 #include "net/asio_environment.h"
 #include "net/beast_http_client.h"
 #include "net/beast_http_server.h"
--- a/src/gateway/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -1,4 +1,4 @@
-#include "gateway/admission_control.h"
+#include "admission/admission_control.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/gateway/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -1,4 +1,4 @@
-#include "gateway/call_queue.h"
+#include "admission/call_queue.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/call_queue.h
+++ b/src/admission/call_queue.h
@@ -12,7 +12,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gateway/admission_control.h"
+#include "admission/admission_control.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/backup/replica_reader.cc
+++ b/src/backup/replica_reader.cc
@@ -3,7 +3,7 @@
 #include <set>
 #include <utility>
 
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 
--- a/src/backup/segment_dump.cc
+++ b/src/backup/segment_dump.cc
@@ -1,7 +1,7 @@
 #include "backup/segment_dump.h"
 
 #include "backup/replica_reader.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/logging.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -4,7 +4,7 @@
 #include <string_view>
 #include <utility>
 
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -1,4 +1,4 @@
-#include "gateway/batch_validation.h"
+#include "batch_work/batch_validation.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/gateway/batch_work_offers.cc
+++ b/src/batch_work/batch_work_offers.cc
@@ -1,4 +1,4 @@
-#include "gateway/batch_work_offers.h"
+#include "batch_work/batch_work_offers.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/gateway/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -1,11 +1,11 @@
-#include "gateway/batch_worker.h"
+#include "batch_work/batch_worker.h"
 
 #include <algorithm>
 #include <set>
 #include <string>
 #include <utility>
 
-#include "gateway/batch_validation.h"
+#include "batch_work/batch_validation.h"
 #include "runtime/typed_peer.h"
 
 namespace cloverbank {
--- a/src/gateway/batch_worker.h
+++ b/src/batch_work/batch_worker.h
@@ -13,10 +13,10 @@
 #include <string>
 #include <vector>
 
-#include "gateway/backend_caller.h"
-#include "gateway/batch_work_offers.h"
-#include "gateway/work_item_table.h"
-#include "node/node_agent.h"
+#include "batch_work/batch_work_offers.h"
+#include "batch_work/work_item_table.h"
+#include "calls/backend_caller.h"
+#include "control_client/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/gateway/work_item_table.cc
+++ b/src/batch_work/work_item_table.cc
@@ -1,10 +1,10 @@
-#include "gateway/work_item_table.h"
+#include "batch_work/work_item_table.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
-#include "gateway/batch_validation.h"
+#include "batch_work/batch_validation.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -19,7 +19,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "gateway/backend_caller.h"
+#include "calls/backend_caller.h"
 #include "proto/batch.pb.h"
 #include "proto/configuration.pb.h"
 
--- a/src/queue/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -1,8 +1,8 @@
-#include "queue/batch_store.h"
+#include "batches/batch_store.h"
 
 #include <algorithm>
 
-#include "queue/list_cursor.h"
+#include "batches/list_cursor.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/batch_store.h
+++ b/src/batches/batch_store.h
@@ -17,9 +17,9 @@
 
 #include "base/ids.h"
 #include "base/status.h"
+#include "batches/stored_batch.h"
 #include "proto/batch.pb.h"
 #include "proto/log.pb.h"
-#include "queue/stored_batch.h"
 
 namespace cloverbank {
 
--- a/src/queue/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -1,4 +1,4 @@
-#include "queue/owned_partition.h"
+#include "batches/owned_partition.h"
 
 #include <algorithm>
 
--- a/src/queue/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -13,8 +13,8 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "queue/batch_store.h"
-#include "queue/segment_log.h"
+#include "batches/batch_store.h"
+#include "log_writer/segment_log.h"
 
 namespace cloverbank {
 
--- a/src/queue/partition_replay.cc
+++ b/src/batches/partition_replay.cc
@@ -1,4 +1,4 @@
-#include "queue/partition_replay.h"
+#include "batches/partition_replay.h"
 
 #include <algorithm>
 #include <set>
@@ -6,7 +6,7 @@
 #include <unordered_set>
 #include <utility>
 
-#include "queue/segment_usage.h"
+#include "log_writer/segment_usage.h"
 
 namespace cloverbank {
 
--- a/src/queue/stored_batch.cc
+++ b/src/batches/stored_batch.cc
@@ -1,4 +1,4 @@
-#include "queue/stored_batch.h"
+#include "batches/stored_batch.h"
 
 namespace cloverbank {
 
--- a/src/gateway/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -1,8 +1,8 @@
-#include "gateway/call_attempt.h"
+#include "calls/call_attempt.h"
 
 #include <algorithm>
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "json/json.h"
 
 namespace cloverbank {
--- a/src/gateway/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -8,9 +8,9 @@
 #include <functional>
 #include <memory>
 
-#include "gateway/gateway_options.h"
-#include "gateway/replica_pool.h"
-#include "gateway/retry_policy.h"
+#include "calls/gateway_options.h"
+#include "calls/replica_pool.h"
+#include "calls/retry_policy.h"
 #include "net/http_types.h"
 #include "proto/live.pb.h"
 #include "runtime/environment.h"
--- a/src/gateway/call_exchange.h
+++ b/src/calls/call_exchange.h
@@ -13,7 +13,7 @@
 #include <memory>
 #include <string>
 
-#include "gateway/call_attempt.h"
+#include "calls/call_attempt.h"
 #include "replicas/prefill_load.h"
 
 namespace cloverbank {
--- a/src/gateway/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -1,4 +1,4 @@
-#include "gateway/call_runner.h"
+#include "calls/call_runner.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/gateway/call_runner.h
+++ b/src/calls/call_runner.h
@@ -12,10 +12,10 @@
 #include <string>
 #include <vector>
 
-#include "gateway/call_exchange.h"
-#include "gateway/call_queue.h"
-#include "gateway/retry_policy.h"
-#include "gateway/serving_right.h"
+#include "admission/call_queue.h"
+#include "calls/call_exchange.h"
+#include "calls/retry_policy.h"
+#include "calls/serving_right.h"
 
 namespace cloverbank {
 
--- a/src/gateway/event_collector.h
+++ b/src/calls/event_collector.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "gateway/forward_exchange.h"
+#include "calls/forward_exchange.h"
 
 namespace cloverbank {
 
--- a/src/gateway/event_stream.cc
+++ b/src/calls/event_stream.cc
@@ -1,4 +1,4 @@
-#include "gateway/event_stream.h"
+#include "calls/event_stream.h"
 
 #include <algorithm>
 
--- a/src/gateway/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -1,10 +1,10 @@
-#include "gateway/forward_attempt.h"
+#include "calls/forward_attempt.h"
 
 #include <algorithm>
 #include <utility>
 
 #include "base/logging.h"
-#include "gateway/backend_caller.h"
+#include "calls/backend_caller.h"
 #include "net/http_headers.h"
 #include "net/http_status.h"
 
--- a/src/gateway/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "gateway/forward_exchange.h"
+#include "calls/forward_exchange.h"
 
 namespace cloverbank {
 
--- a/src/gateway/forward_exchange.h
+++ b/src/calls/forward_exchange.h
@@ -15,8 +15,8 @@
 #include <optional>
 #include <string>
 
-#include "gateway/call_exchange.h"
-#include "gateway/event_stream.h"
+#include "calls/call_exchange.h"
+#include "calls/event_stream.h"
 #include "proto/common.pb.h"
 
 namespace cloverbank {
--- a/src/gateway/gateway_options.h
+++ b/src/calls/gateway_options.h
@@ -5,10 +5,10 @@
 #include <cstddef>
 #include <string>
 
+#include "admission/admission_control.h"
 #include "base/time.h"
-#include "gateway/admission_control.h"
-#include "gateway/idempotency_cache.h"
-#include "gateway/retry_policy.h"
+#include "calls/idempotency_cache.h"
+#include "calls/retry_policy.h"
 #include "replicas/prefill_load.h"
 #include "replicas/replica_health.h"
 #include "replicas/replica_options.h"
--- a/src/gateway/http_json.cc
+++ b/src/calls/http_json.cc
@@ -1,4 +1,4 @@
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 
 #include <google/protobuf/message.h>
 
--- a/src/gateway/idempotency_cache.cc
+++ b/src/calls/idempotency_cache.cc
@@ -1,4 +1,4 @@
-#include "gateway/idempotency_cache.h"
+#include "calls/idempotency_cache.h"
 
 #include <utility>
 
--- a/src/gateway/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -1,4 +1,4 @@
-#include "gateway/json_exchange.h"
+#include "calls/json_exchange.h"
 
 #include <utility>
 
--- a/src/gateway/json_exchange.h
+++ b/src/calls/json_exchange.h
@@ -7,7 +7,7 @@
 #include <memory>
 #include <string>
 
-#include "gateway/call_exchange.h"
+#include "calls/call_exchange.h"
 #include "proto/live.pb.h"
 
 namespace cloverbank {
--- a/src/gateway/line_reader.cc
+++ b/src/calls/line_reader.cc
@@ -1,4 +1,4 @@
-#include "gateway/line_reader.h"
+#include "calls/line_reader.h"
 
 #include <utility>
 
--- a/src/gateway/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -1,4 +1,4 @@
-#include "gateway/replica_pool.h"
+#include "calls/replica_pool.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/gateway/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "gateway/gateway_options.h"
-#include "gateway/serving_right.h"
+#include "calls/gateway_options.h"
+#include "calls/serving_right.h"
 #include "net/http_types.h"
 #include "replicas/rate_pacer.h"
 #include "replicas/replica_directory.h"
--- a/src/gateway/retry_policy.cc
+++ b/src/calls/retry_policy.cc
@@ -1,4 +1,4 @@
-#include "gateway/retry_policy.h"
+#include "calls/retry_policy.h"
 
 #include <algorithm>
 
--- a/src/gateway/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -1,7 +1,7 @@
 #include <utility>
 
 #include "base/logging.h"
-#include "gateway/call_attempt.h"
+#include "calls/call_attempt.h"
 #include "json/json.h"
 
 namespace cloverbank {
--- a/src/gateway/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -2,9 +2,9 @@
 #include <utility>
 
 #include "base/logging.h"
-#include "gateway/call_attempt.h"
-#include "gateway/line_reader.h"
-#include "gateway/stream_check.h"
+#include "calls/call_attempt.h"
+#include "calls/line_reader.h"
+#include "calls/stream_check.h"
 #include "json/json.h"
 
 namespace cloverbank {
--- a/src/node/batch_partitions.cc
+++ b/src/control_client/batch_partitions.cc
@@ -1,4 +1,4 @@
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 
 #include "base/checksum.h"
 
--- a/src/node/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -1,4 +1,4 @@
-#include "node/configuration_watch.h"
+#include "control_client/configuration_watch.h"
 
 #include <algorithm>
 #include <string>
--- a/src/node/coordinator_directory.cc
+++ b/src/control_client/coordinator_directory.cc
@@ -1,4 +1,4 @@
-#include "node/coordinator_directory.h"
+#include "control_client/coordinator_directory.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/node/coordinator_referral.cc
+++ b/src/control_client/coordinator_referral.cc
@@ -1,4 +1,4 @@
-#include "node/coordinator_referral.h"
+#include "control_client/coordinator_referral.h"
 
 #include <array>
 #include <string_view>
--- a/src/node/coordinator_referral.h
+++ b/src/control_client/coordinator_referral.h
@@ -6,7 +6,7 @@
 
 #include <memory>
 
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/node/fleet_watch.cc
+++ b/src/control_client/fleet_watch.cc
@@ -1,4 +1,4 @@
-#include "node/fleet_watch.h"
+#include "control_client/fleet_watch.h"
 
 namespace cloverbank {
 
--- a/src/node/fleet_watch.h
+++ b/src/control_client/fleet_watch.h
@@ -3,8 +3,8 @@
 /// Pure core: a node's view of the store machines and partition owners. Its version never goes
 /// back. Threads: the owner's event loop only.
 
-#include "node/configuration_watch.h"
-#include "node/node_agent.h"
+#include "control_client/configuration_watch.h"
+#include "control_client/node_agent.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/node/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -1,4 +1,4 @@
-#include "node/leader_call.h"
+#include "control_client/leader_call.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/node/leader_call.h
+++ b/src/control_client/leader_call.h
@@ -13,7 +13,7 @@
 #include "base/ids.h"
 #include "base/status.h"
 #include "base/time.h"
-#include "node/coordinator_directory.h"
+#include "control_client/coordinator_directory.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/node/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -1,13 +1,13 @@
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 
 #include <algorithm>
 #include <deque>
 #include <utility>
 
 #include "base/logging.h"
-#include "node/coordinator_directory.h"
-#include "node/leader_call.h"
-#include "node/node_session.h"
+#include "control_client/coordinator_directory.h"
+#include "control_client/leader_call.h"
+#include "control_client/node_session.h"
 #include "runtime/node_methods.h"
 
 namespace cloverbank {
--- a/src/node/node_agent.h
+++ b/src/control_client/node_agent.h
@@ -18,7 +18,7 @@
 #include <string_view>
 #include <vector>
 
-#include "node/list_source.h"
+#include "control_client/list_source.h"
 #include "proto/configuration.pb.h"
 #include "proto/coordinator.pb.h"
 #include "runtime/environment.h"
--- a/src/node/node_session.cc
+++ b/src/control_client/node_session.cc
@@ -1,4 +1,4 @@
-#include "node/node_session.h"
+#include "control_client/node_session.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/node/node_session.h
+++ b/src/control_client/node_session.h
@@ -15,9 +15,9 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "node/configuration_watch.h"
-#include "node/fleet_watch.h"
-#include "node/list_source.h"
+#include "control_client/configuration_watch.h"
+#include "control_client/fleet_watch.h"
+#include "control_client/list_source.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/node/operator_orders.cc
+++ b/src/control_client/operator_orders.cc
@@ -1,4 +1,4 @@
-#include "node/operator_orders.h"
+#include "control_client/operator_orders.h"
 
 #include <utility>
 
--- a/src/node/operator_orders.h
+++ b/src/control_client/operator_orders.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 
 namespace cloverbank {
 
--- a/src/node/overload_rejection.cc
+++ b/src/control_client/overload_rejection.cc
@@ -1,4 +1,4 @@
-#include "node/overload_rejection.h"
+#include "control_client/overload_rejection.h"
 
 #include <utility>
 
--- a/src/coordinator/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -1,4 +1,4 @@
-#include "coordinator/configuration_objects.h"
+#include "control_state/configuration_objects.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -1,11 +1,11 @@
-#include "coordinator/configuration_store.h"
+#include "control_state/configuration_store.h"
 
 #include <algorithm>
 #include <set>
 #include <utility>
 
 #include "base/checksum.h"
-#include "coordinator/transaction_validator.h"
+#include "control_state/transaction_validator.h"
 
 namespace cloverbank {
 namespace {
--- a/src/coordinator/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -16,8 +16,8 @@
 
 #include "base/ids.h"
 #include "base/status.h"
-#include "coordinator/configuration_objects.h"
-#include "coordinator/operation_records.h"
+#include "control_state/configuration_objects.h"
+#include "control_state/operation_records.h"
 #include "proto/configuration.pb.h"
 #include "proto/coordinator.pb.h"
 
--- a/src/coordinator/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -1,4 +1,4 @@
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/coordinator/control_state.h
+++ b/src/control_state/control_state.h
@@ -12,9 +12,9 @@
 
 #include "base/ids.h"
 #include "consensus/replicated_log.h"
-#include "coordinator/configuration_store.h"
-#include "coordinator/partition_table.h"
-#include "coordinator/server_registry.h"
+#include "control_state/configuration_store.h"
+#include "control_state/partition_table.h"
+#include "control_state/server_registry.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/operation_records.cc
+++ b/src/control_state/operation_records.cc
@@ -1,4 +1,4 @@
-#include "coordinator/operation_records.h"
+#include "control_state/operation_records.h"
 
 #include <utility>
 
--- a/src/coordinator/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -1,4 +1,4 @@
-#include "coordinator/partition_table.h"
+#include "control_state/partition_table.h"
 
 #include <algorithm>
 #include <tuple>
--- a/src/coordinator/partition_table.h
+++ b/src/control_state/partition_table.h
@@ -19,7 +19,7 @@
 
 #include "base/ids.h"
 #include "base/status.h"
-#include "coordinator/server_registry.h"
+#include "control_state/server_registry.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/server_registry.cc
+++ b/src/control_state/server_registry.cc
@@ -1,4 +1,4 @@
-#include "coordinator/server_registry.h"
+#include "control_state/server_registry.h"
 
 #include <algorithm>
 
--- a/src/coordinator/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -1,4 +1,4 @@
-#include "coordinator/transaction_validator.h"
+#include "control_state/transaction_validator.h"
 
 #include <algorithm>
 #include <map>
--- a/src/coordinator/transaction_validator.h
+++ b/src/control_state/transaction_validator.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "coordinator/configuration_objects.h"
+#include "control_state/configuration_objects.h"
 #include "proto/configuration.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/coordinator_service.cc
+++ b/src/coordinator/coordinator_service.cc
@@ -4,14 +4,14 @@
 #include <utility>
 
 #include "base/logging.h"
-#include "coordinator/command_proposer.h"
 #include "coordinator/heartbeat_handler.h"
-#include "coordinator/leader_context.h"
-#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
 #include "coordinator/node_requests.h"
 #include "coordinator/operator_requests.h"
 #include "coordinator/transaction_handler.h"
+#include "leader/command_proposer.h"
+#include "leader/leader_context.h"
+#include "leader/leader_controller.h"
 #include "runtime/typed_peer.h"
 
 namespace cloverbank {
--- a/src/coordinator/coordinator_service.h
+++ b/src/coordinator/coordinator_service.h
@@ -10,8 +10,8 @@
 #include <memory>
 
 #include "consensus/replicated_log.h"
-#include "coordinator/control_state.h"
-#include "coordinator/coordinator_options.h"
+#include "control_state/control_state.h"
+#include "leader/coordinator_options.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "coordinator/backup_sweeper.h"
-#include "coordinator/control_state.h"
-#include "coordinator/leader_context.h"
-#include "coordinator/recovery_manager.h"
+#include "control_state/control_state.h"
+#include "leader/backup_sweeper.h"
+#include "leader/leader_context.h"
+#include "leader/recovery_manager.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -5,8 +5,8 @@
 #include <string_view>
 #include <utility>
 
-#include "coordinator/partition_assigner.h"
-#include "coordinator/proto_endpoint.h"
+#include "control_state/proto_endpoint.h"
+#include "leader/partition_assigner.h"
 
 namespace cloverbank {
 namespace {
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "base/status.h"
-#include "coordinator/leader_context.h"
+#include "leader/leader_context.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/leader_reply.h
+++ b/src/coordinator/leader_reply.h
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "base/status.h"
-#include "coordinator/command_proposer.h"
+#include "leader/command_proposer.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/node_requests.h
+++ b/src/coordinator/node_requests.h
@@ -3,10 +3,10 @@
 /// What nodes ask of the leader besides heartbeats: registration, heads of logs, finished replays.
 /// Each is one command; the answer says how applying it went.
 
-#include "coordinator/command_proposer.h"
-#include "coordinator/leader_context.h"
-#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
+#include "leader/command_proposer.h"
+#include "leader/leader_context.h"
+#include "leader/leader_controller.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -3,8 +3,8 @@
 #include <set>
 #include <utility>
 
+#include "control_state/proto_endpoint.h"
 #include "coordinator/fleet_problems.h"
-#include "coordinator/proto_endpoint.h"
 #include "coordinator/transaction_handler.h"
 
 namespace cloverbank {
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "coordinator/command_proposer.h"
 #include "coordinator/fleet_problems.h"
-#include "coordinator/leader_context.h"
-#include "coordinator/leader_controller.h"
 #include "coordinator/leader_reply.h"
+#include "leader/command_proposer.h"
+#include "leader/leader_context.h"
+#include "leader/leader_controller.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -10,9 +10,9 @@
 #include <vector>
 
 #include "base/status.h"
-#include "coordinator/command_proposer.h"
-#include "coordinator/leader_context.h"
 #include "coordinator/leader_reply.h"
+#include "leader/command_proposer.h"
+#include "leader/leader_context.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -3,12 +3,12 @@
 #include <utility>
 #include <vector>
 
+#include "batch_work/batch_validation.h"
+#include "calls/http_json.h"
+#include "control_client/batch_partitions.h"
+#include "control_client/overload_rejection.h"
 #include "gateway/batch_owner_call.h"
-#include "gateway/batch_validation.h"
-#include "gateway/http_json.h"
 #include "gateway/http_query.h"
-#include "node/batch_partitions.h"
-#include "node/overload_rejection.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/batch_api.h
+++ b/src/gateway/batch_api.h
@@ -15,8 +15,8 @@
 #include <memory>
 #include <string>
 
+#include "control_client/node_agent.h"
 #include "net/http_types.h"
-#include "node/node_agent.h"
 #include "proto/batch.pb.h"
 #include "runtime/environment.h"
 
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -11,7 +11,7 @@
 #include "base/ids.h"
 #include "base/status.h"
 #include "base/time.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -3,8 +3,8 @@
 #include <utility>
 
 #include "base/logging.h"
+#include "control_client/batch_partitions.h"
 #include "gateway/batch_owner_call.h"
-#include "node/batch_partitions.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/status.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "proto/batch.pb.h"
 #include "runtime/environment.h"
 
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -14,9 +14,9 @@
 #include <string>
 #include <unordered_map>
 
-#include "gateway/call_runner.h"
-#include "gateway/forward_exchange.h"
-#include "gateway/gateway_options.h"
+#include "calls/call_runner.h"
+#include "calls/forward_exchange.h"
+#include "calls/gateway_options.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -3,16 +3,16 @@
 #include <algorithm>
 #include <utility>
 
+#include "admission/call_queue.h"
+#include "batch_work/batch_worker.h"
+#include "calls/replica_pool.h"
+#include "calls/serving_right.h"
 #include "gateway/batch_api.h"
 #include "gateway/batch_service.h"
-#include "gateway/batch_worker.h"
-#include "gateway/call_queue.h"
 #include "gateway/forwarding_service.h"
 #include "gateway/live_call_handler.h"
 #include "gateway/operator_api.h"
 #include "gateway/replica_backend_caller.h"
-#include "gateway/replica_pool.h"
-#include "gateway/serving_right.h"
 #include "gateway/status_api.h"
 #include "replicas/prefill_gossip.h"
 #include "replicas/shared_list_reader.h"
--- a/src/gateway/gateway_service.h
+++ b/src/gateway/gateway_service.h
@@ -7,10 +7,10 @@
 #include <memory>
 #include <string>
 
-#include "gateway/backend_caller.h"
-#include "gateway/gateway_options.h"
+#include "calls/backend_caller.h"
+#include "calls/gateway_options.h"
+#include "control_client/node_agent.h"
 #include "net/http_types.h"
-#include "node/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -7,9 +7,9 @@
 #include <memory>
 #include <string>
 
-#include "gateway/call_runner.h"
-#include "gateway/idempotency_cache.h"
-#include "gateway/json_exchange.h"
+#include "calls/call_runner.h"
+#include "calls/idempotency_cache.h"
+#include "calls/json_exchange.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -7,7 +7,7 @@
 #include <utility>
 
 #include "base/checksum.h"
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "gateway/live_call.h"
 
 namespace cloverbank {
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -17,8 +17,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "gateway/call_runner.h"
-#include "gateway/idempotency_cache.h"
+#include "calls/call_runner.h"
+#include "calls/idempotency_cache.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -5,7 +5,7 @@
 #include <utility>
 
 #include "base/logging.h"
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "net/http_status.h"
 
 namespace cloverbank {
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -7,9 +7,9 @@
 #include <memory>
 #include <optional>
 
+#include "calls/call_runner.h"
+#include "calls/forward_exchange.h"
 #include "gateway/answer_timing.h"
-#include "gateway/call_runner.h"
-#include "gateway/forward_exchange.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -3,7 +3,7 @@
 #include <string>
 #include <utility>
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "gateway/http_query.h"
 #include "proto/coordinator.pb.h"
 
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -10,8 +10,8 @@
 ///
 /// Threads: the owner's event loop only.
 
+#include "control_client/operator_orders.h"
 #include "net/http_types.h"
-#include "node/operator_orders.h"
 
 namespace cloverbank {
 
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -4,9 +4,9 @@
 #include <utility>
 
 #include "base/checksum.h"
-#include "gateway/event_collector.h"
-#include "gateway/forward_exchange.h"
-#include "gateway/json_exchange.h"
+#include "calls/event_collector.h"
+#include "calls/forward_exchange.h"
+#include "calls/json_exchange.h"
 
 namespace cloverbank {
 namespace {
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <unordered_map>
 
-#include "gateway/backend_caller.h"
-#include "gateway/call_runner.h"
+#include "calls/backend_caller.h"
+#include "calls/call_runner.h"
 
 namespace cloverbank {
 
--- a/src/gateway/status_api.cc
+++ b/src/gateway/status_api.cc
@@ -1,6 +1,6 @@
 #include "gateway/status_api.h"
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "gateway/http_query.h"
 #include "proto/coordinator.pb.h"
 #include "proto/live.pb.h"
--- a/src/gateway/status_api.h
+++ b/src/gateway/status_api.h
@@ -8,8 +8,8 @@
 ///
 /// Threads: the owner's event loop only.
 
+#include "control_client/node_agent.h"
 #include "net/http_types.h"
-#include "node/node_agent.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/coordinator/backup_sweeper.cc
+++ b/src/leader/backup_sweeper.cc
@@ -1,4 +1,4 @@
-#include "coordinator/backup_sweeper.h"
+#include "leader/backup_sweeper.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -12,7 +12,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 #include "proto/log.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -1,4 +1,4 @@
-#include "coordinator/command_proposer.h"
+#include "leader/command_proposer.h"
 
 #include <utility>
 
--- a/src/coordinator/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "base/status.h"
-#include "coordinator/leader_context.h"
+#include "leader/leader_context.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/coordinator_options.h
+++ b/src/leader/coordinator_options.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 
 #include "base/time.h"
-#include "coordinator/recovery_manager.h"
+#include "leader/recovery_manager.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -1,4 +1,4 @@
-#include "coordinator/failure_detector.h"
+#include "leader/failure_detector.h"
 
 #include <algorithm>
 
--- a/src/coordinator/failure_detector.h
+++ b/src/leader/failure_detector.h
@@ -12,7 +12,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "coordinator/lease_table.h"
+#include "leader/lease_table.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/leader_context.h
+++ b/src/leader/leader_context.h
@@ -9,10 +9,10 @@
 #include <set>
 #include <string>
 
-#include "coordinator/control_state.h"
-#include "coordinator/coordinator_options.h"
-#include "coordinator/failure_detector.h"
-#include "coordinator/lease_table.h"
+#include "control_state/control_state.h"
+#include "leader/coordinator_options.h"
+#include "leader/failure_detector.h"
+#include "leader/lease_table.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/coordinator/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -1,10 +1,10 @@
-#include "coordinator/leader_controller.h"
+#include "leader/leader_controller.h"
 
 #include <string>
 #include <utility>
 
 #include "base/logging.h"
-#include "coordinator/proto_endpoint.h"
+#include "control_state/proto_endpoint.h"
 #include "runtime/node_methods.h"
 #include "runtime/typed_peer.h"
 
--- a/src/coordinator/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -5,12 +5,12 @@
 
 #include <vector>
 
-#include "coordinator/backup_sweeper.h"
-#include "coordinator/command_proposer.h"
-#include "coordinator/leader_context.h"
-#include "coordinator/partition_assigner.h"
-#include "coordinator/recovery_manager.h"
-#include "coordinator/unreachable_nodes.h"
+#include "leader/backup_sweeper.h"
+#include "leader/command_proposer.h"
+#include "leader/leader_context.h"
+#include "leader/partition_assigner.h"
+#include "leader/recovery_manager.h"
+#include "leader/unreachable_nodes.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -1,4 +1,4 @@
-#include "coordinator/lease_table.h"
+#include "leader/lease_table.h"
 
 #include <algorithm>
 
--- a/src/coordinator/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -1,4 +1,4 @@
-#include "coordinator/log_assembly.h"
+#include "leader/log_assembly.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/coordinator/log_assembly.h
+++ b/src/leader/log_assembly.h
@@ -16,8 +16,8 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "coordinator/partition_table.h"
-#include "coordinator/server_registry.h"
+#include "control_state/partition_table.h"
+#include "control_state/server_registry.h"
 #include "proto/log.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/partition_assigner.cc
+++ b/src/leader/partition_assigner.cc
@@ -1,4 +1,4 @@
-#include "coordinator/partition_assigner.h"
+#include "leader/partition_assigner.h"
 
 #include <algorithm>
 
--- a/src/coordinator/partition_assigner.h
+++ b/src/leader/partition_assigner.h
@@ -8,7 +8,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -1,10 +1,10 @@
-#include "coordinator/recovery_manager.h"
+#include "leader/recovery_manager.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "coordinator/partition_assigner.h"
-#include "coordinator/proto_endpoint.h"
+#include "control_state/proto_endpoint.h"
+#include "leader/partition_assigner.h"
 
 namespace cloverbank {
 
--- a/src/coordinator/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -15,9 +15,9 @@
 #include "base/ids.h"
 #include "base/status.h"
 #include "base/time.h"
-#include "coordinator/control_state.h"
-#include "coordinator/log_assembly.h"
-#include "coordinator/partition_assigner.h"
+#include "control_state/control_state.h"
+#include "leader/log_assembly.h"
+#include "leader/partition_assigner.h"
 #include "proto/log.pb.h"
 
 namespace cloverbank {
--- a/src/coordinator/unreachable_nodes.cc
+++ b/src/leader/unreachable_nodes.cc
@@ -1,7 +1,7 @@
-#include "coordinator/unreachable_nodes.h"
+#include "leader/unreachable_nodes.h"
 
-#include "coordinator/proto_endpoint.h"
-#include "coordinator/server_registry.h"
+#include "control_state/proto_endpoint.h"
+#include "control_state/server_registry.h"
 
 namespace cloverbank {
 namespace {
--- a/src/coordinator/unreachable_nodes.h
+++ b/src/leader/unreachable_nodes.h
@@ -11,7 +11,7 @@
 
 #include "base/ids.h"
 #include "base/time.h"
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- a/src/log/segment_format.cc
+++ b/src/log_format/segment_format.cc
@@ -1,4 +1,4 @@
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 #include <optional>
 
--- a/src/queue/backup_client.cc
+++ b/src/log_writer/backup_client.cc
@@ -1,4 +1,4 @@
-#include "queue/backup_client.h"
+#include "log_writer/backup_client.h"
 
 #include "runtime/typed_peer.h"
 
--- a/src/queue/backup_directory.cc
+++ b/src/log_writer/backup_directory.cc
@@ -1,4 +1,4 @@
-#include "queue/backup_directory.h"
+#include "log_writer/backup_directory.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -9,8 +9,8 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
-#include "queue/backup_selector.h"
+#include "control_client/node_agent.h"
+#include "log_writer/backup_selector.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/queue/backup_selector.cc
+++ b/src/log_writer/backup_selector.cc
@@ -1,4 +1,4 @@
-#include "queue/backup_selector.h"
+#include "log_writer/backup_selector.h"
 
 #include <algorithm>
 #include <map>
--- a/src/queue/backup_selector.h
+++ b/src/log_writer/backup_selector.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 
 namespace cloverbank {
 
--- a/src/queue/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -1,9 +1,9 @@
-#include "queue/head_segment.h"
+#include "log_writer/head_segment.h"
 
 #include <algorithm>
 
 #include "base/logging.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 
--- a/src/queue/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -24,8 +24,8 @@
 #include <vector>
 
 #include "base/ids.h"
+#include "log_writer/log_context.h"
 #include "proto/coordinator.pb.h"
-#include "queue/log_context.h"
 
 namespace cloverbank {
 
--- a/src/queue/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/logging.h"
-#include "queue/head_segment.h"
+#include "log_writer/head_segment.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/log_context.h
+++ b/src/log_writer/log_context.h
@@ -6,9 +6,9 @@
 #include <string>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
-#include "queue/backup_client.h"
-#include "queue/backup_directory.h"
+#include "control_client/node_agent.h"
+#include "log_writer/backup_client.h"
+#include "log_writer/backup_directory.h"
 #include "runtime/environment.h"
 
 namespace cloverbank {
--- a/src/queue/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "base/logging.h"
-#include "queue/segment_repairer.h"
+#include "log_writer/segment_repairer.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -1,10 +1,10 @@
-#include "queue/segment_log.h"
+#include "log_writer/segment_log.h"
 
 #include <set>
 
 #include "base/checksum.h"
 #include "base/logging.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -16,11 +16,11 @@
 
 #include "base/ids.h"
 #include "base/status.h"
+#include "log_writer/head_segment.h"
+#include "log_writer/log_context.h"
+#include "log_writer/segment_repairer.h"
+#include "log_writer/segment_usage.h"
 #include "proto/log.pb.h"
-#include "queue/head_segment.h"
-#include "queue/log_context.h"
-#include "queue/segment_repairer.h"
-#include "queue/segment_usage.h"
 
 namespace cloverbank {
 
--- a/src/queue/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -1,4 +1,4 @@
-#include "queue/segment_repairer.h"
+#include "log_writer/segment_repairer.h"
 
 #include <algorithm>
 
--- a/src/queue/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "queue/log_context.h"
+#include "log_writer/log_context.h"
 
 namespace cloverbank {
 
--- a/src/queue/segment_usage.cc
+++ b/src/log_writer/segment_usage.cc
@@ -1,4 +1,4 @@
-#include "queue/segment_usage.h"
+#include "log_writer/segment_usage.h"
 
 #include <vector>
 
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -14,11 +14,11 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "batches/owned_partition.h"
+#include "control_client/node_agent.h"
 #include "proto/batch.pb.h"
-#include "queue/owned_partition.h"
-#include "queue/token_reserver.h"
 #include "runtime/environment.h"
+#include "token_quota/token_reserver.h"
 
 namespace cloverbank {
 
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -3,9 +3,9 @@
 #include <algorithm>
 
 #include "base/logging.h"
-#include "log/segment_format.h"
-#include "queue/owned_partition.h"
-#include "queue/partition_replay.h"
+#include "batches/owned_partition.h"
+#include "batches/partition_replay.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -13,11 +13,11 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "batches/batch_store.h"
+#include "control_client/node_agent.h"
+#include "log_writer/segment_log.h"
 #include "proto/log.pb.h"
-#include "queue/batch_store.h"
 #include "queue/read_limit.h"
-#include "queue/segment_log.h"
 
 namespace cloverbank {
 
--- a/src/queue/queue_node_incarnation.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -4,7 +4,7 @@
 #include <set>
 
 #include "base/logging.h"
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/queue_node_incarnation.h
+++ b/src/queue/queue_node_incarnation.h
@@ -13,17 +13,17 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "batches/owned_partition.h"
+#include "control_client/node_agent.h"
+#include "log_writer/segment_log.h"
 #include "proto/batch.pb.h"
 #include "proto/log.pb.h"
 #include "queue/batch_intake.h"
-#include "queue/owned_partition.h"
 #include "queue/partition_recovery.h"
-#include "queue/segment_log.h"
-#include "queue/token_quota_owner.h"
-#include "queue/token_reserver.h"
-#include "queue/work_dispatcher.h"
 #include "runtime/environment.h"
+#include "token_quota/token_quota_owner.h"
+#include "token_quota/token_reserver.h"
+#include "work_dispatch/work_dispatcher.h"
 
 namespace cloverbank {
 
--- a/src/queue/queue_service.h
+++ b/src/queue/queue_service.h
@@ -11,7 +11,7 @@
 #include <memory>
 #include <string>
 
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "queue/queue_node_incarnation.h"
 #include "runtime/environment.h"
 
--- a/src/replicas/shared_list_reader.h
+++ b/src/replicas/shared_list_reader.h
@@ -19,7 +19,7 @@
 #include <string>
 #include <vector>
 
-#include "node/list_source.h"
+#include "control_client/list_source.h"
 #include "proto/gateway.pb.h"
 #include "replicas/replica_list_reader.h"
 #include "runtime/environment.h"
--- a/src/queue/drain_rate.cc
+++ b/src/token_quota/drain_rate.cc
@@ -1,4 +1,4 @@
-#include "queue/drain_rate.h"
+#include "token_quota/drain_rate.h"
 
 #include <algorithm>
 
--- a/src/queue/quota_wait_queue.cc
+++ b/src/token_quota/quota_wait_queue.cc
@@ -1,4 +1,4 @@
-#include "queue/quota_wait_queue.h"
+#include "token_quota/quota_wait_queue.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/queue/token_allowance.cc
+++ b/src/token_quota/token_allowance.cc
@@ -1,4 +1,4 @@
-#include "queue/token_allowance.h"
+#include "token_quota/token_allowance.h"
 
 #include <algorithm>
 
--- a/src/queue/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -1,11 +1,11 @@
-#include "queue/token_quota_owner.h"
+#include "token_quota/token_quota_owner.h"
 
 #include <algorithm>
 #include <optional>
 #include <utility>
 #include <vector>
 
-#include "node/overload_rejection.h"
+#include "control_client/overload_rejection.h"
 #include "runtime/typed_peer.h"
 
 namespace cloverbank {
--- a/src/queue/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -19,12 +19,12 @@
 #include <utility>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "proto/batch.pb.h"
-#include "queue/drain_rate.h"
-#include "queue/quota_wait_queue.h"
-#include "queue/token_usage.h"
 #include "runtime/environment.h"
+#include "token_quota/drain_rate.h"
+#include "token_quota/quota_wait_queue.h"
+#include "token_quota/token_usage.h"
 
 namespace cloverbank {
 
--- a/src/queue/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -1,8 +1,8 @@
-#include "queue/token_reserver.h"
+#include "token_quota/token_reserver.h"
 
 #include <utility>
 
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 #include "runtime/typed_peer.h"
 
 namespace cloverbank {
--- a/src/queue/token_reserver.h
+++ b/src/token_quota/token_reserver.h
@@ -12,11 +12,11 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "proto/batch.pb.h"
-#include "queue/token_allowance.h"
-#include "queue/token_quota_owner.h"
 #include "runtime/environment.h"
+#include "token_quota/token_allowance.h"
+#include "token_quota/token_quota_owner.h"
 
 namespace cloverbank {
 
--- a/src/queue/token_usage.cc
+++ b/src/token_quota/token_usage.cc
@@ -1,4 +1,4 @@
-#include "queue/token_usage.h"
+#include "token_quota/token_usage.h"
 
 #include <algorithm>
 
--- a/src/queue/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -1,4 +1,4 @@
-#include "queue/work_dispatcher.h"
+#include "work_dispatch/work_dispatcher.h"
 
 #include "base/logging.h"
 
--- a/src/queue/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -20,12 +20,12 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "node/node_agent.h"
+#include "batches/owned_partition.h"
+#include "control_client/node_agent.h"
 #include "proto/batch.pb.h"
-#include "queue/owned_partition.h"
-#include "queue/work_leases.h"
 #include "runtime/environment.h"
 #include "scheduler/fair_queue.h"
+#include "work_dispatch/work_leases.h"
 
 namespace cloverbank {
 
--- a/src/queue/work_grants.cc
+++ b/src/work_dispatch/work_grants.cc
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-#include "queue/work_dispatcher.h"
+#include "work_dispatch/work_dispatcher.h"
 
 namespace cloverbank {
 namespace {
--- a/src/queue/work_leases.cc
+++ b/src/work_dispatch/work_leases.cc
@@ -1,4 +1,4 @@
-#include "queue/work_leases.h"
+#include "work_dispatch/work_leases.h"
 
 #include <limits>
 
--- a/src/queue/work_results.cc
+++ b/src/work_dispatch/work_results.cc
@@ -1,8 +1,8 @@
 // Results: reports of gateways, renewals, silent leases and outcomes that stay unknown.
 
 #include "base/logging.h"
-#include "node/batch_partitions.h"
-#include "queue/work_dispatcher.h"
+#include "control_client/batch_partitions.h"
+#include "work_dispatch/work_dispatcher.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/backup/segment_messages.h
+++ b/tests/backup/segment_messages.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 
--- a/tests/gateway/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -6,8 +6,8 @@
 
 #include <deque>
 
-#include "gateway/batch_worker.h"
-#include "node/fake_control.h"
+#include "batch_work/batch_worker.h"
+#include "control_client/fake_control.h"
 
 namespace cloverbank {
 
--- a/tests/gateway/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -1,4 +1,4 @@
-#include "batch_worker_fixture.h"
+#include "batch_work/batch_worker_fixture.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/queue/batch_store_test.cc
+++ b/tests/batches/batch_store_test.cc
@@ -1,8 +1,8 @@
-#include "queue/batch_store.h"
+#include "batches/batch_store.h"
 
 #include <gtest/gtest.h>
 
-#include "queue/partition_replay.h"
+#include "batches/partition_replay.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/queue/segment_usage_test.cc
+++ b/tests/batches/segment_usage_test.cc
@@ -1,8 +1,8 @@
-#include "queue/segment_usage.h"
+#include "log_writer/segment_usage.h"
 
 #include <gtest/gtest.h>
 
-#include "queue/partition_replay.h"
+#include "batches/partition_replay.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/gateway/stream_check_test.cc
+++ b/tests/calls/stream_check_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/stream_check.h"
+#include "calls/stream_check.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/node/coordinator_referral_test.cc
+++ b/tests/control_client/coordinator_referral_test.cc
@@ -1,5 +1,5 @@
 // Processes whose seeds name machines that are no coordinators.
-#include "node/coordinator_referral.h"
+#include "control_client/coordinator_referral.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/node/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -1,8 +1,8 @@
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 
 #include <gtest/gtest.h>
 
-#include "node/fake_control.h"
+#include "control_client/fake_control.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/node/operator_orders_test.cc
+++ b/tests/control_client/operator_orders_test.cc
@@ -1,5 +1,5 @@
 // Orders that build on the operator's own document.
-#include "node/operator_orders.h"
+#include "control_client/operator_orders.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/node/watch_test.cc
+++ b/tests/control_client/watch_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
-#include "node/configuration_watch.h"
-#include "node/fleet_watch.h"
+#include "control_client/configuration_watch.h"
+#include "control_client/fleet_watch.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/configuration_store_test.cc
+++ b/tests/control_state/configuration_store_test.cc
@@ -1,12 +1,12 @@
 // Transactions on the routing configuration as the state machine applies them.
-#include "coordinator/configuration_store.h"
+#include "control_state/configuration_store.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "control_commands.h"
+#include "control_state/control_commands.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/control_commands.h
+++ b/tests/control_state/control_commands.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 
 namespace cloverbank {
 
--- a/tests/coordinator/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -1,11 +1,11 @@
 // Registration, death, heads and recoveries as the state machine applies them.
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "control_commands.h"
+#include "control_state/control_commands.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -1,9 +1,9 @@
 // Configurations that operators number themselves, with HTTP routes and documents.
 #include <gtest/gtest.h>
 
-#include "control_commands.h"
-#include "coordinator/configuration_store.h"
-#include "node/configuration_watch.h"
+#include "control_client/configuration_watch.h"
+#include "control_state/configuration_store.h"
+#include "control_state/control_commands.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/coordinator_fixture.h
+++ b/tests/coordinator/coordinator_fixture.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "control_commands.h"
+#include "control_state/control_commands.h"
 #include "coordinator/coordinator_service.h"
 #include "fake_group.h"
 #include "simulation/simulated_world.h"
--- a/tests/coordinator/lease_test.cc
+++ b/tests/coordinator/lease_test.cc
@@ -1,10 +1,10 @@
 // Leases, silence and the version in force, as pure cores.
 #include <gtest/gtest.h>
 
-#include "control_commands.h"
-#include "coordinator/failure_detector.h"
-#include "coordinator/lease_table.h"
+#include "control_state/control_commands.h"
 #include "coordinator/transaction_handler.h"
+#include "leader/failure_detector.h"
+#include "leader/lease_table.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -5,7 +5,7 @@
 #include <memory>
 #include <string>
 
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
 #include "net/route_table.h"
 
 namespace cloverbank {
--- a/tests/gateway/admission_test.cc
+++ b/tests/gateway/admission_test.cc
@@ -3,10 +3,10 @@
 #include <map>
 #include <random>
 
-#include "gateway/admission_control.h"
-#include "gateway/idempotency_cache.h"
-#include "gateway/line_reader.h"
-#include "gateway/retry_policy.h"
+#include "admission/admission_control.h"
+#include "calls/idempotency_cache.h"
+#include "calls/line_reader.h"
+#include "calls/retry_policy.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -3,11 +3,11 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
+#include "batch_work/batch_validation.h"
+#include "control_client/batch_partitions.h"
+#include "control_client/fake_control.h"
 #include "gateway/adapter_harness.h"
 #include "gateway/batch_owner_call.h"
-#include "gateway/batch_validation.h"
-#include "node/batch_partitions.h"
-#include "node/fake_control.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -8,11 +8,11 @@
 #include <string>
 #include <vector>
 
-#include "gateway/call_queue.h"
-#include "gateway/http_json.h"
+#include "admission/call_queue.h"
+#include "calls/http_json.h"
+#include "calls/replica_pool.h"
 #include "gateway/live_call_handler.h"
 #include "gateway/replica_backend_caller.h"
-#include "gateway/replica_pool.h"
 #include "json/json.h"
 #include "replicas/fake_http.h"
 #include "simulation/simulated_world.h"
--- a/tests/gateway/gateway_service_test.cc
+++ b/tests/gateway/gateway_service_test.cc
@@ -2,8 +2,8 @@
 
 #include <gtest/gtest.h>
 
-#include "../node/fake_control.h"
-#include "gateway/http_json.h"
+#include "calls/http_json.h"
+#include "control_client/fake_control.h"
 #include "replicas/fake_http.h"
 
 namespace cloverbank {
--- a/tests/gateway/operator_api_test.cc
+++ b/tests/gateway/operator_api_test.cc
@@ -3,9 +3,9 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
+#include "control_client/fake_control.h"
 #include "gateway/adapter_harness.h"
 #include "gateway/status_api.h"
-#include "node/fake_control.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -5,8 +5,8 @@
 #include <utility>
 #include <vector>
 
-#include "control_commands.h"
-#include "coordinator/recovery_manager.h"
+#include "control_state/control_commands.h"
+#include "leader/recovery_manager.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/recovery_test.cc
+++ b/tests/leader/recovery_test.cc
@@ -2,11 +2,11 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "control_commands.h"
-#include "coordinator/backup_sweeper.h"
-#include "coordinator/log_assembly.h"
-#include "coordinator/partition_assigner.h"
-#include "coordinator/recovery_manager.h"
+#include "control_state/control_commands.h"
+#include "leader/backup_sweeper.h"
+#include "leader/log_assembly.h"
+#include "leader/partition_assigner.h"
+#include "leader/recovery_manager.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/coordinator/unreachable_nodes_test.cc
+++ b/tests/leader/unreachable_nodes_test.cc
@@ -1,10 +1,10 @@
 // Which nodes the leader tells where the coordinators are.
-#include "coordinator/unreachable_nodes.h"
+#include "leader/unreachable_nodes.h"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "control_commands.h"
+#include "control_state/control_commands.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/queue/backup_selector_test.cc
+++ b/tests/log_writer/backup_selector_test.cc
@@ -1,4 +1,4 @@
-#include "queue/backup_selector.h"
+#include "log_writer/backup_selector.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/queue/log_world.h
+++ b/tests/log_writer/log_world.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "backup/backup_service.h"
-#include "node/node_agent.h"
+#include "control_client/node_agent.h"
 #include "queue/fake_coordinator.h"
 #include "simulation/simulated_world.h"
 
--- a/tests/queue/segment_log_fixture.h
+++ b/tests/log_writer/segment_log_fixture.h
@@ -5,8 +5,8 @@
 #include <gtest/gtest.h>
 
 #include "backup/segment_file.h"
-#include "queue/log_world.h"
-#include "queue/segment_log.h"
+#include "log_writer/log_world.h"
+#include "log_writer/segment_log.h"
 
 namespace cloverbank {
 
--- a/tests/queue/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -1,4 +1,4 @@
-#include "segment_log_fixture.h"
+#include "log_writer/segment_log_fixture.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/queue/fleet_world.h
+++ b/tests/queue/fleet_world.h
@@ -11,8 +11,8 @@
 
 #include "backup/backup_service.h"
 #include "consensus/raft_node.h"
+#include "control_client/node_agent.h"
 #include "coordinator/coordinator_service.h"
-#include "node/node_agent.h"
 #include "queue/queue_service.h"
 #include "simulation/simulated_world.h"
 
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -7,7 +7,7 @@
 #include <set>
 #include <string>
 
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 #include "queue/fleet_world.h"
 
 namespace cloverbank {
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -4,7 +4,7 @@
 
 #include <optional>
 
-#include "node/batch_partitions.h"
+#include "control_client/batch_partitions.h"
 #include "queue/queue_world.h"
 
 namespace cloverbank {
--- a/tests/queue/queue_world.h
+++ b/tests/queue/queue_world.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "queue/log_world.h"
+#include "log_writer/log_world.h"
 #include "queue/queue_service.h"
 
 namespace cloverbank {
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -5,8 +5,8 @@
 #include <map>
 #include <string>
 
-#include "node/batch_partitions.h"
-#include "node/overload_rejection.h"
+#include "control_client/batch_partitions.h"
+#include "control_client/overload_rejection.h"
 #include "queue/queue_world.h"
 
 namespace cloverbank {
--- a/tests/simulation/configuration_world.h
+++ b/tests/simulation/configuration_world.h
@@ -9,9 +9,9 @@
 #include <vector>
 
 #include "consensus/raft_node.h"
-#include "coordinator/control_state.h"
+#include "control_client/node_agent.h"
+#include "control_state/control_state.h"
 #include "coordinator/coordinator_service.h"
-#include "node/node_agent.h"
 #include "simulation/simulated_world.h"
 
 namespace cloverbank {
--- a/tests/stored_data/stored_backup.h
+++ b/tests/stored_data/stored_backup.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "backup/backup_world.h"
-#include "log/segment_format.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank::stored_data {
 
--- a/tests/stored_data/stored_backup_test.cc
+++ b/tests/stored_data/stored_backup_test.cc
@@ -6,8 +6,8 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "queue/batch_store.h"
-#include "queue/partition_replay.h"
+#include "batches/batch_store.h"
+#include "batches/partition_replay.h"
 #include "stored_data/stored_folder.h"
 
 namespace cloverbank::stored_data {
--- a/tests/stored_data/stored_coordinator.h
+++ b/tests/stored_data/stored_coordinator.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "consensus/raft_types.h"
-#include "coordinator/control_state.h"
+#include "control_state/control_state.h"
 
 namespace cloverbank::stored_data {
 
--- a/tests/queue/quota_wait_queue_test.cc
+++ b/tests/token_quota/quota_wait_queue_test.cc
@@ -1,5 +1,5 @@
 // The order in which submissions get room.
-#include "queue/quota_wait_queue.h"
+#include "token_quota/quota_wait_queue.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/queue/token_allowance_test.cc
+++ b/tests/token_quota/token_allowance_test.cc
@@ -1,13 +1,13 @@
 // What an owner may take without its keeper, against a keeper's belief.
-#include "queue/token_allowance.h"
+#include "token_quota/token_allowance.h"
 
 #include <gtest/gtest.h>
 
 #include <random>
 #include <vector>
 
-#include "queue/token_usage.h"
 #include "support/test_seeds.h"
+#include "token_quota/token_usage.h"
 
 namespace cloverbank {
 namespace {
--- a/tests/queue/token_usage_test.cc
+++ b/tests/token_quota/token_usage_test.cc
@@ -1,5 +1,5 @@
 // The limit of open tokens over all partitions, as a pure core.
-#include "queue/token_usage.h"
+#include "token_quota/token_usage.h"
 
 #include <gtest/gtest.h>
 
