--- a/apps/cloverbankd/daemon.cc
+++ b/apps/cloverbankd/daemon.cc
@@ -55,7 +55,7 @@
 
 Status Daemon::Start() {
   loop_.OnStopSignal([this](int signal) {
-    Log(LogLevel::kInfo, "stop_signal", {{"signal", signal}});
+    Log(LogLevel::kInfo, "stop_signal_received", {{"signal", signal}});
     RequestStop();
   });
   loop_.OnReloadSignal([this] { ReloadSettings(); });
@@ -97,14 +97,14 @@
 void Daemon::ReloadSettings() {
   Result<Settings> read = LoadSettings(options_.settings_path, {}, nullptr);
   if (!read.ok()) {
-    Log(LogLevel::kWarning, "settings_not_reread", {{"reason", read.status().message()}});
+    Log(LogLevel::kWarning, "settings_reload_failed", {{"reason", read.status().message()}});
     return;
   }
   // Addresses and roles are of one process life; what may change within it is the logging.
   LoggingOptions logging = read->logging;
   logging.node_name = settings_.machine;
   ConfigureLogging(logging);
-  Log(LogLevel::kInfo, "settings_reread", {{"path", options_.settings_path}});
+  Log(LogLevel::kInfo, "settings_reloaded", {{"path", options_.settings_path}});
 }
 
 Status Daemon::OpenDataFolder() {
@@ -194,7 +194,7 @@
     return;
   }
   if (!undrained.empty()) {
-    Log(LogLevel::kWarning, "stop_grace_over",
+    Log(LogLevel::kWarning, "stop_grace_expired",
         {{"undrained", undrained}, {"calls_in_progress", client_server_->calls_in_progress()}});
   }
   loop_.Stop();
--- a/src/backup/backup_service.cc
+++ b/src/backup/backup_service.cc
@@ -96,7 +96,7 @@
   disk_id_ = RandomHex(environment_);
   folder_.Replace(kDiskIdFile, EncodeRecord(disk_id_, kDiskIdSeed), [](const Status& status) {
     if (!status.ok()) {
-      Log(LogLevel::kError, "disk_id_not_stored", {{"why", status.ToString()}});
+      Log(LogLevel::kError, "disk_id_write_failed", {{"reason", status.ToString()}});
     }
   });
 }
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -196,7 +196,7 @@
   store_.SetCorrupt(key);
   environment_.metrics().Increment("backup_corrupt_replicas_total", {{"found_by", found_by}});
   Log(LogLevel::kError, "replica_corrupt",
-      {{"file", SegmentFileName(key)}, {"found_by", found_by}, {"why", why.message()}});
+      {{"file", SegmentFileName(key)}, {"found_by", found_by}, {"reason", why.message()}});
 }
 
 }  // namespace cloverbank
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -75,7 +75,7 @@
       folder_.Truncate(name, size, [name, done = std::move(done)](const Status& status) {
         if (!status.ok()) {
           Log(LogLevel::kWarning, "segment_truncate_failed",
-              {{"file", name}, {"why", status.ToString()}});
+              {{"file", name}, {"reason", status.ToString()}});
         }
         done(Status::Ok());
       });
@@ -106,7 +106,7 @@
   environment_.metrics().Increment("backup_disk_failures_total",
                                    {{"reason", StatusCodeName(status.code())}});
   const std::string name = SegmentFileName(run->key);
-  Log(LogLevel::kError, "segment_write_failed", {{"file", name}, {"why", status.ToString()}});
+  Log(LogLevel::kError, "segment_write_failed", {{"file", name}, {"reason", status.ToString()}});
   if (!run->change.create) {
     Finish(run->key, run->done, status);
     return;
@@ -115,7 +115,7 @@
   folder_.Remove(name, [this, run, status](const Status& removed) {
     if (!removed.ok()) {
       Log(LogLevel::kWarning, "segment_remove_failed",
-          {{"file", SegmentFileName(run->key)}, {"why", removed.ToString()}});
+          {{"file", SegmentFileName(run->key)}, {"reason", removed.ToString()}});
     }
     Finish(run->key, run->done, status);
   });
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -12,7 +12,7 @@
 
 void ReportCorrupt(Environment& environment, const std::string& name, std::string_view why) {
   environment.metrics().Increment("backup_corrupt_replicas_total", {{"found_by", "load"}});
-  Log(LogLevel::kError, "replica_corrupt", {{"file", name}, {"found_by", "load"}, {"why", why}});
+  Log(LogLevel::kError, "replica_corrupt", {{"file", name}, {"found_by", "load"}, {"reason", why}});
 }
 
 /// A file that can not be used: kept under the key of its name, so that it can be freed or
--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -85,7 +85,7 @@
   StartWaiting();
   SendReports();
   Acquire();
-  environment_.metrics().SetGauge("batch_worker_held_items", static_cast<double>(held()));
+  environment_.metrics().SetGauge("batch_worker_pending_items", static_cast<double>(held()));
   environment_.metrics().SetGauge("batch_worker_unreported_results",
                                   static_cast<double>(unreported()));
   tick_timer_ = environment_.ScheduleAfter(options_.tick, Guarded([this] { Run(); }));
--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -35,7 +35,7 @@
     for (std::size_t i = 0; status.ok() && i < applied->size(); ++i) {
       Status result = self->store_->Apply(std::move((*applied)[i]));
       if (!result.ok()) {
-        cloverbank::Log(LogLevel::kError, "entry_not_applied", {{"status", result.ToString()}});
+        cloverbank::Log(LogLevel::kError, "entry_apply_failed", {{"status", result.ToString()}});
       }
     }
     done(status);
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -288,7 +288,7 @@
 
 void CallRunner::FinishWith(const std::string& code, const std::string& message,
                             Duration retry_after) {
-  context_.attempt.environment.metrics().Increment("gateway_calls_given_up_total",
+  context_.attempt.environment.metrics().Increment("gateway_calls_abandoned_total",
                                                    {{"reason", code}});
   CallResult result;
   const proto::Executed executed = retry_.executed();
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -338,9 +338,9 @@
 
 void ForwardAttempt::BreakOff(const std::string& fault) {
   context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", fault}});
-  Log(LogLevel::kInfo, "answer_broken",
+  Log(LogLevel::kInfo, "response_broken",
       {{"call_id", exchange_->call_id()}, {"replica", request_.use.id}, {"fault", fault}});
-  FinishWith(AttemptEnd::kUnknown, "answer_broken",
+  FinishWith(AttemptEnd::kUnknown, "response_broken",
              "the replica's answer was not one whole answer to this call: " + fault,
              CallEnd::kFailed);
 }
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -395,8 +395,8 @@
   metrics.SetGauge("gateway_replicas", static_cast<double>(directory_.records().size()),
                    {{"state", "listed"}});
   metrics.SetGauge("gateway_replica_list_usable", list_usable() ? 1 : 0);
-  metrics.SetGauge("gateway_batch_share", batch_pacer_.ratio());
-  metrics.SetGauge("gateway_cold_share", slow_start_pacer_.ratio());
+  metrics.SetGauge("gateway_batch_quota_ratio", batch_pacer_.ratio());
+  metrics.SetGauge("gateway_slow_start_quota_ratio", slow_start_pacer_.ratio());
 }
 
 }  // namespace cloverbank
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -83,12 +83,12 @@
       return reading;
     }
     const std::string_view fault = readable ? "other_call" : "malformed";
-    context_.environment.metrics().Increment("gateway_answer_faults_total", {{"fault", fault}});
-    Log(LogLevel::kWarning, "answer_dropped",
+    context_.environment.metrics().Increment("gateway_response_faults_total", {{"fault", fault}});
+    Log(LogLevel::kWarning, "response_discarded",
         {{"call_id", request_.body.call_id()}, {"replica", request_.use.id}, {"fault", fault}});
     reading.result.answer.Clear();
     reading.result.end = AttemptEnd::kUnknown;
-    reading.result.error.set_code("answer_broken");
+    reading.result.error.set_code("response_broken");
     reading.result.error.set_message("the replica's answer was not this call's: " +
                                      std::string(fault));
     reading.health = CallEnd::kFailed;
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -68,7 +68,7 @@
 }
 
 void RaftNode::Start() {
-  Log(LogLevel::kInfo, "raft_start",
+  Log(LogLevel::kInfo, "raft_started",
       {{"member_id", core_->member_id()},
        {"term", core_->term()},
        {"last_index", core_->log().last_index()}});
@@ -169,7 +169,7 @@
 
 void RaftNode::OnDiskSpaceAvailable() {
   if (std::exchange(disk_full_, false)) {
-    Log(LogLevel::kInfo, "raft_disk_has_room", {});
+    Log(LogLevel::kInfo, "raft_disk_space_available", {});
     environment_.metrics().SetGauge("raft_disk_full", 0);
     core_->SetWritable(environment_.Now(), true);
   }
@@ -280,9 +280,9 @@
   }
   const bool stopped_leading = led_term_ != 0;
   led_term_ = leads_term;
-  Log(LogLevel::kInfo, "raft_leadership",
+  Log(LogLevel::kInfo, "raft_leadership_changed",
       {{"leads", leads_term != 0}, {"term", core_->term()}, {"applied", applied_index_}});
-  environment_.metrics().SetGauge("raft_leads", leads_term != 0 ? 1 : 0);
+  environment_.metrics().SetGauge("raft_is_leader", leads_term != 0 ? 1 : 0);
   environment_.metrics().SetGauge("raft_term", static_cast<double>(core_->term()));
   for (const auto& observer : leadership_observers_) {
     if (stopped_leading) {
--- a/src/consensus/raft_node_formation.cc
+++ b/src/consensus/raft_node_formation.cc
@@ -90,7 +90,7 @@
   if (!status.ok()) {
     return status;
   }
-  Log(LogLevel::kInfo, "raft_member_joins",
+  Log(LogLevel::kInfo, "raft_member_joining",
       {{"member_id", member.member_id()}, {"endpoint", endpoint.ToString()}});
   proto::JoinResponse response;
   response.set_cluster_id(core_->cluster_id());
@@ -118,7 +118,7 @@
     self.set_member_id(core_->member_id());
     *self.mutable_endpoint() = ToProto(environment_.peer_endpoint());
     if (Status status = core_->AdmitMember(environment_.Now(), self, 0); !status.ok()) {
-      Log(LogLevel::kInfo, "raft_endpoint_waits", {{"reason", status.ToString()}});
+      Log(LogLevel::kInfo, "raft_join_deferred", {{"reason", status.ToString()}});
     }
     Drain();
   }
@@ -208,7 +208,7 @@
   round.may_found = options_.may_found;
   const FormationDecision decision = DecideFormation(round);
   if (const auto* founding = std::get_if<FoundGroup>(&decision)) {
-    Log(LogLevel::kInfo, "raft_founds_group", {{"member_id", core_->member_id()}});
+    Log(LogLevel::kInfo, "raft_group_formed", {{"member_id", core_->member_id()}});
     core_->Bootstrap(std::max<std::uint64_t>(1, environment_.Random()), founding->configuration);
     Drain();
   } else if (const auto* joining = std::get_if<JoinGroup>(&decision)) {
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -272,7 +272,7 @@
   if (outcome == UpdateOutcome::kOlder) {
     environment.metrics().Increment("node_update_refused_total",
                                     {{"what", what}, {"reason", "older"}});
-    Log(LogLevel::kError, "older_version_offered", {{"what", what}, {"machine", options.machine}});
+    Log(LogLevel::kError, "older_version_rejected", {{"what", what}, {"machine", options.machine}});
   }
 }
 
@@ -280,12 +280,12 @@
   if (gap <= Duration::zero()) {
     return;
   }
-  environment.metrics().ObserveSeconds("node_without_lease_seconds",
+  environment.metrics().ObserveSeconds("node_lease_lost_seconds",
                                        std::chrono::duration<double>(gap).count());
   if (gap < kLeaseGapToLog) {
     return;
   }
-  Log(LogLevel::kWarning, "node_was_without_lease",
+  Log(LogLevel::kWarning, "node_lease_lost",
       {{"machine", options.machine},
        {"role", proto::Role_Name(options.role)},
        {"ms", std::chrono::duration_cast<milliseconds>(gap).count()},
--- a/src/coordinator/coordinator_service.cc
+++ b/src/coordinator/coordinator_service.cc
@@ -156,7 +156,7 @@
 
 void CoordinatorService::State::BeginLeading() {
   const TimePoint now = context.environment.Now();
-  Log(LogLevel::kInfo, "coordinator_leads", {{"term", context.log.term()}});
+  Log(LogLevel::kInfo, "coordinator_became_leader", {{"term", context.log.term()}});
   leading = true;
   leading_term = context.log.term();
   last_able = now;
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -121,7 +121,7 @@
     return;
   }
   context_.environment.metrics().Increment("coordinator_in_force_unconfirmed_total");
-  Log(LogLevel::kWarning, "in_force_by_lease_end",
+  Log(LogLevel::kWarning, "in_force_by_lease_expiry",
       {{"version", version.value()},
        {"gateways", unconfirmed.size()},
        {"first", unconfirmed.front().value()}});
--- a/src/gateway/answer_timing.cc
+++ b/src/gateway/answer_timing.cc
@@ -7,11 +7,11 @@
     case Lateness::kNone:
       return "none";
     case Lateness::kFirstChunk:
-      return "first_piece";
+      return "first_chunk";
     case Lateness::kPause:
       return "pause";
     case Lateness::kCompleteAnswer:
-      return "whole_answer";
+      return "complete_answer";
   }
   return "none";
 }
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -121,7 +121,7 @@
     stream_started_ = true;
     const Duration waited = context_.attempt.environment.Now() - started_at_;
     context_.attempt.environment.metrics().ObserveSeconds(
-        "gateway_first_piece_seconds", std::chrono::duration<double>(waited).count());
+        "gateway_first_chunk_seconds", std::chrono::duration<double>(waited).count());
     responder_->StartStream(kHttpOk, StreamHeaders(call_id_));
   }
   run_id_ = chunk.run_id();
@@ -199,7 +199,7 @@
     return;
   }
   client_disconnected_ = true;
-  context_.attempt.environment.metrics().Increment("gateway_callers_gone_total");
+  context_.attempt.environment.metrics().Increment("gateway_client_disconnects_total");
   if (!options_.idempotency_key.empty() && !options_.stream) {
     return;  // The caller may come back for the answer under the same key.
   }
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -176,7 +176,7 @@
       });
       return false;
     case KeyState::kFinished:
-      context_.attempt.environment.metrics().Increment("gateway_answers_repeated_total");
+      context_.attempt.environment.metrics().Increment("gateway_cached_responses_total");
       SendCached(*responder, *kept_.Find(key), stream);
       return false;
     case KeyState::kMismatch:
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -87,7 +87,7 @@
   stream_started_ = true;
   const Duration waited = context_.attempt.environment.Now() - started_at_;
   context_.attempt.environment.metrics().ObserveSeconds(
-      "gateway_first_piece_seconds", std::chrono::duration<double>(waited).count());
+      "gateway_first_chunk_seconds", std::chrono::duration<double>(waited).count());
   responder_->StartStream(status, std::move(headers));
 }
 
@@ -136,7 +136,7 @@
     return;
   }
   client_disconnected_ = true;
-  context_.attempt.environment.metrics().Increment("gateway_callers_gone_total");
+  context_.attempt.environment.metrics().Increment("gateway_client_disconnects_total");
   (void)runner_->Cancel();
   Count("caller_left");
   Over();
@@ -157,9 +157,9 @@
     return;
   }
   const std::string cause(LatenessName(lateness));
-  context_.attempt.environment.metrics().Increment("gateway_answers_late_total",
+  context_.attempt.environment.metrics().Increment("gateway_late_responses_total",
                                                    {{"route", route_}, {"cause", cause}});
-  Log(LogLevel::kInfo, "answer_late",
+  Log(LogLevel::kInfo, "response_late",
       {{"route", route_},
        {"call_id", exchange_->call_id()},
        {"cause", cause},
--- a/src/net/server_connection_answer.cc
+++ b/src/net/server_connection_answer.cc
@@ -105,7 +105,7 @@
   if (!IsCurrent(call)) {
     return;
   }
-  shared_->metrics.Increment("http_server_refusals_total", {{"reason", "handler_dropped"}});
+  shared_->metrics.Increment("http_server_refusals_total", {{"reason", "handler_destroyed"}});
   if (answer_started_) {
     Abort(call);
     return;
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -241,7 +241,7 @@
     for (proto::LogEntry& entry : *chunk) {
       Status applied = recovering.store->Apply(std::move(entry));
       if (!applied.ok()) {
-        Log(LogLevel::kError, "recovered_entry_not_applied", {{"status", applied.ToString()}});
+        Log(LogLevel::kError, "recovered_entry_apply_failed", {{"status", applied.ToString()}});
         environment_.metrics().Increment("queue_recovery_corrupt_entries_total");
       }
     }
--- a/src/queue/queue_node_incarnation.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -145,7 +145,7 @@
 }
 
 void QueueNodeIncarnation::Deactivate(PartitionId id) {
-  Log(LogLevel::kInfo, "partition_given_up", {{"partition", id.value()}});
+  Log(LogLevel::kInfo, "partition_deactivated", {{"partition", id.value()}});
   partitions_.at(id)->Deactivate();
   dispatcher_->RemovePartition(id);
   quota_owner_->Drop(id);
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -40,7 +40,7 @@
   incarnation_ = std::make_shared<QueueNodeIncarnation>(
       environment_, agent_, options_,
       [this](const std::string& reason) { agent_.AbandonNodeId(reason); });
-  Log(LogLevel::kInfo, "queue_life_begins", {{"node", agent_.node_id().value()}});
+  Log(LogLevel::kInfo, "queue_incarnation_started", {{"node", agent_.node_id().value()}});
   incarnation_->Start();
 }
 
@@ -48,8 +48,8 @@
   if (incarnation_ == nullptr) {
     return;
   }
-  Log(LogLevel::kWarning, "queue_life_ends", {});
-  environment_.metrics().Increment("queue_lives_ended_total");
+  Log(LogLevel::kWarning, "queue_incarnation_ended", {});
+  environment_.metrics().Increment("queue_incarnations_ended_total");
   const std::shared_ptr<QueueNodeIncarnation> ended = std::move(incarnation_);
   incarnation_ = nullptr;
   ended->Stop();
--- a/src/simulation/simulated_machine.cc
+++ b/src/simulation/simulated_machine.cc
@@ -25,8 +25,8 @@
 
 void MachineInWorld::Start() {
   if (running() || !program_) {
-    Log(LogLevel::kError, "simulated_machine_can_not_start",
-        {{"machine", name_}, {"why", running() ? "already running" : "no program set"}});
+    Log(LogLevel::kError, "simulated_machine_start_failed",
+        {{"machine", name_}, {"reason", running() ? "already running" : "no program set"}});
     std::abort();
   }
   disk_.Open();
--- a/src/simulation/simulated_world.cc
+++ b/src/simulation/simulated_world.cc
@@ -33,7 +33,7 @@
   SimulatedMachine& Find(std::string_view name) {
     const auto found = machines.find(name);
     if (found == machines.end()) {
-      Log(LogLevel::kError, "no_such_simulated_machine", {{"machine", name}});
+      Log(LogLevel::kError, "simulated_machine_unknown", {{"machine", name}});
       std::abort();
     }
     return *found->second;
--- a/src/work_dispatch/work_results.cc
+++ b/src/work_dispatch/work_results.cc
@@ -200,8 +200,8 @@
     if (batch == nullptr || batch->phases[lease.item.index] == ItemPhase::kFinished) {
       continue;
     }
-    environment_.metrics().Increment("queue_silent_leases_total");
-    Log(LogLevel::kInfo, "work_lease_silent",
+    environment_.metrics().Increment("queue_expired_leases_total");
+    Log(LogLevel::kInfo, "work_lease_expired",
         {{"batch", lease.item.batch_id},
          {"item", lease.item.index},
          {"gateway", lease.gateway_node_id}});
