--- a/tests/stored_data/stored_folder.cc
+++ b/tests/stored_data/stored_folder.cc
@@ -17,7 +17,11 @@
   const auto names = data.List(folder);
   ASSERT_TRUE(names.ok()) << names.status().ToString();
   for (const std::string& name : *names) {
-    const std::string path = folder.empty() ? name : folder + "/" + name;
+    std::string path = folder;
+    if (!path.empty()) {
+      path += '/';
+    }
+    path += name;
     const auto bytes = data.Read(path);
     ASSERT_TRUE(bytes.ok()) << path;
     (*content)[path] = *bytes;
