--- a/tests/scripts/check_pages_test.py
+++ b/tests/scripts/check_pages_test.py
@@ -51,12 +51,13 @@
 
 
 class CheckGlossaryTest(unittest.TestCase):
-    def problems(self, line):
+    def problems(self, line, design=""):
         with tempfile.TemporaryDirectory() as folder:
             root = pathlib.Path(folder)
             (root / "docs").mkdir()
             (root / "docs/GLOSSARY.md").write_text(line + "\n")
             (root / "docs/ARCHITECTURE.md").write_text("nothing\n")
+            (root / "docs/DESIGN.md").write_text(design + "\n")
             (root / "src/leader").mkdir(parents=True)
             (root / "src/leader/lease_table.h").write_text("class LeaseTable { void Grant(); };\n")
             return GLOSSARY.problems(root)
@@ -71,6 +72,10 @@
         self.assertEqual(self.problems("`LeaseTable::Revoke`"),
                          ["docs/GLOSSARY.md:1: `LeaseTable::Revoke` is not in the code"])
 
+    def test_names_a_type_that_the_design_page_has_and_the_code_has_not(self):
+        self.assertEqual(self.problems("", design="`LeaseTable`, `openSegment`, `LeaseBook`"),
+                         ["docs/DESIGN.md:1: `LeaseBook` is not in the code"])
+
     def test_names_a_folder_that_is_gone(self):
         self.assertEqual(self.problems("`src/node`"), ["docs/GLOSSARY.md:1: `src/node` is not in the code"])
 
--- a/tests/scripts/worth_test.py
+++ b/tests/scripts/value_report_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Tests of scripts/worth on small reports of its own."""
+"""Tests of scripts/value-report on small reports of its own."""
 import json
 import pathlib
 import re
@@ -7,7 +7,7 @@
 import tempfile
 import unittest
 
-WORTH = pathlib.Path(__file__).resolve().parent.parent.parent / "scripts/worth"
+SCRIPT = pathlib.Path(__file__).resolve().parent.parent.parent / "scripts/value-report"
 
 SITE = """
 classes = [
@@ -16,9 +16,9 @@
   { name = "read", aim_ms = 120, worth = 1, late_worth = 0.3 },
 ]
 """
-LOG = """ 1.0 edge-1 info answer_late route=r cause=pause target_ms=300 first_ms=10
- 1.1 edge-1 info answer_late route=r cause=pause target_ms=300 first_ms=10
- 1.2 edge-1 info answer_late route=r cause=first_piece target_ms=300 first_ms=400
+LOG = """ 1.0 edge-1 info response_late route=r cause=pause target_ms=300 first_ms=10
+ 1.1 edge-1 info response_late route=r cause=pause target_ms=300 first_ms=10
+ 1.2 edge-1 info response_late route=r cause=first_chunk target_ms=300 first_ms=400
  1.3 store-1 info result_late route=q batch=b taken_ms=9000 target_ms=8000
 """
 ROW = re.compile(r"^\| ([^|]+?) \| ([^|]*?) ?\| \**(-?[\d.]+)\** \|$", re.M)
@@ -57,13 +57,13 @@
         path.write_text(text)
         return str(path)
 
-    def run_worth(self, *arguments):
-        return subprocess.run([str(WORTH), *arguments], capture_output=True, text=True, check=False)
+    def run_report(self, *arguments):
+        return subprocess.run([str(SCRIPT), *arguments], capture_output=True, text=True, check=False)
 
     def causes(self, *extra):
         day = self.write("day.json", json.dumps(report()))
         site = self.write("site.toml", SITE)
-        result = self.run_worth("causes", day, site, *extra)
+        result = self.run_report("causes", day, site, *extra)
         self.assertEqual(result.returncode, 0, result.stderr)
         return {(cause, name): float(lost) for cause, name, lost in ROW.findall(result.stdout)}
 
@@ -86,12 +86,12 @@
     def test_the_log_splits_late_answers_and_late_items(self):
         rows = self.causes("--log", self.write("log", LOG))
         self.assertAlmostEqual(rows["pause late", "chat"], 0.9 * 20 / 400 * 2 / 3, places=4)
-        self.assertAlmostEqual(rows["first_piece late", "chat"], 0.9 * 20 / 400 / 3, places=4)
+        self.assertAlmostEqual(rows["first_chunk late", "chat"], 0.9 * 20 / 400 / 3, places=4)
         self.assertAlmostEqual(rows["past its due time", "notes"], 0.9 * 3 / 400, places=4)
         self.assertAlmostEqual(rows["accepted late", "notes"], 0.9 * 9 / 400, places=4)
 
     def test_moments_begin_with_the_worst(self):
-        result = self.run_worth("moments", self.write("day.json", json.dumps(report())))
+        result = self.run_report("moments", self.write("day.json", json.dumps(report())))
         self.assertEqual(result.returncode, 0, result.stderr)
         rows = result.stdout.splitlines()[2:4]
         self.assertTrue(rows[0].startswith("| 2 |"), result.stdout)
@@ -101,16 +101,16 @@
         for name, before, after in (("a", 0.5, 0.6), ("b", 0.5, 0.8), ("c", 0.5, 0.4)):
             self.write(f"before/{name}.json", json.dumps(report(before)))
             self.write(f"after/{name}.json", json.dumps(report(after)))
-        result = self.run_worth("pairs", str(self.path / "before"), str(self.path / "after"))
+        result = self.run_report("pairs", str(self.path / "before"), str(self.path / "after"))
         self.assertEqual(result.returncode, 0, result.stderr)
         self.assertIn("median +0.0100, 2 of 3 up", result.stdout)
 
     def test_bad_input_ends_with_a_clear_error(self):
-        result = self.run_worth("moments", str(self.path / "missing.json"))
+        result = self.run_report("moments", str(self.path / "missing.json"))
         self.assertEqual(result.returncode, 1)
         self.assertIn("missing.json", result.stderr)
         self.assertNotIn("Traceback", result.stderr)
-        result = self.run_worth("pairs", str(self.path), str(self.path))
+        result = self.run_report("pairs", str(self.path), str(self.path))
         self.assertEqual(result.returncode, 1)
 
 
