--- a/src/replicas/prefill_gossip.h
+++ b/src/replicas/prefill_gossip.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Tells the gateways of the same zone which prompts go to which replica, and hears it of them:
-/// they send to the same replicas, and prompts that meet at one replica are what makes answers
-/// late. Lost messages only make an estimate worse. The shortest prompts are not worth a message.
+/// Announces to the gateways of the same zone which prompts go to which replica, and receives their
+/// announcements: they send to the same replicas, and concurrent prompts at one replica are the
+/// main cause of late responses. A lost message only makes an estimate less exact. The shortest
+/// prompts are not announced.
 ///
 /// Threads: the owner's event loop only.
 
@@ -19,11 +20,11 @@
 
 class PrefillGossip {
  public:
-  /// Runs for each call of another gateway.
+  /// Runs for each announced call of another gateway.
   using Heard =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
 
-  /// The gateways to tell, as they are known now.
+  /// The current neighbours.
   using Neighbours = std::function<std::vector<Endpoint>()>;
 
   PrefillGossip(Environment& environment, Neighbours neighbours, Heard heard);
@@ -31,7 +32,7 @@
   PrefillGossip(const PrefillGossip&) = delete;
   PrefillGossip& operator=(const PrefillGossip&) = delete;
 
-  /// A call of this gateway goes to the replica.
+  /// Announces a call of this gateway. Batched.
   void Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
 
  private:
--- a/src/replicas/prefill_load.cc
+++ b/src/replicas/prefill_load.cc
@@ -35,7 +35,7 @@
 Duration PrefillLoad::RecentLoadAt(const Replica& replica, TimePoint now) const {
   const double half_lives = std::chrono::duration<double>(now - replica.recent_load_at) /
                             std::chrono::duration<double>(options_.recent_load_half_life);
-  return std::chrono::duration_cast<Duration>(replica.lately * std::exp2(-half_lives));
+  return std::chrono::duration_cast<Duration>(replica.recent_load * std::exp2(-half_lives));
 }
 
 Duration PrefillLoad::DelayOf(const Replica& replica, TimePoint now) const {
@@ -48,7 +48,7 @@
   replicas_[replica].backend = backend;
 }
 
-const PrefillLoad::BackendSpeed* PrefillLoad::FindBackend(std::string_view replica) const {
+const PrefillLoad::BackendThroughput* PrefillLoad::FindBackend(std::string_view replica) const {
   const auto found = replicas_.find(replica);
   const auto backend = backends_.find(found == replicas_.end() ? "" : found->second.backend);
   return backend == backends_.end() ? nullptr : &backend->second;
@@ -60,7 +60,7 @@
   if (found != replicas_.end()) {
     rate = found->second.speed.TokensPerMs(tokens);
   }
-  const BackendSpeed* backend = FindBackend(replica);
+  const BackendThroughput* backend = FindBackend(replica);
   if (!rate && backend != nullptr) {
     rate = backend->speed.TokensPerMs(tokens);
   }
@@ -68,13 +68,13 @@
 }
 
 bool PrefillLoad::ExpectsLongPrompts(std::string_view replica, TimePoint now) const {
-  const BackendSpeed* backend = FindBackend(replica);
+  const BackendThroughput* backend = FindBackend(replica);
   return backend != nullptr && backend->last_long_prompt &&
          now - *backend->last_long_prompt <= options_.long_prompts_expected;
 }
 
 Duration PrefillLoad::FixedLatency(std::string_view replica) const {
-  const BackendSpeed* backend = FindBackend(replica);
+  const BackendThroughput* backend = FindBackend(replica);
   if (backend == nullptr || !backend->fixed_latency_ms.value()) {
     return options_.first_fixed_latency;
   }
@@ -87,7 +87,7 @@
   bool kept = home;
   const auto found = replicas_.find(replica);
   if (found != replicas_.end() && shape.shared_key != 0) {
-    kept = kept || found->second.places.contains(shape.shared_key);
+    kept = kept || found->second.positions.contains(shape.shared_key);
   }
   const std::uint32_t shared = std::min(shape.shared_tokens, shape.prompt_tokens);
   return shape.prompt_tokens - (kept && shape.shared_key != 0 ? shared : 0);
@@ -103,7 +103,7 @@
   Replica& entry = replicas_[replica];
   const Duration reading = TimeFor(replica, tokens);
   entry.busy_until = std::max(entry.busy_until, now) + reading;
-  entry.lately = RecentLoadAt(entry, now) + reading;
+  entry.recent_load = RecentLoadAt(entry, now) + reading;
   entry.recent_load_at = now;
   if (IsLong(tokens)) {
     backends_[entry.backend].last_long_prompt = now;
@@ -114,15 +114,15 @@
 }
 
 void PrefillLoad::Remember(Replica& replica, std::uint64_t key) {
-  const auto known = replica.places.find(key);
-  if (known != replica.places.end()) {
+  const auto known = replica.positions.find(key);
+  if (known != replica.positions.end()) {
     replica.recent.splice(replica.recent.begin(), replica.recent, known->second);
     return;
   }
   replica.recent.push_front(key);
-  replica.places[key] = replica.recent.begin();
+  replica.positions[key] = replica.recent.begin();
   if (replica.recent.size() > options_.keys_per_replica) {
-    replica.places.erase(replica.recent.back());
+    replica.positions.erase(replica.recent.back());
     replica.recent.pop_back();
   }
 }
@@ -133,8 +133,8 @@
   const Duration expected =
       backlog + TimeFor(replica, tokens) + FixedLatency(replica) + options_.delay_tolerance;
   const Duration late = std::max(Duration::zero(), latency - expected);
-  const Duration past = DelayOf(entry, now);
-  entry.delay = std::chrono::duration_cast<Duration>(past * (1 - options_.delay_weight) +
+  const Duration expired = DelayOf(entry, now);
+  entry.delay = std::chrono::duration_cast<Duration>(expired * (1 - options_.delay_weight) +
                                                      late * options_.delay_weight);
   entry.delay_at = now;
   if (backlog * kLeastLatencyOverBacklog <= latency) {
@@ -144,7 +144,7 @@
 
 void PrefillLoad::Learn(const std::string& replica, std::uint32_t tokens, Duration latency) {
   Replica& entry = replicas_[replica];
-  BackendSpeed& backend = backends_[entry.backend];
+  BackendThroughput& backend = backends_[entry.backend];
   if (tokens < options_.learn_from_tokens) {
     const Duration fixed = std::max(Duration::zero(), latency - TimeFor(replica, tokens));
     backend.fixed_latency_ms.Add(ToMilliseconds(fixed));
--- a/src/replicas/prefill_throughput.h
+++ b/src/replicas/prefill_throughput.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// How fast model replicas read prompts, told from the times of first answers. Prompts of others
-/// that were read before make an answer late and never early, so the rate is a high quantile of
-/// what was seen lately. Long prompts are read at a lower rate than short ones (attention grows
-/// with the square of the length), so each class of lengths has a rate of its own. Pure.
+/// Prefill throughput of model replicas, learned from the times to first token. Concurrent prompts
+/// of other gateways delay a response and never speed it up, so the estimate is a high quantile of
+/// recent samples. Long prompts are prefilled at a lower rate than short ones (attention grows with
+/// the square of the length), so each class of lengths has an estimate of its own. Pure.
 
 #include <array>
 #include <cstdint>
@@ -15,10 +15,10 @@
 
 class PrefillThroughput {
  public:
-  /// An answer began after a prompt of that length was read at that rate, or faster.
+  /// Adds a sample: a lower bound of the throughput for a prompt of that length.
   void Add(std::uint32_t tokens, double tokens_per_ms);
-  /// @return the rate at which prompts of that length are read, or of the nearest length that is
-  /// known; nothing while none is.
+  /// @return the throughput for prompts of that length, or of the nearest length class with
+  /// samples; nothing while there are none.
   std::optional<double> TokensPerMs(std::uint32_t tokens) const;
 
  private:
--- a/src/replicas/rate_pacer.h
+++ b/src/replicas/rate_pacer.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// What part of the room at a replica one gateway takes at a time. Every gateway sees the same room
-/// and none knows how many others do, so the share is found as TCP finds a link's: it grows slowly
-/// while there is no collision and is halved after one (additive increase, multiplicative
-/// decrease). Pure.
+/// The fraction of a replica's free capacity that one gateway uses at a time. Every gateway sees
+/// the same free capacity and none knows how many others do, so the fraction adapts as TCP's
+/// congestion window does: additive increase without collisions, multiplicative decrease after one.
+/// Pure.
 
 #include <cstdint>
 
@@ -13,15 +13,15 @@
 
 class RatePacer {
  public:
-  /// @param share to begin with. @param growth of it with each smooth report.
+  /// @param ratio initial fraction. @param growth added with each report without a collision.
   RatePacer(double ratio, double growth) : ratio_(ratio), growth_(growth) {}
 
-  /// Own calls were at a replica that was fuller than it should have become.
+  /// A replica with calls of this gateway reported more load than intended.
   void OnCollision(TimePoint now);
-  /// Own calls were at a replica that reported a load within its bound.
+  /// A replica with calls of this gateway reported a load within its bound.
   void OnSmoothReport();
-  /// @return how many calls may start in `free` slots until the next report; the fraction is
-  /// rounded up or down at random, so that a small share means a start now and then.
+  /// @return how many calls may start in `free` slots until the next report, rounded up or down at
+  /// random, so that a small ratio means an occasional start.
   std::uint32_t Allowance(std::uint32_t free, std::uint64_t random) const;
 
   double ratio() const { return ratio_; }
--- a/src/replicas/recent_quantile.h
+++ b/src/replicas/recent_quantile.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A quantile of the newest samples of a figure that changes over time. Pure.
+/// A quantile of the newest samples of a value that changes over time. Pure.
 
 #include <array>
 #include <cstddef>
@@ -10,14 +10,14 @@
 
 class RecentQuantile {
  public:
-  /// Fewer samples than this tell nothing.
+  /// Minimum number of samples for an estimate.
   static constexpr std::size_t kLeastSamples = 4;
 
   /// @param thirds which quantile, in thirds: 1 is a low one, 2 a high one.
   explicit RecentQuantile(std::size_t thirds) : thirds_(thirds) {}
 
   void Add(double sample);
-  /// @return the quantile, or nothing while there are too few samples.
+  /// @return the quantile; nothing below `kLeastSamples`.
   std::optional<double> value() const;
 
  private:
--- a/src/replicas/replica_directory.h
+++ b/src/replicas/replica_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The platform's list of replicas as last read: who is ready, who is draining, who is new. Pure.
+/// The platform's list of replicas as last read: which are ready, draining or new. Pure.
 ///
 /// The list lags behind the truth (health is observed apart from it, replica_health.h), but a
 /// replica that it reports as draining, or no longer names, gets no new call from the moment it was
@@ -37,8 +37,8 @@
 
 /// What a newly applied list changed.
 struct DirectoryChange {
-  /// Ids that must be taken as cold: new, restarted (other instance or endpoint), or ready again
-  /// after draining.
+  /// Ids of replicas that start warming up: new, restarted (other instance or endpoint), or ready
+  /// again after draining.
   std::vector<std::string> warming_up;
   std::vector<std::string> stopped;  ///< Ids that went from ready to draining.
   std::vector<std::string> removed;  ///< Ids no longer named.
@@ -47,8 +47,8 @@
 
 class ReplicaDirectory {
  public:
-  /// Takes a whole list. @return what changed, or kInvalidArgument for a list that names no
-  /// version, in which case the last one stays in use.
+  /// Replaces the list. @return what changed; kInvalidArgument for a list without a version, in
+  /// which case the previous one stays in use.
   Result<DirectoryChange> Apply(const proto::ReplicaList& list);
 
   /// @return the record, or nullptr. Valid until the next `Apply`.
@@ -56,8 +56,8 @@
   /// @return the ready replicas of a back end, by id. Valid until the next `Apply`.
   const std::vector<const ReplicaRecord*>& Ready(proto::BackendKind kind,
                                                  const std::string& backend) const;
-  /// Whether it is one of those replicas of its zone that long prompts go to: one in three of each
-  /// back end, at least one, the same ones as seen by every gateway.
+  /// Whether the replica is one of those of its zone that long prompts are sent to: one in three of
+  /// each back end, at least one; every gateway selects the same ones.
   bool AcceptsLongPrompts(const ReplicaRecord& replica) const {
     return long_prompt_replicas_.contains(replica.id);
   }
--- a/src/replicas/replica_health.h
+++ b/src/replicas/replica_health.h
@@ -1,23 +1,23 @@
 #pragma once
 /// @file
-/// Which replicas can be trusted with a call, and with how many at once: outlier ejection from
-/// passive observation, active probes, half-open trials and slow start. Pure.
+/// Health of replicas and their limits of concurrent calls: outlier ejection from passive
+/// observation, active health checks, half-open trials and slow start. Pure.
 ///
 /// States of a replica:
 ///
-///     kUnproven --good probe--> kHealthy <--good probe-- kSuspect <--one silence-- kHealthy
+///     kUnproven --good probe--> kHealthy <--good probe-- kSuspect <--one timeout-- kHealthy
 ///     any --hard evidence, or enough soft evidence--> kEjected
 ///     kEjected --ejection time over and a good probe--> kTrial --one good call--> kHealthy
 ///     kTrial --a bad call--> kEjected, for longer
 ///
-/// Hard evidence (repeated silence or refused connections) always ejects. Soft evidence (failed or
+/// Hard evidence (repeated timeouts or refused connections) always ejects. Soft evidence (failed or
 /// slow answers) ejects only while no more than a share of the back end's replicas is ejected,
 /// since it may be caused by the requests themselves.
 ///
-/// Slow start: whoever becomes kHealthy is cold. It takes one call until it is seen at work, from
-/// then on its limit grows evenly to its capacity. The limit is on the calls of all gateways
-/// together, as far as they are known; each gateway begins after a delay of its own, so that they
-/// do not all send the first call at once.
+/// Slow start: a replica that becomes kHealthy gets one call until a response shows that it works,
+/// then its limit grows linearly to its capacity. The limit covers the calls of all gateways, as
+/// far as they are known; each gateway starts after a delay of its own, so that they do not all
+/// send the first call at once.
 
 #include <cstdint>
 #include <map>
@@ -30,36 +30,36 @@
 namespace cloverbank {
 
 struct ReplicaHealthOptions {
-  /// Whether probes tell who is well. If not, a listed replica counts as well and warm until calls
-  /// show otherwise, and one call tries an ejected one again when its time is over.
+  /// Whether replicas are probed. If not, a listed replica counts as healthy and warm until calls
+  /// show otherwise, and a single call is the trial of an ejected one when its time is over.
   bool probed = true;
-  std::uint32_t failures_to_eject = 4;         ///< Consecutive failed answers (soft).
-  std::uint32_t timeouts_to_eject = 2;         ///< Consecutive silent calls or probes (hard).
+  std::uint32_t failures_to_eject = 4;         ///< Consecutive failed responses (soft).
+  std::uint32_t timeouts_to_eject = 2;         ///< Consecutive timeouts of calls or probes (hard).
   std::uint32_t maximum_ejected_percent = 50;  ///< Of a back end's replicas, by soft evidence.
-  /// Nothing heard of it for this long while calls wait there: only a last resort. Zero: never.
+  /// A replica with calls in flight that sent nothing for this long is a last resort. Zero: never.
   Duration stall_limit{};
   Duration base_ejection = seconds(1);  ///< Doubles with each ejection in a row.
   Duration maximum_ejection = seconds(30);
-  Duration forgive_after = seconds(30);     ///< Healthy time after which one ejection is forgotten.
-  Duration slow_start_time = seconds(6);    ///< From one call to full capacity.
-  double slow_factor = 4;                   ///< Times the median of its peers that counts as slow.
+  Duration forgive_after = seconds(30);   ///< Healthy time after which one ejection is forgotten.
+  Duration slow_start_time = seconds(6);  ///< From one call to full capacity.
+  double slow_factor = 4;  ///< Multiple of its peers' median latency that counts as slow.
   Duration slow_floor = milliseconds(500);  ///< Never slow below this.
-  std::uint32_t slow_samples = 10;          ///< Answers needed before judging.
+  std::uint32_t slow_samples = 10;          ///< Responses needed for an evaluation.
 };
 
-/// How a call at a replica ended, as far as health is concerned.
+/// The result of a call at a replica, as far as its health is concerned.
 enum class CallEnd : std::uint8_t {
   kSuccess,
   kRefused,       ///< 429 or 503: full or stopping, but alive.
-  kFailed,        ///< An answer that shows a fault (5xx, broken stream).
-  kNoResponse,    ///< Bytes went out and nothing came back in time.
+  kFailed,        ///< The response shows a fault (5xx, broken stream).
+  kNoResponse,    ///< Bytes were sent and no response came in time.
   kNotConnected,  ///< The connection was refused or could not be made.
-  kWithdrawn,     ///< Ended by this gateway; says nothing of the replica.
+  kWithdrawn,     ///< Cancelled by this gateway; no evidence.
 };
 
 enum class ReplicaCondition : std::uint8_t { kUnproven, kHealthy, kSuspect, kEjected, kTrial };
 
-/// Whether a call may go to a replica now.
+/// Whether a call may be sent to a replica now.
 enum class Usability : std::uint8_t {
   kNo,
   kLastResort,  ///< Only if no other replica is left.
@@ -70,30 +70,29 @@
  public:
   explicit ReplicaHealth(ReplicaHealthOptions options) : options_(options) {}
 
-  /// Begins to watch a cold replica, or restarts the watch of one that came back.
-  /// @param start_delay how long after its first good probe it gets its first call from here.
+  /// Adds a replica, or starts one anew that came back. @param start_delay between its first good
+  /// probe and the first call of this gateway.
   void Reset(const std::string& id, const std::string& backend, Duration start_delay);
   void Remove(const std::string& id);
 
-  /// @param warm whether it was at work before this gateway began to watch it: no slow start then.
+  /// @param warm whether the replica was already serving: no slow start then.
   void OnProbe(const std::string& id, bool answered, bool warm, TimePoint now);
-  /// It was seen at work, for this gateway or for others: its slow start begins, and a trial is
-  /// over.
+  /// The replica was seen serving a call of any gateway: its slow start begins, a trial ends.
   void OnWorkSeen(const std::string& id, TimePoint now);
   void OnCallStarted(const std::string& id, TimePoint now);
   void OnCallEnded(const std::string& id, CallEnd end, TimePoint now);
-  /// Bytes of it came in.
+  /// Bytes of the replica were received.
   void OnHeard(const std::string& id, TimePoint now);
-  /// Time to the first byte of an answer.
+  /// Adds a time to first byte.
   void OnLatency(const std::string& id, Duration latency);
-  /// Judges slowness and lets ejections decay; to be called about once a second.
+  /// Evaluates latencies and forgets old ejections; to be called about once a second.
   void Evaluate(TimePoint now);
 
-  /// Whether it has calls and nothing was heard of it for longer than the stall limit.
+  /// Whether it has calls in flight and sent nothing for longer than the stall limit.
   bool Stalled(const std::string& id, TimePoint now) const;
   Usability UsabilityOf(const std::string& id, TimePoint now) const;
   ReplicaCondition ConditionOf(const std::string& id) const;
-  /// @return the most calls of everyone that it should have now.
+  /// @return the limit of concurrent calls of all gateways together.
   std::uint32_t LimitOf(const std::string& id, std::uint32_t capacity, TimePoint now) const;
   /// Whether it is in slow start or on trial.
   bool Ramping(const std::string& id, TimePoint now) const;
--- a/src/replicas/replica_list_poller.h
+++ b/src/replicas/replica_list_poller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Reads the platform's list of replicas, again and again, whatever control does. A list that can
-/// not be read leaves the last one in use.
+/// Reads the platform's list of replicas periodically, independently of the control plane. A list
+/// that can not be read leaves the previous one in use.
 /// Threads: the owner's event loop only.
 
 #include <cstdint>
@@ -29,8 +29,8 @@
   ReplicaListPoller& operator=(const ReplicaListPoller&) = delete;
 
   void Start();
-  /// Whether the list was asked for so recently, with or without success, that it may be acted on.
-  /// False after the process was frozen, until the first new poll has ended.
+  /// Whether the last poll, successful or not, is recent enough to act on the list. False after the
+  /// process was frozen, until the first new poll has completed.
   bool Fresh() const;
   /// Whether a list was ever read.
   bool loaded() const { return loaded_; }
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How the platform's list of replicas is read once. When and how often is `ReplicaListPoller`'s
-/// matter. Threads: the owner's event loop only.
+/// Reads the platform's list of replicas once. `ReplicaListPoller` decides when and how often.
+/// Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -17,21 +17,21 @@
 namespace cloverbank {
 
 enum class ListReadEnd : std::uint8_t {
-  kRead,          ///< A whole list came.
-  kUnchanged,     ///< The same as the last one that was accepted.
-  kRefused,       ///< The platform answered, without a list.
-  kMalformed,     ///< What came is no list.
-  kNotConnected,  ///< No connection was made.
-  kNoResponse,    ///< No answer came in time.
+  kRead,          ///< A complete list was received.
+  kUnchanged,     ///< The same as the last accepted one.
+  kRefused,       ///< The platform responded without a list.
+  kMalformed,     ///< The response is not a list.
+  kNotConnected,  ///< No connection could be made.
+  kNoResponse,    ///< No response before the deadline.
 };
 
 struct ListReading {
   ListReadEnd end = ListReadEnd::kNoResponse;
   proto::ReplicaList list;  ///< Set when read.
   std::string reason;       ///< For people, when malformed.
-  /// When the platform was asked, if that was not when `Read` was called.
+  /// When the platform was queried, if not when `Read` was called.
   std::optional<TimePoint> read_at;
-  /// The next call of `Read` waits for news by itself: it may come at once.
+  /// The next `Read` is a long poll: it may be called immediately.
   bool next_waits = false;
 };
 
@@ -40,11 +40,11 @@
   virtual ~ReplicaListReader() = default;
   /// Reads the list; `done` runs once, within `deadline`, unless the reader is destroyed before.
   virtual void Read(Duration deadline, std::function<void(ListReading)> done) = 0;
-  /// The list read last was taken: a later one may be answered as unchanged.
+  /// The last list was applied: later ones may be reported as unchanged.
   virtual void Accepted() {}
 };
 
-/// @return the end of a call that brought no answer.
+/// @return the result of a call without a response.
 ListReadEnd EndWithoutAnswer(const HttpOutcome& outcome);
 
 /// Makes the reader that the options ask for.
--- a/src/replicas/replica_load.h
+++ b/src/replicas/replica_load.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// How busy a replica is, as far as one gateway can tell: its own calls there, and what the replica
-/// last said of its whole load. Several gateways share each replica without knowing each other, so
-/// the calls of others are what the replica reported beyond the own ones. Pure.
+/// The load of a replica as one gateway knows it: its own calls, and the total that the replica
+/// last reported. Gateways share replicas without knowing of each other, so the calls of others are
+/// the reported total less the own ones. Pure.
 
 #include <cstdint>
 #include <optional>
@@ -12,20 +12,20 @@
 
 namespace cloverbank {
 
-/// Header in replicas' answers: "<running>/<queued>/<capacity>", the call being answered included.
+/// Header of replicas' responses: "<running>/<queued>/<capacity>", including this call.
 inline constexpr std::string_view kLoadHeader = "x-cloverbank-load";
 
 /// The whole load of a replica as it reports it.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  std::uint32_t capacity = 0;  ///< Calls it runs at once now; 0 is not told.
+  std::uint32_t capacity = 0;  ///< Calls it runs concurrently now; 0: unknown.
 };
 
 /// @return the report, or nothing if `value` is not of the form of `kLoadHeader`.
 std::optional<LoadReport> ParseLoadReport(std::string_view value);
 
-/// How long a replica that refused a call as full is left alone, unless it reports room before.
+/// How long no call is sent to a replica that refused one as full.
 inline constexpr Duration kRefusalPause = milliseconds(200);
 
 /// How long a report of a replica in slow start is acted on.
@@ -33,16 +33,16 @@
 /// How long a report is acted on for batch work.
 inline constexpr Duration kBatchReportLifetime = milliseconds(1200);
 
-/// Whose call it is. Batch work gives way to live work.
+/// Whether a call is live or batch work; live work has priority.
 enum class WorkKind : std::uint8_t { kLive, kBatch };
 
 class ReplicaLoad {
  public:
   void OnStart(WorkKind kind);
   void OnEnd(WorkKind kind);
-  /// Takes a report that reached this gateway now.
+  /// A load report was received.
   void OnReport(const LoadReport& report);
-  /// The replica refused a call as full: it is not asked again for a moment.
+  /// The replica refused a call as full; see `kRefusalPause`.
   void OnRefused(TimePoint now);
   /// Whether it refused a call just now.
   bool Refusing(TimePoint now) const { return now < refusing_until_; }
@@ -54,16 +54,16 @@
   std::uint32_t others() const { return others_; }
   /// Best estimate of all calls at the replica.
   std::uint32_t total() const { return own() + others_; }
-  /// @return what it runs at once: the listed capacity, or the reported one if that is smaller.
+  /// @return its capacity: the listed one, or the reported one if that is smaller.
   std::uint32_t Capacity(std::uint32_t listed) const;
-  /// Calls that may still be started before the next report at a replica in slow start. What was
-  /// seen at the last report is not acted on for long, since others saw it too.
+  /// Calls that may still start before the next report at a replica in slow start. Expires soon,
+  /// since other gateways act on the same report.
   std::uint32_t slow_start_allowance(TimePoint now) const {
     return now < slow_start_allowance_until_ ? slow_start_allowance_ : 0;
   }
   void SetSlowStartAllowance(std::uint32_t calls, TimePoint now);
-  /// Batch items that may still be started before the next report: the room that was free at the
-  /// last one is seen by every gateway, so each takes only a part of it.
+  /// Batch items that may still start before the next report: every gateway sees the same free
+  /// capacity, so each uses only a part of it.
   std::uint32_t batch_allowance(TimePoint now) const {
     return now < batch_allowance_until_ ? batch_allowance_ : 0;
   }
--- a/src/replicas/replica_options.h
+++ b/src/replicas/replica_options.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Bounds of what is read and learned of replicas, with their defaults.
+/// Options of reading the replica list and of health checks, with their defaults.
 
 #include <functional>
 #include <memory>
@@ -20,22 +20,21 @@
   std::string path = "/replicas";
   Duration interval = milliseconds(500);
   Duration deadline = milliseconds(450);
-  /// A list last asked for longer ago is not acted on: the process was frozen meanwhile.
+  /// A list older than this is not acted on: the process was frozen meanwhile.
   Duration stale_after = seconds(2);
-  /// Makes what reads the list; empty reads it as `GET path`.
+  /// Makes the reader of the list; empty: `GET path`.
   std::function<std::unique_ptr<ReplicaListReader>(HttpClient&)> make_reader = {};
-  /// Whether the gateways of a zone read the list from one of them.
+  /// Whether gateways read the list from another gateway (`SharedListReader`).
   bool shared = false;
 };
 
 /// How replicas are probed.
 struct ProbeOptions {
-  /// Whether replicas are probed at all. If not, the list and the calls themselves tell who is
-  /// well.
+  /// Whether replicas are probed. If not, health is learned from the list and from calls alone.
   bool enabled = true;
   std::string path = "/health";
-  Duration interval = seconds(1);               ///< Of one replica, while few are known.
-  Duration eager_interval = milliseconds(150);  ///< Of one that is in slow start.
+  Duration interval = seconds(1);  ///< Between probes of one replica; longer if there are many.
+  Duration eager_interval = milliseconds(150);  ///< The same for a replica in slow start.
   Duration deadline = milliseconds(700);
   Duration least_gap =
       milliseconds(20);  ///< Between two probes of this gateway, whatever their number.
--- a/src/replicas/replica_prober.h
+++ b/src/replicas/replica_prober.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Asks each replica for its health in turn, spread evenly over the interval, new ones first. The
-/// rate of one gateway is bounded whatever the number of replicas; the interval grows instead.
-/// Threads: the owner's event loop only.
+/// Sends health checks to replicas in turn, spread evenly over the interval, new replicas first.
+/// The rate of one gateway is bounded; with many replicas the interval grows instead. Threads: the
+/// owner's event loop only.
 
 #include <deque>
 #include <functional>
@@ -19,7 +19,7 @@
 
 class ReplicaProber {
  public:
-  /// @param answered whether the replica answered that it is well.
+  /// @param answered whether the replica responded as healthy.
   using ResultHandler = std::function<void(const std::string& id, const std::string& instance_id,
                                            bool answered, const HttpHeaders& headers)>;
   struct Target {
@@ -37,7 +37,7 @@
   void Start();
   /// Replaces the set of replicas to probe. Those in `first` are probed before all others.
   void SetTargets(const std::vector<Target>& targets, const std::vector<std::string>& first);
-  /// Probes one again before its turn, after `ProbeOptions::eager_interval`.
+  /// Probes a replica again before its turn, after `ProbeOptions::eager_interval`.
   void RepeatSoon(const std::string& id);
 
  private:
@@ -53,8 +53,8 @@
   ProbeOptions options_;
   ResultHandler on_result_;
   std::map<std::string, Target> targets_;
-  std::deque<std::string> order_;   ///< Whom to probe next; each target once.
-  std::deque<std::string> urgent_;  ///< New ones, probed before.
+  std::deque<std::string> order_;   ///< Next targets; each once.
+  std::deque<std::string> urgent_;  ///< New targets, probed first.
   std::map<std::string, std::shared_ptr<HttpCall>> running_;
   TimePoint next_in_round_{};
   bool last_was_urgent_ = false;
--- a/src/replicas/shared_list_reader.h
+++ b/src/replicas/shared_list_reader.h
@@ -1,14 +1,14 @@
 #pragma once
 /// @file
 /// Reads the list of replicas from another gateway where the coordinators name one, and from the
-/// platform otherwise, and hands what was read on to gateways that ask. A zone's first gateway asks
-/// first ones of other zones, the others ask within their zone: so the platform gets one call in
-/// place of one a gateway, and a list crosses each zone's border once.
+/// platform otherwise, and serves it to other gateways. The first gateway of a zone reads from
+/// first gateways of other zones, the others read within their zone: so the platform is read by one
+/// gateway instead of all, and a list crosses the border of each zone once.
 ///
-/// The coordinators name a gateway's sources in an order that all gateways agree on, and only such
-/// that precede it, so that no two ask each other for longer than a heartbeat. A
-/// source that fails is passed over for a while; a gateway whose sources all fail reads the
-/// platform itself, whatever control does. Threads: the owner's event loop only.
+/// The coordinators name a gateway's sources in a global order and only those that precede it, so
+/// that no two gateways read from each other for longer than a heartbeat. A source that fails is
+/// skipped for a while; a gateway whose sources all fail reads the platform itself. Threads: the
+/// owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -28,8 +28,7 @@
 
 class SharedListReader final : public ReplicaListReader {
  public:
-  /// @return the gateways to ask, the first one first; nothing while the coordinators have not
-  /// told.
+  /// @return the sources in order of preference; nothing before the coordinators have named them.
   using Sources = std::function<std::optional<std::vector<ListSource>>()>;
 
   SharedListReader(Environment& environment, Sources sources,
@@ -38,13 +37,13 @@
   SharedListReader(const SharedListReader&) = delete;
   SharedListReader& operator=(const SharedListReader&) = delete;
 
-  /// @param deadline of a call to the platform; a source may hold a call back for longer.
+  /// @param deadline of a call to the platform; a long poll of a source may take longer.
   void Read(Duration deadline, std::function<void(ListReading)> done) override;
   void Accepted() override;
 
  private:
   using Reply = std::function<void(Result<proto::GetReplicaListResponse>)>;
-  /// A gateway's call that waits for the next reading.
+  /// A long poll of another gateway that waits for the next reading.
   struct PendingRequest {
     std::uint64_t known = 0;
     TimePoint arrival{};
@@ -56,7 +55,7 @@
   void WaitForSources();
   void RequestFromSource();
   std::optional<ListSource> NextSource() const;
-  /// @return how long the call may wait at the source for its next reading.
+  /// @return how long a long poll may wait at the source.
   Duration HoldAt(const ListSource& source) const;
   void OnAnswer(TimePoint sent, const Result<proto::GetReplicaListResponse>& answer);
   void HandleAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer);
@@ -64,10 +63,10 @@
   void HandlePlatformReading(TimePoint sent, ListReading reading);
   void Finish(ListReading reading);
 
-  /// The list held is what the platform showed at `read_at` or later.
+  /// Makes the current list available; the platform showed it at `read_at` or later.
   void Publish(TimePoint read_at);
   void AnswerPending();
-  /// @param address IP number of the asking gateway.
+  /// @param address IP address of the requesting gateway.
   void Serve(const proto::GetReplicaListRequest& request, const std::string& address, Reply reply);
   void Answer(const PendingRequest& pending) const;
   bool Recent() const;
@@ -78,21 +77,21 @@
 
   std::function<void(ListReading)> done_;
   Duration deadline_{};
-  std::optional<Endpoint> asked_;  ///< The source that has not answered yet.
-  bool awaits_ = false;            ///< It was asked to wait for its next reading.
+  std::optional<Endpoint> asked_;  ///< The source whose response is outstanding.
+  bool awaits_ = false;            ///< The outstanding request is a long poll.
   Duration waited_for_sources_{};
   TimerId timer_ = 0;
   std::map<Endpoint, TimePoint> passed_over_until_;
 
-  /// The list read last, until it is known whether it can be used.
+  /// The last list read, until the directory has accepted it.
   proto::ReplicaList candidate_;
   TimePoint candidate_read_at_{};
   bool candidate_from_platform_ = false;
-  /// The list that others may have; `id_` is 0 while there is none.
+  /// The list served to others; `id_` is 0 while there is none.
   proto::ReplicaList list_;
   std::uint64_t id_ = 0;
   TimePoint read_at_{};
-  bool failing_ = false;  ///< The last try brought no list.
+  bool failing_ = false;  ///< The last attempt failed.
   std::uint64_t version_ = 0;
   PendingList pending_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/routing/route_match.cc
+++ b/src/routing/route_match.cc
@@ -21,18 +21,18 @@
 
 std::string ChooseBackend(const proto::Route& route, std::uint64_t draw) {
   std::uint64_t total = 0;
-  for (const proto::WeightedBackend& share : route.split()) {
-    total += share.weight();
+  for (const proto::WeightedBackend& weighted : route.split()) {
+    total += weighted.weight();
   }
   if (total == 0) {
     return route.backend();
   }
-  std::uint64_t place = draw % total;
-  for (const proto::WeightedBackend& share : route.split()) {
-    if (place < share.weight()) {
-      return share.backend();
+  std::uint64_t offset = draw % total;
+  for (const proto::WeightedBackend& weighted : route.split()) {
+    if (offset < weighted.weight()) {
+      return weighted.backend();
     }
-    place -= share.weight();
+    offset -= weighted.weight();
   }
   return route.backend();
 }
@@ -42,8 +42,8 @@
     return route.backend() == backend;
   }
   return std::any_of(route.split().begin(), route.split().end(),
-                     [backend](const proto::WeightedBackend& share) {
-                       return share.weight() > 0 && share.backend() == backend;
+                     [backend](const proto::WeightedBackend& weighted) {
+                       return weighted.weight() > 0 && weighted.backend() == backend;
                      });
 }
 
--- a/src/routing/route_match.h
+++ b/src/routing/route_match.h
@@ -16,8 +16,8 @@
 const proto::Route* MatchRoute(const proto::RoutingConfiguration& configuration,
                                std::string_view host, std::string_view path);
 
-/// @return the back end of the share in which `draw` falls: the same draw keeps its back end as
-/// long as the shares stay.
+/// @return the back end whose weight range `draw` falls into: the same draw keeps its back end as
+/// long as the weights stay.
 std::string ChooseBackend(const proto::Route& route, std::uint64_t draw);
 
 /// Whether some of the route's calls may go to `backend`.
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -10,7 +10,7 @@
 
 constexpr std::uint32_t kPercent = 100;
 constexpr std::uint32_t kDefaultCapacityReservePercent = 70;
-/// Where loads are not reported, a gateway's part of the room is not all used at once.
+/// Where loads are not reported, a gateway leaves some of its quota free for live calls.
 constexpr std::uint32_t kUnreportedCapacityReservePercent = 90;
 constexpr std::uint32_t kElsewhereRank = 4;   // After own zone and region, busy or not.
 constexpr std::uint32_t kLastResortRank = 5;  // Added to the rank of a suspect.
@@ -157,7 +157,7 @@
                             query.excluded->end();
   const bool allowance_spent = options_.load_reported && health_.Ramping(replica.id, now) &&
                                load.slow_start_allowance(now) == 0;
-  const bool paced = warming_up_ != nullptr && !warming_up_->CanStart(replica.id, now);
+  const bool paced = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
   const bool throttled = allowance_spent || paced;
   const bool barred = excluded || throttled || load.Refusing(now);
   candidate.has_capacity = candidate.load < candidate.limit && !barred;
@@ -187,15 +187,15 @@
   std::map<std::string_view, std::pair<std::uint64_t, const ReplicaRecord*>> best;
   for (const ReplicaRecord* replica : directory_.Ready(query.route->backend_kind(), backend)) {
     const std::uint64_t weight = Checksum(query.prefix_key, Checksum(replica->id));
-    auto& place = best[replica->zone];
-    if (place.second == nullptr || weight > place.first) {
-      place = {weight, replica};
+    auto& preferred = best[replica->zone];
+    if (preferred.second == nullptr || weight > preferred.first) {
+      preferred = {weight, replica};
     }
   }
   std::vector<const ReplicaRecord*> homes;
   homes.reserve(best.size());
-  for (const auto& [zone, place] : best) {
-    homes.push_back(place.second);
+  for (const auto& [zone, preferred] : best) {
+    homes.push_back(preferred.second);
   }
   return homes;
 }
@@ -281,7 +281,7 @@
   const auto found = loads_.find(replica.id);
   if (!options_.load_reported) {
     const bool refusing = found != loads_.end() && found->second.Refusing(now);
-    const bool paced = warming_up_ != nullptr && !warming_up_->CanStart(replica.id, now);
+    const bool paced = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
     const bool reading =
         prefill_ != nullptr && prefill_->Backlog(replica.id, now) > options_.batch_backlog;
     const bool closed = refusing || paced || reading;
@@ -290,12 +290,12 @@
   if (found == loads_.end() || found->second.Refusing(now)) {
     return 0;
   }
-  std::uint32_t room = std::min(CapacityReserveFor(replica, configuration, now).free,
-                                found->second.batch_allowance(now));
+  std::uint32_t slots = std::min(CapacityReserveFor(replica, configuration, now).free,
+                                 found->second.batch_allowance(now));
   if (health_.Ramping(replica.id, now)) {
-    room = std::min(room, found->second.slow_start_allowance(now));
+    slots = std::min(slots, found->second.slow_start_allowance(now));
   }
-  return room;
+  return slots;
 }
 
 Router::BatchCapacityReserve Router::UnreportedCapacityReserve(
@@ -306,11 +306,11 @@
   const std::uint32_t all =
       replica.capacity * CapacityReservePercent(configuration, kUnreportedCapacityReservePercent) /
       kPercent;
-  BatchCapacityReserve headroom;
-  headroom.bound = std::min(share_.SlotsOf(replica.id, replica.zone, all),
-                            health_.LimitOf(replica.id, replica.capacity, now));
-  headroom.free = headroom.bound - std::min(headroom.bound, own);
-  return headroom;
+  BatchCapacityReserve reserve;
+  reserve.bound = std::min(quota_.SlotsOf(replica.id, replica.zone, all),
+                           health_.LimitOf(replica.id, replica.capacity, now));
+  reserve.free = reserve.bound - std::min(reserve.bound, own);
+  return reserve;
 }
 
 Router::BatchCapacityReserve Router::CapacityReserveFor(
@@ -323,13 +323,13 @@
   const ReplicaLoad& load = found->second;
   const std::uint32_t capacity = load.Capacity(replica.capacity);
   // At least one, or batches would never run on replicas that take one call at a time.
-  const std::uint32_t share = std::max(
+  const std::uint32_t bound = std::max(
       1U,
       capacity * CapacityReservePercent(configuration, kDefaultCapacityReservePercent) / kPercent);
-  BatchCapacityReserve headroom;
-  headroom.bound = std::min(share, health_.LimitOf(replica.id, capacity, now));
-  headroom.free = headroom.bound - std::min(headroom.bound, load.total());
-  return headroom;
+  BatchCapacityReserve reserve;
+  reserve.bound = std::min(bound, health_.LimitOf(replica.id, capacity, now));
+  reserve.free = reserve.bound - std::min(reserve.bound, load.total());
+  return reserve;
 }
 
 std::uint32_t Router::RankOf(const Candidate& candidate,
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Chooses the replica for one call: ready, not draining, in an open zone that the route allows;
-/// healthy; with room; nearest first; then by prefix affinity (rendezvous hashing with bounded
-/// load), or least loaded. Pure: reads the directory, health and load, changes nothing.
+/// healthy; with free capacity; nearest first; then by prefix affinity (rendezvous hashing with
+/// bounded load), or least loaded. Pure: reads the directory, health and load, changes nothing.
 ///
 /// Sources: Thaler and Ravishankar, "Using name-based mappings to increase hit rates" (rendezvous
 /// hashing); Mirrokni, Thorup and Zadimoghaddam, "Consistent Hashing with Bounded Loads".
@@ -29,24 +29,25 @@
 using LoadTable = std::map<std::string, ReplicaLoad, std::less<>>;
 
 struct RouterOptions {
-  std::string zone;                  ///< The gateway's own.
-  double affinity_bound = 1.25;      ///< Most load of the affine replica, in times of the average.
+  std::string zone;  ///< The gateway's own.
+  double affinity_bound =
+      1.25;  ///< Maximum load of the affine replica, as a multiple of the average.
   std::uint32_t affinity_slack = 1;  ///< Calls above the bound that are always allowed.
-  double busy_ratio = 0.8;  ///< Of its limit, from which on calls rather go to another zone.
-  /// Whether replicas report their load. If not, room for batch work is an equal part for each
-  /// gateway, and slow start is left to `SlowStart`.
+  double busy_ratio = 0.8;  ///< Load relative to the limit above which calls prefer another zone.
+  /// Whether replicas report their load. If not, the capacity for batch work is divided equally
+  /// among gateways, and slow start is left to `SlowStart`.
   bool load_reported = true;
-  /// What a call to another zone costs, in time that its prompt might take at home instead.
+  /// Cost of a call to another zone, as the extra time its prompt may take in the own zone.
   Duration other_zone_cost = milliseconds(30);
-  /// The same for each of this gateway's calls at a replica.
+  /// Cost of each call of this gateway that runs at the replica.
   Duration running_call_cost = std::chrono::microseconds(400);
-  /// Part of what a replica was given to read lately that counts as a cost of its own.
+  /// Weight of the recent prefill load of a replica in its cost.
   double recent_load_weight = 0.2;
-  /// Where long prompts are expected they go to some replicas of a zone, which the others avoid.
-  /// Each side's cost of leaving its place.
+  /// Where long prompts are expected, some replicas of each zone accept them and short prompts
+  /// avoid these. Costs of sending a long prompt elsewhere, and a short one there.
   Duration long_elsewhere_cost = milliseconds(80);
   Duration short_beside_long_cost = milliseconds(60);
-  /// Prompts ahead of a batch item, above which it is not started there.
+  /// Prefill backlog above which no batch item is started at a replica.
   Duration batch_backlog = milliseconds(10);
 };
 
@@ -92,34 +93,35 @@
 
 class Router {
  public:
-  /// @param cold, @param prefill may be nullptr. All referred to must outlive the router.
+  /// @param slow_start, @param prefill may be nullptr. All referred to must outlive the router.
   Router(RouterOptions options, const ReplicaDirectory& directory, const ReplicaHealth& health,
-         const LoadTable& loads, const SlowStart* warming_up = nullptr,
+         const LoadTable& loads, const SlowStart* slow_start = nullptr,
          const PrefillLoad* prefill = nullptr)
       : options_(std::move(options)),
         directory_(directory),
         health_(health),
         loads_(loads),
-        warming_up_(warming_up),
+        slow_start_(slow_start),
         prefill_(prefill),
-        share_{options_.zone} {}
+        quota_{options_.zone} {}
 
-  /// Which part of the room for batch work is this gateway's; only if loads are not reported.
-  void SetQuota(GatewayQuota share) { share_ = std::move(share); }
+  /// Sets this gateway's part of the capacity for batch work; used if loads are not reported.
+  void SetQuota(GatewayQuota quota) { quota_ = std::move(quota); }
 
   RoutingChoice Choose(const RoutingQuery& query, TimePoint now) const;
 
-  /// Whether `replica` is where calls of that key go in its zone when nothing speaks against it.
+  /// Whether `replica` is the preferred replica of its zone for calls of that key (rendezvous
+  /// hashing).
   bool IsHome(const ReplicaRecord& replica, std::string_view prefix_key) const;
 
   /// @return how many further batch items may start on the replicas of a back end in open zones.
   std::uint32_t FreeBatchSlots(const proto::RoutingConfiguration& configuration,
                                const std::string& backend, TimePoint now) const;
 
-  /// Room of one replica for batch work, as of its last report.
+  /// Capacity of one replica for batch work, as of its last report.
   struct BatchCapacityReserve {
-    std::uint32_t bound = 0;  ///< Most calls there, for batch work to be started.
-    std::uint32_t free = 0;   ///< What the bound leaves.
+    std::uint32_t bound = 0;  ///< Calls at the replica up to which batch work may start.
+    std::uint32_t free = 0;   ///< The bound less the calls that are there.
   };
   BatchCapacityReserve CapacityReserveFor(const ReplicaRecord& replica,
                                           const proto::RoutingConfiguration& configuration,
@@ -128,8 +130,8 @@
  private:
   struct Candidate {
     const ReplicaRecord* replica = nullptr;
-    std::uint32_t load = 0;   ///< Estimated calls there, of everyone.
-    std::uint32_t limit = 0;  ///< Most calls there now.
+    std::uint32_t load = 0;   ///< Estimated calls at the replica, of all gateways.
+    std::uint32_t limit = 0;  ///< Calls that may be there now.
     bool has_capacity = false;
     bool last_resort = false;
     std::uint32_t rank = 0;  ///< Lower is preferred; see `RankOf`.
@@ -141,20 +143,20 @@
   std::uint32_t BatchCapacity(const ReplicaRecord& replica,
                               const proto::RoutingConfiguration& configuration,
                               TimePoint now) const;
-  /// Own zone, then own region, while they are not busy; then the same though they are; then
-  /// everywhere else. Suspects come after all others.
+  /// Own zone, then own region, while not busy; then the same while busy; then all other zones.
+  /// Suspected replicas rank last.
   std::uint32_t RankOf(const Candidate& candidate,
                        const proto::RoutingConfiguration& configuration) const;
-  /// Room that is known without reports: this gateway's part of the bound, less its own calls.
+  /// Capacity where loads are not reported: this gateway's quota of the bound, less its own calls.
   BatchCapacityReserve UnreportedCapacityReserve(const ReplicaRecord& replica,
                                                  const proto::RoutingConfiguration& configuration,
                                                  TimePoint now) const;
-  /// @return of each zone the replica where calls of the query's key go.
+  /// @return the preferred replica of each zone for the query's key.
   std::vector<const ReplicaRecord*> Homes(const RoutingQuery& query) const;
-  /// @param home whether the query's key belongs to the candidate.
+  /// @param home whether the candidate is the preferred replica for the query's key.
   Duration PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool home,
                        TimePoint now) const;
-  /// @return the candidate whose first token would come soonest, all things told.
+  /// @return the candidate with the lowest cost.
   const Candidate* ChooseByPrefill(const std::vector<Candidate>& candidates,
                                    const RoutingQuery& query, TimePoint now) const;
   const Candidate* ChooseAffine(const std::vector<Candidate>& candidates,
@@ -164,9 +166,9 @@
   const ReplicaDirectory& directory_;
   const ReplicaHealth& health_;
   const LoadTable& loads_;
-  const SlowStart* warming_up_;
+  const SlowStart* slow_start_;
   const PrefillLoad* prefill_;
-  GatewayQuota share_;
+  GatewayQuota quota_;
 };
 
 }  // namespace cloverbank
