--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -16,6 +16,12 @@
 constexpr std::uint32_t kLastResortRank = 5;  // Added to the rank of a suspect.
 constexpr Duration kLastResortCost = seconds(10);
 
+/// A replica with its rendezvous weight for one key.
+struct WeightedReplica {
+  std::uint64_t weight = 0;
+  const ReplicaRecord* replica = nullptr;
+};
+
 template <typename List>
 auto FindByName(const List& list, std::string_view name) -> decltype(&*list.begin()) {
   const auto found =
@@ -184,18 +190,18 @@
     return {};
   }
   const std::string backend(query.backend.empty() ? query.route->backend() : query.backend);
-  std::map<std::string_view, std::pair<std::uint64_t, const ReplicaRecord*>> best;
+  std::map<std::string_view, WeightedReplica> best;
   for (const ReplicaRecord* replica : directory_.Ready(query.route->backend_kind(), backend)) {
     const std::uint64_t weight = Checksum(query.prefix_key, Checksum(replica->id));
     auto& preferred = best[replica->zone];
-    if (preferred.second == nullptr || weight > preferred.first) {
+    if (preferred.replica == nullptr || weight > preferred.weight) {
       preferred = {weight, replica};
     }
   }
   std::vector<const ReplicaRecord*> homes;
   homes.reserve(best.size());
   for (const auto& [zone, preferred] : best) {
-    homes.push_back(preferred.second);
+    homes.push_back(preferred.replica);
   }
   return homes;
 }
