--- a/src/deployment/deployment.cc
+++ b/src/deployment/deployment.cc
@@ -244,53 +244,69 @@
   }
 }
 
+namespace {
+
+std::int64_t ToMicroseconds(Duration time) {
+  return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
+}
+
+std::int64_t ToMilliseconds(Duration time) {
+  return std::chrono::duration_cast<milliseconds>(time).count();
+}
+
+toml::table ToToml(const DeployedMachine& machine) {
+  toml::array roles;
+  for (const std::string& role : machine.roles) {
+    roles.push_back(role);
+  }
+  return toml::table{{"name", machine.name},
+                     {"address", machine.address},
+                     {"zone", machine.zone},
+                     {"roles", std::move(roles)},
+                     {"spare_backup", machine.spare_backup}};
+}
+
+toml::table ToToml(const DeployedReplica& replica) {
+  const bool is_model = replica.kind == proto::BACKEND_KIND_MODEL;
+  return toml::table{
+      {"id", replica.id},           {"endpoint", replica.endpoint.ToString()},
+      {"zone", replica.zone},       {"kind", is_model ? "model" : "service"},
+      {"backend", replica.backend}, {"capacity", static_cast<std::int64_t>(replica.capacity)}};
+}
+
+toml::table ToToml(const BackendBehaviour& behaviour) {
+  return toml::table{{"prefill_us_per_token", ToMicroseconds(behaviour.prefill_per_token)},
+                     {"decode_step_us", ToMicroseconds(behaviour.decode_step)},
+                     {"decode_step_us_per_call", ToMicroseconds(behaviour.decode_step_per_call)},
+                     {"load_time_ms", ToMilliseconds(behaviour.load_time)},
+                     {"shared_prefix_tokens", std::int64_t{behaviour.shared_prefix_tokens}},
+                     {"prefix_cache_entries", std::int64_t{behaviour.prefix_cache_entries}},
+                     {"kv_capacity_tokens", std::int64_t{behaviour.kv_capacity_tokens}},
+                     {"service_us", ToMicroseconds(behaviour.service_time)}};
+}
+
+template <typename Entries>
+toml::array ToTomlArray(const Entries& entries) {
+  toml::array array;
+  for (const auto& entry : entries) {
+    array.push_back(ToToml(entry));
+  }
+  return array;
+}
+
+}  // namespace
+
 std::string PrintDeployment(const Deployment& deployment) {
-  const auto microseconds = [](Duration time) {
-    return std::chrono::duration_cast<std::chrono::microseconds>(time).count();
-  };
-  const auto to_milliseconds = [](Duration time) {
-    return std::chrono::duration_cast<milliseconds>(time).count();
-  };
   toml::table root;
   root.insert("deployment", toml::table{{"name", deployment.name},
                                         {"platform_list", deployment.platform_list.ToString()},
                                         {"emulator_admin", deployment.emulator_admin.ToString()},
-                                        {"list_lag_ms", to_milliseconds(deployment.list_lag)}});
-  toml::array machines;
-  for (const DeployedMachine& machine : deployment.machines) {
-    toml::array roles;
-    for (const std::string& role : machine.roles) {
-      roles.push_back(role);
-    }
-    machines.push_back(toml::table{{"name", machine.name},
-                                   {"address", machine.address},
-                                   {"zone", machine.zone},
-                                   {"roles", std::move(roles)},
-                                   {"spare_backup", machine.spare_backup}});
-  }
-  root.insert("machine", std::move(machines));
-  toml::array replicas;
-  for (const DeployedReplica& replica : deployment.replicas) {
-    const bool is_model = replica.kind == proto::BACKEND_KIND_MODEL;
-    replicas.push_back(toml::table{{"id", replica.id},
-                                   {"endpoint", replica.endpoint.ToString()},
-                                   {"zone", replica.zone},
-                                   {"kind", is_model ? "model" : "service"},
-                                   {"backend", replica.backend},
-                                   {"capacity", static_cast<std::int64_t>(replica.capacity)}});
-  }
-  root.insert("replica", std::move(replicas));
+                                        {"list_lag_ms", ToMilliseconds(deployment.list_lag)}});
+  root.insert("machine", ToTomlArray(deployment.machines));
+  root.insert("replica", ToTomlArray(deployment.replicas));
   toml::table behaviours;
   for (const auto& [name, behaviour] : deployment.behaviours) {
-    behaviours.insert(
-        name, toml::table{{"prefill_us_per_token", microseconds(behaviour.prefill_per_token)},
-                          {"decode_step_us", microseconds(behaviour.decode_step)},
-                          {"decode_step_us_per_call", microseconds(behaviour.decode_step_per_call)},
-                          {"load_time_ms", to_milliseconds(behaviour.load_time)},
-                          {"shared_prefix_tokens", std::int64_t{behaviour.shared_prefix_tokens}},
-                          {"prefix_cache_entries", std::int64_t{behaviour.prefix_cache_entries}},
-                          {"kv_capacity_tokens", std::int64_t{behaviour.kv_capacity_tokens}},
-                          {"service_us", microseconds(behaviour.service_time)}});
+    behaviours.insert(name, ToToml(behaviour));
   }
   root.insert("behaviour", std::move(behaviours));
   std::ostringstream text;
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -11,7 +11,6 @@
 #include "net/beast_message.h"
 #include "net/http_error.h"
 #include "net/server_responder.h"
-#include "net/url.h"
 
 namespace cloverbank {
 namespace {
@@ -26,6 +25,8 @@
 constexpr std::size_t kKeptBufferBytes = 16U << 10U;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
+std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
+
 }  // namespace
 
 void HttpServerShared::NotifyIfIdle() {
@@ -191,28 +192,44 @@
 
 void ServerConnection::Dispatch() {
   const http::request<http::string_body>& message = parser_->get();
-  const std::string_view raw_target(message.target().data(), message.target().size());
-  auto target = ParseRequestTarget(raw_target);
+  auto target = ParseRequestTarget(ToStringView(message.target()));
   if (!target && !shared_->other) {
     RefuseAndClose(400, "malformed_request", "the request target is not a well-formed path");
     return;
   }
-  const std::string_view method(message.method_string().data(), message.method_string().size());
   RouteTable::Match match;
+  if (target) {
+    match = shared_->routes.Find(ToStringView(message.method_string()), target->path);
+  }
+  HttpRequest request = TakeRequest(std::move(target));
+  BeginAnswer(message.keep_alive(), message.method() == http::verb::head);
+  if (match.handler != nullptr) {
+    (*match.handler)(std::move(request), MakeServerResponder(shared_from_this(), call_));
+  } else if (shared_->other) {
+    shared_->other(std::move(request), MakeServerResponder(shared_from_this(), call_));
+  } else {
+    RefuseUnrouted(request, match.path_known);
+  }
+}
+
+HttpRequest ServerConnection::TakeRequest(std::optional<RequestTarget> target) {
+  http::request<http::string_body>& message = parser_->get();
   HttpRequest request;
-  request.method = method;
-  request.target = raw_target;
+  request.method = ToStringView(message.method_string());
+  request.target = ToStringView(message.target());
   if (target) {
-    match = shared_->routes.Find(method, target->path);
     request.path = std::move(target->path);
     request.query = std::move(target->query);
   }
   request.headers = ToHttpHeaders(message);
   request.peer_address = peer_address_;
-  keep_alive_ = message.keep_alive() && !shared_->draining && !shared_->ending_connections;
-  head_request_ = message.method() == http::verb::head;
-  request.body = std::move(parser_->get().body());
+  request.body = std::move(message.body());
+  return request;
+}
 
+void ServerConnection::BeginAnswer(bool keep_alive, bool head_request) {
+  keep_alive_ = keep_alive && !shared_->draining && !shared_->ending_connections;
+  head_request_ = head_request;
   state_ = State::kAnswering;
   ++call_;
   ++shared_->calls_in_progress;
@@ -221,17 +238,12 @@
   if (buffer_.size() == 0) {
     WatchForBytes();
   }
-  if (match.handler != nullptr) {
-    (*match.handler)(std::move(request), MakeServerResponder(shared_from_this(), call_));
-    return;
-  }
-  if (shared_->other) {
-    shared_->other(std::move(request), MakeServerResponder(shared_from_this(), call_));
-    return;
-  }
+}
+
+void ServerConnection::RefuseUnrouted(const HttpRequest& request, bool path_known) {
   shared_->metrics.Increment("http_server_refusals_total", {{"reason", "no_route"}});
   Send(call_,
-       match.path_known
+       path_known
            ? MakeErrorResponse(405, "method_not_allowed",
                                "this path does not serve " + request.method, proto::EXECUTED_NO)
            : MakeErrorResponse(404, "not_found", "nothing is served at " + request.path,
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -20,6 +20,7 @@
 
 #include "net/beast_http_server.h"
 #include "net/route_table.h"
+#include "net/url.h"
 
 namespace cloverbank {
 
@@ -100,7 +101,12 @@
   void OnRequest(const boost::system::error_code& error);
   void RefuseRequest(const boost::system::error_code& error);
   void RefuseAndClose(int http_status, std::string_view code, std::string_view message);
+  /// Gives the complete request to its handler.
   void Dispatch();
+  /// Moves the request out of the parser. @param target nothing if it is not well-formed.
+  HttpRequest TakeRequest(std::optional<RequestTarget> target);
+  void BeginAnswer(bool keep_alive, bool head_request);
+  void RefuseUnrouted(const HttpRequest& request, bool path_known);
   void Enqueue(std::string bytes, std::function<void(bool alive)> written);
   void WriteNext();
   void OnWritten(const boost::system::error_code& error);
