--- a/apps/cloverbankd/daemon.h
+++ b/apps/cloverbankd/daemon.h
@@ -22,7 +22,7 @@
 
 struct DaemonOptions {
   bool allow_fault_injection = false;
-  /// Where the settings came from, to be read again at SIGHUP; empty if nowhere.
+  /// Path of the settings file, for a reload at SIGHUP; empty if there is none.
   std::string settings_path = {};
 };
 
@@ -37,8 +37,8 @@
   Status Start();
   /// Runs until a stop signal or a fatal failure. @return the process's exit code.
   int Run();
-  /// Begins a clean stop, as at SIGTERM: takes no new work, lets calls under way end within the
-  /// grace period. A second request stops at once.
+  /// Begins a graceful shutdown, as at SIGTERM: accepts no new work, lets calls in flight end
+  /// within the grace period. A second request stops at once.
   void RequestStop();
 
  private:
--- a/apps/cloverbankd/role.h
+++ b/apps/cloverbankd/role.h
@@ -25,7 +25,7 @@
   HttpClient& client;
   HttpRouter& client_router;  ///< Of the client port.
   FrontServers front;         ///< Of the front interfaces that the settings name.
-  /// Whether the process takes new callers: false from the beginning of a clean stop.
+  /// Whether the process accepts new clients: false from the start of a graceful shutdown.
   std::function<bool()> taking_callers;
   DataFolder* data_folder;  ///< Null if the settings name none.
   /// Ends the process: the role can not go on.
@@ -41,9 +41,9 @@
   virtual Status Start() = 0;
   /// @return what is missing until the role does its work; nothing when it is ready.
   virtual std::optional<std::string> NotReadyReason() const = 0;
-  /// Takes no new work; what is under way goes on.
+  /// Accepts no new work; what is in flight continues.
   virtual void Drain() {}
-  /// @return whether nothing that was under way when `Drain` came is left.
+  /// @return whether everything that was in flight at `Drain` has ended.
   virtual bool Drained() const { return true; }
 };
 
--- a/apps/cloverbankd/server_options.h
+++ b/apps/cloverbankd/server_options.h
@@ -8,7 +8,7 @@
 
 namespace cloverbank {
 
-/// Largest message between peers: a whole segment and what frames it.
+/// Largest message between peers: a complete segment with its framing.
 inline constexpr std::uint64_t kMaximumPeerBodyBytes = 96ULL << 20U;
 
 HttpServerOptions ClientServerOptions(const Settings& settings);
--- a/apps/emulator/emulated_replica.h
+++ b/apps/emulator/emulated_replica.h
@@ -23,11 +23,11 @@
   EmulatedReplica(const EmulatedReplica&) = delete;
   EmulatedReplica& operator=(const EmulatedReplica&) = delete;
 
-  /// Starts a new life: listens, and is cold until its model is loaded.
+  /// Starts a new instance: listens, and warms up until its model is loaded.
   Status Start();
-  /// The process is gone: connections break, nothing listens.
+  /// The process ends: connections break, nothing listens.
   void Crash();
-  /// It takes connections and requests and never answers; what runs goes on unheard.
+  /// It accepts connections and requests and never responds; running calls continue.
   void SetDark(bool dark) { dark_ = dark; }
   /// Multiplies the time of every step.
   void SetSlowdown(double factor);
@@ -68,7 +68,7 @@
   std::uint32_t plain_running_ = 0;
   double slowdown_ = 1;
   bool dark_ = false;
-  /// Expires with each life, so that timers of an earlier one do nothing.
+  /// Expires with each instance, so that timers of an earlier one do nothing.
   std::shared_ptr<int> instance_;
 };
 
--- a/src/base/ids.h
+++ b/src/base/ids.h
@@ -9,7 +9,7 @@
 
 namespace cloverbank {
 
-/// A 64-bit number of one meaning. `Tag` only tells types apart.
+/// A 64-bit number of one meaning. `Tag` only distinguishes types.
 template <typename Tag>
 class StrongId {
  public:
@@ -27,8 +27,8 @@
   std::uint64_t value_ = 0;
 };
 
-/// One life of one role on one machine, given out by the coordinators. A restarted queue node gets
-/// a fresh one (RAMCloud page, "Normal Operation Walkthrough" and recovery step 9).
+/// One incarnation of one role on one machine, assigned by the coordinators. A restarted queue node
+/// gets a fresh one (RAMCloud page, "Normal Operation Walkthrough" and recovery step 9).
 using NodeId = StrongId<struct NodeIdTag>;
 /// A segment within the log of one queue node.
 using SegmentId = StrongId<struct SegmentIdTag>;
@@ -38,7 +38,7 @@
 using ConfigurationVersion = StrongId<struct ConfigurationVersionTag>;
 /// Version of the list of registered servers and partition owners.
 using FleetVersion = StrongId<struct FleetVersionTag>;
-/// IsSelected at random at each process start: tells messages of an earlier life apart.
+/// Drawn at random at each process start: distinguishes messages of an earlier incarnation.
 using Incarnation = StrongId<struct IncarnationTag>;
 /// A batch partition, numbered from 0 to the partition count - 1.
 using PartitionId = StrongId<struct PartitionIdTag>;
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -9,7 +9,7 @@
 
 namespace cloverbank {
 
-/// @return the number if all of `text` is a whole number that fits, else nothing.
+/// @return the number if all of `text` is an integer that fits, else nothing.
 inline std::optional<std::uint64_t> ParseInteger(std::string_view text) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
--- a/src/base/status.h
+++ b/src/base/status.h
@@ -19,7 +19,7 @@
   kNotFound = 2,            ///< The named object does not exist.
   kConflict = 3,            ///< The named version is no longer current, or another owner won.
   kUnavailable = 4,         ///< Not carried out; a later attempt may succeed.
-  kUnknownOutcome = 5,      ///< Bytes went out and no answer came: may or may not have happened.
+  kUnknownOutcome = 5,      ///< Bytes were sent and no reply came: may or may not have happened.
   kFenced = 6,              ///< The sender's node id is declared dead; it must stop using it.
   kStaleEpoch = 7,          ///< The sender acted under an epoch that has been superseded.
   kNotLeader = 8,           ///< This coordinator is not the leader; `detail` may name the leader.
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Time as the cores see it. Leases and deadlines run on a clock that goes on while the machine is
+/// Time as the cores see it. Leases and deadlines run on a clock that advances while the machine is
 /// suspended (CLOCK_BOOTTIME); the simulator supplies its own.
 
 #include <chrono>
--- a/src/client/api_client.h
+++ b/src/client/api_client.h
@@ -20,7 +20,7 @@
 /// Whether a request whose outcome is unknown may be sent again.
 enum class Repeat { kSafe, kNever };
 
-/// How an answer with an error, or no answer at all, is told to the user.
+/// An error response, or a missing one, as it is shown to the user.
 struct ApiError {
   int http_status = 0;  ///< 0: no gateway answered.
   proto::CallError error;
@@ -34,7 +34,7 @@
   /// @param error filled when the result is false.
   bool Call(const std::string& method, const std::string& path, const std::string& body,
             Repeat repeat, google::protobuf::Message* answer, ApiError* error);
-  /// @return the HTTP status of the last whole answer.
+  /// @return the HTTP status of the last complete response.
   int last_status() const { return last_status_; }
 
   BlockingHttp& http() { return http_; }
--- a/src/emulation/model_replica.h
+++ b/src/emulation/model_replica.h
@@ -23,9 +23,10 @@
 
 namespace cloverbank {
 
-/// @return token `index` of the answer to `prompt`. Callers use it to check that a stream is whole.
+/// @return token `index` of the answer to `prompt`. Callers use it to check that a stream is
+/// complete.
 std::string ExpectedToken(std::string_view prompt, std::uint64_t index);
-/// @return the whole answer to `prompt` with `tokens` tokens.
+/// @return the complete answer to `prompt` with `tokens` tokens.
 std::string ExpectedAnswer(std::string_view prompt, std::uint32_t tokens);
 /// @return how many tokens `prompt` counts as (four bytes each, rounded up).
 std::uint32_t PromptTokens(std::string_view prompt);
@@ -45,7 +46,7 @@
 
 class ModelReplica {
  public:
-  /// @param run_prefix makes run ids of this life unlike those of any other.
+  /// @param run_prefix makes run ids of this instance unique.
   ModelReplica(const BackendBehaviour& behaviour, std::uint32_t capacity, std::string run_prefix,
                TimePoint started);
 
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -19,7 +19,7 @@
 
 /// What to do with JSON fields that the schema does not have.
 enum class UnknownFields { kRefuse, kIgnore };
-/// Reads JSON into `message`. @return kInvalidArgument naming the place and what was expected.
+/// Reads JSON into `message`. @return kInvalidArgument with the position and what was expected.
 Status FromJson(const std::string& json, google::protobuf::Message* message,
                 UnknownFields unknown_fields = UnknownFields::kRefuse);
 
--- a/src/net/beast_http_client.h
+++ b/src/net/beast_http_client.h
@@ -3,7 +3,7 @@
 /// HTTP/1.1 client over Boost.Beast, with a pool of idle connections for each endpoint. Outgoing
 /// sockets are bound to the process's own address, so that a machine is known by its IP number.
 ///
-/// What an outcome promises: kNotSent only if certainly no byte of the request was handed to the
+/// What an outcome promises: kNotSent only if certainly no byte of the request was passed to the
 /// system; a call that ends at its deadline while it was being written is kUnknown. A pooled
 /// connection that turns out closed before the first byte is written is replaced by a fresh one,
 /// once. Answers that only end with the connection (neither length nor chunks) can not be told from
@@ -29,7 +29,7 @@
   std::size_t maximum_idle_per_endpoint = 64;
   std::size_t maximum_idle = 1024;  ///< Of all endpoints; further ones are closed after their call.
   std::uint32_t maximum_header_bytes = 64U << 10U;
-  /// Of whole answers; streamed ones are unbounded. A larger one ends as kUnknown.
+  /// Of complete responses; streamed ones are unbounded. A larger one ends as kUnknown.
   std::uint64_t maximum_body_bytes = 64ULL << 20U;
 };
 
--- a/src/net/beast_http_server.h
+++ b/src/net/beast_http_server.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// HTTP/1.1 server over Boost.Beast. Bounds what one caller can take: connections, header and body
+/// HTTP/1.1 server over Boost.Beast. Bounds what one client can use: connections, header and body
 /// sizes, and the time a slow reader or writer may hold a connection.
 ///
 /// Threads: the loop's thread only.
@@ -26,13 +26,13 @@
   Duration header_timeout =
       seconds(10);                       ///< From a request's first byte to the end of its headers.
   Duration body_timeout = seconds(30);   ///< For the rest of a request.
-  Duration write_timeout = seconds(30);  ///< For the caller to take what was written.
+  Duration write_timeout = seconds(30);  ///< For the client to read what was written.
   /// For a caller with an idle connection to send a request that crosses the beginning of a drain:
-  /// it is answered and told to close, instead of finding its connection gone.
+  /// it is answered with a close, instead of finding its connection closed.
   Duration drain_linger = milliseconds(300);
 };
 
-/// What one caller may send, and how long it may take; zero leaves a bound as it is.
+/// Bounds on the requests of one client; zero leaves a bound unchanged.
 struct CallerBounds {
   std::uint32_t maximum_header_bytes = 0;
   std::uint64_t maximum_body_bytes = 0;
@@ -65,9 +65,9 @@
   /// @return where it listens, with the real port.
   const Endpoint& endpoint() const;
 
-  /// Ends each connection with the answer under way, or its next one; goes on accepting.
+  /// Closes each connection after the current or the next response; keeps accepting.
   void EndConnections();
-  /// Stops accepting, lets answers under way come to their end and closes idle connections after
+  /// Stops accepting, lets responses in progress complete and closes idle connections after
   /// `drain_linger`; `idle` runs once there are no answers under way after it.
   void Drain(std::function<void()> idle);
   /// @return requests whose answers are not complete.
@@ -82,7 +82,7 @@
 /// The servers of a gateway's front interfaces, apart from its own; each may be nullptr.
 struct FrontServers {
   BeastHttpServer* calls = nullptr;    ///< Callers.
-  BeastHttpServer* ready = nullptr;    ///< Whether new callers shall come.
+  BeastHttpServer* ready = nullptr;    ///< Readiness checks of the platform.
   BeastHttpServer* control = nullptr;  ///< Operators.
 };
 
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -71,7 +71,7 @@
   bool may_have_sent_ = false;  ///< A byte of the request may have left.
   bool waiting_for_more_ = false;
   TimerId deadline_timer_ = 0;
-  TimerId step_timer_ = 0;  ///< Connecting, or silence of the peer.
+  TimerId step_timer_ = 0;  ///< Of connecting, or of an idle peer.
 };
 
 }  // namespace cloverbank
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -32,9 +32,9 @@
 
   /// @return the connection to `endpoint` used last that the peer has not closed, or nullptr.
   std::unique_ptr<ClientConnection> Take(const Endpoint& endpoint);
-  /// Keeps a connection whose last call ended in a whole answer.
+  /// Adds a connection whose last call ended in a complete response.
   void Put(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
-  /// Closes the idle connections to `endpoint`: one call found it silent.
+  /// Closes the idle connections to `endpoint`, after a call to it timed out.
   void Forget(const Endpoint& endpoint) { idle_.erase(endpoint); }
   /// Closes connections that were idle for too long.
   void Sweep();
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -30,7 +30,7 @@
   /// Runs `action` soon on the loop, never from within this call. Thread-safe.
   void Post(std::function<void()> action);
 
-  /// @return CLOCK_BOOTTIME, which goes on while the machine is suspended.
+  /// @return CLOCK_BOOTTIME, which advances while the machine is suspended.
   static TimePoint Now();
   /// Runs `action` once after `delay`, measured on the boot clock.
   TimerId ScheduleAfter(Duration delay, std::function<void()> action);
--- a/src/net/fault_injector.h
+++ b/src/net/fault_injector.h
@@ -2,7 +2,7 @@
 /// @file
 /// Cuts this process off from chosen IP numbers, for tests of splits and isolation on one machine.
 /// Traffic from and to a blocked number is swallowed without a sign: incoming requests are never
-/// answered, outgoing calls end in silence at their deadline.
+/// answered, outgoing calls time out at their deadline.
 ///
 /// Threads: the owner's event loop only.
 
--- a/src/net/http_error.h
+++ b/src/net/http_error.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Answers that the transport itself gives, in the one JSON shape of all errors (ErrorBody).
+/// Responses that the transport itself sends, in the JSON form of all errors (ErrorBody).
 
 #include <string_view>
 
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -49,23 +49,23 @@
   std::string body;
 };
 
-/// Writes the answer to one request. Kept by whoever answers; a call after the caller left is
-/// ignored. Exactly one of `Send` and `StartStream` is used.
+/// Writes the response to one request. Owned by its handler; a call after the client disconnected
+/// is ignored. Exactly one of `Send` and `StartStream` is used.
 class HttpResponder {
  public:
   virtual ~HttpResponder() = default;
-  /// Sends a whole answer.
+  /// Sends a complete response.
   virtual void Send(HttpResponse response) = 0;
   /// Sends the head of a chunked answer.
   virtual void StartStream(int status, HttpHeaders headers) = 0;
   /// Sends one chunk. `written` runs when the caller's socket took it (back-pressure), with false
-  /// if the caller is gone.
+  /// if the client has disconnected.
   virtual void WriteChunk(std::string chunk, std::function<void(bool alive)> written) = 0;
   /// Ends the chunked answer in the regular way.
   virtual void FinishStream() = 0;
-  /// Breaks the connection, so that the caller can not take the answer for a whole one.
+  /// Breaks the connection, so that the client can not mistake the response for a complete one.
   virtual void Abort() = 0;
-  /// `gone` runs once if the caller disconnects before the answer is complete.
+  /// `on_disconnect` runs once if the client disconnects before the response is complete.
   virtual void OnDisconnect(std::function<void()> on_disconnect) = 0;
 };
 
@@ -85,9 +85,9 @@
 
 /// How far an outgoing call got.
 enum class HttpOutcomeKind : std::uint8_t {
-  kAnswered,  ///< A whole, well-formed answer came.
+  kAnswered,  ///< A complete, well-formed response was received.
   kNotSent,   ///< No byte of the request left this process: safe to try elsewhere.
-  kUnknown,   ///< Bytes went out, no whole answer came (silence, reset or deadline).
+  kUnknown,   ///< Bytes were sent, no complete response came (timeout or reset).
 };
 
 struct HttpOutcome {
@@ -96,7 +96,7 @@
   std::string reason;     ///< For people and logs, e.g. "connect refused", "deadline".
 };
 
-/// Callbacks of a streamed call. `on_head` comes at most once, before pieces; `on_end` exactly
+/// Callbacks of a streamed call. `on_head` runs at most once, before chunks; `on_end` exactly
 /// once.
 struct HttpStreamCallbacks {
   std::function<void(int status, const HttpHeaders& headers)> on_head;
@@ -115,14 +115,14 @@
 };
 
 /// Makes outgoing calls from the process's own address. A connection whose call did not end in a
-/// whole answer is closed, never reused.
+/// complete response is closed, never reused.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
   virtual std::shared_ptr<HttpCall> Call(const Endpoint& to, HttpRequest request, Duration deadline,
                                          std::function<void(HttpOutcome)> done) = 0;
   /// @param deadline for the whole call.
-  /// @param idle_limit longest silence between reads before the call ends as kUnknown.
+  /// @param idle_limit longest time between reads before the call ends as kUnknown.
   virtual std::shared_ptr<HttpCall> Stream(const Endpoint& to, HttpRequest request,
                                            Duration deadline, Duration idle_limit,
                                            HttpStreamCallbacks callbacks) = 0;
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -2,8 +2,8 @@
 /// @file
 /// One accepted connection of `BeastHttpServer`. Internal to net/: it shows Boost types.
 ///
-/// A connection reads one request at a time, hands it to its handler and writes the answer. While
-/// the answer is under way it keeps a read pending, so that it notices a caller that leaves.
+/// A connection reads one request at a time, passes it to its handler and writes the response.
+/// While the response is in progress it keeps a read pending, to notice a client that disconnects.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -45,10 +45,10 @@
   RouteTable routes;
   HttpHandler other;  ///< For requests that no route matches; may be empty.
   std::unordered_set<ServerConnection*> connections;
-  std::list<ServerConnection*> idle;  ///< Those between requests, the longest idle one first.
+  std::list<ServerConnection*> idle;  ///< Between requests; the longest idle one first.
   std::size_t calls_in_progress = 0;
-  bool draining = false;            ///< Every answer now ends its connection; none are accepted.
-  bool ending_connections = false;  ///< Every answer now ends its connection.
+  bool draining = false;            ///< Responses close their connections; none are accepted.
+  bool ending_connections = false;  ///< Responses close their connections.
   TimerId drain_timer = 0;
   std::function<void()> on_idle;
 };
@@ -74,16 +74,16 @@
   void FinishStream(std::uint64_t call);
   void Abort(std::uint64_t call);
   void OnDisconnect(std::uint64_t call, std::function<void()> on_disconnect);
-  /// The responder was dropped; breaks the answer if it is not complete.
+  /// The responder was destroyed: breaks the response if it is not complete.
   void OnResponderDestroyed(std::uint64_t call);
 
  private:
   enum class State : std::uint8_t {
     kIdle,        ///< Between requests.
-    kReading,     ///< A request is coming in.
+    kReading,     ///< A request is being received.
     kAnswering,   ///< A handler has it.
-    kLingering,   ///< Nothing more to write; waits for the caller to close.
-    kBlackholed,  ///< Cut off by fault injection: reads and drops.
+    kLingering,   ///< Nothing left to write; waits for the client to close.
+    kBlackholed,  ///< Partitioned by fault injection: reads and discards.
     kClosed,
   };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -126,13 +126,13 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   bool watching_ = false;  ///< A read is pending in `WatchForBytes`.
-  TimerId timer_ = 0;      ///< Closes the connection when its present state lasts too long.
+  TimerId timer_ = 0;      ///< Closes the connection when its state lasts too long.
 
   std::uint64_t call_ = 0;
   bool head_request_ = false;
   bool keep_alive_ = false;
   bool answer_started_ = false;
-  bool answer_complete_ = false;  ///< All of it is queued.
+  bool answer_complete_ = false;  ///< The response is queued to its end.
   std::function<void()> on_disconnect_;
 
   bool writing_ = false;
--- a/src/net/server_responder.h
+++ b/src/net/server_responder.h
@@ -11,7 +11,7 @@
 class ServerConnection;
 
 /// @return a responder that answers request number `call` of `connection`. Dropping it without a
-/// whole answer answers 500 if nothing was sent, and breaks the connection otherwise.
+/// complete response answers 500 if nothing was sent, and breaks the connection otherwise.
 std::shared_ptr<HttpResponder> MakeServerResponder(std::shared_ptr<ServerConnection> connection,
                                                    std::uint64_t call);
 
--- a/src/net/url.h
+++ b/src/net/url.h
@@ -10,7 +10,7 @@
 
 namespace cloverbank {
 
-/// A request target taken apart and decoded.
+/// A request target, split and decoded.
 struct RequestTarget {
   std::string path;
   HttpHeaders query;
--- a/src/runtime/environment.h
+++ b/src/runtime/environment.h
@@ -23,8 +23,8 @@
 using TimerId = std::uint64_t;
 
 /// Answer to a peer call. `status` is OK and `body` the serialized response message; or
-/// kUnavailable: no byte reached the peer; kUnknownOutcome: bytes went out and no whole answer came
-/// within the deadline; any other code: the peer itself refused.
+/// kUnavailable: no byte reached the peer; kUnknownOutcome: bytes were sent and no complete reply
+/// came within the deadline; any other code: the peer itself refused.
 struct PeerReply {
   Status status;
   std::string body;
@@ -43,7 +43,7 @@
  public:
   virtual ~Environment() = default;
 
-  /// @return the time on the boot clock (goes on while frozen or suspended).
+  /// @return the time on the boot clock (advances while frozen or suspended).
   virtual TimePoint Now() const = 0;
   /// @return milliseconds since 1970, for people and records only, never for leases.
   virtual std::int64_t WallMilliseconds() const = 0;
--- a/src/runtime/node_methods.h
+++ b/src/runtime/node_methods.h
@@ -8,7 +8,7 @@
 
 namespace cloverbank {
 
-/// @return the method by which the leader tells the agent of that role where the coordinators are.
+/// @return the method by which the leader sends the coordinators' endpoints to that role's agent.
 inline std::string UpdateCoordinatorsMethod(proto::Role role) {
   return "node.TakeCoordinators." + std::to_string(static_cast<int>(role));
 }
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -16,7 +16,7 @@
 
 namespace cloverbank {
 
-/// Inclusive bounds of a whole number.
+/// Inclusive bounds of an integer.
 struct NumberBounds {
   std::int64_t minimum;
   std::int64_t maximum;
--- a/src/simulation/simulated_disk.h
+++ b/src/simulation/simulated_disk.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
 /// A disk of the simulated world. Each file is what a power loss keeps ("durable") and the
-/// operations handed to the system since its last sync, in order. A power loss keeps none of those,
+/// operations passed to the system since its last sync, in order. A power loss keeps none of those,
 /// or with torn tails a random number of them and a random prefix of the next one's bytes;
-/// operations that change a name (replace, remove, truncate) happen whole or not at all.
+/// operations that change a name (replace, remove, truncate) happen completely or not at all.
 
 #include <cstdint>
 #include <deque>
@@ -47,11 +47,11 @@
     std::optional<std::string> durable;  ///< Absent: a power loss leaves no such file.
     std::deque<Unsynced> unsynced;
     std::optional<std::uint64_t> visible_size;  ///< Absent: readers see no such file.
-    bool failed = false;                        ///< A sync failed in this life.
+    bool failed = false;                        ///< A sync failed during this process run.
   };
   static void MakeDurable(File& file, std::uint64_t sequence);
   static void TearUnsynced(File& file, SeededRandom& random);
-  /// Drops files that are neither durable nor visible, and counts the bytes anew.
+  /// Drops files that are neither durable nor visible, and recounts the bytes.
   void Tidy();
 
   /// Ample, so that only tests that set a limit meet it.
--- a/src/simulation/simulated_environment.h
+++ b/src/simulation/simulated_environment.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// `Environment` of one simulated process life. After the life's end every call does nothing.
+/// `Environment` of one simulated process run. After its end every call does nothing.
 
 #include <cstdint>
 #include <functional>
--- a/src/simulation/simulated_folder.h
+++ b/src/simulation/simulated_folder.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// `DataFolder` over a `SimulatedDisk`. For a process life, an operation reaches the system some
+/// `DataFolder` over a `SimulatedDisk`. For a process run, an operation reaches the system some
 /// time after it was asked for and is synced some time later; operations on one file keep their
 /// order. A kill drops those that have not reached the system. For checks from outside, operations
 /// last at once.
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A machine of the simulated world: its disk and its process lives, one after another.
+/// A machine of the simulated world: its disk and its process runs, one after another.
 
 #include <cstdint>
 #include <memory>
@@ -46,7 +46,7 @@
   void FailSyncs(bool fail) override { disk_.FailSyncs(fail); }
 
  private:
-  /// What a life used. Kept to the world's end, since its program's remains may still refer to it.
+  /// What a run used. Kept until the world ends, since leftovers of its program may refer to it.
   struct ProcessRun {
     std::unique_ptr<SimulatedEnvironment> environment;
     std::unique_ptr<SimulatedFolder> folder;
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -1,9 +1,10 @@
 #pragma once
 /// @file
 /// The network of the simulated world: delays, loses, duplicates and cuts peer calls. What a caller
-/// is told is always true: kUnavailable only if no copy of its request reached or can still reach a
-/// running process; silence ends as kUnknownOutcome at the deadline; a process that is killed
-/// breaks its connections (kUnknownOutcome at once), one that loses power falls silent.
+/// is reported is always true: kUnavailable only if no duplicate of its request reached or can
+/// still reach a running process; a missing reply ends as kUnknownOutcome at the deadline; a
+/// process that is killed breaks its connections (kUnknownOutcome at once), one that loses power
+/// just stops replying.
 
 #include <cstdint>
 #include <functional>
--- a/src/simulation/simulated_process.h
+++ b/src/simulation/simulated_process.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// One life of one process. Every callback its program hands out (timers, answers, disk
-/// completions, peer handlers) is kept here and dropped with the life; the event queue holds only
-/// weak references. So nothing of a dead life ever runs, and nothing it captured outlives it.
+/// One run of a process. Every callback its program registers (timers, replies, disk completions,
+/// peer handlers) is owned here and dropped when the run ends; the event queue has only weak
+/// references. So no callback of an ended run is ever called, and nothing it captured outlives it.
 
 #include <cstdint>
 #include <deque>
@@ -34,7 +34,7 @@
   void Freeze() { frozen_ = true; }
   /// @return what became due while frozen, in order; the caller delivers it.
   std::deque<std::function<void()>> Wake();
-  /// Ends the life. The program is destroyed at once, or when its running callback returns.
+  /// Ends the run. The program is destroyed at once, or when its running callback returns.
   void End();
 
   TimerId AddTimer(std::function<void()> action);
@@ -52,8 +52,8 @@
   /// @return nullptr if the method is not served.
   std::shared_ptr<PeerHandler> FindHandler(std::string_view method) const;
 
-  /// Notes a request that came in and is not answered; `broken` runs if the process is killed
-  /// first.
+  /// Records a request that was received and is not answered; `broken` runs if the process is
+  /// killed first.
   std::uint64_t AddIncoming(std::function<void()> broken);
   void RemoveIncoming(std::uint64_t incoming) { incoming_.erase(incoming); }
   /// Breaks the connections of all unanswered requests, as the system does when a process dies.
--- a/src/simulation/simulated_world.h
+++ b/src/simulation/simulated_world.h
@@ -15,7 +15,7 @@
 
 namespace cloverbank {
 
-/// How the network treats messages. Every request and every answer draws anew.
+/// How the network treats messages. Every request and every reply is drawn independently.
 struct NetworkBehaviour {
   Duration minimum_delay = milliseconds(1);
   Duration maximum_delay = milliseconds(5);
@@ -48,9 +48,9 @@
   virtual bool running() const = 0;
 
   virtual void SetProgram(Program program) = 0;
-  /// Starts a new process life. Requires that none runs.
+  /// Starts a new process run. Requires that none is running.
   virtual void Start() = 0;
-  /// kill -9: the process is gone at once; bytes handed to the system stay.
+  /// kill -9: the process ends at once; bytes passed to the system stay.
   virtual void Kill() = 0;
   /// Power loss: like Kill, and unsynced bytes are dropped (or torn).
   virtual void LosePower() = 0;
@@ -68,7 +68,7 @@
   /// kResourceExhausted.
   virtual void SetDiskLimit(std::uint64_t bytes) = 0;
   /// While `fail` is set every sync fails with kIoError. A file whose sync failed takes no more
-  /// writes in this process life, and the bytes concerned are gone in the next.
+  /// writes in this process run, and the bytes concerned are lost in the next.
   virtual void FailSyncs(bool fail) = 0;
 };
 
--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -11,7 +11,7 @@
 /// A failed operation leaves nothing of itself behind, except that a failed `WriteAt` may have
 /// changed its own range. Operations already asked for on the same file are still carried out: who
 /// needs a run of appends without holes stops at the first failure. After a failed sync the file
-/// takes no more operations (kIoError) until the process starts anew.
+/// takes no more operations (kIoError) until the process is restarted.
 ///
 /// Threads: called and calling back on the owner's event loop only.
 
@@ -34,7 +34,7 @@
   /// if
   ///   there is no such folder.
   virtual Result<std::vector<std::string>> List(const std::string& folder) = 0;
-  /// @return the whole content; kNotFound if the file does not exist.
+  /// @return the complete content; kNotFound if the file does not exist.
   virtual Result<std::string> Read(const std::string& name) = 0;
   /// @return bytes free for new data on this disk (of this folder's quota, if it has one).
   virtual std::uint64_t FreeBytes() = 0;
@@ -45,12 +45,12 @@
   /// Writes at `offset` (the file grows when needed) and syncs; grouped like `Append`.
   virtual void WriteAt(const std::string& name, std::uint64_t offset, std::string bytes,
                        Done done) = 0;
-  /// Replaces the file's whole content atomically (temporary file, sync, rename, directory sync).
+  /// Replaces the file's content atomically (temporary file, sync, rename, directory sync).
   virtual void Replace(const std::string& name, std::string bytes, Done done) = 0;
   /// Cuts the file to `size` bytes and syncs; never grows it; kNotFound if it does not exist.
   virtual void Truncate(const std::string& name, std::uint64_t size, Done done) = 0;
   /// Creates the file if absent and reserves `size` bytes of disk; kResourceExhausted when the disk
-  /// can not give them. Reserved, unwritten bytes read as zero.
+  /// is too full. Reserved, unwritten bytes read as zero.
   virtual void Reserve(const std::string& name, std::uint64_t size, Done done) = 0;
   /// Removes the file and syncs its directory; OK when it did not exist.
   virtual void Remove(const std::string& name, Done done) = 0;
--- a/src/storage/posix_data_folder.h
+++ b/src/storage/posix_data_folder.h
@@ -4,7 +4,7 @@
 /// one file in the order they were asked for, those that wait while it is busy sharing one sync;
 /// different files side by side. Completions are posted to the owner's loop.
 ///
-/// A file whose sync failed takes no more operations until the process starts anew: the system may
+/// A file whose sync failed takes no more operations until the process is restarted: the system may
 /// have dropped bytes and would report later syncs as successful.
 
 #include <condition_variable>
@@ -40,7 +40,7 @@
   PosixDataFolder& operator=(const PosixDataFolder&) = delete;
 
   /// Takes the folder for this process alone, removes half-written replacements, syncs everything
-  /// that an earlier life may have left unsynced, and starts the threads. Call once, before
+  /// that an earlier process may have left unsynced, and starts the threads. Call once, before
   /// anything else.
   /// @return kConflict if another process has the folder.
   Status Open();
@@ -61,7 +61,7 @@
   struct File {
     std::deque<FileOperation> waiting;
     std::deque<Done> dones;  ///< One for each of `waiting`.
-    bool busy = false;       ///< Waiting for a thread, or in one's hands.
+    bool busy = false;       ///< Waiting for a thread or being processed by one.
     bool failed = false;
   };
 
@@ -87,7 +87,7 @@
   std::condition_variable work_waits_;
   bool closing_ = false;
   std::unordered_map<std::string, File> files_;
-  std::deque<std::string> ready_;  ///< Busy files that no thread has taken.
+  std::deque<std::string> ready_;  ///< Busy files that no thread processes yet.
 
   std::vector<std::thread> threads_;
 };
--- a/src/storage/record_file.h
+++ b/src/storage/record_file.h
@@ -14,7 +14,8 @@
 /// 4 bytes of payload length and 8 bytes of checksum, both little-endian.
 inline constexpr std::size_t kRecordHeaderBytes = 12;
 
-/// @param seed mixed into the checksum, so that a record of one file or generation is not taken for
+/// @param seed mixed into the checksum, so that a record of one file or generation is not mistaken
+/// for
 ///   one of another (e.g. left over in reused space).
 /// @return the record that holds `payload`, which is shorter than 4 GiB.
 std::string EncodeRecord(std::string_view payload, std::uint64_t seed);
@@ -24,7 +25,7 @@
 /// What follows the last valid record.
 enum class RecordTail : std::uint8_t {
   kClean,  ///< Nothing.
-  /// Only zero bytes: room that was reserved and never written (or a torn header that begins so).
+  /// Only zero bytes: space that was reserved and never written (or a torn header).
   kReserved,
   kTorn,  ///< A record whose end is missing or damaged: a write that was cut short.
   /// A damaged record with a valid one right behind it. A single torn write rarely looks like
@@ -33,7 +34,7 @@
 };
 
 /// Walks the records of a byte string from its start and stops for good at the first that is not
-/// whole and valid.
+/// complete and valid.
 class RecordReader {
  public:
   /// @param bytes must outlive the reader and the payloads it returns.
@@ -48,7 +49,7 @@
   RecordTail tail() const;
 
  private:
-  /// @return payload of the record at `position` if it is whole and valid.
+  /// @return payload of the record at `position` if it is complete and valid.
   std::optional<std::string_view> PayloadAt(std::size_t position) const;
 
   std::string_view bytes_;
