--- a/tests/cloverbankd/daemon_test.cc
+++ b/tests/cloverbankd/daemon_test.cc
@@ -76,7 +76,7 @@
   machines_[0]->AwaitReadiness(503, "not registered with the coordinators");
 }
 
-TEST_F(DaemonTest, IsolatedMachineLosesItsLeaseAndComesBackWhenHealed) {
+TEST_F(DaemonTest, IsolatedMachineLosesItsLeaseUntilHealed) {
   StartAll({"--allow-fault-injection"});
   const std::string blocked =
       R"({"blocked":[")" + machines_[1]->address() + R"(",")" + machines_[2]->address() + R"("]})";
--- a/tests/emulation/model_replica_test.cc
+++ b/tests/emulation/model_replica_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(replica.Start(kLoaded, "c", Request("c", 9999)), StartOutcome::kTooLarge);
 }
 
-TEST(ModelReplicaTest, StreamsWholeAnswersOfCallsThatRunTogether) {
+TEST(ModelReplicaTest, StreamsCompleteConcurrentAnswers) {
   ModelReplica replica(TestBehaviour(), 4, "r", kStart);
   ASSERT_EQ(replica.Start(kLoaded, "a", Request("first", 5)), StartOutcome::kAccepted);
   ASSERT_EQ(replica.Start(kLoaded, "b", Request("second", 3)), StartOutcome::kAccepted);
@@ -75,7 +75,7 @@
   EXPECT_EQ(replica.prefix_hits(), 1U);
 }
 
-TEST(ModelReplicaTest, KvCapacityHoldsCallsBackAndEvictsPrefixes) {
+TEST(ModelReplicaTest, KvCapacityDelaysCallsAndEvictsPrefixes) {
   ModelReplica replica(TestBehaviour(), 4, "r", kStart);
   ASSERT_EQ(replica.Start(kLoaded, "a", Request("x", 150, "p1")), StartOutcome::kAccepted);
   ASSERT_EQ(replica.Start(kLoaded, "b", Request("y", 150, "p2")), StartOutcome::kAccepted);
@@ -88,7 +88,7 @@
   EXPECT_EQ(replica.queued(), 0U);
 }
 
-TEST(ModelReplicaTest, CancelledCallMakesNoFurtherPieces) {
+TEST(ModelReplicaTest, CancelledCallGetsNoFurtherChunks) {
   ModelReplica replica(TestBehaviour(), 4, "r", kStart);
   ASSERT_EQ(replica.Start(kLoaded, "a", Request("x", 10)), StartOutcome::kAccepted);
   while (replica.running() == 0) {
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -309,7 +309,7 @@
   EXPECT_EQ(FindBatchProblems(batch, configuration).size(), 1U);
 }
 
-TEST(BatchValidationTest, LongListsOfMistakesAreCutAndCounted) {
+TEST(BatchValidationTest, TruncatesLongListsOfMistakes) {
   proto::SubmitBatch batch;
   for (int index = 0; index < 500; ++index) {
     batch.add_items();
--- a/tests/net/event_loop_test.cc
+++ b/tests/net/event_loop_test.cc
@@ -51,7 +51,7 @@
   poster.join();
 }
 
-TEST(EventLoopTest, StopSignalRunsTheActionInsteadOfKilling) {
+TEST(EventLoopTest, StopSignalRunsTheAction) {
   EventLoop loop;
   int received = 0;
   loop.OnStopSignal([&](int signal) {
--- a/tests/net/http_call_test.cc
+++ b/tests/net/http_call_test.cc
@@ -47,7 +47,7 @@
   EXPECT_EQ(seen.peer_address, kClientHost);
 }
 
-TEST_F(HttpCallTest, ReusesAConnectionAfterAWholeAnswer) {
+TEST_F(HttpCallTest, ReusesAConnectionAfterACompleteAnswer) {
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "ok"});
   });
@@ -75,7 +75,7 @@
   EXPECT_EQ(order, "quick held");
 }
 
-TEST_F(HttpCallTest, RefusesUnknownPathsMethodsAndDroppedHandlers) {
+TEST_F(HttpCallTest, RefusesUnknownPathsAndDroppedHandlers) {
   server_->Handle("GET", "/dropped", [](const HttpRequest&, const ResponderPointer&) {});
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/none")).response.status, 404);
   EXPECT_EQ(CallAndWait(server_->endpoint(), Post("/dropped", "")).response.status, 405);
@@ -89,7 +89,7 @@
   EXPECT_EQ(CallAndWait(nobody, Get("/")).kind, HttpOutcomeKind::kNotSent);
 }
 
-TEST_F(HttpCallTest, RightThatEndedStopsTheCallBeforeTheFirstByte) {
+TEST_F(HttpCallTest, ExpiredPermissionSendsNothing) {
   HoldCalls();
   HttpRequest request = Get("/");
   request.may_send = [] { return false; };
@@ -97,7 +97,7 @@
   EXPECT_EQ(held_, nullptr);
 }
 
-TEST_F(HttpCallTest, CancelFromWithinTheQuestionForTheRightSendsNothing) {
+TEST_F(HttpCallTest, CancelWithinThePermissionCheckSendsNothing) {
   HoldCalls();
   std::shared_ptr<HttpCall> call;
   HttpRequest request = Get("/");
@@ -113,7 +113,7 @@
   EXPECT_EQ(held_, nullptr);
 }
 
-TEST_F(HttpCallTest, DeadlineEndsAsUnknownAndClosesTheConnection) {
+TEST_F(HttpCallTest, DeadlineIsUnknownAndClosesConnection) {
   HoldCalls();
   HttpOutcome outcome;
   client_->Call(server_->endpoint(), Get("/"), milliseconds(50),
@@ -125,7 +125,7 @@
   held_->Send({200, {}, "too late"});
 }
 
-TEST_F(HttpCallTest, CancelClosesTheConnectionAndRunsNoCallback) {
+TEST_F(HttpCallTest, CancelClosesConnectionWithoutCallback) {
   HoldCalls();
   bool done = false;
   const auto call = client_->Call(server_->endpoint(), Get("/"), seconds(20),
@@ -138,7 +138,7 @@
   EXPECT_FALSE(done);
 }
 
-TEST_F(HttpCallTest, AnswersThatAreNotWholeAreUnknown) {
+TEST_F(HttpCallTest, IncompleteAnswersAreUnknown) {
   for (const char* answer :
        {"", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
@@ -148,14 +148,14 @@
   EXPECT_EQ(client_->idle_connections(), 0U);
 }
 
-TEST_F(HttpCallTest, NeverReusesAConnectionWithBytesAfterTheAnswer) {
+TEST_F(HttpCallTest, NeverReusesAConnectionWithExtraBytes) {
   const HttpOutcome outcome =
       CallCannedPeer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
   EXPECT_EQ(outcome.response.body, "ok");
   EXPECT_EQ(client_->idle_connections(), 0U);
 }
 
-TEST_F(HttpCallTest, ReplacesAnIdleConnectionThatThePeerClosed) {
+TEST_F(HttpCallTest, ReplacesAClosedIdleConnection) {
   const RawListener listener;
   std::promise<void> first_closed;
   std::thread peer([&] {
--- a/tests/net/http_limits_test.cc
+++ b/tests/net/http_limits_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(FindHeader(refused.response.headers, "Retry-After"), "1");
 }
 
-TEST_F(HttpLimitsTest, AtTheLimitTheLongestIdleConnectionMakesRoom) {
+TEST_F(HttpLimitsTest, ClosesTheLongestIdleConnectionAtTheLimit) {
   Restart({.maximum_connections = 2});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "served"});
@@ -54,7 +54,7 @@
   reader.join();
 }
 
-TEST_F(HttpLimitsTest, NoMoreIdleConnectionsAreKeptThanAllowed) {
+TEST_F(HttpLimitsTest, KeepsAtMostTheAllowedIdleConnections) {
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, ""});
   });
@@ -65,7 +65,7 @@
   EXPECT_EQ(client_->idle_connections(), 0U);
 }
 
-TEST_F(HttpLimitsTest, ClosesAConnectionThatSendsItsHeadersTooSlowly) {
+TEST_F(HttpLimitsTest, ClosesConnectionsWithSlowHeaders) {
   Restart({.header_timeout = milliseconds(50)});
   const auto slow = RawConnect(server_->endpoint());
   slow->Send("GET / HTTP/1.1\r\nHost:");
@@ -79,7 +79,7 @@
   EXPECT_EQ(received, "");
 }
 
-TEST_F(HttpLimitsTest, ClosesAConnectionThatNeverTakesItsAnswer) {
+TEST_F(HttpLimitsTest, ClosesConnectionsThatNeverRead) {
   Restart({.write_timeout = milliseconds(50)});
   server_->Handle("GET", "/", [this](const HttpRequest&, const ResponderPointer& responder) {
     responder->OnDisconnect([this] { loop_.Stop(); });
@@ -150,7 +150,7 @@
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).kind, HttpOutcomeKind::kNotSent);
 }
 
-TEST_F(HttpLimitsTest, DrainAnswersARequestThatCrossesItAndEndsTheConnection) {
+TEST_F(HttpLimitsTest, DrainAnswersACrossingRequestAndCloses) {
   Restart({.drain_linger = milliseconds(200)});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "ok"});
--- a/tests/net/http_stream_test.cc
+++ b/tests/net/http_stream_test.cc
@@ -43,7 +43,7 @@
   HttpOutcome outcome_;
 };
 
-TEST_F(HttpStreamTest, DeliversPiecesInOrderAndReusesTheConnection) {
+TEST_F(HttpStreamTest, DeliversChunksInOrderAndReusesConnection) {
   ServeStream([](const ResponderPointer& responder) {
     responder->WriteChunk("one ", nullptr);
     responder->WriteChunk("", nullptr);
--- a/tests/net/peer_test.cc
+++ b/tests/net/peer_test.cc
@@ -23,7 +23,7 @@
   AsioEnvironment environment_{loop_, *client_, *server_, server_->endpoint(), metrics_};
 };
 
-TEST_F(PeerTest, TypedCallsCarryMessagesAndTheCallersAddress) {
+TEST_F(PeerTest, TypedCallsCarryMessageAndPeerAddress) {
   ServePeer<proto::Endpoint, proto::Endpoint>(
       environment_, "test.Swap",
       [](const proto::Endpoint& request, const std::string& peer_address,
@@ -62,7 +62,7 @@
   EXPECT_EQ(CallAndWaitPeer("test.None", "").status.code(), StatusCode::kUnavailable);
 }
 
-TEST_F(PeerTest, SilenceIsUnknownAndRefusedConnectIsUnavailable) {
+TEST_F(PeerTest, TimeoutIsUnknownRefusalIsUnavailable) {
   PeerReplyCallback held;
   environment_.RegisterPeerMethod(
       "test.Hold", [&](const PeerRequest&, PeerReplyCallback reply) { held = std::move(reply); });
@@ -78,7 +78,7 @@
   EXPECT_EQ(refused.code(), StatusCode::kUnavailable);
 }
 
-TEST_F(PeerTest, OutgoingTrafficToABlockedAddressIsSilence) {
+TEST_F(PeerTest, CallsToABlockedAddressTimeOut) {
   bool served = false;
   environment_.RegisterPeerMethod("test.Serve",
                                   [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -93,7 +93,7 @@
   EXPECT_EQ(CallAndWaitPeer("test.Serve", "").body, "answer");
 }
 
-TEST_F(PeerTest, IncomingRequestsFromABlockedAddressAreNeverServed) {
+TEST_F(PeerTest, ServesNothingFromABlockedAddress) {
   bool served = false;
   environment_.RegisterPeerMethod("test.Serve",
                                   [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -108,7 +108,7 @@
   EXPECT_FALSE(served);
 }
 
-TEST_F(PeerTest, AnswersUnderWayWhenTheCutComesAreSwallowed) {
+TEST_F(PeerTest, PartitionSwallowsPendingAnswers) {
   for (const char* blocked : {kClientHost, kServerHost}) {
     environment_.RegisterPeerMethod("test.Serve",
                                     [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_F(PeerTest, ACutBetweenConnectingAndSendingSwallowsTheRequest) {
+TEST_F(PeerTest, PartitionAfterConnectSwallowsTheRequest) {
   bool served = false;
   server_->Handle("GET", "/", [&](const HttpRequest&, const std::shared_ptr<HttpResponder>&) {
     served = true;
--- a/tests/net/routing_test.cc
+++ b/tests/net/routing_test.cc
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(RouteTableTest, PrefersLiteralSegmentsAndTellsUnknownMethodsApart) {
+TEST(RouteTableTest, PrefersLiteralSegmentsThenMethods) {
   RouteTable routes;
   int chosen = 0;
   const auto choose = [&chosen](int number) {
--- a/tests/platform/batch_format_test.cc
+++ b/tests/platform/batch_format_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(item.forwarded().headers(1).value(), "i1");
 }
 
-TEST(BatchFormatTest, BodiesOfEveryLengthComeBackWhole) {
+TEST(BatchFormatTest, BodiesOfEveryLengthAreEchoed) {
   EXPECT_EQ(ReadItems(OneItem(""), "h")->front().forwarded().body(), "");
   EXPECT_EQ(ReadItems(OneItem("YQ=="), "h")->front().forwarded().body(), "a");
   EXPECT_EQ(ReadItems(OneItem("YWI="), "h")->front().forwarded().body(), "ab");
@@ -36,7 +36,7 @@
   EXPECT_EQ(ReadItems(OneItem("AAAA"), "h")->front().forwarded().body(), std::string(3, '\0'));
 }
 
-TEST(BatchFormatTest, WhatCanNotBeReadWholeIsRefused) {
+TEST(BatchFormatTest, RefusesIncompleteDocuments) {
   for (const std::string& broken :
        {std::string("{"), std::string("{}"), std::string(R"({"items":[]})"), OneItem("Y"),
         OneItem("!!!!"), std::string(R"({"items":[{"path":"/b/3"}]})")}) {
--- a/tests/platform/configuration_document_test.cc
+++ b/tests/platform/configuration_document_test.cc
@@ -44,7 +44,7 @@
   EXPECT_EQ(document.limits().idle_timeout_ms(), 15'000U);
 }
 
-TEST(ConfigurationDocumentTest, WhatCanNotBeReadWholeIsRefused) {
+TEST(ConfigurationDocumentTest, RefusesIncompleteDocuments) {
   const std::string whole = kDocument;
   for (const std::string& broken :
        {whole.substr(0, whole.size() - 20), std::string("{}"), std::string("[]"), std::string(),
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(ConfigurationDocumentTest, NumbersThatWouldBeCutToFitAreRefused) {
+TEST(ConfigurationDocumentTest, RefusesNumbersOutOfRange) {
   const std::string whole = kDocument;
   const std::vector<std::pair<std::string, std::string>> changes = {
       {R"("version":7)", R"("version":-7)"},
--- a/tests/replicas/gateway_quota_test.cc
+++ b/tests/replicas/gateway_quota_test.cc
@@ -23,7 +23,7 @@
   return quotas;
 }
 
-TEST(GatewayQuotaTest, PartsOfSlotsAddUpToAllOfThem) {
+TEST(GatewayQuotaTest, SlotQuotasAddUpToAllSlots) {
   for (const std::uint32_t count : {1U, kFew, 12U, kMany}) {
     for (std::uint32_t replica = 0; replica < 50; ++replica) {
       std::uint32_t sum = 0;
@@ -45,13 +45,13 @@
   }
 }
 
-TEST(GatewayQuotaTest, ReplicasOfOtherZonesBelongToTheirOwnGateways) {
+TEST(GatewayQuotaTest, HasNoQuotaOfOtherZones) {
   const GatewayQuota quota{"a", 0, kFew};
   EXPECT_EQ(quota.SlotsOf("r", "b", 10), 0U);
   EXPECT_EQ(quota.RateOf("r", "b", 30), 0);
 }
 
-TEST(GatewayQuotaTest, RatesAddUpAndAreNeverSoLowThatFirstCallsOutweighThem) {
+TEST(GatewayQuotaTest, RatesAddUpWithinTheBound) {
   for (const std::uint32_t count : {1U, kFew, 12U, kMany}) {
     for (const double rate : {1.0, 13.0, 31.0}) {
       double sum = 0;
@@ -111,7 +111,7 @@
   EXPECT_GE(static_cast<double>(starts_.size()), kPerSecond * 2.5);
 }
 
-TEST_P(SlowStartReplicaTest, TheyStayWithinItWhileTheirPlacesMove) {
+TEST_P(SlowStartReplicaTest, StaysWithinTheBoundWhileRanksChange) {
   SetWarmingUpEverywhere();
   RunFor(milliseconds(700));
   // A third of the gateways is gone; the others hear of it one after the other.
@@ -129,7 +129,7 @@
 
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartReplicaTest, testing::Values(1U, 3U, 12U, 14U, 58U));
 
-TEST(SlowStartTest, AReplicaThatIsColdNoMoreIsOpenToAll) {
+TEST(SlowStartTest, WarmReplicasAreUnlimited) {
   SlowStart pacing;
   const TimePoint now{seconds(1000)};
   pacing.SetWarmingUp("r", 0, now + seconds(3), now);
--- a/tests/replicas/prefill_gossip_test.cc
+++ b/tests/replicas/prefill_gossip_test.cc
@@ -63,7 +63,7 @@
   std::map<std::string, std::vector<HeardPrompt>> heard_;
 };
 
-TEST_F(PrefillGossipTest, EveryNeighbourHearsOfAnOrdinaryPromptOnce) {
+TEST_F(PrefillGossipTest, AnnouncesAPromptOnceToEachNeighbour) {
   gossips_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
   const std::vector<HeardPrompt> expected = {{"r1", 1'200, 42}};
@@ -72,7 +72,7 @@
   EXPECT_TRUE(heard_["g0"].empty());
 }
 
-TEST_F(PrefillGossipTest, PromptsThatStartTogetherAllArriveInOrder) {
+TEST_F(PrefillGossipTest, BatchedPromptsArriveInOrder) {
   gossips_["g0"]->Announce("r1", 1'200, 1);
   gossips_["g0"]->Announce("r2", 800, 2);
   world_.RunFor(kPropagationDelay);
@@ -80,13 +80,13 @@
   EXPECT_EQ(heard_["g1"], expected);
 }
 
-TEST_F(PrefillGossipTest, TheShortestPromptsAreNotTold) {
+TEST_F(PrefillGossipTest, DoesNotAnnounceTheShortestPrompts) {
   gossips_["g0"]->Announce("r1", 100, 1);
   world_.RunFor(kPropagationDelay);
   EXPECT_TRUE(heard_["g1"].empty());
 }
 
-TEST_F(PrefillGossipTest, ANeighbourThatIsGoneKeepsNothingFromTheOthers) {
+TEST_F(PrefillGossipTest, ADeadNeighbourDelaysNoOthers) {
   world_.machine("g1").Kill();
   gossips_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -27,7 +27,7 @@
   EXPECT_EQ(load_.Backlog("other", now_), Duration::zero());
 }
 
-TEST_F(PrefillLoadTest, SharedPartsThatWereSentThereAreNotReadAgain) {
+TEST_F(PrefillLoadTest, DoesNotCountCachedPrefixes) {
   const PromptShape shape{1000, 600, 42};
   EXPECT_EQ(load_.TokensToRead("r", shape, /*home=*/false), 1000U);
   EXPECT_EQ(load_.TokensToRead("r", shape, /*home=*/true), 400U);
@@ -45,7 +45,7 @@
   EXPECT_EQ(load_.TokensToRead("r", {100, 50, 3}, false), 50U);
 }
 
-TEST_F(PrefillLoadTest, LearnsEachReplicasRateFromAnswersThatDidNotWaitForOtherPrompts) {
+TEST_F(PrefillLoadTest, LearnsThroughputFromUndelayedResponses) {
   const Duration fixed = Options().first_fixed_latency;
   load_.Watch("slow", "model");
   load_.Watch("fast", "model");
@@ -57,7 +57,7 @@
   EXPECT_NEAR(load_.TokensPerMs("fast", 8'000), 200, 1);
 }
 
-TEST_F(PrefillLoadTest, AReplicaThatHasNotAnsweredYetCountsAsFastAsOthersOfItsBackEnd) {
+TEST_F(PrefillLoadTest, AssumesThePeersThroughputAtFirst) {
   const Duration fixed = Options().first_fixed_latency;
   load_.Watch("known", "model");
   load_.Watch("new", "model");
@@ -69,7 +69,7 @@
   EXPECT_EQ(load_.TokensPerMs("foreign", 8'000), 100);
 }
 
-TEST_F(PrefillLoadTest, AnswersAfterOtherPromptsAndOfShortPromptsTellNoRate) {
+TEST_F(PrefillLoadTest, IgnoresShortAndDelayedSamples) {
   const Duration fixed = Options().first_fixed_latency;
   for (int sample = 0; sample < 40; ++sample) {
     load_.OnFirstByte("r", 8'000, milliseconds(100), fixed + milliseconds(160), now_);
@@ -78,7 +78,7 @@
   EXPECT_EQ(load_.TokensPerMs("r", 8'000), 100);
 }
 
-TEST_F(PrefillLoadTest, AnswersThatWaitedForPromptsOfOthersDoNotMakeAReplicaSlow) {
+TEST_F(PrefillLoadTest, DelayedResponsesDoNotLowerThroughput) {
   const Duration fixed = Options().first_fixed_latency;
   for (int sample = 0; sample < 60; ++sample) {
     const Duration unknown = sample % 2 == 0 ? milliseconds(300) : Duration::zero();
@@ -87,7 +87,7 @@
   EXPECT_NEAR(load_.TokensPerMs("r", 8'000), 50, 1);
 }
 
-TEST_F(PrefillLoadTest, LearnsWhatAFirstTokenTakesWhateverThePrompt) {
+TEST_F(PrefillLoadTest, LearnsTheFixedLatency) {
   for (const Duration fixed : {milliseconds(2), milliseconds(30)}) {
     for (int sample = 0; sample < 40; ++sample) {
       load_.OnFirstByte("r", 200, Duration::zero(), fixed + milliseconds(4), now_);
@@ -100,7 +100,7 @@
   }
 }
 
-TEST_F(PrefillLoadTest, LongPromptsAreExpectedForAWhileAfterOneWentToTheBackEnd) {
+TEST_F(PrefillLoadTest, ExpectsLongPromptsAfterARecentOne) {
   load_.Watch("r", "model");
   load_.Watch("peer", "model");
   load_.Watch("foreign", "other-model");
@@ -115,7 +115,7 @@
   EXPECT_FALSE(load_.ExpectsLongPrompts("peer", now_ + expected + milliseconds(1)));
 }
 
-TEST_F(PrefillLoadTest, WhatAReplicaWasGivenToReadLatelyFades) {
+TEST_F(PrefillLoadTest, RecentLoadDecays) {
   load_.OnStart("r", 10'000, 0, now_);
   EXPECT_EQ(load_.Lately("r", now_), milliseconds(100));
   EXPECT_EQ(load_.Lately("r", now_ + Options().recent_load_half_life), milliseconds(50));
@@ -130,7 +130,7 @@
   EXPECT_EQ(load_.Backlog("r", now_), Duration::zero());
 }
 
-TEST_F(PrefillLoadTest, AnAnswerThatWasLateBeyondWhatIsKnownCountsForAWhile) {
+TEST_F(PrefillLoadTest, UnexpectedDelayCountsAndDecays) {
   load_.OnFirstByte("r", 100, Duration::zero(), milliseconds(213) + Options().delay_tolerance,
                     now_);
   const Duration at_once = load_.Backlog("r", now_);
--- a/tests/replicas/reading_speed_test.cc
+++ b/tests/replicas/reading_speed_test.cc
@@ -29,7 +29,7 @@
   EXPECT_EQ(high.value(), 11);
 }
 
-TEST(ReadingSpeedTest, SlowAnswersAmongFastOnesHardlyCount) {
+TEST(PrefillThroughputTest, SlowAnswersAmongFastOnesHardlyCount) {
   PrefillThroughput speed;
   for (int sample = 0; sample < 30; ++sample) {
     speed.Add(kShort, sample % 2 == 0 ? 100 : 5);
@@ -37,7 +37,7 @@
   EXPECT_EQ(speed.TokensPerMs(kShort), 100);
 }
 
-TEST(ReadingSpeedTest, OneAnswerFasterThanTheOthersDoesNotSetTheRate) {
+TEST(PrefillThroughputTest, IgnoresASingleFastOutlier) {
   PrefillThroughput speed;
   for (int sample = 0; sample < 15; ++sample) {
     speed.Add(kShort, 100);
@@ -46,7 +46,7 @@
   EXPECT_EQ(speed.TokensPerMs(kShort), 100);
 }
 
-TEST(ReadingSpeedTest, FollowsAReplicaThatBecameSlower) {
+TEST(PrefillThroughputTest, FollowsAReplicaThatBecameSlower) {
   PrefillThroughput speed;
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kShort, 100);
@@ -57,7 +57,7 @@
   EXPECT_EQ(speed.TokensPerMs(kShort), 40);
 }
 
-TEST(ReadingSpeedTest, LongPromptsHaveARateOfTheirOwn) {
+TEST(PrefillThroughputTest, LongPromptsHaveARateOfTheirOwn) {
   PrefillThroughput speed;
   EXPECT_FALSE(speed.TokensPerMs(kShort).has_value());
   for (int sample = 0; sample < 16; ++sample) {
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -35,7 +35,7 @@
   EXPECT_EQ(Use("x"), Usability::kYes);
 }
 
-TEST_F(ReplicaHealthTest, SilenceMakesSuspectThenEjectsAndATrialBringsBack) {
+TEST_F(ReplicaHealthTest, TimeoutsEjectAndATrialRestores) {
   Add("x");
   End("x", CallEnd::kNoResponse);
   EXPECT_EQ(Use("x"), Usability::kLastResort);
@@ -83,7 +83,7 @@
   EXPECT_EQ(health_.ConditionOf("x"), ReplicaCondition::kTrial);
 }
 
-TEST_F(ReplicaHealthTest, SoftEvidenceNeverEjectsMoreThanTheShare) {
+TEST_F(ReplicaHealthTest, SoftEvidenceEjectsAtMostTheMaximum) {
   for (int index = 0; index < 9; ++index) {
     Add(std::to_string(index));
   }
--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -187,7 +187,7 @@
   EXPECT_EQ(gateways_["g4"].lists, 1);
 }
 
-TEST_F(SharedListReaderTest, TheNextGatewayReadsOnceTheFirstIsKilled) {
+TEST_F(SharedListReaderTest, NextGatewayReadsAfterTheFirstIsKilled) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g0";
@@ -212,7 +212,7 @@
   EXPECT_TRUE(RunFresh(seconds(10)));
 }
 
-TEST_F(SharedListReaderTest, AGatewayThatWokeUpDoesNotTrustTheAnswerItFinds) {
+TEST_F(SharedListReaderTest, DistrustsAnOldAnswerAfterAFreeze) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g4";
@@ -225,7 +225,7 @@
   EXPECT_TRUE(gateways_["g4"].poller->Fresh());
 }
 
-TEST_F(SharedListReaderTest, WithoutWordFromTheCoordinatorsEachReadsThePlatform) {
+TEST_F(SharedListReaderTest, ReadsThePlatformWithoutNamedSources) {
   for (auto& [name, gateway] : gateways_) {
     gateway.sources.reset();
   }
@@ -235,7 +235,7 @@
   EXPECT_TRUE(RunFresh(seconds(5)));
 }
 
-TEST_F(SharedListReaderTest, GatewaysThatStartTogetherReadThePlatformOnce) {
+TEST_F(SharedListReaderTest, SimultaneousStartsReadThePlatformOnce) {
   std::map<std::string, std::vector<ListSource>> told;
   for (auto& [name, gateway] : gateways_) {
     told[name] = *std::exchange(gateway.sources, std::nullopt);
@@ -252,7 +252,7 @@
   EXPECT_LE(Reads(), 2) << "its second reading is due as well";
 }
 
-TEST_F(SharedListReaderTest, TheLastListStaysInUseWhileThePlatformIsSilent) {
+TEST_F(SharedListReaderTest, KeepsTheListWhileThePlatformTimesOut) {
   StartAll();
   world_.RunFor(seconds(3));
   platform_.answers = false;
@@ -296,7 +296,7 @@
   EXPECT_TRUE(AllKnow(2));
 }
 
-TEST_F(SharedListOverZonesTest, ASourceOfAnotherZoneThatFreezesCostsOneReaderAZone) {
+TEST_F(SharedListOverZonesTest, FrozenRemoteSourceCostsOneReaderAZone) {
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
@@ -307,7 +307,7 @@
   EXPECT_LE(Reads() - before, 12) << "the others go on asking g1";
 }
 
-TEST_F(SharedListOverZonesTest, ZonesThatAreCutOffFromEachOtherHaveAReaderEach) {
+TEST_F(SharedListOverZonesTest, PartitionedZonesHaveAReaderEach) {
   world_.Cut("g0", "g1");
   world_.Cut("g1", "g0");
   platform_.replicas = 3;
@@ -320,7 +320,7 @@
   EXPECT_LE(Reads() - before, 11);
 }
 
-TEST_F(SharedListOverZonesTest, PacketsThatPassOneWayOnlyCostNobodyItsFreshness) {
+TEST_F(SharedListOverZonesTest, StaysFreshUnderAOneWayPartition) {
   world_.Cut("g0", "g1");
   platform_.replicas = 3;
   EXPECT_TRUE(RunFresh(seconds(3)));
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -89,7 +89,7 @@
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoOpenZone);
 }
 
-TEST_F(RouterTest, PrefersOwnZoneThenRegionAndSpillsByLoad) {
+TEST_F(RouterTest, PrefersOwnZoneThenRegionUntilBusy) {
   Add("a1", "a");
   Add("b1", "b");
   Add("c1", "c");
@@ -177,7 +177,7 @@
   EXPECT_EQ(Choose().replica->id, "a2");
 }
 
-TEST_F(RouterTest, BatchesKeepTheHeadroomAndTheirShare) {
+TEST_F(RouterTest, BatchesKeepTheCapacityReserve) {
   Add("a1", "a", 10);
   Load();
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);  // Nothing allowed yet.
@@ -233,7 +233,7 @@
   EXPECT_EQ(pacer.Allowance(5, 0), 5U);
 }
 
-TEST(ReplicaDirectoryTest, LongPromptsGoToOneReplicaInThreeOfEachZone) {
+TEST(ReplicaDirectoryTest, SelectsOneReplicaInThreeForLongPrompts) {
   proto::ReplicaList list;
   list.set_version(1);
   const std::map<std::string, int> zones{{"a", 1}, {"b", 3}, {"c", 30}};
@@ -258,7 +258,7 @@
   EXPECT_EQ(places, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
 }
 
-TEST(ReplicaDirectoryTest, TellsWhoIsCold) {
+TEST(ReplicaDirectoryTest, ReportsWhichReplicasWarmUp) {
   ReplicaDirectory directory;
   proto::ReplicaList list;
   EXPECT_FALSE(directory.Apply(list).ok());
@@ -341,7 +341,7 @@
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r3"});
 }
 
-TEST_F(PromptRoutingTest, AmongIdleReplicasTheOneThatReadLeastLatelyIsTaken) {
+TEST_F(PromptRoutingTest, PrefersTheLeastRecentPrefillLoad) {
   prefill_.OnStart("r1", 9'000, 0, now_);
   prefill_.OnStart("r2", 1'800, 0, now_);
   prefill_.OnStart("r3", 9'000, 0, now_);
@@ -349,11 +349,11 @@
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r2"});
 }
 
-TEST_F(PromptRoutingTest, NoReplicaIsKeptForLongPromptsWhereNoneCome) {
+TEST_F(PromptRoutingTest, ReservesNothingWithoutLongPrompts) {
   EXPECT_EQ(ChosenFor(1'000).size(), 3U);
 }
 
-TEST_F(PromptRoutingTest, ShortPromptsKeepAwayFromWhereLongOnesGo) {
+TEST_F(PromptRoutingTest, ShortPromptsAvoidLongPromptReplicas) {
   const std::set<std::string> kept = KeptForLongPrompts();
   ASSERT_FALSE(kept.empty());
   prefill_.OnStart(*kept.begin(), 30'000, 0, now_);
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -104,7 +104,7 @@
   EXPECT_NE(FindKey(problems, "platform.replica_list"), nullptr);
 }
 
-TEST(SettingsTest, FlagsOverrideTheFileAndAreNamedWhenWrong) {
+TEST(SettingsTest, FlagsOverrideTheFile) {
   const auto settings =
       ParseSettings(kGood, "x.toml", {{"listen.peer_port", "9000"}, {"node.zone", "b"}}, nullptr);
   ASSERT_TRUE(settings.ok()) << settings.status().ToString();
--- a/tests/simulation/configuration_in_force_test.cc
+++ b/tests/simulation/configuration_in_force_test.cc
@@ -104,7 +104,7 @@
   std::vector<std::string> frozen_;
 };
 
-TEST(ConfigurationInForce, WhileTwoCoordinatorsAreLostAgainAndAgain) {
+TEST(ConfigurationInForce, WhileTwoCoordinatorsAreLostRepeatedly) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     ConfigurationWorldOptions options;
--- a/tests/simulation/simulated_disk_test.cc
+++ b/tests/simulation/simulated_disk_test.cc
@@ -88,7 +88,7 @@
   EXPECT_EQ(finished, 1);
 }
 
-TEST_F(SimulatedDiskTest, PowerLossTearsAppendsAtAnyByteAndReplacesWhole) {
+TEST_F(SimulatedDiskTest, PowerLossTearsAppendsAndNotReplacements) {
   std::set<std::string> logs;
   std::set<std::string> states;
   for (int round = 0; round < 300; ++round) {
@@ -107,7 +107,7 @@
   EXPECT_EQ(states, (std::set<std::string>{"old", "new"}));
 }
 
-TEST_F(SimulatedDiskTest, KillKeepsWhatTheSystemHadAndTheNextLifeSyncsIt) {
+TEST_F(SimulatedDiskTest, KillKeepsWrittenBytesForTheNextRun) {
   std::set<std::string> contents;
   for (int round = 0; round < 100; ++round) {
     machine.disk().Remove("log", [](const Status&) {});
@@ -140,7 +140,7 @@
   EXPECT_EQ(Content("log"), "1234abc");
 }
 
-TEST_F(SimulatedDiskTest, FailedSyncEndsTheFileForThisLife) {
+TEST_F(SimulatedDiskTest, FailedSyncEndsTheFileForThisRun) {
   folder().Append("log", "kept", Record());
   ASSERT_TRUE(Finish().ok());
   machine.FailSyncs(true);
--- a/tests/simulation/simulated_world_test.cc
+++ b/tests/simulation/simulated_world_test.cc
@@ -59,7 +59,7 @@
   SimulatedWorld world{1};
 };
 
-TEST_F(SimulatedWorldTest, AnswersWithTheCallersAddressAfterTheNetworksDelay) {
+TEST_F(SimulatedWorldTest, AnswersAfterTheNetworkDelay) {
   Call();
   EXPECT_TRUE(replies.empty());
   ASSERT_TRUE(world.RunUntil([this] { return !replies.empty(); }, seconds(1)));
@@ -69,14 +69,14 @@
   EXPECT_EQ(replies.size(), 1U);
 }
 
-TEST_F(SimulatedWorldTest, ProcessThatDoesNotRunRefusesWithoutOutcome) {
+TEST_F(SimulatedWorldTest, StoppedProcessRefusesConnections) {
   world.machine("b").Kill();
   Call();
   world.RunFor(milliseconds(20));
   EXPECT_EQ(OnlyCode(), StatusCode::kUnavailable);
 }
 
-TEST_F(SimulatedWorldTest, CutIsOneWayAndSilent) {
+TEST_F(SimulatedWorldTest, PartitionIsOneWayAndSilent) {
   world.Cut("b", "a");
   Call();
   world.RunFor(milliseconds(999));
@@ -96,7 +96,7 @@
   EXPECT_EQ(OnlyCode(), StatusCode::kOk);
 }
 
-TEST_F(SimulatedWorldTest, FrozenCalleeServesAfterWakeThoughTheCallerGaveUp) {
+TEST_F(SimulatedWorldTest, FrozenCalleeServesAfterWake) {
   world.machine("b").Freeze();
   Call();
   world.RunFor(seconds(2));
@@ -108,7 +108,7 @@
   EXPECT_EQ(replies.size(), 1U);
 }
 
-TEST_F(SimulatedWorldTest, FrozenProcessRunsWhatFellDueInOrderAtWake) {
+TEST_F(SimulatedWorldTest, WakeRunsDueTimersInOrder) {
   std::vector<int> ran;
   a->environment.ScheduleAfter(milliseconds(20), [&ran] { ran.push_back(2); });
   a->environment.ScheduleAfter(milliseconds(10), [&ran] { ran.push_back(1); });
@@ -126,7 +126,7 @@
   EXPECT_EQ(ran, (std::vector<int>{1, 2, 3}));
 }
 
-TEST_F(SimulatedWorldTest, KillBreaksConnectionsAndPowerLossFallsSilent) {
+TEST_F(SimulatedWorldTest, KillBreaksConnectionsPowerLossDoesNot) {
   b->hold = true;
   Call();
   world.RunFor(milliseconds(10));
@@ -145,7 +145,7 @@
   EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
 }
 
-TEST_F(SimulatedWorldTest, NothingOfADeadLifeRuns) {
+TEST_F(SimulatedWorldTest, RunsNothingOfAnEndedProcess) {
   int ran = 0;
   a->environment.ScheduleAfter(milliseconds(5), [&ran] { ++ran; });
   a->folder.Append("log", "x", [&ran](const Status&) { ++ran; });
@@ -182,7 +182,7 @@
   EXPECT_EQ(alive.use_count(), 1);
 }
 
-TEST_F(SimulatedWorldTest, DuplicatedRequestIsServedTwiceAndAnsweredOnce) {
+TEST_F(SimulatedWorldTest, DuplicateIsServedTwiceAndAnsweredOnce) {
   world.network().request_duplication = 1;
   Call();
   world.RunFor(seconds(2));
@@ -190,7 +190,7 @@
   EXPECT_EQ(OnlyCode(), StatusCode::kOk);
 }
 
-TEST_F(SimulatedWorldTest, LostRequestAndLostReplyBothEndAsUnknown) {
+TEST_F(SimulatedWorldTest, LostMessagesEndAsUnknown) {
   world.network().request_loss = 1;
   Call();
   world.RunFor(seconds(2));
@@ -204,7 +204,7 @@
   EXPECT_EQ(b->served, 1);
 }
 
-TEST_F(SimulatedWorldTest, UnavailableIsOnlySaidWhenNothingWasCarriedOut) {
+TEST_F(SimulatedWorldTest, UnavailableMeansNothingWasExecuted) {
   world.network() = {.request_loss = 0.1, .reply_loss = 0.1, .request_duplication = 0.5};
   int refused = 0;
   for (int round = 0; round < 2000; ++round) {
--- a/tests/storage/posix_data_folder_test.cc
+++ b/tests/storage/posix_data_folder_test.cc
@@ -72,7 +72,7 @@
   EXPECT_TRUE(third.Open().ok());
 }
 
-TEST_F(PosixDataFolderTest, RefusesNamesThatLeaveTheFolderOrAreReserved) {
+TEST_F(PosixDataFolderTest, RefusesEscapingAndReservedNames) {
   ASSERT_TRUE(Open().ok());
   for (const char* name :
        {"", "/", "a/", "/a", "../a", "a/../b", "a/b/c", ".lock", "a/.b", "a.replacing"}) {
@@ -82,7 +82,7 @@
   }
 }
 
-TEST_F(PosixDataFolderTest, WritesThatWaitShareOneSyncAndOtherFilesGoOn) {
+TEST_F(PosixDataFolderTest, WaitingWritesShareOneSync) {
   std::atomic<int> syncs = 0;
   std::binary_semaphore in_sync(0);
   std::binary_semaphore go_on(0);
@@ -112,7 +112,7 @@
   EXPECT_EQ(Content("log"), expected);
 }
 
-TEST_F(PosixDataFolderTest, ContinuesShortWritesAndInterruptedCalls) {
+TEST_F(PosixDataFolderTest, ContinuesShortAndInterruptedWrites) {
   int call = 0;
   FileCalls calls;
   calls.write_at = [&call](int descriptor, const void* bytes, std::size_t size, off_t offset) {
@@ -133,7 +133,7 @@
   EXPECT_EQ(Content("log"), std::string("01abcdefgh\0\0", 12));
 }
 
-TEST_F(PosixDataFolderTest, FullDiskLeavesNoPartOfTheWriteBehind) {
+TEST_F(PosixDataFolderTest, FullDiskLeavesNoPartialWrite) {
   std::atomic<std::size_t> room = 5;
   FileCalls calls;
   calls.write_at = [&room](int descriptor, const void* bytes, std::size_t size, off_t offset) {
@@ -166,7 +166,7 @@
   EXPECT_EQ(*folder->List(""), std::vector<std::string>{"log"});
 }
 
-TEST_F(PosixDataFolderTest, FileWhoseSyncFailedTakesNoMoreAndIsNotSyncedAgain) {
+TEST_F(PosixDataFolderTest, RefusesWritesAfterAFailedSync) {
   std::atomic<int> syncs = 0;
   std::atomic<bool> fail = true;
   FileCalls calls;
@@ -195,7 +195,7 @@
   EXPECT_TRUE(Finish().ok());
 }
 
-TEST_F(PosixDataFolderTest, DestructionFinishesTheWorkAndDropsTheCallbacks) {
+TEST_F(PosixDataFolderTest, DestructorFinishesWorkWithoutCallbacks) {
   ASSERT_TRUE(Open().ok());
   std::string expected;
   for (int index = 0; index < 50; ++index) {
--- a/tests/storage/record_file_test.cc
+++ b/tests/storage/record_file_test.cc
@@ -28,7 +28,7 @@
   EXPECT_EQ(record, expected);
 }
 
-TEST(RecordFileTest, EveryCutAndEveryFlippedBitEndsAtTheLastWholeRecordBefore) {
+TEST(RecordFileTest, ReadsUpToTheLastIntactRecord) {
   const std::vector<std::string> payloads = {"first", "", std::string(21, 'x'), "last"};
   std::string bytes;
   std::vector<std::size_t> ends = {0};
@@ -70,7 +70,7 @@
   }
 }
 
-TEST(RecordFileTest, ReservedRoomIsNoRecordAndOtherSeedsDoNotVerify) {
+TEST(RecordFileTest, ReservedSpaceAndOtherSeedsAreNoRecords) {
   std::string bytes = EncodeRecord("payload", kSeed);
   const std::size_t end = bytes.size();
   bytes.append(100, '\0');
--- a/tests/storage/torn_tail_test.cc
+++ b/tests/storage/torn_tail_test.cc
@@ -107,7 +107,7 @@
   return acknowledged;
 }
 
-TEST(RealTornTailTest, AcknowledgedRecordsOutliveKillsAndTornTails) {
+TEST(RealTornTailTest, AcknowledgedRecordsSurviveKills) {
   const TemporaryFolder place;
   const std::string file = place.path() + "/" + NumberLog::kFileName;
   std::mt19937_64 random(11);
