--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "control_state/proto_endpoint.h"
-#include "leader/partition_assigner.h"
+#include "leader/partition_placement.h"
 
 namespace cloverbank {
 namespace {
--- /dev/null
+++ b/src/leader/arrival_gate.h
@@ -0,0 +1,37 @@
+#pragma once
+/// @file
+/// Delays the assignment of partitions until queue nodes have stopped arriving. Pure.
+
+#include <set>
+#include <vector>
+
+#include "base/ids.h"
+#include "base/time.h"
+#include "control_state/control_state.h"
+
+namespace cloverbank {
+
+/// Waits, before partitions are given out, until queue nodes have stopped arriving: when all store
+/// machines start together, the first to register should not get everything. Pure.
+class ArrivalGate {
+ public:
+  /// @param quiet how long no queue node must have come.
+  /// @param longest the longest time the gate stays shut after it was first asked.
+  ArrivalGate(Duration quiet, Duration longest) : quiet_(quiet), longest_(longest) {}
+
+  /// Forgets everything: this member became leader.
+  void Reset();
+  /// @return whether partitions may be given out now. `waiting`: whether any wait.
+  bool IsOpen(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
+              TimePoint now);
+
+ private:
+  Duration quiet_;
+  Duration longest_;
+  std::vector<NodeId> known_;
+  TimePoint last_arrival_;
+  TimePoint waiting_since_;
+  bool waiting_ = false;
+};
+
+}  // namespace cloverbank
--- a/src/leader/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -5,6 +5,7 @@
 
 #include "base/logging.h"
 #include "control_state/proto_endpoint.h"
+#include "leader/partition_placement.h"
 #include "runtime/node_methods.h"
 #include "runtime/typed_peer.h"
 
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -5,10 +5,10 @@
 
 #include <vector>
 
+#include "leader/arrival_gate.h"
 #include "leader/backup_sweeper.h"
 #include "leader/command_proposer.h"
 #include "leader/leader_context.h"
-#include "leader/partition_assigner.h"
 #include "leader/recovery_manager.h"
 #include "leader/unreachable_nodes.h"
 
--- a/src/leader/partition_assigner.h
+++ b/src/leader/partition_placement.h
@@ -7,7 +7,6 @@
 #include <vector>
 
 #include "base/ids.h"
-#include "base/time.h"
 #include "control_state/control_state.h"
 
 namespace cloverbank {
@@ -31,27 +30,4 @@
 bool MustHandOver(const ControlState& state, const proto::Server& server,
                   const std::set<NodeId>& doubtful);
 
-/// Waits, before partitions are given out, until queue nodes have stopped arriving: when all store
-/// machines start together, the first to register should not get everything. Pure.
-class ArrivalGate {
- public:
-  /// @param quiet how long no queue node must have come.
-  /// @param longest the longest time the gate stays shut after it was first asked.
-  ArrivalGate(Duration quiet, Duration longest) : quiet_(quiet), longest_(longest) {}
-
-  /// Forgets everything: this member became leader.
-  void Reset();
-  /// @return whether partitions may be given out now. `waiting`: whether any wait.
-  bool IsOpen(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
-              TimePoint now);
-
- private:
-  Duration quiet_;
-  Duration longest_;
-  std::vector<NodeId> known_;
-  TimePoint last_arrival_;
-  TimePoint waiting_since_;
-  bool waiting_ = false;
-};
-
 }  // namespace cloverbank
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -17,7 +17,7 @@
 #include "base/time.h"
 #include "control_state/control_state.h"
 #include "leader/log_assembly.h"
-#include "leader/partition_assigner.h"
+#include "leader/partition_placement.h"
 #include "proto/log.pb.h"
 
 namespace cloverbank {
--- a/tests/leader/recovery_test.cc
+++ b/tests/leader/recovery_test.cc
@@ -3,9 +3,10 @@
 #include <gtest/gtest.h>
 
 #include "control_state/control_commands.h"
+#include "leader/arrival_gate.h"
 #include "leader/backup_sweeper.h"
 #include "leader/log_assembly.h"
-#include "leader/partition_assigner.h"
+#include "leader/partition_placement.h"
 #include "leader/recovery_manager.h"
 
 namespace cloverbank {
