--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -1,16 +1,17 @@
 #pragma once
 /// @file
-/// What the leader does unasked: declares silent nodes dead, gives out partitions, steers
-/// recoveries and sweeps backups. Ties the pure cores to the log and the peers.
-
-#include <vector>
+/// Runs the singleton work of the leader, one class a concern: `DeathDeclarer`,
+/// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `UnreachableNodeNotifier`.
+/// Threads: the owner's event loop only.
 
 #include "leader/arrival_gate.h"
-#include "leader/backup_sweeper.h"
+#include "leader/backup_sweep_executor.h"
 #include "leader/command_proposer.h"
+#include "leader/death_declarer.h"
 #include "leader/leader_context.h"
-#include "leader/recovery_manager.h"
-#include "leader/unreachable_nodes.h"
+#include "leader/partition_assigner.h"
+#include "leader/recovery_executor.h"
+#include "leader/unreachable_node_notifier.h"
 
 namespace cloverbank {
 
@@ -23,34 +24,22 @@
   /// Does what is due now. Requires `context.CanAnswer()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
-  void InitializePartitions();
+  void InitializePartitions() { partition_assigner_.InitializePartitions(); }
 
-  const RecoveryManager& recoveries() const { return recoveries_; }
-  const BackupSweeper& sweeper() const { return sweeper_; }
+  const RecoveryManager& recoveries() const { return recovery_executor_.manager(); }
+  const BackupSweeper& sweeper() const { return sweep_executor_.sweeper(); }
 
  private:
-  void DeclareUnresponsiveDead();
-  /// @return why `server` is dead now, or an empty text.
-  std::string FindDeathReason(const proto::Server& server) const;
-  void ProposeDeath(const proto::Server& server, const std::string& reason);
-  void AssignPartitions(bool may_assign);
-  void AdvanceRecoveries(bool may_assign);
-  void Execute(const StartReadingAction& action);
-  void Execute(const ProposeReplayAction& action);
-  void Execute(const RecoverPartitionsAction& action);
-  void Execute(const ReleaseAction& action);
-  void Execute(const ProposeFinishAction& action);
-  void SweepBackups();
-  void NotifyUnreachableNodes();
-  void HandleReplicaList(NodeId backup, const Endpoint& endpoint,
-                         const proto::ListSegmentsResponse& replicas);
+  /// @return whether partitions may be assigned now.
+  bool MayAssign();
 
   LeaderContext& context_;
-  CommandProposer& proposer_;
-  RecoveryManager recoveries_;
-  BackupSweeper sweeper_;
+  DeathDeclarer death_declarer_;
   ArrivalGate arrivals_;
-  UnreachableNodes unreachable_nodes_;
+  PartitionAssigner partition_assigner_;
+  RecoveryExecutor recovery_executor_;
+  BackupSweepExecutor sweep_executor_;
+  UnreachableNodeNotifier unreachable_node_notifier_;
 };
 
 }  // namespace cloverbank
--- /dev/null
+++ b/src/leader/recovery_executor.cc
@@ -0,0 +1,88 @@
+#include "leader/recovery_executor.h"
+
+#include <string>
+#include <utility>
+#include <variant>
+
+#include "runtime/typed_peer.h"
+
+namespace cloverbank {
+
+void RecoveryExecutor::Step(bool may_assign) {
+  RecoveryFacts facts;
+  facts.now = context_.environment.Now();
+  facts.may_assign = may_assign;
+  facts.doubtful = context_.doubtful;
+  for (const RecoveryAction& action : manager_.Step(context_.state, facts)) {
+    std::visit([this](const auto& one) { Execute(one); }, action);
+  }
+}
+
+void RecoveryExecutor::Execute(const StartReadingAction& action) {
+  proto::StartReadingDataRequest request;
+  request.set_dead_node_id(action.dead.value());
+  CallPeer<proto::StartReadingDataResponse>(
+      context_.environment, action.endpoint, "backup.StartReadingData", request,
+      context_.options.call_deadline,
+      [this, action, alive = std::weak_ptr<bool>(context_.alive)](
+          Result<proto::StartReadingDataResponse> answer) {
+        if (!alive.expired()) {
+          manager_.OnReadingData(action.dead, action.backup, std::move(answer));
+        }
+      });
+}
+
+void RecoveryExecutor::Execute(const ProposeReplayAction& action) {
+  proto::ControlCommand command;
+  *command.mutable_start_replay() = action.command;
+  proposer_.ProposeOnce("replay:" + std::to_string(action.command.dead_node_id()), command);
+}
+
+void RecoveryExecutor::Execute(const RecoverPartitionsAction& action) {
+  CallPeer<proto::RecoverPartitionsResponse>(
+      context_.environment, action.endpoint, "queue.RecoverPartitions", action.request,
+      context_.options.call_deadline,
+      [this, request = action.request, alive = std::weak_ptr<bool>(context_.alive)](
+          const Result<proto::RecoverPartitionsResponse>& answer) {
+        if (!alive.expired()) {
+          HandleReplayAnswer(request, answer);
+        }
+      });
+}
+
+void RecoveryExecutor::HandleReplayAnswer(const proto::RecoverPartitionsRequest& request,
+                                          const Result<proto::RecoverPartitionsResponse>& answer) {
+  if (!answer.ok() || !answer->done() || !context_.CanAnswer()) {
+    return;
+  }
+  proto::ControlCommand command;
+  proto::FinishAssignmentCommand& finish = *command.mutable_finish_assignment();
+  finish.set_dead_node_id(request.dead_node_id());
+  finish.set_queue_node_id(request.queue_node_id());
+  *finish.mutable_partition_ids() = request.partition_ids();
+  proposer_.ProposeOnce("finish:" + std::to_string(request.dead_node_id()) + ":" +
+                            std::to_string(request.queue_node_id()),
+                        command);
+}
+
+void RecoveryExecutor::Execute(const ReleaseAction& action) {
+  proto::ReleaseRecoveryDataRequest request;
+  request.set_dead_node_id(action.dead.value());
+  CallPeer<proto::ReleaseRecoveryDataResponse>(
+      context_.environment, action.endpoint, "backup.ReleaseRecoveryData", request,
+      context_.options.call_deadline,
+      [this, action, alive = std::weak_ptr<bool>(context_.alive)](
+          const Result<proto::ReleaseRecoveryDataResponse>& answer) {
+        if (!alive.expired()) {
+          manager_.OnReleased(action.dead, action.backup, answer.status());
+        }
+      });
+}
+
+void RecoveryExecutor::Execute(const ProposeFinishAction& action) {
+  proto::ControlCommand command;
+  command.mutable_finish_recovery()->set_dead_node_id(action.dead.value());
+  proposer_.ProposeOnce("finish_recovery:" + action.dead.ToString(), command);
+}
+
+}  // namespace cloverbank
