--- a/src/control_state/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -57,68 +57,60 @@
 /// Tag and length of an object inside the whole; a longer length only makes the whole longer.
 constexpr std::size_t kFramingBytes = 2;
 
-template <typename Map>
-std::size_t Remove(const std::string& name, Map* objects) {
+}  // namespace
+
+template <typename Object>
+void ConfigurationObjects::Insert(const Object& object, std::map<std::string, Object>* objects) {
+  const bool inserted = objects->emplace(object.name(), object).second;
+  bytes += inserted ? object.ByteSizeLong() + kFramingBytes : 0;
+}
+
+template <typename Object>
+void ConfigurationObjects::Remove(const std::string& name, std::map<std::string, Object>* objects) {
   const auto found = objects->find(name);
-  if (found == objects->end()) {
-    return 0;
+  if (found != objects->end()) {
+    bytes -= found->second.ByteSizeLong() + kFramingBytes;
+    objects->erase(found);
   }
-  const std::size_t bytes = found->second.ByteSizeLong() + kFramingBytes;
-  objects->erase(found);
-  return bytes;
 }
 
-template <typename Named, typename Map>
-std::size_t Insert(const Named& object, Map* objects) {
-  objects->emplace(object.name(), object);
-  return object.ByteSizeLong() + kFramingBytes;
+template <typename Object>
+void ConfigurationObjects::Set(const Object& object, std::map<std::string, Object>* objects) {
+  Remove(object.name(), objects);
+  Insert(object, objects);
 }
 
-}  // namespace
+void ConfigurationObjects::SetDocument(const proto::Document& changed) {
+  bytes -= document.ByteSizeLong();
+  document = changed;
+  bytes += document.ByteSizeLong();
+}
 
 void ConfigurationObjects::Apply(const proto::ConfigurationChange& change) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
-      bytes -= Remove(change.set_route().name(), &routes);
-      bytes += Insert(change.set_route(), &routes);
-      return;
+      return Set(change.set_route(), &routes);
     case proto::ConfigurationChange::kRemoveRoute:
-      bytes -= Remove(change.remove_route(), &routes);
-      return;
+      return Remove(change.remove_route(), &routes);
     case proto::ConfigurationChange::kSetZone:
-      bytes -= Remove(change.set_zone().name(), &zones);
-      bytes += Insert(change.set_zone(), &zones);
-      return;
+      return Set(change.set_zone(), &zones);
+    case proto::ConfigurationChange::kEnsureZone:
+      return Insert(change.ensure_zone(), &zones);
     case proto::ConfigurationChange::kRemoveZone:
-      bytes -= Remove(change.remove_zone(), &zones);
-      return;
+      return Remove(change.remove_zone(), &zones);
     case proto::ConfigurationChange::kSetTenant:
-      bytes -= Remove(change.set_tenant().name(), &tenants);
-      bytes += Insert(change.set_tenant(), &tenants);
-      return;
+      return Set(change.set_tenant(), &tenants);
     case proto::ConfigurationChange::kRemoveTenant:
-      bytes -= Remove(change.remove_tenant(), &tenants);
-      return;
-    case proto::ConfigurationChange::kSetBatch:
-      batch = change.set_batch();
-      return;
+      return Remove(change.remove_tenant(), &tenants);
     case proto::ConfigurationChange::kSetBackend:
-      bytes -= Remove(change.set_backend().name(), &backends);
-      bytes += Insert(change.set_backend(), &backends);
-      return;
+      return Set(change.set_backend(), &backends);
     case proto::ConfigurationChange::kRemoveBackend:
-      bytes -= Remove(change.remove_backend(), &backends);
+      return Remove(change.remove_backend(), &backends);
+    case proto::ConfigurationChange::kSetBatch:
+      batch = change.set_batch();
       return;
     case proto::ConfigurationChange::kSetDocument:
-      bytes -= document.ByteSizeLong();
-      document = change.set_document();
-      bytes += document.ByteSizeLong();
-      return;
-    case proto::ConfigurationChange::kEnsureZone:
-      if (!zones.contains(change.ensure_zone().name())) {
-        bytes += Insert(change.ensure_zone(), &zones);
-      }
-      return;
+      return SetDocument(change.set_document());
     case proto::ConfigurationChange::CHANGE_NOT_SET:
       return;
   }
@@ -148,20 +140,19 @@
 void ConfigurationObjects::Load(const proto::RoutingConfiguration& configuration) {
   *this = ConfigurationObjects();
   for (const proto::Route& route : configuration.routes()) {
-    bytes += Insert(route, &routes);
+    Insert(route, &routes);
   }
   for (const proto::Zone& zone : configuration.zones()) {
-    bytes += Insert(zone, &zones);
+    Insert(zone, &zones);
   }
   for (const proto::Tenant& tenant : configuration.tenants()) {
-    bytes += Insert(tenant, &tenants);
+    Insert(tenant, &tenants);
   }
   for (const proto::Backend& backend : configuration.backends()) {
-    bytes += Insert(backend, &backends);
+    Insert(backend, &backends);
   }
   batch = configuration.batch();
-  document = configuration.document();
-  bytes += document.ByteSizeLong();
+  SetDocument(configuration.document());
 }
 
 }  // namespace cloverbank
--- a/src/control_state/configuration_objects.h
+++ b/src/control_state/configuration_objects.h
@@ -49,6 +49,16 @@
   /// @return the whole configuration, sorted by name, without a version.
   proto::RoutingConfiguration ToProto() const;
   void Load(const proto::RoutingConfiguration& configuration);
+
+ private:
+  /// Adds `object` unless there is one of its name.
+  template <typename Object>
+  void Insert(const Object& object, std::map<std::string, Object>* objects);
+  template <typename Object>
+  void Remove(const std::string& name, std::map<std::string, Object>* objects);
+  template <typename Object>
+  void Set(const Object& object, std::map<std::string, Object>* objects);
+  void SetDocument(const proto::Document& changed);
 };
 
 }  // namespace cloverbank
--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -50,13 +50,8 @@
     return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
   const std::uint64_t checksum = ChecksumOf(transaction);
-  if (const proto::OperationRecord* known = operations_.Find(transaction.operation_id())) {
-    if (known->request_checksum() == checksum) {
-      return known->result();
-    }
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
-                   {"operation_id \"" + transaction.operation_id() +
-                    "\" was used for another transaction; choose a new one"});
+  if (auto recorded = FindRecordedAnswer(transaction, checksum)) {
+    return *std::move(recorded);
   }
   if (transaction.inquiry() && transaction.expected_label() == label_) {
     return Refusal(transaction, proto::TRANSACTION_OUTCOME_MAY_BE_SENT, {});
@@ -65,12 +60,31 @@
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
     Commit(transaction, wall_ms);
   }
+  RecordAnswer(result, checksum);
+  return result;
+}
+
+std::optional<proto::TransactionResult> ConfigurationStore::FindRecordedAnswer(
+    const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const {
+  const proto::OperationRecord* recorded = operations_.Find(transaction.operation_id());
+  if (recorded == nullptr) {
+    return std::nullopt;
+  }
+  if (recorded->request_checksum() == checksum) {
+    return recorded->result();
+  }
+  return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
+                 {"operation_id \"" + transaction.operation_id() +
+                  "\" was used for another transaction; choose a new one"});
+}
+
+void ConfigurationStore::RecordAnswer(const proto::TransactionResult& result,
+                                      std::uint64_t checksum) {
   proto::OperationRecord record;
-  record.set_operation_id(transaction.operation_id());
+  record.set_operation_id(result.operation_id());
   *record.mutable_result() = result;
   record.set_request_checksum(checksum);
   operations_.Add(std::move(record));
-  return result;
 }
 
 proto::TransactionResult ConfigurationStore::Validate(
@@ -258,17 +272,25 @@
   return *full_update_;
 }
 
+bool ConfigurationStore::HistoryReachesBackTo(ConfigurationVersion known) const {
+  return known.valid() && known < version_ && !history_.empty() &&
+         known.Next() >= ConfigurationVersion(history_.front().version());
+}
+
 std::optional<proto::ConfigurationUpdate> ConfigurationStore::MakeDelta(
     ConfigurationVersion known) const {
-  const bool reaches_back = known.valid() && known < version_ && !history_.empty() &&
-                            known.Next() >= ConfigurationVersion(history_.front().version());
-  if (!reaches_back) {
+  if (!HistoryReachesBackTo(known)) {
     return std::nullopt;
   }
   proto::ConfigurationUpdate update;
   update.set_from_version(known.value());
   update.set_to_version(version_.value());
   update.set_label(label_);
+  return AddChangesSince(known, &update) ? std::optional(std::move(update)) : std::nullopt;
+}
+
+bool ConfigurationStore::AddChangesSince(ConfigurationVersion known,
+                                         proto::ConfigurationUpdate* update) const {
   // The size is kept up to date object by object: printing the whole at every version would cost as
   // much as there are tenants.
   const std::size_t limit = objects_.bytes - objects_.document.source().size();
@@ -282,15 +304,15 @@
       if (!seen.insert(KeyOf(change)).second) {
         continue;
       }
-      proto::ConfigurationChange* added = update.add_changes();
+      proto::ConfigurationChange* added = update->add_changes();
       *added = change;
       bytes += added->ByteSizeLong() + kChangeFramingBytes;
       if (bytes >= limit) {
-        return std::nullopt;
+        return false;
       }
     }
   }
-  return update;
+  return true;
 }
 
 std::vector<proto::HistoryRecord> ConfigurationStore::History(std::size_t count) const {
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -64,6 +64,10 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
+  /// @return the answer to give for an operation id that was used before; none for a new one.
+  std::optional<proto::TransactionResult> FindRecordedAnswer(
+      const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const;
+  void RecordAnswer(const proto::TransactionResult& result, std::uint64_t checksum);
   proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
   proto::TransactionResult Refusal(const proto::ConfigurationTransaction& transaction,
                                    proto::TransactionOutcome outcome,
@@ -79,6 +83,9 @@
   void AddHistory(proto::HistoryRecord record);
   /// @return nothing if the history does not reach back or the whole is no larger.
   std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion known) const;
+  bool HistoryReachesBackTo(ConfigurationVersion known) const;
+  /// @return false if the changes are no smaller than the full configuration.
+  bool AddChangesSince(ConfigurationVersion known, proto::ConfigurationUpdate* update) const;
   const proto::ConfigurationUpdate& FullUpdate() const;
 
   ConfigurationVersion version_{1};
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -16,10 +16,6 @@
   return partitions;
 }
 
-Status Fenced(NodeId node) {
-  return {StatusCode::kFenced, "node " + node.ToString() + " is not a live queue node"};
-}
-
 void SetStatus(const Status& status, proto::ControlCommandResult* result) {
   result->set_error_code(static_cast<std::uint32_t>(status.code()));
   result->set_error_message(status.message());
@@ -106,29 +102,30 @@
   return Status::Ok();
 }
 
-Status ControlState::CommitHead(const proto::LogHead& head) {
-  const NodeId node(head.node_id());
+Status ControlState::RequireLiveQueueNode(NodeId node) const {
   if (servers_.FindLive(node, proto::ROLE_QUEUE) == nullptr) {
-    return Fenced(node);
+    return {StatusCode::kFenced, "node " + node.ToString() + " is not a live queue node"};
   }
-  return partitions_.CommitHead(head, servers_);
+  return Status::Ok();
+}
+
+Status ControlState::CommitHead(const proto::LogHead& head) {
+  const Status live = RequireLiveQueueNode(NodeId(head.node_id()));
+  return live.ok() ? partitions_.CommitHead(head, servers_) : live;
 }
 
 Status ControlState::Assign(const proto::AssignPartitionsCommand& command) {
   const NodeId node(command.queue_node_id());
-  if (servers_.FindLive(node, proto::ROLE_QUEUE) == nullptr) {
-    return Fenced(node);
-  }
-  return partitions_.Assign(node, ToPartitions(command.partition_ids()));
+  const Status live = RequireLiveQueueNode(node);
+  return live.ok() ? partitions_.Assign(node, ToPartitions(command.partition_ids())) : live;
 }
 
 Status ControlState::StartReplay(const proto::StartReplayCommand& command) {
   const std::vector<proto::RecoveryAssignment> assignments(command.assignments().begin(),
                                                            command.assignments().end());
   for (const proto::RecoveryAssignment& assignment : assignments) {
-    const NodeId node(assignment.queue_node_id());
-    if (servers_.FindLive(node, proto::ROLE_QUEUE) == nullptr) {
-      return Fenced(node);
+    if (Status live = RequireLiveQueueNode(NodeId(assignment.queue_node_id())); !live.ok()) {
+      return live;
     }
   }
   return partitions_.StartReplay(NodeId(command.dead_node_id()), assignments);
@@ -136,8 +133,8 @@
 
 Status ControlState::FinishAssignment(const proto::FinishAssignmentCommand& command) {
   const NodeId node(command.queue_node_id());
-  if (servers_.FindLive(node, proto::ROLE_QUEUE) == nullptr) {
-    return Fenced(node);
+  if (Status live = RequireLiveQueueNode(node); !live.ok()) {
+    return live;
   }
   return partitions_.FinishAssignment(NodeId(command.dead_node_id()), node,
                                       ToPartitions(command.partition_ids()));
@@ -176,28 +173,36 @@
   proto::FleetUpdate update;
   update.set_from_version(delta ? known.value() : 0);
   update.set_to_version(fleet_version_.value());
-  if (!delta) {
-    for (const auto& [id, server] : servers_.servers()) {
-      if (IsLive(server) && server.role() != proto::ROLE_GATEWAY) {
-        *update.add_servers() = server;
-      }
-    }
-    for (const auto& [id, partition] : partitions_.partitions()) {
-      *update.add_partitions() = partition;
+  if (delta) {
+    AddChangesSince(known, &update);
+  } else {
+    AddFullFleet(&update);
+  }
+  return update;
+}
+
+void ControlState::AddFullFleet(proto::FleetUpdate* update) const {
+  for (const auto& [id, server] : servers_.servers()) {
+    if (IsLive(server) && server.role() != proto::ROLE_GATEWAY) {
+      *update->add_servers() = server;
     }
-    return update;
   }
+  for (const auto& [id, partition] : partitions_.partitions()) {
+    *update->add_partitions() = partition;
+  }
+}
+
+void ControlState::AddChangesSince(FleetVersion known, proto::FleetUpdate* update) const {
   for (const auto& [id, changed] : server_changed_) {
     if (changed > known) {
-      *update.add_servers() = *servers_.Find(id);
+      *update->add_servers() = *servers_.Find(id);
     }
   }
   for (const auto& [id, changed] : partition_changed_) {
     if (changed > known) {
-      *update.add_partitions() = partitions_.partitions().at(id);
+      *update->add_partitions() = partitions_.partitions().at(id);
     }
   }
-  return update;
 }
 
 std::string ControlState::TakeSnapshot() const {
--- a/src/control_state/control_state.h
+++ b/src/control_state/control_state.h
@@ -47,6 +47,8 @@
   void ApplyRegister(const proto::RegisterServerCommand& command,
                      proto::ControlCommandResult* result);
   Status DeclareDead(NodeId node);
+  /// @return kFenced unless `node` is a live queue node.
+  Status RequireLiveQueueNode(NodeId node) const;
   Status CommitHead(const proto::LogHead& head);
   Status Assign(const proto::AssignPartitionsCommand& command);
   Status StartReplay(const proto::StartReplayCommand& command);
@@ -54,6 +56,8 @@
   /// Raises the fleet version if the command changed what nodes see, and stamps what changed.
   void RecordFleetChanges();
   void DropPrunedServers();
+  void AddFullFleet(proto::FleetUpdate* update) const;
+  void AddChangesSince(FleetVersion known, proto::FleetUpdate* update) const;
 
   std::uint32_t initial_partition_count_;
   ServerRegistry servers_;
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -1,7 +1,7 @@
 #include "control_state/partition_table.h"
 
 #include <algorithm>
-#include <tuple>
+#include <compare>
 #include <utility>
 
 namespace cloverbank {
@@ -12,10 +12,16 @@
   return std::find(ids.begin(), ids.end(), partition.value()) != ids.end();
 }
 
-/// Heads are ordered by segment, then by the epoch within it.
-std::pair<std::uint64_t, std::uint64_t> PlaceOf(const proto::LogHead& head) {
-  return {head.segment_id(), head.epoch()};
-}
+/// Orders the heads of one log: by segment, then by the epoch within it.
+struct HeadPosition {
+  explicit HeadPosition(const proto::LogHead& head)
+      : segment(head.segment_id()), epoch(head.epoch()) {}
+  // NOLINTNEXTLINE(modernize-use-nullptr): as in base/ids.h.
+  auto operator<=>(const HeadPosition&) const = default;
+
+  SegmentId segment;
+  HeadEpoch epoch;
+};
 
 bool SameBackups(const proto::LogHead& left, const proto::LogHead& right,
                  const ServerRegistry& servers) {
@@ -48,15 +54,7 @@
 }
 
 void PartitionTable::OnQueueNodeDead(NodeId node) {
-  for (auto& [dead, recovery] : recoveries_) {
-    auto* assignments = recovery.mutable_assignments();
-    const auto lost =
-        std::remove_if(assignments->begin(), assignments->end(),
-                       [node](const proto::RecoveryAssignment& assignment) {
-                         return NodeId(assignment.queue_node_id()) == node && !assignment.done();
-                       });
-    assignments->erase(lost, assignments->end());
-  }
+  RevokeReplays(node);
   const bool has_log = heads_.contains(node);
   const std::vector<PartitionId> owned = OwnedBy(node);
   for (const PartitionId id : owned) {
@@ -70,6 +68,18 @@
   }
 }
 
+void PartitionTable::RevokeReplays(NodeId node) {
+  for (auto& [dead, recovery] : recoveries_) {
+    auto* assignments = recovery.mutable_assignments();
+    const auto lost =
+        std::remove_if(assignments->begin(), assignments->end(),
+                       [node](const proto::RecoveryAssignment& assignment) {
+                         return NodeId(assignment.queue_node_id()) == node && !assignment.done();
+                       });
+    assignments->erase(lost, assignments->end());
+  }
+}
+
 Status PartitionTable::CommitHead(const proto::LogHead& head, const ServerRegistry& servers) {
   if (head.segment_id() == 0 || head.backups().empty()) {
     return {StatusCode::kInvalidArgument, "a head needs a segment id and backups"};
@@ -80,10 +90,12 @@
     return Status::Ok();
   }
   LogHeads& heads = entry->second;
-  if (PlaceOf(head) == PlaceOf(heads.current) && SameBackups(head, heads.current, servers)) {
+  const HeadPosition position(head);
+  const HeadPosition committed(heads.current);
+  if (position == committed && SameBackups(head, heads.current, servers)) {
     return Status::Ok();
   }
-  if (PlaceOf(head) <= PlaceOf(heads.current)) {
+  if (position <= committed) {
     return {StatusCode::kStaleEpoch, "segment " + std::to_string(heads.current.segment_id()) +
                                          " epoch " + std::to_string(heads.current.epoch()) +
                                          " is committed already"};
@@ -117,6 +129,20 @@
   if (entry == recoveries_.end()) {
     return {StatusCode::kNotFound, "node " + dead.ToString() + " is not being recovered"};
   }
+  if (Status open = CheckOpenForReplay(dead, assignments); !open.ok()) {
+    return open;
+  }
+  for (const proto::RecoveryAssignment& assignment : assignments) {
+    proto::RecoveryAssignment* added = entry->second.add_assignments();
+    *added = assignment;
+    added->set_done(false);
+  }
+  entry->second.set_phase(proto::RECOVERY_PHASE_REPLAYING);
+  return Status::Ok();
+}
+
+Status PartitionTable::CheckOpenForReplay(
+    NodeId dead, const std::vector<proto::RecoveryAssignment>& assignments) const {
   const std::vector<PartitionId> unassigned = UnassignedOf(dead);
   std::set<PartitionId> open(unassigned.begin(), unassigned.end());
   for (const proto::RecoveryAssignment& assignment : assignments) {
@@ -126,44 +152,46 @@
       }
     }
   }
-  for (const proto::RecoveryAssignment& assignment : assignments) {
-    proto::RecoveryAssignment* added = entry->second.add_assignments();
-    *added = assignment;
-    added->set_done(false);
-  }
-  entry->second.set_phase(proto::RECOVERY_PHASE_REPLAYING);
   return Status::Ok();
 }
 
 Status PartitionTable::FinishAssignment(NodeId dead, NodeId node,
                                         const std::vector<PartitionId>& partitions) {
-  const auto recovery = recoveries_.find(dead);
-  std::vector<PartitionId> finished;
   for (const PartitionId id : partitions) {
-    const auto entry = partitions_.find(id);
-    if (entry == partitions_.end()) {
-      return {StatusCode::kNotFound, "there is no partition " + id.ToString()};
-    }
-    if (NodeId(entry->second.owner()) == node) {
-      continue;
-    }
-    const bool open = NodeId(entry->second.recovering_from()) == dead &&
-                      recovery != recoveries_.end() && IsAssigned(recovery->second, id, node);
-    if (!open) {
-      return Conflict("the replay of partition " + id.ToString() + " is not given to node " +
-                      node.ToString());
+    if (Status replayed = CheckReplayedBy(dead, node, id); !replayed.ok()) {
+      return replayed;
     }
-    finished.push_back(id);
   }
-  for (const PartitionId id : finished) {
-    SetOwner(id, node, NodeId());
+  for (const PartitionId id : partitions) {
+    if (NodeId(partitions_.at(id).owner()) != node) {
+      SetOwner(id, node, NodeId());
+    }
   }
+  const auto recovery = recoveries_.find(dead);
   if (recovery != recoveries_.end()) {
     SetDoneAssignments(dead, &recovery->second);
   }
   return Status::Ok();
 }
 
+Status PartitionTable::CheckReplayedBy(NodeId dead, NodeId node, PartitionId partition) const {
+  const auto entry = partitions_.find(partition);
+  if (entry == partitions_.end()) {
+    return {StatusCode::kNotFound, "there is no partition " + partition.ToString()};
+  }
+  if (NodeId(entry->second.owner()) == node) {
+    return Status::Ok();
+  }
+  const auto recovery = recoveries_.find(dead);
+  const bool open = NodeId(entry->second.recovering_from()) == dead &&
+                    recovery != recoveries_.end() && IsAssigned(recovery->second, partition, node);
+  if (!open) {
+    return Conflict("the replay of partition " + partition.ToString() + " is not given to node " +
+                    node.ToString());
+  }
+  return Status::Ok();
+}
+
 void PartitionTable::SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const {
   for (proto::RecoveryAssignment& assignment : *recovery->mutable_assignments()) {
     const auto& ids = assignment.partition_ids();
@@ -241,15 +269,16 @@
 
 std::set<NodeId> PartitionTable::NamedNodes() const {
   std::set<NodeId> named;
-  for (const auto& [node, heads] : heads_) {
-    named.insert(node);
-    for (const std::uint64_t backup : heads.current.backups()) {
+  const auto add_backups = [&named](const proto::LogHead& head) {
+    for (const std::uint64_t backup : head.backups()) {
       named.insert(NodeId(backup));
     }
+  };
+  for (const auto& [node, heads] : heads_) {
+    named.insert(node);
+    add_backups(heads.current);
     if (heads.previous.has_value()) {
-      for (const std::uint64_t backup : heads.previous->backups()) {
-        named.insert(NodeId(backup));
-      }
+      add_backups(*heads.previous);
     }
   }
   return named;
--- a/src/control_state/partition_table.h
+++ b/src/control_state/partition_table.h
@@ -85,6 +85,14 @@
 
  private:
   void SetOwner(PartitionId partition, NodeId owner, NodeId recovering_from);
+  /// Removes the unfinished assignments of `node` from all recoveries.
+  void RevokeReplays(NodeId node);
+  /// @return kConflict if any partition of the assignments is not `UnassignedOf(dead)`, or is named
+  /// twice.
+  Status CheckOpenForReplay(NodeId dead,
+                            const std::vector<proto::RecoveryAssignment>& assignments) const;
+  /// @return OK if `node` owns the partition already or is assigned its replay.
+  Status CheckReplayedBy(NodeId dead, NodeId node, PartitionId partition) const;
   bool IsAssigned(const proto::Recovery& recovery, PartitionId partition, NodeId node) const;
   void SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const;
   bool AnyRecoveringFrom(NodeId dead) const;
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -1,6 +1,7 @@
 #include "control_state/transaction_validator.h"
 
 #include <algorithm>
+#include <compare>
 #include <map>
 #include <optional>
 #include <set>
@@ -32,6 +33,14 @@
   return std::nullopt;
 }
 
+/// The part of a request by which an HTTP route is found.
+struct HttpLocation {
+  std::string host;
+  std::string path_prefix;
+  // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the 0 in `a < b`.
+  auto operator<=>(const HttpLocation&) const = default;
+};
+
 /// One check of one transaction: collects the problems.
 class ChangeCheck {
  public:
@@ -44,7 +53,12 @@
  private:
   void Add(const ConfigurationObjectKey& key, const std::string& problem);
   void GatherResult();
+  void ApplyToResult(const proto::ConfigurationChange& change);
   void CheckChange(int index, const proto::ConfigurationChange& change);
+  /// Requires that no earlier change is about the object of `key`.
+  void CheckUnique(int index, const ConfigurationObjectKey& key);
+  void CheckName(const ConfigurationObjectKey& key);
+  void CheckObject(const proto::ConfigurationChange& change, const ConfigurationObjectKey& key);
   void CheckRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckRouteZones(const proto::Route& route, const ConfigurationObjectKey& key);
@@ -98,21 +112,35 @@
     }
   }
   for (const proto::ConfigurationChange& change : transaction_.changes()) {
-    if (change.has_set_zone()) {
+    ApplyToResult(change);
+  }
+}
+
+void ChangeCheck::ApplyToResult(const proto::ConfigurationChange& change) {
+  switch (change.change_case()) {
+    case proto::ConfigurationChange::kSetZone:
       zones_[change.set_zone().name()] = change.set_zone();
-    } else if (change.change_case() == proto::ConfigurationChange::kRemoveZone) {
+      return;
+    case proto::ConfigurationChange::kEnsureZone:
+      zones_.emplace(change.ensure_zone().name(), change.ensure_zone());
+      return;
+    case proto::ConfigurationChange::kRemoveZone:
       zones_.erase(change.remove_zone());
-    } else if (change.has_set_route()) {
+      return;
+    case proto::ConfigurationChange::kSetRoute:
       routes_[change.set_route().name()] = change.set_route();
-    } else if (change.change_case() == proto::ConfigurationChange::kRemoveRoute) {
+      return;
+    case proto::ConfigurationChange::kRemoveRoute:
       routes_.erase(change.remove_route());
-    } else if (change.has_ensure_zone()) {
-      zones_.emplace(change.ensure_zone().name(), change.ensure_zone());
-    } else if (change.has_set_backend()) {
+      return;
+    case proto::ConfigurationChange::kSetBackend:
       backends_.insert(change.set_backend().name());
-    } else if (change.change_case() == proto::ConfigurationChange::kRemoveBackend) {
+      return;
+    case proto::ConfigurationChange::kRemoveBackend:
       backends_.erase(change.remove_backend());
-    }
+      return;
+    default:
+      return;
   }
 }
 
@@ -122,16 +150,29 @@
     Add(key, "change " + std::to_string(index + 1) + " sets and removes nothing; leave it out");
     return;
   }
+  CheckUnique(index, key);
+  CheckName(key);
+  CheckObject(change, key);
+}
+
+void ChangeCheck::CheckUnique(int index, const ConfigurationObjectKey& key) {
   const auto [first, fresh] = seen_.emplace(key, index);
   if (!fresh) {
     Add(key, "changed twice, by changes " + std::to_string(first->second + 1) + " and " +
                  std::to_string(index + 1) + "; keep one");
   }
+}
+
+void ChangeCheck::CheckName(const ConfigurationObjectKey& key) {
   const bool named =
       key.kind != ConfigurationObjectKind::kBatch && key.kind != ConfigurationObjectKind::kDocument;
   if (const auto problem = NameProblem(key.name); named && problem.has_value()) {
     Add(key, *problem);
   }
+}
+
+void ChangeCheck::CheckObject(const proto::ConfigurationChange& change,
+                              const ConfigurationObjectKey& key) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
       return CheckRoute(change.set_route(), key);
@@ -185,12 +226,12 @@
 }
 
 void ChangeCheck::CheckPlaces() {
-  std::map<std::pair<std::string, std::string>, std::string> taken;
+  std::map<HttpLocation, std::string> taken;
   for (const auto& [name, route] : routes_) {
     if (route.backend_kind() != proto::BACKEND_KIND_HTTP) {
       continue;
     }
-    const auto [first, fresh] = taken.emplace(std::pair(route.host(), route.path_prefix()), name);
+    const auto [first, fresh] = taken.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
     if (!fresh) {
       Add({ConfigurationObjectKind::kRoute, name},
           "has the same host and path_prefix as route \"" + first->second + "\"");
