--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -7,25 +7,43 @@
 #include "leader/partition_placement.h"
 
 namespace cloverbank {
+namespace {
+
+std::size_t RemainingCalls(std::size_t limit, std::size_t in_flight) {
+  return limit - std::min(limit, in_flight);
+}
+
+std::string Join(const std::vector<std::string>& parts) {
+  std::string text;
+  for (const std::string& part : parts) {
+    text += (text.empty() ? "" : "; ") + part;
+  }
+  return text;
+}
+
+}  // namespace
 
 std::vector<RecoveryAction> RecoveryManager::Step(const ControlState& state,
                                                   const RecoveryFacts& facts) {
+  ForgetFinished(state);
+  available_reading_calls_ =
+      RemainingCalls(options_.most_readings, CountUnderWay(&Progress::readings));
+  available_release_calls_ =
+      RemainingCalls(options_.most_releases, CountUnderWay(&Progress::releases));
+  std::vector<RecoveryAction> actions;
+  for (const auto& [dead, recovery] : state.partitions().recoveries()) {
+    StepOne(state, recovery, facts, &actions);
+  }
+  return actions;
+}
+
+void RecoveryManager::ForgetFinished(const ControlState& state) {
   const auto& recoveries = state.partitions().recoveries();
   std::erase_if(progress_,
                 [&recoveries](const auto& entry) { return !recoveries.contains(entry.first); });
   std::erase_if(proposed_, [&state](const auto& entry) {
     return state.partitions().UnassignedOf(entry.first).empty();
   });
-  const auto room = [](std::size_t most, std::size_t under_way) {
-    return most - std::min(most, under_way);
-  };
-  available_reading_calls_ = room(options_.most_readings, CountUnderWay(&Progress::readings));
-  available_release_calls_ = room(options_.most_releases, CountUnderWay(&Progress::releases));
-  std::vector<RecoveryAction> actions;
-  for (const auto& [dead, recovery] : recoveries) {
-    StepOne(state, recovery, facts, &actions);
-  }
-  return actions;
 }
 
 void RecoveryManager::StepOne(const ControlState& state, const proto::Recovery& recovery,
@@ -129,33 +147,43 @@
 void RecoveryManager::SendReplays(const ControlState& state, const proto::Recovery& recovery,
                                   TimePoint now, Progress* progress,
                                   std::vector<RecoveryAction>* actions) const {
-  std::map<NodeId, proto::RecoverPartitionsRequest> requests;
-  for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
-    if (!assignment.done()) {
-      requests[NodeId(assignment.queue_node_id())].mutable_partition_ids()->MergeFrom(
-          assignment.partition_ids());
-    }
-  }
-  for (auto& [node, request] : requests) {
+  for (auto& [node, request] : UnfinishedReplays(recovery)) {
     const proto::Server* server = state.servers().FindLive(node, proto::ROLE_QUEUE);
     if (server == nullptr || now < progress->next_replay[node]) {
       continue;
     }
     progress->next_replay[node] = now + options_.replay_interval;
-    request.set_dead_node_id(recovery.dead_node_id());
-    request.set_queue_node_id(node.value());
-    for (const AssembledSegment& segment : progress->log.segments) {
-      proto::RecoverySegment* entry = request.add_segments();
-      entry->set_segment_id(segment.segment.value());
-      for (const NodeId backup : segment.backups) {
-        *entry->add_backups() = state.servers().Find(backup)->peer_endpoint();
-      }
-    }
+    AddSegments(state, progress->log, &request);
     actions->push_back(
         RecoverPartitionsAction{ToEndpoint(server->peer_endpoint()), std::move(request)});
   }
 }
 
+std::map<NodeId, proto::RecoverPartitionsRequest> RecoveryManager::UnfinishedReplays(
+    const proto::Recovery& recovery) {
+  std::map<NodeId, proto::RecoverPartitionsRequest> requests;
+  for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
+    if (!assignment.done()) {
+      proto::RecoverPartitionsRequest& request = requests[NodeId(assignment.queue_node_id())];
+      request.set_dead_node_id(recovery.dead_node_id());
+      request.set_queue_node_id(assignment.queue_node_id());
+      request.mutable_partition_ids()->MergeFrom(assignment.partition_ids());
+    }
+  }
+  return requests;
+}
+
+void RecoveryManager::AddSegments(const ControlState& state, const AssembledLog& log,
+                                  proto::RecoverPartitionsRequest* request) {
+  for (const AssembledSegment& segment : log.segments) {
+    proto::RecoverySegment* entry = request->add_segments();
+    entry->set_segment_id(segment.segment.value());
+    for (const NodeId backup : segment.backups) {
+      *entry->add_backups() = state.servers().Find(backup)->peer_endpoint();
+    }
+  }
+}
+
 void RecoveryManager::Release(const ControlState& state, NodeId dead, TimePoint now,
                               Progress* progress, std::vector<RecoveryAction>* actions) {
   bool all_done = true;
@@ -213,34 +241,42 @@
   if (entry == progress_.end() || recovery == state.partitions().recoveries().end()) {
     return {};
   }
-  const bool releasing = recovery->second.phase() == proto::RECOVERY_PHASE_RELEASING;
-  std::string text;
-  const auto add = [&text](const std::string& part) { text += (text.empty() ? "" : "; ") + part; };
-  if (!releasing) {
-    for (const std::string& missing : entry->second.log.missing) {
-      add(missing);
-    }
+  const Progress& progress = entry->second;
+  std::vector<std::string> awaited;
+  if (recovery->second.phase() == proto::RECOVERY_PHASE_RELEASING) {
+    DescribeAwaitedBackups(state, progress.releases, &awaited);
+  } else if (!progress.log.complete()) {
+    awaited = progress.log.missing;
+    DescribeAwaitedBackups(state, progress.readings, &awaited);
+  } else {
+    DescribeAwaitedReplays(state, recovery->second, &awaited);
   }
-  const bool needs_backups = releasing || !entry->second.log.complete();
-  for (const auto& [backup, call] : releasing ? entry->second.releases : entry->second.readings) {
+  return Join(awaited);
+}
+
+void RecoveryManager::DescribeAwaitedBackups(const ControlState& state, const Calls& calls,
+                                             std::vector<std::string>* awaited) {
+  for (const auto& [backup, call] : calls) {
     const proto::Server* server = state.servers().FindLive(backup, proto::ROLE_BACKUP);
-    if (needs_backups && server != nullptr && !call.done) {
-      add("an answer of the backup on " + server->machine() +
-          (call.failure.empty() ? "" : " (" + call.failure + ")"));
+    if (server != nullptr && !call.done) {
+      awaited->push_back("an answer of the backup on " + server->machine() +
+                         (call.failure.empty() ? "" : " (" + call.failure + ")"));
     }
   }
-  if (!releasing && entry->second.log.complete()) {
-    if (EligibleQueueNodes(state, {}).empty()) {
-      add("a queue node to replay the log");
-    }
-    for (const proto::RecoveryAssignment& assignment : recovery->second.assignments()) {
-      if (!assignment.done()) {
-        add("node " + std::to_string(assignment.queue_node_id()) + " to replay " +
-            std::to_string(assignment.partition_ids_size()) + " partitions");
-      }
+}
+
+void RecoveryManager::DescribeAwaitedReplays(const ControlState& state,
+                                             const proto::Recovery& recovery,
+                                             std::vector<std::string>* awaited) {
+  if (EligibleQueueNodes(state, {}).empty()) {
+    awaited->emplace_back("a queue node to replay the log");
+  }
+  for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
+    if (!assignment.done()) {
+      awaited->push_back("node " + std::to_string(assignment.queue_node_id()) + " to replay " +
+                         std::to_string(assignment.partition_ids_size()) + " partitions");
     }
   }
-  return text;
 }
 
 }  // namespace cloverbank
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -106,6 +106,10 @@
     std::map<NodeId, TimePoint> next_replay;  // By queue node.
   };
 
+  using Calls = std::map<NodeId, Call>;  // By backup.
+
+  /// Drops the progress of recoveries that are over and placements that the state shows.
+  void ForgetFinished(const ControlState& state);
   void StepOne(const ControlState& state, const proto::Recovery& recovery,
                const RecoveryFacts& facts, std::vector<RecoveryAction>* actions);
   void Read(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
@@ -119,7 +123,15 @@
                    Progress* progress, std::vector<RecoveryAction>* actions) const;
   void Release(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
                std::vector<RecoveryAction>* actions);
-  using Calls = std::map<NodeId, Call>;  // By backup.
+  /// @return by queue node, the requests for its unfinished assignments, without segments.
+  static std::map<NodeId, proto::RecoverPartitionsRequest> UnfinishedReplays(
+      const proto::Recovery& recovery);
+  static void AddSegments(const ControlState& state, const AssembledLog& log,
+                          proto::RecoverPartitionsRequest* request);
+  static void DescribeAwaitedBackups(const ControlState& state, const Calls& calls,
+                                     std::vector<std::string>* awaited);
+  static void DescribeAwaitedReplays(const ControlState& state, const proto::Recovery& recovery,
+                                     std::vector<std::string>* awaited);
   /// @return how many calls of a kind are under way.
   std::size_t CountUnderWay(Calls Progress::*kind) const;
   /// @return whether the call is due now and `room` is left; marks it as under way.
