--- /dev/null
+++ b/src/coordinator/leader_session.cc
@@ -0,0 +1,60 @@
+#include "coordinator/leader_session.h"
+
+#include <utility>
+
+#include "base/logging.h"
+
+namespace cloverbank {
+namespace {
+
+/// Gap between two ticks above which this process was frozen or starved.
+constexpr Duration kTickGapLimit = seconds(1);
+
+}  // namespace
+
+LeaderSession::LeaderSession(LeaderContext& context, CommandProposer& proposer,
+                             LeaderController& leader_controller, std::function<void()> on_begin)
+    : context_(context),
+      proposer_(proposer),
+      leader_controller_(leader_controller),
+      on_begin_(std::move(on_begin)) {}
+
+void LeaderSession::Begin() {
+  const TimePoint now = context_.environment.Now();
+  Log(LogLevel::kInfo, "coordinator_became_leader", {{"term", context_.log.term()}});
+  leading_ = true;
+  term_ = context_.log.term();
+  last_able_ = now;
+  context_.leases.Start(now, context_.state.servers().next_node_id());
+  context_.detector.Start(now);
+  context_.condemned.clear();
+  context_.doubtful.clear();
+  context_.loads.clear();
+  proposer_.Reset();
+  leader_controller_.Begin();
+  on_begin_();
+}
+
+bool LeaderSession::EnsureReady() {
+  if (!context_.CanAnswer()) {
+    return false;
+  }
+  if (!leading_ || term_ != context_.log.term()) {
+    Begin();
+  }
+  return true;
+}
+
+void LeaderSession::RecordTick() {
+  if (!context_.CanAnswer()) {
+    return;
+  }
+  const TimePoint now = context_.environment.Now();
+  const Duration gap = now - last_able_ - context_.options.tick;
+  if (leading_ && gap > kTickGapLimit) {
+    context_.detector.SkipPause(gap, now);
+  }
+  last_able_ = now;
+}
+
+}  // namespace cloverbank
