--- a/src/control_state/server_registry.h
+++ b/src/control_state/server_registry.h
@@ -27,6 +27,11 @@
   return server.state() != proto::SERVER_STATE_DEAD;
 }
 
+/// Whether a live backup counts as a place for replicas: on a store machine that is not retired.
+inline bool IsActiveStoreBackup(const proto::Server& backup) {
+  return !backup.spare() && backup.state() == proto::SERVER_STATE_UP;
+}
+
 class ServerRegistry {
  public:
   /// Dead servers kept, so that a node that lags gets them in a delta and a log's head can name the
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -1,7 +1,11 @@
 #include "coordinator/fleet_problems.h"
 
 #include <algorithm>
+#include <compare>
 #include <set>
+#include <utility>
+
+#include "coordinator/remaining_drain_work.h"
 
 namespace cloverbank {
 namespace {
@@ -17,36 +21,14 @@
   return role == proto::ROLE_QUEUE ? "queue node" : "backup";
 }
 
-/// What is left on a machine that is being emptied.
-struct RemainingDrainWork {
-  std::size_t partitions = 0;
-  std::size_t replicas = 0;
-  bool unknown = false;  ///< Something is not known yet, so it can not be called empty.
-  bool live = false;
-  bool Nothing() const { return partitions == 0 && replicas == 0 && !unknown; }
+/// A role on a machine: what an operator sees as one server over its restarts.
+struct MachineRole {
+  std::string machine;
+  proto::Role role = proto::ROLE_UNSPECIFIED;
+  // NOLINTNEXTLINE(modernize-use-nullptr): as in base/ids.h.
+  auto operator<=>(const MachineRole&) const = default;
 };
 
-RemainingDrainWork RestOn(const FleetFacts& facts, const std::string& machine) {
-  RemainingDrainWork rest;
-  for (const auto& [id, server] : facts.state.servers().servers()) {
-    if (server.machine() != machine) {
-      continue;
-    }
-    rest.unknown = rest.unknown || facts.state.partitions().recoveries().contains(id);
-    if (!IsLive(server)) {
-      continue;
-    }
-    rest.live = true;
-    rest.partitions += facts.state.partitions().LoadOf(id);
-    if (server.role() == proto::ROLE_BACKUP) {
-      const std::optional<std::size_t> found = facts.sweeper.ReplicasOn(id);
-      rest.unknown = rest.unknown || !found.has_value();
-      rest.replicas += found.value_or(0);
-    }
-  }
-  return rest;
-}
-
 class Description {
  public:
   explicit Description(const FleetFacts& facts) : facts_(facts) {}
@@ -67,6 +49,7 @@
   void DescribeCoordinators();
   void DescribeLostServers();
   void DescribeBackups();
+  void DescribeFreeDisk(const proto::Server& backup);
   void DescribeQueueNodes();
   void DescribePartitions();
   void DescribeRecoveries();
@@ -99,10 +82,10 @@
 
 void Description::DescribeLostServers() {
   const ServerRegistry& servers = facts_.state.servers();
-  std::set<std::pair<std::string, proto::Role>> live;
-  std::map<std::pair<std::string, proto::Role>, const proto::Server*> lost;
+  std::set<MachineRole> live;
+  std::map<MachineRole, const proto::Server*> lost;
   for (const auto& [id, server] : servers.servers()) {
-    const auto key = std::make_pair(server.machine(), server.role());
+    const MachineRole key{server.machine(), server.role()};
     if (IsLive(server)) {
       live.insert(key);
     } else {
@@ -110,8 +93,8 @@
     }
   }
   for (const auto& [key, server] : lost) {
-    if (!live.contains(key) && !servers.retired_machines().contains(key.first)) {
-      Add("the " + RoleName(key.second) + " on " + Name(*server) +
+    if (!live.contains(key) && !servers.retired_machines().contains(key.machine)) {
+      Add("the " + RoleName(key.role) + " on " + Name(*server) +
           " is gone; restart the machine, replace it, or retire it for good");
     }
   }
@@ -120,14 +103,8 @@
 void Description::DescribeBackups() {
   std::uint32_t stores = 0;
   for (const proto::Server* backup : facts_.state.servers().Live(proto::ROLE_BACKUP)) {
-    const bool counts = !backup->spare() && backup->state() == proto::SERVER_STATE_UP;
-    stores += counts ? 1 : 0;
-    const NodeLoad* load = LoadOf(*backup);
-    // 0 is what a backup reports that has not looked yet.
-    if (load != nullptr && load->free_bytes != 0 && load->free_bytes < kNearlyFullBytes) {
-      Add("the backup on " + Name(*backup) + " has only " +
-          std::to_string(load->free_bytes >> 20U) + " MiB of disk left; free or add disk");
-    }
+    stores += IsActiveStoreBackup(*backup) ? 1 : 0;
+    DescribeFreeDisk(*backup);
   }
   if (stores < facts_.options.wanted_store_backups) {
     Add("only " + std::to_string(stores) + " of " +
@@ -137,6 +114,15 @@
   }
 }
 
+void Description::DescribeFreeDisk(const proto::Server& backup) {
+  const NodeLoad* load = LoadOf(backup);
+  // 0 is what a backup reports that has not looked yet.
+  if (load != nullptr && load->free_bytes != 0 && load->free_bytes < kNearlyFullBytes) {
+    Add("the backup on " + Name(backup) + " has only " + std::to_string(load->free_bytes >> 20U) +
+        " MiB of disk left; free or add disk");
+  }
+}
+
 void Description::DescribeQueueNodes() {
   for (const proto::Server* node : facts_.state.servers().Live(proto::ROLE_QUEUE)) {
     const NodeLoad* load = LoadOf(*node);
@@ -178,8 +164,9 @@
 }
 
 void Description::DescribeRetirement(const std::string& machine) {
-  const RemainingDrainWork rest = RestOn(facts_, machine);
-  if (!rest.Nothing()) {
+  const RemainingDrainWork rest =
+      ComputeRemainingDrainWork(facts_.state, facts_.sweeper, machine);
+  if (!rest.IsDone()) {
     Add("machine " + machine + " is being emptied: " + std::to_string(rest.partitions) +
         " partitions and " + std::to_string(rest.replicas) +
         " segment replicas are left; do not stop it yet");
@@ -211,10 +198,6 @@
 
 }  // namespace
 
-bool HoldsNothing(const FleetFacts& facts, const std::string& machine) {
-  return RestOn(facts, machine).Nothing();
-}
-
 std::vector<std::string> DescribeProblems(const FleetFacts& facts) {
   return Description(facts).Run();
 }
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -27,8 +27,4 @@
 /// @return one sentence a problem; empty if all is well.
 std::vector<std::string> DescribeProblems(const FleetFacts& facts);
 
-/// @return whether nothing is left on a machine that is being emptied: no partition, no replica, no
-/// recovery of a log that it wrote.
-bool HoldsNothing(const FleetFacts& facts, const std::string& machine);
-
 }  // namespace cloverbank
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -1,38 +1,62 @@
 #include "coordinator/heartbeat_handler.h"
 
 #include <algorithm>
-#include <set>
-#include <string_view>
+#include <string>
 #include <utility>
 
 #include "control_state/proto_endpoint.h"
+#include "coordinator/gateway_neighbours.h"
 #include "leader/partition_placement.h"
 
 namespace cloverbank {
 namespace {
 
-/// Gateways of its zone that a gateway is told of.
-constexpr std::size_t kMostNeighbours = 32;
-/// Gateways that a gateway may ask for the list of replicas.
-constexpr std::size_t kMostListSources = 3;
-
-Status Fenced(std::uint64_t node_id, const std::string& reason) {
-  return {StatusCode::kFenced, "node " + std::to_string(node_id) + " " + reason +
-                                   "; stop using the id and register again"};
+std::string Describe(HeartbeatRefusal refusal) {
+  switch (refusal) {
+    case HeartbeatRefusal::kUnknown:
+      return "is not registered";
+    case HeartbeatRefusal::kDead:
+      return "was declared dead";
+    case HeartbeatRefusal::kOtherIncarnation:
+      return "belongs to another process life";
+    case HeartbeatRefusal::kSuperseded:
+      return "is superseded by a later life of its machine";
+    case HeartbeatRefusal::kRetiring:
+      return "is being retired and hands its partitions over";
+    case HeartbeatRefusal::kNotLeader:
+      break;
+  }
+  return "was refused";
 }
 
 }  // namespace
 
+std::string_view HeartbeatRefusalName(HeartbeatRefusal refusal) {
+  switch (refusal) {
+    case HeartbeatRefusal::kNotLeader:
+      return "not_leader";
+    case HeartbeatRefusal::kUnknown:
+      return "unknown";
+    case HeartbeatRefusal::kDead:
+      return "dead";
+    case HeartbeatRefusal::kOtherIncarnation:
+      return "incarnation";
+    case HeartbeatRefusal::kSuperseded:
+      return "superseded";
+    case HeartbeatRefusal::kRetiring:
+      return "retiring";
+  }
+  return "invalid";
+}
+
 void HeartbeatHandler::Handle(const proto::HeartbeatRequest& request, Reply reply) {
   if (!context_.CanAnswer()) {
-    context_.environment.metrics().Increment("coordinator_heartbeat_refused_total",
-                                             {{"reason", "not_leader"}});
+    CountRefusal(HeartbeatRefusal::kNotLeader);
     reply(context_.NotLeader());
     return;
   }
-  const Status sender = CheckSender(request);
-  if (!sender.ok()) {
-    reply(sender);
+  if (const auto refusal = FindRefusal(request); refusal.has_value()) {
+    Fence(request, *refusal, reply);
     return;
   }
   HandleReport(request);
@@ -45,29 +69,38 @@
   }
 }
 
-Status HeartbeatHandler::CheckSender(const proto::HeartbeatRequest& request) const {
-  const auto refuse = [this, &request](std::string_view reason, const std::string& words) {
-    context_.environment.metrics().Increment("coordinator_heartbeat_refused_total",
-                                             {{"reason", reason}});
-    return Fenced(request.node_id(), words);
-  };
+std::optional<HeartbeatRefusal> HeartbeatHandler::FindRefusal(
+    const proto::HeartbeatRequest& request) const {
   const proto::Server* server = context_.state.servers().Find(NodeId(request.node_id()));
   if (server == nullptr) {
-    return refuse("unknown", "is not registered");
+    return HeartbeatRefusal::kUnknown;
   }
   if (!IsLive(*server)) {
-    return refuse("dead", "was declared dead");
+    return HeartbeatRefusal::kDead;
   }
   if (server->incarnation() != request.incarnation()) {
-    return refuse("incarnation", "belongs to another process life");
+    return HeartbeatRefusal::kOtherIncarnation;
   }
   if (context_.state.servers().FindLaterIncarnation(*server).valid()) {
-    return refuse("superseded", "is superseded by a later life of its machine");
+    return HeartbeatRefusal::kSuperseded;
   }
   if (MustHandOver(context_.state, *server, context_.doubtful)) {
-    return refuse("retiring", "is being retired and hands its partitions over");
+    return HeartbeatRefusal::kRetiring;
   }
-  return Status::Ok();
+  return std::nullopt;
+}
+
+void HeartbeatHandler::Fence(const proto::HeartbeatRequest& request, HeartbeatRefusal refusal,
+                             const Reply& reply) {
+  CountRefusal(refusal);
+  reply(Status(StatusCode::kFenced, "node " + std::to_string(request.node_id()) + " " +
+                                        Describe(refusal) +
+                                        "; stop using the id and register again"));
+}
+
+void HeartbeatHandler::CountRefusal(HeartbeatRefusal refusal) {
+  context_.environment.metrics().Increment("coordinator_heartbeat_refused_total",
+                                           {{"reason", HeartbeatRefusalName(refusal)}});
 }
 
 void HeartbeatHandler::HandleReport(const proto::HeartbeatRequest& request) {
@@ -84,9 +117,8 @@
 
 bool HeartbeatHandler::AnswerIfDue(PendingHeartbeat& pending) {
   const NodeId node(pending.request.node_id());
-  const Status sender = CheckSender(pending.request);
-  if (!sender.ok()) {
-    pending.reply(sender);
+  if (const auto refusal = FindRefusal(pending.request); refusal.has_value()) {
+    Fence(pending.request, *refusal, pending.reply);
     return true;
   }
   if (context_.condemned.contains(node)) {
@@ -125,53 +157,12 @@
   for (const LogMember& member : context_.log.members()) {
     *response.add_coordinators() = ToProto(member.endpoint);
   }
-  AddGateways(NodeId(pending.request.node_id()), &response);
+  AddGatewayNeighbours(context_.state, NodeId(pending.request.node_id()), &response);
   context_.leases.Grant(NodeId(pending.request.node_id()), configuration.version(),
                         pending.arrival);
   return response;
 }
 
-void HeartbeatHandler::AddGateways(NodeId node, proto::HeartbeatResponse* response) const {
-  const proto::Server* self = context_.state.servers().FindLive(node, proto::ROLE_GATEWAY);
-  if (self == nullptr) {
-    return;
-  }
-  const std::vector<const proto::Server*> all = context_.state.servers().Live(proto::ROLE_GATEWAY);
-  std::vector<const proto::Server*> zone = all;
-  std::erase_if(zone, [self](const proto::Server* other) { return other->zone() != self->zone(); });
-  const auto own =
-      static_cast<std::size_t>(std::find(zone.begin(), zone.end(), self) - zone.begin());
-  response->set_zone_gateway_count(static_cast<std::uint32_t>(zone.size()));
-  response->set_zone_gateway_index(static_cast<std::uint32_t>(own));
-  // Those that follow in the ring of ids: with many gateways each knows a few, and all are known.
-  const std::size_t neighbours = std::min(kMostNeighbours, zone.size() - 1);
-  for (std::size_t step = 1; step <= neighbours; ++step) {
-    *response->add_neighbours() = zone[(own + step) % zone.size()]->peer_endpoint();
-  }
-  for (std::size_t rank = 0; rank < std::min(kMostListSources, own); ++rank) {
-    *response->add_list_sources() = zone[rank]->peer_endpoint();
-  }
-  if (own == 0) {
-    AddRemoteListSources(all, *self, response);
-  }
-}
-
-void HeartbeatHandler::AddRemoteListSources(const std::vector<const proto::Server*>& gateways,
-                                            const proto::Server& self,
-                                            proto::HeartbeatResponse* response) {
-  std::set<std::string_view> zones;
-  for (const proto::Server* gateway : gateways) {
-    const bool enough =
-        static_cast<std::size_t>(response->remote_list_sources_size()) >= kMostListSources;
-    if (gateway == &self || enough) {
-      return;
-    }
-    if (zones.insert(gateway->zone()).second) {
-      *response->add_remote_list_sources() = gateway->peer_endpoint();
-    }
-  }
-}
-
 void HeartbeatHandler::Review() {
   if (!context_.CanAnswer()) {
     RefuseAll();
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -3,9 +3,11 @@
 /// Answers heartbeats: holds each until the configuration or the fleet changes or its time is over,
 /// then answers it with what is new and a lease. Leases are granted here and nowhere else.
 
+#include <cstdint>
 #include <functional>
 #include <list>
-#include <vector>
+#include <optional>
+#include <string_view>
 
 #include "base/status.h"
 #include "leader/leader_context.h"
@@ -13,6 +15,19 @@
 
 namespace cloverbank {
 
+/// Why a heartbeat is refused.
+enum class HeartbeatRefusal : std::uint8_t {
+  kNotLeader,         ///< This member may not answer.
+  kUnknown,           ///< No such node id is registered.
+  kDead,              ///< The node was declared dead.
+  kOtherIncarnation,  ///< The node id belongs to another process.
+  kSuperseded,        ///< A later incarnation of the machine is registered.
+  kRetiring,          ///< The node must hand its partitions over (`MustHandOver`).
+};
+
+/// @return the name in metrics.
+std::string_view HeartbeatRefusalName(HeartbeatRefusal refusal);
+
 class HeartbeatHandler {
  public:
   using Reply = std::function<void(Result<proto::HeartbeatResponse>)>;
@@ -33,15 +48,14 @@
     Reply reply;
   };
 
-  /// @return OK, or why the sender must not go on under its node id.
-  Status CheckSender(const proto::HeartbeatRequest& request) const;
+  /// @return why the sender must not go on under its node id; none if it may.
+  std::optional<HeartbeatRefusal> FindRefusal(const proto::HeartbeatRequest& request) const;
+  /// Refuses with kFenced.
+  void Fence(const proto::HeartbeatRequest& request, HeartbeatRefusal refusal, const Reply& reply);
+  void CountRefusal(HeartbeatRefusal refusal);
   void HandleReport(const proto::HeartbeatRequest& request);
   /// @return whether it was answered.
   bool AnswerIfDue(PendingHeartbeat& pending);
-  void AddGateways(NodeId node, proto::HeartbeatResponse* response) const;
-  /// Names the first gateways of the zones that come before `self`, itself the first of its zone.
-  static void AddRemoteListSources(const std::vector<const proto::Server*>& gateways,
-                                   const proto::Server& self, proto::HeartbeatResponse* response);
   /// Whether the sender acts by a configuration and has told an older one than the current.
   bool NeedsConfiguration(const proto::HeartbeatRequest& request) const;
   proto::HeartbeatResponse Grant(const PendingHeartbeat& pending);
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -5,6 +5,7 @@
 
 #include "control_state/proto_endpoint.h"
 #include "coordinator/fleet_problems.h"
+#include "coordinator/remaining_drain_work.h"
 #include "coordinator/transaction_handler.h"
 
 namespace cloverbank {
@@ -12,8 +13,7 @@
 bool OperatorRequests::EnoughWithout(const std::string& machine) const {
   std::set<std::string> remaining;
   for (const proto::Server* backup : context_.state.servers().Live(proto::ROLE_BACKUP)) {
-    const bool counts = !backup->spare() && backup->state() == proto::SERVER_STATE_UP;
-    if (counts && backup->machine() != machine) {
+    if (IsActiveStoreBackup(*backup) && backup->machine() != machine) {
       remaining.insert(backup->machine());
     }
   }
@@ -63,10 +63,12 @@
                  "there is no store machine called \"" + request.machine() + "\""));
     return;
   }
-  const std::vector<LogMember> members = context_.log.members();
   proto::GetRetirementResponse response;
   response.set_ordered(context_.state.servers().retired_machines().contains(request.machine()));
-  response.set_empty(response.ordered() && HoldsNothing(Facts(members), request.machine()));
+  response.set_empty(response.ordered() &&
+                     ComputeRemainingDrainWork(context_.state, leader_controller_.sweeper(),
+                                               request.machine())
+                         .IsDone());
   reply(std::move(response));
 }
 
@@ -87,17 +89,22 @@
   proto::GetFleetStatusResponse response;
   FillFleet(&response);
   const std::vector<LogMember> members = context_.log.members();
+  FillCoordinators(members, &response);
+  for (std::string& problem : DescribeProblems(Facts(members))) {
+    response.add_problems(std::move(problem));
+  }
+  reply(std::move(response));
+}
+
+void OperatorRequests::FillCoordinators(const std::vector<LogMember>& members,
+                                        proto::GetFleetStatusResponse* response) const {
   for (const LogMember& member : members) {
-    proto::CoordinatorMember* entry = response.add_coordinators();
+    proto::CoordinatorMember* entry = response->add_coordinators();
     entry->set_member_id(member.member_id);
     *entry->mutable_endpoint() = ToProto(member.endpoint);
     entry->set_learner(member.learner);
     entry->set_leader(member.endpoint == context_.log.leader_endpoint());
   }
-  for (std::string& problem : DescribeProblems(Facts(members))) {
-    response.add_problems(std::move(problem));
-  }
-  reply(std::move(response));
 }
 
 FleetFacts OperatorRequests::Facts(const std::vector<LogMember>& members) const {
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -32,10 +32,12 @@
 
  private:
   void FillFleet(proto::GetFleetStatusResponse* response) const;
-  /// @return node ids of the machine's live store roles.
+  void FillCoordinators(const std::vector<LogMember>& members,
+                        proto::GetFleetStatusResponse* response) const;
   FleetFacts Facts(const std::vector<LogMember>& members) const;
   /// Whether enough store machines that are not being emptied would be left without `machine`.
   bool EnoughWithout(const std::string& machine) const;
+  /// @return node ids of the live queue nodes and backups on `machine`.
   std::vector<NodeId> StoreNodesOf(const std::string& machine) const;
 
   LeaderContext& context_;
