--- a/src/leader/arrival_gate.cc
+++ b/src/leader/arrival_gate.cc
@@ -10,12 +10,21 @@
 void ArrivalGate::Reset() {
   known_.clear();
   last_arrival_ = TimePoint();
-  waiting_ = false;
+  waiting_since_.reset();
 }
 
-bool ArrivalGate::IsOpen(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
+bool ArrivalGate::Update(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
                          TimePoint now) {
-  std::vector<NodeId> eligible = EligibleQueueNodes(state, doubtful);
+  RecordArrivals(EligibleQueueNodes(state, doubtful), now);
+  if (!waiting || known_.empty()) {
+    waiting_since_.reset();
+    return false;
+  }
+  waiting_since_ = waiting_since_.value_or(now);
+  return now - last_arrival_ >= quiet_ || now - *waiting_since_ >= longest_;
+}
+
+void ArrivalGate::RecordArrivals(std::vector<NodeId> eligible, TimePoint now) {
   const bool arrived = std::any_of(eligible.begin(), eligible.end(), [this](NodeId node) {
     return std::find(known_.begin(), known_.end(), node) == known_.end();
   });
@@ -23,15 +32,6 @@
     last_arrival_ = now;
   }
   known_ = std::move(eligible);
-  if (!waiting || known_.empty()) {
-    waiting_ = false;
-    return false;
-  }
-  if (!waiting_) {
-    waiting_ = true;
-    waiting_since_ = now;
-  }
-  return now - last_arrival_ >= quiet_ || now - waiting_since_ >= longest_;
 }
 
 }  // namespace cloverbank
--- a/src/leader/arrival_gate.h
+++ b/src/leader/arrival_gate.h
@@ -2,6 +2,7 @@
 /// @file
 /// Delays the assignment of partitions until queue nodes have stopped arriving. Pure.
 
+#include <optional>
 #include <set>
 #include <vector>
 
@@ -21,17 +22,19 @@
 
   /// Forgets everything: this member became leader.
   void Reset();
-  /// @return whether partitions may be given out now. `waiting`: whether any wait.
-  bool IsOpen(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
+  /// Records the queue nodes that are eligible at `now`. `waiting`: whether partitions wait to be
+  /// assigned. @return whether they may be assigned now.
+  bool Update(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
               TimePoint now);
 
  private:
+  void RecordArrivals(std::vector<NodeId> eligible, TimePoint now);
+
   Duration quiet_;
   Duration longest_;
   std::vector<NodeId> known_;
   TimePoint last_arrival_;
-  TimePoint waiting_since_;
-  bool waiting_ = false;
+  std::optional<TimePoint> waiting_since_;
 };
 
 }  // namespace cloverbank
--- a/src/leader/backup_sweeper.cc
+++ b/src/leader/backup_sweeper.cc
@@ -26,24 +26,26 @@
   for (const proto::Server* backup : state.servers().Live(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
     Look& look = looks_[id];
-    if (look.in_flight || now < look.next) {
-      continue;
+    if (!look.in_flight && now >= look.next) {
+      Start(backup->state() == proto::SERVER_STATE_RETIRING, now, &look);
+      due.push_back(id);
     }
-    const bool retiring = backup->state() == proto::SERVER_STATE_RETIRING;
-    if (retiring) {
-      look.retiring_since = look.retiring_since.value_or(now);
-      look.counts = now - *look.retiring_since >= settling_time_;
-    } else {
-      look.retiring_since.reset();
-      look.counts = true;
-    }
-    look.in_flight = true;
-    look.next = now + (retiring ? retiring_interval_ : interval_);
-    due.push_back(id);
   }
   return due;
 }
 
+void BackupSweeper::Start(bool retiring, TimePoint now, Look* look) const {
+  if (retiring) {
+    look->retiring_since = look->retiring_since.value_or(now);
+    look->counts = now - *look->retiring_since >= settling_time_;
+  } else {
+    look->retiring_since.reset();
+    look->counts = true;
+  }
+  look->in_flight = true;
+  look->next = now + (retiring ? retiring_interval_ : interval_);
+}
+
 void BackupSweeper::OnListed(NodeId backup, const proto::ListSegmentsResponse& replicas) {
   const auto look = looks_.find(backup);
   if (look != looks_.end()) {
--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -47,6 +47,9 @@
     std::optional<std::size_t> replicas;
   };
 
+  /// Marks `look` as in flight from `now` and sets when the next is due.
+  void Start(bool retiring, TimePoint now, Look* look) const;
+
   Duration interval_;
   Duration retiring_interval_;
   Duration settling_time_;
--- a/src/leader/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -34,7 +34,7 @@
 bool LeaderController::MayAssign() {
   const bool waiting = !context_.state.partitions().Free().empty() ||
                        recovery_executor_.manager().WaitsForQueueNodes(context_.state);
-  return arrivals_.IsOpen(context_.state, context_.doubtful, waiting, context_.environment.Now());
+  return arrivals_.Update(context_.state, context_.doubtful, waiting, context_.environment.Now());
 }
 
 }  // namespace cloverbank
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -69,6 +69,10 @@
  private:
   std::vector<SegmentReplica> HeadReplicas() const;
   std::vector<SegmentReplica> ClosedReplicas(SegmentId segment) const;
+  /// @return the digest of the head: the segments of the log, the head among them.
+  static std::set<SegmentId> LiveSegments(const proto::StoredSegment& head);
+  void AddMissingHead();
+  void AddClosed(SegmentId segment);
   void Add(SegmentId segment, const std::vector<SegmentReplica>& replicas);
 
   const LogHeads& heads_;
@@ -81,29 +85,42 @@
   const SegmentId head(heads_.current.segment_id());
   const std::vector<SegmentReplica> head_replicas = HeadReplicas();
   if (head_replicas.empty()) {
-    log_.missing.push_back("head segment " + head.ToString() + " under epoch " +
-                           std::to_string(heads_.current.epoch()) + ", kept by " +
-                           DescribeBackups(heads_.current, servers_));
+    AddMissingHead();
     return std::move(log_);
   }
-  std::set<SegmentId> live;
-  for (const std::uint64_t id : head_replicas.front().stored->digest()) {
-    live.insert(SegmentId(id));
-  }
+  std::set<SegmentId> live = LiveSegments(*head_replicas.front().stored);
   live.erase(head);
   for (const SegmentId segment : live) {
-    const std::vector<SegmentReplica> replicas = ClosedReplicas(segment);
-    if (replicas.empty()) {
-      log_.missing.push_back("segment " + segment.ToString() +
-                             ", of which no backup that answered has a whole copy");
-    } else {
-      Add(segment, replicas);
-    }
+    AddClosed(segment);
   }
   Add(head, head_replicas);
   return std::move(log_);
 }
 
+std::set<SegmentId> Assembly::LiveSegments(const proto::StoredSegment& head) {
+  std::set<SegmentId> live;
+  for (const std::uint64_t id : head.digest()) {
+    live.insert(SegmentId(id));
+  }
+  return live;
+}
+
+void Assembly::AddMissingHead() {
+  log_.missing.push_back("head segment " + std::to_string(heads_.current.segment_id()) +
+                         " under epoch " + std::to_string(heads_.current.epoch()) + ", kept by " +
+                         DescribeBackups(heads_.current, servers_));
+}
+
+void Assembly::AddClosed(SegmentId segment) {
+  const std::vector<SegmentReplica> replicas = ClosedReplicas(segment);
+  if (replicas.empty()) {
+    log_.missing.push_back("segment " + segment.ToString() +
+                           ", of which no backup that answered has a whole copy");
+  } else {
+    Add(segment, replicas);
+  }
+}
+
 std::vector<SegmentReplica> Assembly::HeadReplicas() const {
   return LongestReplicas(
       SegmentId(heads_.current.segment_id()), answers_, [this](const SegmentReplica& replica) {
--- a/src/leader/unreachable_nodes.cc
+++ b/src/leader/unreachable_nodes.cc
@@ -14,37 +14,39 @@
 
 std::vector<UnreachableNodes::NodeLocation> UnreachableNodes::Due(
     const ControlState& state, const std::set<NodeId>& unresponsive, TimePoint now) {
+  const std::set<NodeLocation> present = RecordLive(state, unresponsive, now);
+  ForgetLongAbsent(now);
+  std::vector<NodeLocation> due;
+  for (auto& [location, entry] : entries_) {
+    if (now >= entry.next && (!entry.notified || !present.contains(location))) {
+      due.push_back(location);
+      entry.notified = true;
+      entry.next = now + kInterval;
+    }
+  }
+  return due;
+}
+
+std::set<UnreachableNodes::NodeLocation> UnreachableNodes::RecordLive(
+    const ControlState& state, const std::set<NodeId>& unresponsive, TimePoint now) {
   std::set<NodeLocation> present;
   for (const auto& [id, server] : state.servers().servers()) {
     if (!IsLive(server)) {
       continue;
     }
     const NodeLocation location{ToEndpoint(server.peer_endpoint()), server.role()};
-    entries_.try_emplace(location, Entry{now, now, false});
+    Entry& entry = entries_.try_emplace(location, Entry{now, now, false}).first->second;
     if (!unresponsive.contains(id)) {
+      entry.last_present = now;
       present.insert(location);
     }
   }
-  std::vector<NodeLocation> due;
-  for (auto entry = entries_.begin(); entry != entries_.end();) {
-    const NodeLocation location = entry->first;
-    Entry& known = entry->second;
-    const bool is_present = present.contains(location);
-    if (is_present) {
-      known.last_present = now;
-    }
-    if (now - known.last_present > kLongest) {
-      entry = entries_.erase(entry);
-      continue;
-    }
-    if (now >= known.next && (!known.notified || !is_present)) {
-      due.push_back(location);
-      known.notified = true;
-      known.next = now + kInterval;
-    }
-    ++entry;
-  }
-  return due;
+  return present;
+}
+
+void UnreachableNodes::ForgetLongAbsent(TimePoint now) {
+  std::erase_if(entries_,
+                [now](const auto& entry) { return now - entry.second.last_present > kLongest; });
 }
 
 }  // namespace cloverbank
--- a/src/leader/unreachable_nodes.h
+++ b/src/leader/unreachable_nodes.h
@@ -40,6 +40,11 @@
     bool notified = false;  ///< Also nodes that seem to be present are told once.
   };
 
+  /// @return the locations of live nodes that respond.
+  std::set<NodeLocation> RecordLive(const ControlState& state,
+                                    const std::set<NodeId>& unresponsive, TimePoint now);
+  void ForgetLongAbsent(TimePoint now);
+
   std::map<NodeLocation, Entry> entries_;
 };
 
--- a/tests/leader/recovery_test.cc
+++ b/tests/leader/recovery_test.cc
@@ -301,15 +301,15 @@
 TEST_F(RecoveryTest, GateWaitsForArrivalsButNotForEver) {
   ArrivalGate gate(milliseconds(700), seconds(2));
   TimePoint now{seconds(50)};
-  EXPECT_FALSE(gate.IsOpen(control.state, {}, true, now));
-  EXPECT_TRUE(gate.IsOpen(control.state, {}, true, now + milliseconds(700)));
+  EXPECT_FALSE(gate.Update(control.state, {}, true, now));
+  EXPECT_TRUE(gate.Update(control.state, {}, true, now + milliseconds(700)));
   gate.Reset();
   for (int arrival = 0; arrival < 3; ++arrival) {
     control.Register(proto::ROLE_QUEUE, "new" + std::to_string(arrival), 1);
-    EXPECT_FALSE(gate.IsOpen(control.state, {}, true, now + milliseconds(600) * arrival));
+    EXPECT_FALSE(gate.Update(control.state, {}, true, now + milliseconds(600) * arrival));
   }
   control.Register(proto::ROLE_QUEUE, "last", 1);
-  EXPECT_TRUE(gate.IsOpen(control.state, {}, true, now + seconds(2)));
+  EXPECT_TRUE(gate.Update(control.state, {}, true, now + seconds(2)));
 }
 
 TEST_F(RecoveryTest, LeftoversAreThoseOfTheDeadThatNobodyNeeds) {
