--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -179,17 +179,22 @@
       *normal.add_changes() = change;
     }
   }
+  RemoveUnnamedTraffic(named, &normal);
+  return normal;
+}
+
+void ConfigurationStore::RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
+                                              proto::ConfigurationTransaction* transaction) const {
   for (const auto& [name, route] : objects_.routes) {
     if (!named.contains({ConfigurationObjectKind::kRoute, name})) {
-      normal.add_changes()->set_remove_route(name);
+      transaction->add_changes()->set_remove_route(name);
     }
   }
   for (const auto& [name, backend] : objects_.backends) {
     if (!named.contains({ConfigurationObjectKind::kBackend, name})) {
-      normal.add_changes()->set_remove_backend(name);
+      transaction->add_changes()->set_remove_backend(name);
     }
   }
-  return normal;
 }
 
 void ConfigurationStore::Commit(const proto::ConfigurationTransaction& given,
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -11,6 +11,7 @@
 #include <deque>
 #include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -79,6 +80,9 @@
   /// @return the transaction with just the changes that make a difference.
   proto::ConfigurationTransaction Normalize(
       const proto::ConfigurationTransaction& transaction) const;
+  /// Adds to `transaction` the removal of each route and backend that is not `named`.
+  void RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
+                            proto::ConfigurationTransaction* transaction) const;
   bool ChangesNothing(const proto::ConfigurationChange& change) const;
   void AddHistory(proto::HistoryRecord record);
   /// @return nothing if the history does not reach back or the whole is no larger.
--- a/src/coordinator/node_requests.cc
+++ b/src/coordinator/node_requests.cc
@@ -31,11 +31,9 @@
 
 void NodeRequests::FinishAssignment(const proto::FinishAssignmentRequest& request,
                                     const Reply<proto::FinishAssignmentResponse>& reply) {
-  proto::ControlCommand command;
-  proto::FinishAssignmentCommand& finish = *command.mutable_finish_assignment();
-  finish.set_dead_node_id(request.dead_node_id());
-  finish.set_queue_node_id(request.queue_node_id());
-  *finish.mutable_partition_ids() = request.partition_ids();
+  const proto::ControlCommand command =
+      MakeFinishAssignment(NodeId(request.dead_node_id()), NodeId(request.queue_node_id()),
+                           request.partition_ids());
   ProposeAndAnswer<proto::FinishAssignmentResponse>(
       proposer_, command, reply,
       [](const proto::ControlCommandResult&) { return proto::FinishAssignmentResponse(); });
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -95,19 +95,25 @@
     RefuseAll();
     return;
   }
+  ProposeInForce();
+  AnswerInForce();
+}
+
+void TransactionHandler::ProposeInForce() {
   const ConfigurationStore& configuration = context_.state.configuration();
-  if (configuration.in_force_version() < configuration.version()) {
-    const ConfigurationVersion confirmed =
-        VersionConfirmedByAll(context_.state, context_.leases, context_.environment.Now());
-    if (confirmed > configuration.in_force_version()) {
-      RecordUnconfirmed(confirmed);
-      proto::ControlCommand command;
-      command.mutable_record_in_force()->set_version(confirmed.value());
-      command.mutable_record_in_force()->set_wall_ms(context_.environment.WallMilliseconds());
-      proposer_.ProposeOnce(kInForceKey, command);
-    }
+  if (configuration.in_force_version() >= configuration.version()) {
+    return;
   }
-  AnswerInForce();
+  const ConfigurationVersion confirmed =
+      VersionConfirmedByAll(context_.state, context_.leases, context_.environment.Now());
+  if (confirmed <= configuration.in_force_version()) {
+    return;
+  }
+  RecordUnconfirmed(confirmed);
+  proto::ControlCommand command;
+  command.mutable_record_in_force()->set_version(confirmed.value());
+  command.mutable_record_in_force()->set_wall_ms(context_.environment.WallMilliseconds());
+  proposer_.ProposeOnce(kInForceKey, command);
 }
 
 void TransactionHandler::RecordUnconfirmed(ConfigurationVersion version) {
@@ -128,26 +134,31 @@
 }
 
 void TransactionHandler::AnswerInForce() {
-  const ConfigurationStore& configuration = context_.state.configuration();
-  const auto ready = [&configuration](const Waiting& waiting) {
-    return ConfigurationVersion(waiting.result.version()) <= configuration.in_force_version();
-  };
-  std::list<Waiting> answered;
+  for (const Waiting& waiting : TakeInForce()) {
+    Answer(waiting);
+  }
+}
+
+std::list<TransactionHandler::Waiting> TransactionHandler::TakeInForce() {
+  const ConfigurationVersion in_force = context_.state.configuration().in_force_version();
+  std::list<Waiting> taken;
   for (auto entry = waiting_.begin(); entry != waiting_.end();) {
     const auto next = std::next(entry);
-    if (ready(*entry)) {
-      answered.splice(answered.end(), waiting_, entry);
+    if (ConfigurationVersion(entry->result.version()) <= in_force) {
+      taken.splice(taken.end(), waiting_, entry);
     }
     entry = next;
   }
-  for (const Waiting& waiting : answered) {
-    const std::chrono::duration<double> waited = context_.environment.Now() - waiting.since;
-    context_.environment.metrics().ObserveSeconds("coordinator_in_force_wait_seconds",
-                                                  waited.count());
-    const proto::OperationRecord* record =
-        configuration.FindOperation(waiting.result.operation_id());
-    waiting.reply(Respond(record == nullptr ? waiting.result : record->result()));
-  }
+  return taken;
+}
+
+void TransactionHandler::Answer(const Waiting& waiting) {
+  const std::chrono::duration<double> waited = context_.environment.Now() - waiting.since;
+  context_.environment.metrics().ObserveSeconds("coordinator_in_force_wait_seconds",
+                                                waited.count());
+  const proto::OperationRecord* record =
+      context_.state.configuration().FindOperation(waiting.result.operation_id());
+  waiting.reply(Respond(record == nullptr ? waiting.result : record->result()));
 }
 
 void TransactionHandler::RefuseAll() {
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -51,7 +51,11 @@
 
   void HandleApplied(const proto::TransactionResult& result,
                      const Reply<proto::SubmitTransactionResponse>& reply);
+  /// Proposes to record the version that all gateways have confirmed, if it is a new one.
+  void ProposeInForce();
   void AnswerInForce();
+  std::list<Waiting> TakeInForce();
+  void Answer(const Waiting& waiting);
   /// Tells of gateways that a version in force does not wait for; once a version.
   void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
--- a/src/leader/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -19,41 +19,56 @@
 
 }  // namespace
 
+proto::ControlCommand MakeFinishAssignment(
+    NodeId dead, NodeId node, const google::protobuf::RepeatedField<std::uint64_t>& partition_ids) {
+  proto::ControlCommand command;
+  proto::FinishAssignmentCommand& finish = *command.mutable_finish_assignment();
+  finish.set_dead_node_id(dead.value());
+  finish.set_queue_node_id(node.value());
+  *finish.mutable_partition_ids() = partition_ids;
+  return command;
+}
+
 void CommandProposer::Propose(const proto::ControlCommand& command, Done done) {
   context_.log.Propose(command.SerializeAsString(),
                        [this, alive = std::weak_ptr<bool>(context_.alive),
-                        done = std::move(done)](Result<std::string> applied) {
-                         if (alive.expired()) {
-                           return;
-                         }
-                         if (applied.ok()) {
-                           done(Decode(*applied));
-                           return;
+                        done = std::move(done)](const Result<std::string>& applied) {
+                         if (!alive.expired()) {
+                           HandleApplied(applied, done);
                          }
-                         context_.environment.metrics().Increment(
-                             "coordinator_proposal_failed_total",
-                             {{"reason", StatusCodeName(applied.status().code())}});
-                         done(context_.NotLeader());
                        });
 }
 
+void CommandProposer::HandleApplied(const Result<std::string>& applied, const Done& done) {
+  if (applied.ok()) {
+    done(Decode(*applied));
+    return;
+  }
+  context_.environment.metrics().Increment("coordinator_proposal_failed_total",
+                                           {{"reason", StatusCodeName(applied.status().code())}});
+  done(context_.NotLeader());
+}
+
 void CommandProposer::ProposeOnce(const std::string& key, const proto::ControlCommand& command,
                                   Done done) {
   if (!under_way_.insert(key).second) {
     return;
   }
-  const std::uint64_t generation = generation_;
-  Propose(command, [this, key, generation,
+  Propose(command, [this, key, generation = generation_,
                     done = std::move(done)](Result<proto::ControlCommandResult> result) {
-    if (generation == generation_) {
-      under_way_.erase(key);
-    }
+    Release(key, generation);
     if (done != nullptr) {
       done(std::move(result));
     }
   });
 }
 
+void CommandProposer::Release(const std::string& key, std::uint64_t generation) {
+  if (generation == generation_) {
+    under_way_.erase(key);
+  }
+}
+
 void CommandProposer::Reset() {
   under_way_.clear();
   ++generation_;
--- a/src/leader/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -2,16 +2,23 @@
 /// @file
 /// Proposes control commands to the replicated log and decodes what applying them gave.
 
+#include <cstdint>
 #include <functional>
 #include <set>
 #include <string>
 
+#include "base/ids.h"
 #include "base/status.h"
 #include "leader/leader_context.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
 
+/// @return the command that makes `node` the owner of the partitions it replayed from the log of
+/// `dead`.
+proto::ControlCommand MakeFinishAssignment(
+    NodeId dead, NodeId node, const google::protobuf::RepeatedField<std::uint64_t>& partition_ids);
+
 class CommandProposer {
  public:
   using Done = std::function<void(Result<proto::ControlCommandResult>)>;
@@ -31,6 +38,10 @@
   void Reset();
 
  private:
+  void HandleApplied(const Result<std::string>& applied, const Done& done);
+  /// Allows `key` to be proposed again, unless its proposal is of an earlier term.
+  void Release(const std::string& key, std::uint64_t generation);
+
   LeaderContext& context_;
   std::set<std::string> under_way_;
   std::uint64_t generation_ = 0;
--- a/src/leader/recovery_executor.cc
+++ b/src/leader/recovery_executor.cc
@@ -55,14 +55,10 @@
   if (!answer.ok() || !answer->done() || !context_.CanAnswer()) {
     return;
   }
-  proto::ControlCommand command;
-  proto::FinishAssignmentCommand& finish = *command.mutable_finish_assignment();
-  finish.set_dead_node_id(request.dead_node_id());
-  finish.set_queue_node_id(request.queue_node_id());
-  *finish.mutable_partition_ids() = request.partition_ids();
-  proposer_.ProposeOnce("finish:" + std::to_string(request.dead_node_id()) + ":" +
-                            std::to_string(request.queue_node_id()),
-                        command);
+  const NodeId dead(request.dead_node_id());
+  const NodeId node(request.queue_node_id());
+  proposer_.ProposeOnce("finish:" + dead.ToString() + ":" + node.ToString(),
+                        MakeFinishAssignment(dead, node, request.partition_ids()));
 }
 
 void RecoveryExecutor::Execute(const ReleaseAction& action) {
