--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -11,6 +11,7 @@
 #include <deque>
 #include <map>
 #include <optional>
+#include <set>
 #include <string>
 #include <vector>
 
@@ -64,6 +65,10 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
+  /// @return the answer to give for an operation id that was used before; none for a new one.
+  std::optional<proto::TransactionResult> FindRecordedAnswer(
+      const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const;
+  void RecordAnswer(const proto::TransactionResult& result, std::uint64_t checksum);
   proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
   proto::TransactionResult Refusal(const proto::ConfigurationTransaction& transaction,
                                    proto::TransactionOutcome outcome,
@@ -75,10 +80,16 @@
   /// @return the transaction with just the changes that make a difference.
   proto::ConfigurationTransaction Normalize(
       const proto::ConfigurationTransaction& transaction) const;
+  /// Adds to `transaction` the removal of each route and backend that is not `named`.
+  void RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
+                            proto::ConfigurationTransaction* transaction) const;
   bool ChangesNothing(const proto::ConfigurationChange& change) const;
   void AddHistory(proto::HistoryRecord record);
   /// @return nothing if the history does not reach back or the whole is no larger.
   std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion known) const;
+  bool HistoryReachesBackTo(ConfigurationVersion known) const;
+  /// @return false if the changes are no smaller than the full configuration.
+  bool AddChangesSince(ConfigurationVersion known, proto::ConfigurationUpdate* update) const;
   const proto::ConfigurationUpdate& FullUpdate() const;
 
   ConfigurationVersion version_{1};
--- a/src/leader/partition_assigner.cc
+++ b/src/leader/partition_assigner.cc
@@ -1,90 +1,30 @@
 #include "leader/partition_assigner.h"
 
-#include <algorithm>
+#include "leader/partition_placement.h"
 
 namespace cloverbank {
 
-std::vector<NodeId> EligibleQueueNodes(const ControlState& state,
-                                       const std::set<NodeId>& doubtful) {
-  std::vector<NodeId> eligible;
-  std::vector<NodeId> retiring;
-  std::vector<NodeId> unresponsive;
-  for (const proto::Server* server : state.servers().Live(proto::ROLE_QUEUE)) {
-    const NodeId id(server->node_id());
-    if (doubtful.contains(id) || state.servers().FindLaterIncarnation(*server).valid()) {
-      unresponsive.push_back(id);
-    } else if (server->state() == proto::SERVER_STATE_RETIRING) {
-      retiring.push_back(id);
-    } else {
-      eligible.push_back(id);
-    }
-  }
-  if (!eligible.empty()) {
-    return eligible;
-  }
-  return retiring.empty() ? unresponsive : retiring;
-}
-
-std::map<NodeId, std::vector<PartitionId>> SpreadPartitions(
-    const std::vector<PartitionId>& partitions, const ControlState& state,
-    const std::set<NodeId>& doubtful, const PlannedLoads& planned) {
-  std::map<NodeId, std::size_t> load;
-  for (const NodeId node : EligibleQueueNodes(state, doubtful)) {
-    const auto more = planned.find(node);
-    load[node] = state.partitions().LoadOf(node) + (more == planned.end() ? 0 : more->second);
-  }
-  std::map<NodeId, std::vector<PartitionId>> spread;
-  if (load.empty()) {
-    return spread;
+void PartitionAssigner::InitializePartitions() {
+  if (context_.state.partitions().partition_count() != 0) {
+    return;
   }
-  for (const PartitionId partition : partitions) {
-    const auto least = std::min_element(
-        load.begin(), load.end(),
-        [](const auto& left, const auto& right) { return left.second < right.second; });
-    ++least->second;
-    spread[least->first].push_back(partition);
-  }
-  return spread;
+  proto::ControlCommand command;
+  command.mutable_initialize()->set_partition_count(context_.state.initial_partition_count());
+  proposer_.ProposeOnce("initialize", command);
 }
 
-bool MustHandOver(const ControlState& state, const proto::Server& server,
-                  const std::set<NodeId>& doubtful) {
-  const bool retiring =
-      server.role() == proto::ROLE_QUEUE && server.state() == proto::SERVER_STATE_RETIRING;
-  if (!retiring || state.partitions().LoadOf(NodeId(server.node_id())) == 0) {
-    return false;
-  }
-  const std::vector<NodeId> others = EligibleQueueNodes(state, doubtful);
-  return std::any_of(others.begin(), others.end(), [&state](NodeId other) {
-    return state.servers().Find(other)->state() == proto::SERVER_STATE_UP;
-  });
-}
-
-void ArrivalGate::Reset() {
-  known_.clear();
-  last_arrival_ = TimePoint();
-  waiting_ = false;
-}
-
-bool ArrivalGate::IsOpen(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
-                         TimePoint now) {
-  std::vector<NodeId> eligible = EligibleQueueNodes(state, doubtful);
-  const bool arrived = std::any_of(eligible.begin(), eligible.end(), [this](NodeId node) {
-    return std::find(known_.begin(), known_.end(), node) == known_.end();
-  });
-  if (arrived) {
-    last_arrival_ = now;
-  }
-  known_ = std::move(eligible);
-  if (!waiting || known_.empty()) {
-    waiting_ = false;
-    return false;
-  }
-  if (!waiting_) {
-    waiting_ = true;
-    waiting_since_ = now;
+void PartitionAssigner::AssignFreePartitions() {
+  const auto spread =
+      SpreadPartitions(context_.state.partitions().Free(), context_.state, context_.doubtful);
+  for (const auto& [node, partitions] : spread) {
+    proto::ControlCommand command;
+    proto::AssignPartitionsCommand& assign = *command.mutable_assign_partitions();
+    assign.set_queue_node_id(node.value());
+    for (const PartitionId partition : partitions) {
+      assign.add_partition_ids(partition.value());
+    }
+    proposer_.ProposeOnce("assign:" + node.ToString(), command);
   }
-  return now - last_arrival_ >= quiet_ || now - waiting_since_ >= longest_;
 }
 
 }  // namespace cloverbank
