--- a/src/control_client/coordinator_directory.cc
+++ b/src/control_client/coordinator_directory.cc
@@ -62,6 +62,15 @@
   return order;
 }
 
+std::vector<Endpoint> ToEndpoints(
+    const google::protobuf::RepeatedPtrField<proto::Endpoint>& messages) {
+  std::vector<Endpoint> endpoints;
+  for (const proto::Endpoint& message : messages) {
+    endpoints.push_back({message.host(), static_cast<std::uint16_t>(message.port())});
+  }
+  return endpoints;
+}
+
 Endpoint ParseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) {
--- a/src/control_client/coordinator_directory.h
+++ b/src/control_client/coordinator_directory.h
@@ -7,6 +7,7 @@
 #include <vector>
 
 #include "base/ids.h"
+#include "proto/coordinator.pb.h"
 
 namespace cloverbank {
 
@@ -35,6 +36,8 @@
   std::optional<Endpoint> leader_;
 };
 
+std::vector<Endpoint> ToEndpoints(
+    const google::protobuf::RepeatedPtrField<proto::Endpoint>& messages);
 /// @return the endpoint in "ip:port", or an invalid one.
 Endpoint ParseEndpoint(const std::string& text);
 
--- a/src/control_client/fleet_watch.h
+++ b/src/control_client/fleet_watch.h
@@ -4,7 +4,7 @@
 /// back. Threads: the owner's event loop only.
 
 #include "control_client/configuration_watch.h"
-#include "control_client/node_agent.h"
+#include "control_client/fleet_view.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
--- /dev/null
+++ b/src/control_client/heartbeat_sender.cc
@@ -0,0 +1,110 @@
+#include "control_client/heartbeat_sender.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "control_client/heartbeat_telemetry.h"
+
+namespace cloverbank {
+namespace {
+
+/// Heartbeats follow each other no faster than this, unless one carries a confirmation.
+constexpr Duration kMinimumInterval = milliseconds(50);
+/// Wait beyond the hold before another coordinator is asked beside one that does not answer.
+constexpr Duration kHeartbeatGrace = milliseconds(300);
+
+/// Whether the coordinators do not take the sender's node id for alive.
+bool RefusesNodeId(StatusCode code) {
+  return code == StatusCode::kFenced || code == StatusCode::kNotFound;
+}
+
+}  // namespace
+
+HeartbeatSender::HeartbeatSender(NodeContext& context, HeartbeatListener& listener)
+    : context_(context), listener_(listener) {}
+
+HeartbeatSender::~HeartbeatSender() { context_.environment.CancelTimer(timer_); }
+
+void HeartbeatSender::Start() {
+  Send(context_.options.heartbeat_hold, &HeartbeatSender::CompleteRegular);
+}
+
+void HeartbeatSender::Stop() {
+  context_.environment.CancelTimer(std::exchange(timer_, 0));
+  urgent_in_flight_ = false;
+}
+
+void HeartbeatSender::SendUrgent() {
+  if (urgent_in_flight_ || !context_.session.node_id().valid()) {
+    return;
+  }
+  urgent_in_flight_ = true;
+  Send(Duration::zero(), &HeartbeatSender::CompleteUrgent);
+}
+
+void HeartbeatSender::Send(Duration hold, Completion complete) {
+  const auto request = std::make_shared<proto::HeartbeatRequest>();
+  LeaderCallOptions call;
+  call.method = "coordinator.Heartbeat";
+  // After a failure the lease matters more than news: later attempts are not held.
+  call.make_body = [this, request, hold](std::uint32_t attempt) {
+    *request = context_.session.MakeHeartbeat(attempt == 0 ? hold : Duration::zero());
+    last_sent_ = context_.environment.Now();
+    return request->SerializeAsString();
+  };
+  call.deadline = kLeaderSearchDeadline;
+  call.attempt_deadline = context_.options.heartbeat_deadline;
+  call.response_timeout = hold + kHeartbeatGrace;
+  call.retry_delay = context_.options.retry_delay;
+  context_.CallLeader(std::move(call), [this, request, complete](const LeaderReply& reply) {
+    HandleReply(*request, reply, complete);
+  });
+}
+
+void HeartbeatSender::HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
+                                  Completion complete) {
+  const std::weak_ptr<void> answered_in = context_.incarnation_token();
+  const bool took_configuration = ApplyReply(request, reply);
+  if (!answered_in.expired()) {
+    (this->*complete)(took_configuration);
+  }
+}
+
+bool HeartbeatSender::ApplyReply(const proto::HeartbeatRequest& request, const LeaderReply& reply) {
+  const Status& status = reply.reply.status;
+  if (!status.ok()) {
+    RecordHeartbeatFailure(context_, StatusCodeName(status.code()));
+    if (RefusesNodeId(status.code())) {
+      listener_.OnNodeIdRefused(status);
+    }
+    return false;
+  }
+  proto::HeartbeatResponse response;
+  if (!response.ParseFromString(reply.reply.body)) {
+    RecordHeartbeatFailure(context_, "malformed");
+    return false;
+  }
+  const std::uint64_t version_before = context_.session.configuration().version();
+  const HeartbeatEffects effects =
+      context_.session.ApplyHeartbeat(request, {reply.sent, context_.environment.Now()}, response);
+  RecordLeaseGap(context_, effects.lease_gap, version_before);
+  context_.directory->UpdateMembers(ToEndpoints(response.coordinators()));
+  RecordUpdateOutcome(context_, "configuration", effects.configuration);
+  RecordUpdateOutcome(context_, "fleet", effects.fleet);
+  listener_.OnHeartbeatApplied(effects);
+  return effects.configuration == UpdateOutcome::kTaken;
+}
+
+void HeartbeatSender::CompleteRegular(bool took_configuration) {
+  const Duration wait =
+      std::max(Duration::zero(), last_sent_ + kMinimumInterval - context_.environment.Now());
+  context_.environment.CancelTimer(timer_);
+  timer_ = context_.environment.ScheduleAfter(took_configuration ? Duration::zero() : wait, [this] {
+    timer_ = 0;
+    Start();
+  });
+}
+
+void HeartbeatSender::CompleteUrgent(bool /*took_configuration*/) { urgent_in_flight_ = false; }
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/control_client/heartbeat_telemetry.cc
@@ -0,0 +1,46 @@
+#include "control_client/heartbeat_telemetry.h"
+
+#include "base/logging.h"
+
+namespace cloverbank {
+namespace {
+
+/// Shorter times without a lease are only counted.
+constexpr Duration kLeaseGapToLog = milliseconds(500);
+
+}  // namespace
+
+void RecordHeartbeatFailure(const NodeContext& context, std::string_view reason) {
+  context.environment.metrics().Increment("node_heartbeat_failed_total", {{"reason", reason}});
+}
+
+void RecordUpdateOutcome(const NodeContext& context, std::string_view what, UpdateOutcome outcome) {
+  Metrics& metrics = context.environment.metrics();
+  if (outcome == UpdateOutcome::kGap) {
+    metrics.Increment("node_update_refused_total", {{"what", what}, {"reason", "gap"}});
+  }
+  if (outcome == UpdateOutcome::kOlder) {
+    metrics.Increment("node_update_refused_total", {{"what", what}, {"reason", "older"}});
+    Log(LogLevel::kError, "older_version_rejected",
+        {{"what", what}, {"machine", context.options.machine}});
+  }
+}
+
+void RecordLeaseGap(const NodeContext& context, Duration gap, std::uint64_t version_before) {
+  if (gap <= Duration::zero()) {
+    return;
+  }
+  context.environment.metrics().ObserveSeconds("node_lease_lost_seconds",
+                                               std::chrono::duration<double>(gap).count());
+  if (gap < kLeaseGapToLog) {
+    return;
+  }
+  Log(LogLevel::kWarning, "node_lease_lost",
+      {{"machine", context.options.machine},
+       {"role", proto::Role_Name(context.options.role)},
+       {"ms", std::chrono::duration_cast<milliseconds>(gap).count()},
+       {"version_before", version_before},
+       {"version", context.session.configuration().version()}});
+}
+
+}  // namespace cloverbank
--- a/src/control_client/leader_call.h
+++ b/src/control_client/leader_call.h
@@ -18,6 +18,9 @@
 
 namespace cloverbank {
 
+/// How long one search for the leader goes on before it starts afresh.
+inline constexpr Duration kLeaderSearchDeadline = seconds(10);
+
 /// The answer and when the attempt that brought it was sent.
 struct LeaderReply {
   PeerReply reply;
--- a/src/control_client/node_agent.h
+++ b/src/control_client/node_agent.h
@@ -11,14 +11,15 @@
 
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
+#include "control_client/fleet_view.h"
 #include "control_client/list_source.h"
+#include "control_client/node_agent_options.h"
 #include "proto/configuration.pb.h"
 #include "proto/coordinator.pb.h"
 #include "runtime/environment.h"
@@ -26,36 +27,6 @@
 
 namespace cloverbank {
 
-struct NodeAgentOptions {
-  proto::Role role = proto::ROLE_UNSPECIFIED;
-  std::string machine;  ///< Name from the settings.
-  std::string zone;
-  Endpoint client_endpoint;            ///< Gateways: where callers reach it.
-  bool spare = false;                  ///< Backups on front machines.
-  std::string disk_id;                 ///< Backups: id stored on their disk.
-  std::vector<Endpoint> coordinators;  ///< Seeds; replaced by the member list learned from them.
-  Duration heartbeat_hold = milliseconds(800);  ///< How long the leader may hold a heartbeat.
-  Duration heartbeat_deadline = milliseconds(1500);
-  Duration retry_delay = milliseconds(100);  ///< Between tries, with jitter.
-};
-
-/// The servers and partition owners as last heard. Versions never go back; dead servers are left
-/// out.
-struct FleetView {
-  FleetVersion version;
-  std::map<NodeId, proto::Server> servers;  ///< Queue and backup nodes.
-  std::map<PartitionId, proto::Partition> partitions;
-  /// @return the queue node that owns `partition`, or nullptr while nobody does.
-  const proto::Server* OwnerOf(PartitionId partition) const;
-};
-
-/// Place of a gateway among the live gateways of its zone, as of the last heartbeat.
-struct GatewayRank {
-  std::uint32_t index = 0;  ///< Below `count`.
-  std::uint32_t count = 1;
-  bool operator==(const GatewayRank&) const = default;
-};
-
 class NodeAgent {
  public:
   NodeAgent(Environment& environment, NodeAgentOptions options);
--- /dev/null
+++ b/src/control_client/node_context.cc
@@ -0,0 +1,32 @@
+#include "control_client/node_context.h"
+
+#include <cstdint>
+#include <utility>
+
+namespace cloverbank {
+namespace {
+
+Incarnation DrawIncarnation(Environment& environment) {
+  const std::uint64_t drawn = environment.Random();
+  return Incarnation(drawn == 0 ? 1 : drawn);
+}
+
+}  // namespace
+
+NodeContext::NodeContext(Environment& node_environment, NodeAgentOptions node_options)
+    : environment(node_environment),
+      options(std::move(node_options)),
+      session(DrawIncarnation(node_environment)),
+      directory(std::make_shared<CoordinatorDirectory>(options.coordinators)) {}
+
+void NodeContext::CallLeader(LeaderCallOptions call,
+                             std::function<void(const LeaderReply&)> done) const {
+  LeaderCall::Start(environment, directory, incarnation_token_, std::move(call), std::move(done));
+}
+
+void NodeContext::EndIncarnation() {
+  session.EndIncarnation();
+  incarnation_token_ = std::make_shared<bool>(true);
+}
+
+}  // namespace cloverbank
--- a/src/control_client/node_session.cc
+++ b/src/control_client/node_session.cc
@@ -3,18 +3,11 @@
 #include <algorithm>
 #include <utility>
 
+#include "control_client/coordinator_directory.h"
+
 namespace cloverbank {
 namespace {
 
-std::vector<Endpoint> ToEndpoints(
-    const google::protobuf::RepeatedPtrField<proto::Endpoint>& messages) {
-  std::vector<Endpoint> endpoints;
-  for (const proto::Endpoint& message : messages) {
-    endpoints.push_back({message.host(), static_cast<std::uint16_t>(message.port())});
-  }
-  return endpoints;
-}
-
 std::vector<ListSource> ToListSources(const proto::HeartbeatResponse& response) {
   std::vector<ListSource> sources;
   for (const Endpoint& endpoint : ToEndpoints(response.list_sources())) {
