--- a/src/control_client/operator_orders.cc
+++ b/src/control_client/operator_orders.cc
@@ -3,6 +3,33 @@
 #include <utility>
 
 namespace cloverbank {
+namespace {
+
+/// @return the order's transaction if `current` is its base, else an inquiry after it.
+Result<proto::ConfigurationTransaction> MakeTransaction(const proto::RoutingConfiguration& current,
+                                                        const DocumentOrder& order) {
+  proto::ConfigurationTransaction transaction;
+  if (current.label() == order.base) {
+    Result<proto::ConfigurationTransaction> made = order.make(current.document().source());
+    if (!made.ok()) {
+      return made.status();
+    }
+    transaction = *std::move(made);
+  } else {
+    transaction.set_inquiry(true);
+  }
+  transaction.set_operation_id(order.operation_id);
+  transaction.set_label(order.label);
+  transaction.set_expected_label(order.base);
+  return transaction;
+}
+
+/// Whether an inquiry found that its order was never carried out and can be submitted.
+bool MayBeSent(const Result<proto::SubmitTransactionResponse>& result) {
+  return result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
+}
+
+}  // namespace
 
 void OperatorOrders::ReadConfiguration(std::uint32_t history,
                                        Done<proto::GetConfigurationResponse> done) {
@@ -25,45 +52,33 @@
   ReadConfiguration(
       0, [this, alive = std::weak_ptr<bool>(alive_), order = std::move(order),
           done = std::move(done)](const Result<proto::GetConfigurationResponse>& current) {
-        if (alive.expired()) {
-          return;
-        }
-        if (!current.ok()) {
-          done(current.status());
-          return;
+        if (!alive.expired()) {
+          SubmitOnConfiguration(current, order, done);
         }
-        SubmitOn(current->configuration(), order, done);
       });
 }
 
-void OperatorOrders::SubmitOn(const proto::RoutingConfiguration& current,
-                              const std::shared_ptr<const DocumentOrder>& order,
-                              Done<proto::SubmitTransactionResponse> done) {
-  proto::ConfigurationTransaction transaction;
-  if (current.label() == order->base) {
-    Result<proto::ConfigurationTransaction> made = order->make(current.document().source());
-    if (!made.ok()) {
-      done(made.status());
-      return;
-    }
-    transaction = *std::move(made);
-  } else {
-    transaction.set_inquiry(true);
+void OperatorOrders::SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
+                                           const std::shared_ptr<const DocumentOrder>& order,
+                                           const Done<proto::SubmitTransactionResponse>& done) {
+  if (!current.ok()) {
+    done(current.status());
+    return;
   }
-  transaction.set_operation_id(order->operation_id);
-  transaction.set_label(order->label);
-  transaction.set_expected_label(order->base);
-  Submit(std::move(transaction),
-         [this, alive = std::weak_ptr<bool>(alive_), order,
-          done = std::move(done)](Result<proto::SubmitTransactionResponse> result) {
-           const bool again =
-               result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
-           if (again && !alive.expired()) {
-             SubmitOnDocument(order, done);  // The base came between reading and inquiring.
-           } else {
-             done(std::move(result));
-           }
-         });
+  Result<proto::ConfigurationTransaction> transaction =
+      MakeTransaction(current->configuration(), *order);
+  if (!transaction.ok()) {
+    done(transaction.status());
+    return;
+  }
+  Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), order,
+                                   done](Result<proto::SubmitTransactionResponse> result) {
+    if (!alive.expired() && MayBeSent(result)) {
+      SubmitOnDocument(order, done);  // The base came between reading and inquiring.
+    } else {
+      done(std::move(result));
+    }
+  });
 }
 
 void OperatorOrders::Retire(const proto::RetireServerRequest& order,
--- a/src/control_client/operator_orders.h
+++ b/src/control_client/operator_orders.h
@@ -51,9 +51,10 @@
   void ReadRetirement(const std::string& machine, Done<proto::GetRetirementResponse> done);
 
  private:
-  void SubmitOn(const proto::RoutingConfiguration& current,
-                const std::shared_ptr<const DocumentOrder>& order,
-                Done<proto::SubmitTransactionResponse> done);
+  /// Second step of `SubmitOnDocument`: `current` is the answer to its read.
+  void SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
+                             const std::shared_ptr<const DocumentOrder>& order,
+                             const Done<proto::SubmitTransactionResponse>& done);
 
   NodeAgent& agent_;
   const OperatorTimeouts timeouts_;
