--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -58,8 +58,8 @@
 
 void RaftCore::HandlePersisted(TimePoint now, RaftWriteId write) {
   persisted_write_ = std::max(persisted_write_, write);
-  while (!unsynced_writes_.empty() && unsynced_writes_.front().first <= persisted_write_) {
-    synced_index_ = unsynced_writes_.front().second;
+  while (!unsynced_writes_.empty() && unsynced_writes_.front().id <= persisted_write_) {
+    synced_index_ = unsynced_writes_.front().last_index;
     unsynced_writes_.pop_front();
   }
   while (!waiting_replies_.empty() && waiting_replies_.begin()->first <= persisted_write_) {
@@ -84,15 +84,15 @@
     LeaderTick(now);  // A leader that was frozen finds out here that it is none any more.
   }
   if (role_ != RaftRole::kLeader) {
-    Refuse("not_leader");
+    Refuse(RaftRefusal::kNotLeader);
     return Status(StatusCode::kNotLeader, "this member does not lead the group");
   }
   if (transfer_target_ != 0) {
-    Refuse("handing_over");
+    Refuse(RaftRefusal::kTransferInProgress);
     return Status(StatusCode::kNotLeader, "this member is handing leadership over");
   }
   if (log_.last_index() - commit_index_ >= options_.maximum_uncommitted_entries) {
-    Refuse("too_many_uncommitted");
+    Refuse(RaftRefusal::kTooManyUncommitted);
     return Status(StatusCode::kResourceExhausted, "too many commands wait for their commit");
   }
   proto::RaftEntry entry;
@@ -122,14 +122,14 @@
 
 Status RaftCore::AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id) {
   if (recipient_id != member_id()) {
-    Refuse("wrong_recipient");
+    Refuse(RaftRefusal::kWrongRecipient);
     return {StatusCode::kNotFound, "another member has taken the place of the one called"};
   }
   if (cluster_id == metadata_.cluster_id() && cluster_id != 0) {
     return Status::Ok();
   }
   if (cluster_id == 0 || !IsEmpty()) {
-    Refuse("other_cluster");
+    Refuse(RaftRefusal::kOtherCluster);
     return {StatusCode::kConflict, "the sender belongs to another cluster"};
   }
   metadata_.set_cluster_id(cluster_id);
@@ -194,10 +194,10 @@
   RaftWrite& write = effects_.writes.empty() ? NewWrite() : effects_.writes.back();
   write.entries.push_back(entry);
   log_.Append(std::move(entry));
-  if (unsynced_writes_.empty() || unsynced_writes_.back().first != write.id) {
-    unsynced_writes_.emplace_back(write.id, 0);
+  if (unsynced_writes_.empty() || unsynced_writes_.back().id != write.id) {
+    unsynced_writes_.push_back({write.id, 0});
   }
-  unsynced_writes_.back().second = log_.last_index();
+  unsynced_writes_.back().last_index = log_.last_index();
 }
 
 void RaftCore::Reply(RaftReply reply, RaftWriteId after) {
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -118,6 +118,11 @@
   const proto::RaftConfiguration& configuration() const { return log_.configuration(); }
 
  private:
+  struct UnsyncedWrite {
+    RaftWriteId id = 0;
+    std::uint64_t last_index = 0;  ///< That it leaves in the log.
+  };
+
   // raft_core.cc: terms, timers, writes.
   void WaitUntilWritable(TimePoint now);
   void BecomeFollower(TimePoint now, std::uint64_t new_term, std::uint64_t leader_id);
@@ -127,7 +132,7 @@
   void AppendToLog(proto::RaftEntry entry);
   RaftWrite& NewWrite();
   void Reply(RaftReply reply, RaftWriteId after);
-  void Refuse(std::string_view reason) { effects_.refusals.push_back(reason); }
+  void Refuse(RaftRefusal reason) { effects_.refusals.push_back(reason); }
   void Fail(std::string_view reason);
   Duration RandomBetween(Duration minimum, Duration maximum);
   void SetCommitIndex(std::uint64_t index);
@@ -147,10 +152,16 @@
 
   // raft_core_follower.cc
   bool AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id);
+  /// Stores the entries and advances the commit index. @return whether they follow on this log; the
+  /// match index in `response` says how far it agrees.
+  bool AcceptEntries(const proto::AppendEntriesRequest& request,
+                     proto::AppendEntriesResponse& response);
   bool MatchesPrevious(const proto::AppendEntriesRequest& request) const;
   std::uint64_t RetryHint(const proto::AppendEntriesRequest& request) const;
   bool StoreEntries(const proto::AppendEntriesRequest& request);
   void TruncateLog(std::uint64_t index);
+  /// @return the offset from which the leader should go on.
+  std::uint64_t AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request);
   void InstallReceivedSnapshot(const proto::InstallSnapshotRequest& request);
   void CompactLog(std::uint64_t snapshot_index);
   void RewriteLog();
@@ -183,6 +194,14 @@
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
   /// Whether a learner already takes the place of `voter`: a second one would make the group grow.
   bool HasLiveSuccessor(TimePoint now, std::uint64_t voter) const;
+  /// @return the configuration without learners that `joining` displaces or that are unresponsive.
+  proto::RaftConfiguration WithoutDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
+                                                    std::uint64_t replaces) const;
+  /// @return the member that `joining` is to replace; 0 if none.
+  std::uint64_t FindReplacedMember(TimePoint now, const proto::RaftConfiguration& remaining,
+                                   const proto::RaftMember& joining, std::uint64_t replaces) const;
+  Status CheckReplacement(const proto::RaftConfiguration& remaining, std::uint64_t replaced);
+  bool IsFull(const proto::RaftConfiguration& configuration) const;
   Status MoveMember(TimePoint now, const proto::RaftMember& member);
   void ProposeConfiguration(TimePoint now, const proto::RaftConfiguration& configuration);
   void RebuildPeers(TimePoint now);
@@ -205,8 +224,8 @@
   RaftWriteId last_metadata_write_ = 0;
   RaftWriteId persisted_write_ = 0;
   std::uint64_t synced_index_ = 0;
-  /// (write, last index that it leaves in the log) of the writes under way.
-  std::deque<std::pair<RaftWriteId, std::uint64_t>> unsynced_writes_;
+  /// Writes of the log that are under way, in order.
+  std::deque<UnsyncedWrite> unsynced_writes_;
   std::multimap<RaftWriteId, RaftReply> waiting_replies_;
   /// The own snapshot that is being written, and by which write.
   RaftWriteId snapshot_write_ = 0;
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -1,7 +1,6 @@
 // Elections: Raft section 5.2 and 5.4.1; pre-vote and check-quorum: Ongaro's dissertation, 9.6
 // and 6.2.
-#include <limits>
-
+#include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
 namespace cloverbank {
@@ -50,9 +49,8 @@
     request.set_leadership_transfer(!pre_vote && elected_by_transfer_);
     request.set_cluster_id(cluster_id());
     request.set_recipient_id(member.member_id());
-    const auto port = static_cast<std::uint16_t>(member.endpoint().port());
     effects_.messages.push_back(
-        {member.member_id(), Endpoint{member.endpoint().host(), port}, std::move(request)});
+        {member.member_id(), ToEndpoint(member.endpoint()), std::move(request)});
   }
 }
 
@@ -105,11 +103,11 @@
 
 bool RaftCore::IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request) {
   if (request.term() < term() || (request.pre_vote() && request.term() == term())) {
-    Refuse("vote_stale_term");
+    Refuse(RaftRefusal::kVoteStaleTerm);
     return false;
   }
   if (!request.leadership_transfer() && PromisedToLeader(now)) {
-    Refuse("vote_leader_alive");
+    Refuse(RaftRefusal::kVoteLeaderAlive);
     return false;
   }
   if (!request.pre_vote() && request.term() > term()) {
@@ -117,11 +115,11 @@
   }
   const std::uint64_t voted_for = metadata_.voted_for();
   if (!request.pre_vote() && voted_for != 0 && voted_for != request.candidate_id()) {
-    Refuse("vote_given_to_another");
+    Refuse(RaftRefusal::kVoteGivenToAnother);
     return false;
   }
   if (!IsUpToDate(request)) {
-    Refuse("vote_log_behind");
+    Refuse(RaftRefusal::kVoteLogBehind);
     return false;
   }
   return true;
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -8,7 +8,7 @@
 
 bool RaftCore::AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id) {
   if (leader_term < term()) {
-    Refuse("leader_stale_term");
+    Refuse(RaftRefusal::kLeaderStaleTerm);
     return false;
   }
   if (role_ == RaftRole::kLeader && leader_term == term()) {
@@ -27,32 +27,28 @@
   response.set_sequence(request.sequence());
   const bool accepted = AcceptLeader(now, request.term(), request.leader_id());
   response.set_term(term());
-  if (!accepted) {
-    Reply({token, std::move(response)}, last_metadata_write_);
-    return;
-  }
+  response.set_success(accepted && AcceptEntries(request, response));
+  const bool confirms_entries = response.success() && !request.entries().empty();
+  Reply({token, std::move(response)}, confirms_entries ? last_write_ : last_metadata_write_);
+}
+
+bool RaftCore::AcceptEntries(const proto::AppendEntriesRequest& request,
+                             proto::AppendEntriesResponse& response) {
   if (!MatchesPrevious(request)) {
     response.set_match_index(RetryHint(request));
-    Reply({token, std::move(response)}, last_metadata_write_);
-    return;
+    return false;
   }
   if (!StoreEntries(request)) {
     response.set_match_index(commit_index_);
-    Reply({token, std::move(response)}, last_metadata_write_);
-    return;
+    return false;
   }
   const std::uint64_t last_new_index =
       request.previous_log_index() + static_cast<std::uint64_t>(request.entries_size());
   SetCommitIndex(std::min({request.leader_commit(), last_new_index, log_.last_index()}));
-  response.set_success(true);
-  if (request.entries().empty()) {
-    // A heartbeat does not wait for entries being synced; it vouches only for those that are.
-    response.set_match_index(std::min(last_new_index, synced_index_));
-    Reply({token, std::move(response)}, last_metadata_write_);
-  } else {
-    response.set_match_index(last_new_index);
-    Reply({token, std::move(response)}, last_write_);
-  }
+  // A heartbeat does not wait for entries being synced; it vouches only for those that are.
+  response.set_match_index(request.entries().empty() ? std::min(last_new_index, synced_index_)
+                                                     : last_new_index);
+  return true;
 }
 
 bool RaftCore::MatchesPrevious(const proto::AppendEntriesRequest& request) const {
@@ -77,7 +73,7 @@
   for (const proto::RaftEntry& entry : request.entries()) {
     ++expected_index;
     if (entry.index() != expected_index || entry.term() > request.term()) {
-      Refuse("malformed_entries");
+      Refuse(RaftRefusal::kMalformedEntries);
       return false;
     }
     if (entry.index() <= log_.base_index()) {
@@ -104,8 +100,8 @@
   log_.TruncateFrom(index);
   const std::uint64_t last_kept = index - 1;
   synced_index_ = std::min(synced_index_, last_kept);
-  for (auto& [write, last_index] : unsynced_writes_) {
-    last_index = std::min(last_index, last_kept);
+  for (UnsyncedWrite& write : unsynced_writes_) {
+    write.last_index = std::min(write.last_index, last_kept);
   }
 }
 
@@ -125,6 +121,11 @@
     Reply({token, std::move(response)}, last_write_);
     return;
   }
+  response.set_next_offset(AcceptSnapshotChunk(request));
+  Reply({token, std::move(response)}, request.done() ? last_write_ : last_metadata_write_);
+}
+
+std::uint64_t RaftCore::AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request) {
   const bool same = incoming_term_ == request.term() &&
                     incoming_snapshot_.last_included_index() == request.last_included_index();
   if (!same || request.offset() == 0) {
@@ -132,17 +133,16 @@
     incoming_snapshot_.set_last_included_index(request.last_included_index());
     incoming_term_ = request.term();
   }
-  if (request.offset() == incoming_snapshot_.state().size()) {
-    incoming_snapshot_.mutable_state()->append(request.data());
-    response.set_next_offset(incoming_snapshot_.state().size());
-    if (request.done()) {
-      InstallReceivedSnapshot(request);
-    }
-  } else {
-    response.set_next_offset(incoming_snapshot_.state().size());
-    Refuse("snapshot_offset");
+  if (request.offset() != incoming_snapshot_.state().size()) {
+    Refuse(RaftRefusal::kSnapshotOffset);
+    return incoming_snapshot_.state().size();
   }
-  Reply({token, std::move(response)}, request.done() ? last_write_ : last_metadata_write_);
+  incoming_snapshot_.mutable_state()->append(request.data());
+  const std::uint64_t next_offset = incoming_snapshot_.state().size();
+  if (request.done()) {
+    InstallReceivedSnapshot(request);
+  }
+  return next_offset;
 }
 
 void RaftCore::InstallReceivedSnapshot(const proto::InstallSnapshotRequest& request) {
@@ -193,7 +193,7 @@
   write.base_term = log_.base_term();
   write.entries = log_.Slice(log_.base_index() + 1, std::numeric_limits<std::size_t>::max(),
                              std::numeric_limits<std::size_t>::max());
-  unsynced_writes_.emplace_back(write.id, log_.last_index());
+  unsynced_writes_.push_back({write.id, log_.last_index()});
 }
 
 }  // namespace cloverbank
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -78,44 +78,69 @@
     return Status::Ok();
   }
   if (!CanChangeMembership()) {
-    Refuse("membership_change_pending");
+    Refuse(RaftRefusal::kMembershipChangePending);
     return {StatusCode::kUnavailable, "another membership change is under way"};
   }
   if (known != nullptr) {
     return MoveMember(now, member);
   }
-  proto::RaftMember learner = member;
+  proto::RaftConfiguration next = WithoutDisplacedLearners(now, member, replaces);
+  const std::uint64_t replaced = FindReplacedMember(now, next, member, replaces);
+  if (Status status = CheckReplacement(next, replaced); !status.ok()) {
+    return status;
+  }
+  proto::RaftMember& learner = *next.add_members();
+  learner = member;
   learner.set_learner(true);
-  learner.set_replaces(FindMember(configuration(), replaces) != nullptr ? replaces : 0);
-  proto::RaftConfiguration next;
+  learner.set_replaces(replaced);
+  ProposeConfiguration(now, next);
+  return Status::Ok();
+}
+
+proto::RaftConfiguration RaftCore::WithoutDisplacedLearners(TimePoint now,
+                                                            const proto::RaftMember& joining,
+                                                            std::uint64_t replaces) const {
+  // Learners do not count for a majority: they may come and go along with another change.
+  proto::RaftConfiguration remaining;
   for (const proto::RaftMember& present : configuration().members()) {
-    const bool displaced = SameEndpoint(present, member) || present.member_id() == replaces;
-    if (present.learner() && (displaced || IsUnresponsiveLearner(now, present))) {
-      continue;  // Learners do not count: they may come and go along with another change.
+    const bool displaced = SameEndpoint(present, joining) || present.member_id() == replaces;
+    if (!present.learner() || !(displaced || IsUnresponsiveLearner(now, present))) {
+      *remaining.add_members() = present;
     }
+  }
+  return remaining;
+}
+
+std::uint64_t RaftCore::FindReplacedMember(TimePoint now, const proto::RaftConfiguration& remaining,
+                                           const proto::RaftMember& joining,
+                                           std::uint64_t replaces) const {
+  std::uint64_t replaced = FindMember(configuration(), replaces) != nullptr ? replaces : 0;
+  for (const proto::RaftMember& present : remaining.members()) {
     // Whoever had this very address is gone for certain, so it goes before one that is only named.
-    if (SameEndpoint(present, member) || (displaced && learner.replaces() == 0)) {
-      learner.set_replaces(present.member_id());
+    if (SameEndpoint(present, joining)) {
+      replaced = present.member_id();
     }
-    *next.add_members() = present;
-  }
-  const bool full = static_cast<std::size_t>(next.members_size()) >= options_.maximum_members;
-  if (learner.replaces() == 0 && full) {
-    learner.set_replaces(LongestUnresponsive(now));
   }
-  if (learner.replaces() == member_id()) {
-    Refuse("replaces_leader");
+  return replaced == 0 && IsFull(remaining) ? LongestUnresponsive(now) : replaced;
+}
+
+Status RaftCore::CheckReplacement(const proto::RaftConfiguration& remaining,
+                                  std::uint64_t replaced) {
+  if (replaced == member_id()) {
+    Refuse(RaftRefusal::kReplacesLeader);
     return {StatusCode::kConflict, "the leader can not be replaced"};
   }
-  if (learner.replaces() == 0 && full) {
-    Refuse("group_full");
+  if (replaced == 0 && IsFull(remaining)) {
+    Refuse(RaftRefusal::kGroupFull);
     return {StatusCode::kConflict, "the group is complete; name the member to replace"};
   }
-  *next.add_members() = std::move(learner);
-  ProposeConfiguration(now, next);
   return Status::Ok();
 }
 
+bool RaftCore::IsFull(const proto::RaftConfiguration& configuration) const {
+  return static_cast<std::size_t>(configuration.members_size()) >= options_.maximum_members;
+}
+
 TimePoint RaftCore::LastHeardFrom(const RaftPeer& peer) const {
   const TimePoint begin = std::max(term_started_, peer.known_since);
   return std::max(begin, peer.heard_since.value_or(begin));
--- a/src/consensus/raft_core_replication.cc
+++ b/src/consensus/raft_core_replication.cc
@@ -2,7 +2,10 @@
 // snapshots.
 #include <algorithm>
 #include <functional>
+#include <utility>
+#include <vector>
 
+#include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
 namespace cloverbank {
@@ -12,15 +15,18 @@
 /// heartbeats. It may still be under way or waiting for a sync: receiving it twice does no harm.
 constexpr int kResendAfterHeartbeats = 3;
 
-Endpoint EndpointOf(const proto::RaftMember& member) {
-  return {member.endpoint().host(), static_cast<std::uint16_t>(member.endpoint().port())};
+/// @return the highest value that a majority of `values`, one a voter, reaches.
+template <typename Value>
+Value ReachedByMajority(std::vector<Value> values) {
+  std::sort(values.begin(), values.end(), std::greater<>());
+  return values[values.size() / 2];
 }
 
 }  // namespace
 
 void RaftCore::LeaderTick(TimePoint now) {
   if (now >= QuorumHeardSince(now, true) + options_.maximum_election_timeout) {
-    Refuse("quorum_lost");
+    Refuse(RaftRefusal::kQuorumLost);
     BecomeFollower(now, term(), 0);
     return;
   }
@@ -79,7 +85,7 @@
     peer.in_flight_since = now;
   }
   effects_.messages.push_back(
-      {peer.member.member_id(), EndpointOf(peer.member), std::move(request)});
+      {peer.member.member_id(), ToEndpoint(peer.member.endpoint()), std::move(request)});
 }
 
 void RaftCore::SendSnapshotChunk(TimePoint now, RaftPeer& peer) {
@@ -106,7 +112,7 @@
   peer.in_flight = request.sequence();
   peer.in_flight_since = now;
   effects_.messages.push_back(
-      {peer.member.member_id(), EndpointOf(peer.member), std::move(request)});
+      {peer.member.member_id(), ToEndpoint(peer.member.endpoint()), std::move(request)});
 }
 
 void RaftCore::SendNewEntries(TimePoint now) {
@@ -220,8 +226,7 @@
       times.push_back(heard ? std::max(never, *peer->second.heard_since) : never);
     }
   }
-  std::sort(times.begin(), times.end(), std::greater<>());
-  return times[Majority() - 1];
+  return ReachedByMajority(std::move(times));
 }
 
 void RaftCore::AdvanceCommit(TimePoint now) {
@@ -234,8 +239,7 @@
     const bool own = member.member_id() == member_id();
     matches.push_back(own ? synced_index_ : peer->second.match_index);
   }
-  std::sort(matches.begin(), matches.end(), std::greater<>());
-  const std::uint64_t majority_match = matches[Majority() - 1];
+  const std::uint64_t majority_match = ReachedByMajority(std::move(matches));
   // Entries of earlier terms are committed only along with one of this term (Raft, figure 8).
   if (majority_match > commit_index_ && log_.TermAt(majority_match) == term()) {
     SetCommitIndex(majority_match);
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -3,6 +3,7 @@
 // The new leader's votes pass over the promises on which this leader's lease rests. So the lease
 // ends for good before the message that allows them is sent, and this leader steps down whatever
 // becomes of it.
+#include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
 namespace cloverbank {
@@ -35,7 +36,7 @@
   }
   const auto target = peers_.find(transfer_target_);
   if (now >= transfer_deadline_ || target == peers_.end()) {
-    Refuse("transfer_failed");
+    Refuse(RaftRefusal::kTransferFailed);
     transfer_target_ = 0;
     if (transfer_sent_) {
       BecomeFollower(now, term(), 0);
@@ -51,10 +52,8 @@
   request.set_leader_id(member_id());
   request.set_cluster_id(cluster_id());
   request.set_recipient_id(transfer_target_);
-  const proto::Endpoint& endpoint = target->second.member.endpoint();
-  const auto port = static_cast<std::uint16_t>(endpoint.port());
   effects_.messages.push_back(
-      {transfer_target_, Endpoint{endpoint.host(), port}, std::move(request)});
+      {transfer_target_, ToEndpoint(target->second.member.endpoint()), std::move(request)});
 }
 
 void RaftCore::HandleTimeoutNow(TimePoint now, const proto::TimeoutNowRequest& request) {
@@ -63,7 +62,7 @@
     leader_id_ = 0;
     StartElection(now, true);
   } else {
-    Refuse("transfer_stale");
+    Refuse(RaftRefusal::kTransferStale);
   }
 }
 
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -77,15 +77,4 @@
   current = member_id;
 }
 
-Endpoint ToEndpoint(const proto::Endpoint& endpoint) {
-  return {endpoint.host(), static_cast<std::uint16_t>(endpoint.port())};
-}
-
-proto::Endpoint ToProto(const Endpoint& endpoint) {
-  proto::Endpoint message;
-  message.set_host(endpoint.host);
-  message.set_port(endpoint.port);
-  return message;
-}
-
 }  // namespace cloverbank
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -36,6 +36,7 @@
 #include <vector>
 
 #include "base/ids.h"
+#include "consensus/endpoint_proto.h"
 #include "proto/consensus.pb.h"
 
 namespace cloverbank {
@@ -75,7 +76,4 @@
   std::set<std::uint64_t> superseded_;
 };
 
-Endpoint ToEndpoint(const proto::Endpoint& endpoint);
-proto::Endpoint ToProto(const Endpoint& endpoint);
-
 }  // namespace cloverbank
--- a/src/consensus/raft_log.cc
+++ b/src/consensus/raft_log.cc
@@ -1,11 +1,13 @@
 #include "consensus/raft_log.h"
 
+#include <utility>
+
 namespace cloverbank {
 
 RaftLog::RaftLog(std::uint64_t base_index, std::uint64_t base_term,
                  proto::RaftConfiguration configuration)
     : base_index_(base_index), base_term_(base_term) {
-  configurations_.emplace_back(base_index, std::move(configuration));
+  configurations_.push_back({base_index, std::move(configuration)});
 }
 
 std::uint64_t RaftLog::last_term() const {
@@ -48,14 +50,14 @@
 
 void RaftLog::Append(proto::RaftEntry entry) {
   if (entry.has_configuration()) {
-    configurations_.emplace_back(entry.index(), entry.configuration());
+    configurations_.push_back({entry.index(), entry.configuration()});
   }
   entries_.push_back(std::move(entry));
 }
 
 void RaftLog::TruncateFrom(std::uint64_t index) {
   entries_.resize(index - base_index_ - 1);
-  while (configurations_.size() > 1 && configurations_.back().first >= index) {
+  while (configurations_.size() > 1 && configurations_.back().index >= index) {
     configurations_.pop_back();
   }
 }
@@ -65,7 +67,7 @@
   entries_.erase(entries_.begin(),
                  entries_.begin() + static_cast<std::ptrdiff_t>(index - base_index_));
   base_index_ = index;
-  while (configurations_.size() > 1 && configurations_[1].first <= index) {
+  while (configurations_.size() > 1 && configurations_[1].index <= index) {
     configurations_.pop_front();
   }
 }
@@ -76,15 +78,15 @@
   base_term_ = term;
   entries_.clear();
   configurations_.clear();
-  configurations_.emplace_back(index, std::move(configuration));
+  configurations_.push_back({index, std::move(configuration)});
 }
 
 const proto::RaftConfiguration& RaftLog::ConfigurationAt(std::uint64_t index) const {
   auto found = configurations_.rbegin();
-  while (std::next(found) != configurations_.rend() && found->first > index) {
+  while (std::next(found) != configurations_.rend() && found->index > index) {
     ++found;
   }
-  return found->second;
+  return found->configuration;
 }
 
 }  // namespace cloverbank
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -6,7 +6,6 @@
 #include <cstdint>
 #include <deque>
 #include <optional>
-#include <utility>
 #include <vector>
 
 #include "proto/consensus.pb.h"
@@ -45,18 +44,25 @@
   void Reset(std::uint64_t index, std::uint64_t term, proto::RaftConfiguration configuration);
 
   /// The configuration in force: the last one in the log, committed or not (Raft, section 6).
-  const proto::RaftConfiguration& configuration() const { return configurations_.back().second; }
+  const proto::RaftConfiguration& configuration() const {
+    return configurations_.back().configuration;
+  }
   /// Index of the entry that contains `configuration()`; the base's if none does.
-  std::uint64_t configuration_index() const { return configurations_.back().first; }
+  std::uint64_t configuration_index() const { return configurations_.back().index; }
   /// @return the configuration in force at `index`.
   const proto::RaftConfiguration& ConfigurationAt(std::uint64_t index) const;
 
  private:
+  struct IndexedConfiguration {
+    std::uint64_t index = 0;  ///< Of the entry that contains it, or the base.
+    proto::RaftConfiguration configuration;
+  };
+
   std::uint64_t base_index_;
   std::uint64_t base_term_;
   std::deque<proto::RaftEntry> entries_;
-  /// (index, configuration) by index; never empty.
-  std::deque<std::pair<std::uint64_t, proto::RaftConfiguration>> configurations_;
+  /// In order of their index; never empty.
+  std::deque<IndexedConfiguration> configurations_;
 };
 
 }  // namespace cloverbank
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -192,9 +192,13 @@
   }
 }
 
+void RaftNode::RecordRefusal(RaftRefusal reason) {
+  environment_.metrics().Increment("raft_refusals_total", {{"reason", RaftRefusalName(reason)}});
+}
+
 void RaftNode::ApplyEffects(RaftEffects& effects) {
-  for (const std::string_view reason : effects.refusals) {
-    environment_.metrics().Increment("raft_refusals_total", {{"reason", reason}});
+  for (const RaftRefusal reason : effects.refusals) {
+    RecordRefusal(reason);
   }
   if (effects.fatal) {
     Stop(*effects.fatal);
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -99,6 +99,7 @@
   RaftCoreOptions CoreOptions();
   void Drain();
   void ApplyEffects(RaftEffects& effects);
+  void RecordRefusal(RaftRefusal reason);
   void Apply(const proto::RaftEntry& entry);
   void MaybeTakeSnapshot();
   void FailLostProposals();
--- a/src/consensus/raft_node_formation.cc
+++ b/src/consensus/raft_node_formation.cc
@@ -68,7 +68,7 @@
           return;
         }
         if (!present.ok() || present->member_id() != request.member().member_id()) {
-          environment_.metrics().Increment("raft_refusals_total", {{"reason", "join_unconfirmed"}});
+          RecordRefusal(RaftRefusal::kJoinUnconfirmed);
           reply(Status(StatusCode::kUnavailable, "no such member answers at its endpoint"));
           return;
         }
--- a/src/consensus/raft_node_peers.cc
+++ b/src/consensus/raft_node_peers.cc
@@ -22,7 +22,7 @@
     return {StatusCode::kUnavailable, "this member does not take part"};
   }
   if (core_->IsEmpty() && directory_.IsSuperseded(sender)) {
-    environment_.metrics().Increment("raft_refusals_total", {{"reason", "superseded_sender"}});
+    RecordRefusal(RaftRefusal::kSupersededSender);
     return {StatusCode::kConflict, "the sender's disk has been emptied since"};
   }
   return core_->AdmitSender(cluster_id, recipient_id);
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -5,13 +5,13 @@
 #include <cstdint>
 #include <memory>
 #include <optional>
-#include <string_view>
 #include <variant>
 #include <vector>
 
 #include "base/ids.h"
 #include "base/status.h"
 #include "base/time.h"
+#include "consensus/raft_refusal.h"
 #include "proto/consensus.pb.h"
 
 namespace cloverbank {
@@ -108,7 +108,7 @@
   /// Committed entries in order of their index, each given out once.
   std::vector<proto::RaftEntry> committed;
   /// Why something was refused or given up, for the metrics.
-  std::vector<std::string_view> refusals;
+  std::vector<RaftRefusal> refusals;
   /// A broken invariant or damaged state: the member must stop.
   std::optional<Status> fatal;
 
