--- /dev/null
+++ b/src/consensus/disk_full_handler.h
@@ -0,0 +1,35 @@
+#pragma once
+/// @file
+/// Keeps a member from leading and voting while its disk is full, and tries the write again until
+/// there is space. Threads: the environment's event loop only.
+
+#include "base/status.h"
+#include "consensus/raft_node_context.h"
+#include "consensus/raft_storage.h"
+
+namespace cloverbank {
+
+class DiskFullHandler {
+ public:
+  /// Both must outlive this.
+  DiskFullHandler(RaftNodeContext& context, RaftStorage& storage)
+      : context_(context), storage_(storage) {}
+  ~DiskFullHandler() { Stop(); }
+  DiskFullHandler(const DiskFullHandler&) = delete;
+  DiskFullHandler& operator=(const DiskFullHandler&) = delete;
+
+  /// A write found the disk full.
+  void OnDiskFull(const Status& status);
+  /// A write succeeded.
+  void OnWritten();
+  /// Tries no further write.
+  void Stop();
+
+ private:
+  RaftNodeContext& context_;
+  RaftStorage& storage_;
+  bool disk_full_ = false;
+  TimerId retry_timer_ = 0;
+};
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/consensus/pending_proposals.h
@@ -0,0 +1,39 @@
+#pragma once
+/// @file
+/// Proposals of this member whose commit is awaited. Threads: the environment's event loop only.
+
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <string>
+
+#include "consensus/raft_core.h"
+#include "consensus/raft_node_context.h"
+
+namespace cloverbank {
+
+class PendingProposals {
+ public:
+  using Done = std::function<void(Result<std::string>)>;
+
+  /// @param context must outlive this.
+  explicit PendingProposals(const RaftNodeContext& context) : context_(context) {}
+
+  void Add(const RaftPosition& position, Done done);
+  /// `entry` was applied with `result`. A proposal of another term at its index gets kNotLeader: it
+  /// was certainly not committed.
+  void Complete(const proto::RaftEntry& entry, std::string result);
+  /// Fails proposals of terms that this member no longer leads with kUnknownOutcome.
+  void FailLost();
+
+ private:
+  struct Proposal {
+    std::uint64_t term = 0;
+    Done done;
+  };
+
+  const RaftNodeContext& context_;
+  std::map<std::uint64_t, Proposal> proposals_;  ///< By index.
+};
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/consensus/raft_applier.h
@@ -0,0 +1,34 @@
+#pragma once
+/// @file
+/// Applies committed entries to the state machine, and takes snapshots of it. Threads: the
+/// environment's event loop only.
+
+#include <cstdint>
+#include <string>
+
+#include "consensus/raft_node_context.h"
+#include "consensus/replicated_log.h"
+
+namespace cloverbank {
+
+class RaftApplier {
+ public:
+  /// Both must outlive this.
+  RaftApplier(RaftNodeContext& context, StateMachine& state_machine)
+      : context_(context), state_machine_(state_machine) {}
+
+  /// Replaces the whole state. @return kCorrupt if the snapshot can not be read.
+  Status Restore(const proto::RaftSnapshot& snapshot);
+  /// Applies the next entry. @return the state machine's result; empty if it is no command.
+  std::string Apply(const proto::RaftEntry& entry);
+  /// Hands the core a snapshot if enough was applied since the last one.
+  void TakeSnapshotIfDue();
+
+ private:
+  RaftNodeContext& context_;
+  StateMachine& state_machine_;
+  std::uint64_t snapshot_index_ = 0;
+  std::uint64_t bytes_since_snapshot_ = 0;
+};
+
+}  // namespace cloverbank
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -235,6 +235,7 @@
   std::uint64_t commit_index_ = 0;
   TimePoint next_wakeup_;
   TimePoint promised_until_;
+  bool writable_ = true;
 
   // Candidates.
   std::set<std::uint64_t> votes_;
@@ -248,7 +249,6 @@
   TimePoint term_started_;
   std::uint64_t last_sequence_ = 0;
   /// Who is to take over; 0 if nobody.
-  bool writable_ = true;
   std::uint64_t transfer_target_ = 0;
   bool transfer_sent_ = false;
   TimePoint transfer_deadline_;
--- /dev/null
+++ b/src/consensus/raft_formation_driver.cc
@@ -0,0 +1,271 @@
+#include "consensus/raft_formation_driver.h"
+
+#include <algorithm>
+#include <string>
+#include <string_view>
+#include <utility>
+
+#include "base/logging.h"
+#include "runtime/typed_peer.h"
+
+namespace cloverbank {
+namespace {
+
+constexpr std::string_view kDiscover = "raft.Discover";
+constexpr std::string_view kJoin = "raft.Join";
+
+/// Rounds of questions while there is no group: one each election timeout. A member that has a
+/// group asks only when it has heard no leader, and less often.
+constexpr int kSlowRoundElectionTimeouts = 4;
+
+}  // namespace
+
+/// Answers of one round of questions.
+struct RaftFormationDriver::Round {
+  FormationRound answers;
+  std::size_t missing = 0;
+};
+
+void RaftFormationDriver::Serve() {
+  ServePeer<proto::DiscoverRequest, proto::DiscoverResponse>(
+      context_.environment, kDiscover,
+      [this](const proto::DiscoverRequest& request, const std::string&,
+             const std::function<void(Result<proto::DiscoverResponse>)>& reply) {
+        reply(HandleDiscover(request));
+      });
+  ServePeer<proto::JoinRequest, proto::JoinResponse>(
+      context_.environment, kJoin,
+      [this](const proto::JoinRequest& request, const std::string&,
+             const std::function<void(Result<proto::JoinResponse>)>& reply) {
+        HandleJoin(request, reply);
+      });
+}
+
+void RaftFormationDriver::Start() { ScheduleRound(); }
+
+void RaftFormationDriver::Stop() { context_.environment.CancelTimer(round_timer_); }
+
+Result<proto::DiscoverResponse> RaftFormationDriver::HandleDiscover(
+    const proto::DiscoverRequest& request) {
+  if (!context_.CanAnswerPeers()) {
+    return Status(StatusCode::kUnavailable, "this member does not take part");
+  }
+  if (request.member_id() != 0) {
+    directory_.RecordMember(ToEndpoint(request.endpoint()), request.member_id());
+  }
+  proto::DiscoverResponse response;
+  response.set_member_id(context_.core->member_id());
+  response.set_empty(context_.core->IsEmpty());
+  response.set_cluster_id(context_.core->cluster_id());
+  *response.mutable_configuration() = context_.core->configuration();
+  *response.mutable_leader() = ToProto(context_.LeaderEndpoint());
+  *response.mutable_endpoint() = ToProto(context_.environment.peer_endpoint());
+  return response;
+}
+
+void RaftFormationDriver::HandleJoin(
+    const proto::JoinRequest& request,
+    const std::function<void(Result<proto::JoinResponse>)>& reply) {
+  if (context_.LeadingTerm() == 0) {
+    const Endpoint leader = context_.LeaderEndpoint();
+    reply(Status(StatusCode::kNotLeader, "this member does not lead the group",
+                 leader.valid() ? leader.ToString() : std::string()));
+    return;
+  }
+  // The request may be a late one of a life whose disk is gone: ask who is there now.
+  CallPeer<proto::DiscoverResponse>(context_.environment, ToEndpoint(request.member().endpoint()),
+                                    kDiscover, OwnIdentity(), context_.options.election_timeout,
+                                    [this, alive = std::weak_ptr<bool>(alive_), request,
+                                     reply](const Result<proto::DiscoverResponse>& present) {
+                                      if (!alive.expired()) {
+                                        reply(CompleteJoin(request, present));
+                                      }
+                                    });
+}
+
+Result<proto::JoinResponse> RaftFormationDriver::CompleteJoin(
+    const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& present) {
+  if (!present.ok() || present->member_id() != request.member().member_id()) {
+    context_.RecordRefusal(RaftRefusal::kJoinUnconfirmed);
+    return Status(StatusCode::kUnavailable, "no such member answers at its endpoint");
+  }
+  return AdmitJoining(request.member(), request.replaces());
+}
+
+Result<proto::JoinResponse> RaftFormationDriver::AdmitJoining(const proto::RaftMember& member,
+                                                              std::uint64_t replaces) {
+  if (context_.stopped) {
+    return Status(StatusCode::kNotLeader, "this member has stopped");
+  }
+  const Endpoint endpoint = ToEndpoint(member.endpoint());
+  const bool seeds_tell = context_.options.replace_unresponsive_after <= Duration::zero();
+  const std::uint64_t outside = seeds_tell ? MemberOutsideSeeds(endpoint) : 0;
+  Status status = context_.core->AdmitMember(context_.environment.Now(), member,
+                                             replaces != 0 ? replaces : outside);
+  context_.execute_effects();
+  if (!status.ok()) {
+    return status;
+  }
+  Log(LogLevel::kInfo, "raft_member_joining",
+      {{"member_id", member.member_id()}, {"endpoint", endpoint.ToString()}});
+  proto::JoinResponse response;
+  response.set_cluster_id(context_.core->cluster_id());
+  *response.mutable_configuration() = context_.core->configuration();
+  return response;
+}
+
+std::uint64_t RaftFormationDriver::MemberOutsideSeeds(const Endpoint& joining) const {
+  const std::set<Endpoint> seeds(context_.options.seeds.begin(), context_.options.seeds.end());
+  if (!seeds.contains(joining)) {
+    return 0;
+  }
+  for (const LogMember& member : context_.Members()) {
+    if (!seeds.contains(member.endpoint) && member.member_id != context_.core->member_id()) {
+      return member.member_id;
+    }
+  }
+  return 0;
+}
+
+void RaftFormationDriver::CorrectOwnEndpoint() {
+  // A leader that came back at another address is not reached by anyone who asks for the leader.
+  const Endpoint own_endpoint = context_.environment.peer_endpoint();
+  if (!context_.IsReadyLeader() || context_.LeaderEndpoint() == own_endpoint) {
+    return;
+  }
+  proto::RaftMember self;
+  self.set_member_id(context_.core->member_id());
+  *self.mutable_endpoint() = ToProto(own_endpoint);
+  if (Status status = context_.core->AdmitMember(context_.environment.Now(), self, 0);
+      !status.ok()) {
+    Log(LogLevel::kInfo, "raft_join_deferred", {{"reason", status.ToString()}});
+  }
+  context_.execute_effects();
+}
+
+proto::DiscoverRequest RaftFormationDriver::OwnIdentity() const {
+  proto::DiscoverRequest request;
+  request.set_member_id(context_.core->member_id());
+  *request.mutable_endpoint() = ToProto(context_.environment.peer_endpoint());
+  return request;
+}
+
+bool RaftFormationDriver::NeedsGroup() const {
+  const RaftCore& core = *context_.core;
+  return core.IsEmpty() || core.leader_id() == 0 || !core.IsMember();
+}
+
+void RaftFormationDriver::ScheduleRound() {
+  const bool urgent = !context_.core->IsMember() && !join_refused_;
+  const Duration timeout = context_.options.election_timeout;
+  const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
+  // Spread, so that members do not ask in step.
+  const Duration delay =
+      interval / 2 +
+      Duration(static_cast<Duration::rep>(context_.environment.Random() %
+                                          static_cast<std::uint64_t>(interval.count())));
+  round_timer_ = context_.environment.ScheduleAfter(delay, [this] {
+    round_timer_ = 0;
+    CorrectOwnEndpoint();
+    if (context_.identity_durable && NeedsGroup()) {
+      StartRound();
+    }
+    ScheduleRound();
+  });
+}
+
+std::set<Endpoint> RaftFormationDriver::EndpointsToAsk() const {
+  std::set<Endpoint> others(context_.options.seeds.begin(), context_.options.seeds.end());
+  others.insert(notified_members_.begin(), notified_members_.end());
+  for (const LogMember& member : context_.Members()) {
+    others.insert(member.endpoint);
+  }
+  others.erase(context_.environment.peer_endpoint());
+  return others;
+}
+
+void RaftFormationDriver::StartRound() {
+  const std::set<Endpoint> others = EndpointsToAsk();
+  const auto round = std::make_shared<Round>();
+  round->missing = others.size();
+  if (others.empty()) {
+    FinishRound(round->answers);
+  }
+  for (const Endpoint& other : others) {
+    CallPeer<proto::DiscoverResponse>(context_.environment, other, kDiscover, OwnIdentity(),
+                                      context_.options.election_timeout,
+                                      [this, alive = std::weak_ptr<bool>(alive_), round,
+                                       other](const Result<proto::DiscoverResponse>& answer) {
+                                        if (!alive.expired() && !context_.stopped) {
+                                          HandleAnswer(*round, other, answer);
+                                        }
+                                      });
+  }
+}
+
+void RaftFormationDriver::HandleAnswer(Round& round, const Endpoint& from,
+                                       const Result<proto::DiscoverResponse>& answer) {
+  if (answer.ok()) {
+    directory_.RecordMember(from, answer->member_id());
+    round.answers.answers[from] = *answer;
+  }
+  --round.missing;
+  if (round.missing == 0) {
+    FinishRound(round.answers);
+  }
+}
+
+void RaftFormationDriver::RecordNotifiedMembers(const FormationRound& answers) {
+  std::set<Endpoint> notified;
+  for (const auto& [endpoint, answer] : answers.answers) {
+    for (const proto::RaftMember& member : answer.configuration().members()) {
+      notified.insert(ToEndpoint(member.endpoint()));
+    }
+  }
+  if (!notified.empty()) {
+    notified_members_ = std::move(notified);
+  }
+}
+
+void RaftFormationDriver::FinishRound(const FormationRound& answers) {
+  RecordNotifiedMembers(answers);
+  RaftCore& core = *context_.core;
+  FormationRound round = answers;
+  round.member_id = core.member_id();
+  round.endpoint = context_.environment.peer_endpoint();
+  round.empty = core.IsEmpty();
+  round.cluster_id = core.cluster_id();
+  round.seeds = context_.options.seeds;
+  round.may_found = context_.options.may_found;
+  const FormationDecision decision = DecideFormation(round);
+  if (const auto* founding = std::get_if<FoundGroup>(&decision)) {
+    Log(LogLevel::kInfo, "raft_group_formed", {{"member_id", core.member_id()}});
+    core.Bootstrap(std::max<std::uint64_t>(1, context_.environment.Random()),
+                   founding->configuration);
+    context_.execute_effects();
+  } else if (const auto* joining = std::get_if<JoinGroup>(&decision)) {
+    RequestJoin(joining->leader);
+  }
+}
+
+void RaftFormationDriver::RequestJoin(const Endpoint& leader) {
+  proto::JoinRequest request;
+  request.mutable_member()->set_member_id(context_.core->member_id());
+  *request.mutable_member()->mutable_endpoint() = ToProto(context_.environment.peer_endpoint());
+  CallPeer<proto::JoinResponse>(
+      context_.environment, leader, kJoin, request, 2 * context_.options.election_timeout,
+      [this, alive = std::weak_ptr<bool>(alive_)](const Result<proto::JoinResponse>& response) {
+        if (!alive.expired()) {
+          HandleJoinResponse(response);
+        }
+      });
+}
+
+void RaftFormationDriver::HandleJoinResponse(const Result<proto::JoinResponse>& response) {
+  join_refused_ = response.status().code() == StatusCode::kConflict;
+  if (!response.ok()) {
+    Log(LogLevel::kInfo, "raft_join_refused", {{"reason", response.status().ToString()}});
+  }
+}
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/consensus/raft_formation_driver.h
@@ -0,0 +1,69 @@
+#pragma once
+/// @file
+/// Finds, founds or joins the group: asks the seeds and members in rounds, carries out what
+/// `DecideFormation` says, and answers other members that do the same. Threads: the environment's
+/// event loop only.
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <set>
+
+#include "consensus/raft_formation.h"
+#include "consensus/raft_node_context.h"
+
+namespace cloverbank {
+
+class RaftFormationDriver {
+ public:
+  /// @param context must outlive this.
+  explicit RaftFormationDriver(RaftNodeContext& context) : context_(context) {}
+  ~RaftFormationDriver() { Stop(); }
+  RaftFormationDriver(const RaftFormationDriver&) = delete;
+  RaftFormationDriver& operator=(const RaftFormationDriver&) = delete;
+
+  /// Registers the peer methods. This must live as long as the environment's handlers.
+  void Serve();
+  /// Begins to look for a group while this member has none.
+  void Start();
+  /// Starts no further round.
+  void Stop();
+  /// Which member was last seen at each endpoint.
+  const MemberDirectory& directory() const { return directory_; }
+
+ private:
+  struct Round;
+
+  Result<proto::DiscoverResponse> HandleDiscover(const proto::DiscoverRequest& request);
+  void HandleJoin(const proto::JoinRequest& request,
+                  const std::function<void(Result<proto::JoinResponse>)>& reply);
+  /// Second step of `HandleJoin`: `present` is who answers now at the endpoint of the request.
+  Result<proto::JoinResponse> CompleteJoin(const proto::JoinRequest& request,
+                                           const Result<proto::DiscoverResponse>& present);
+  Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
+  std::uint64_t MemberOutsideSeeds(const Endpoint& joining) const;
+  void CorrectOwnEndpoint();
+  proto::DiscoverRequest OwnIdentity() const;
+  bool NeedsGroup() const;
+
+  void ScheduleRound();
+  void StartRound();
+  std::set<Endpoint> EndpointsToAsk() const;
+  void HandleAnswer(Round& round, const Endpoint& from,
+                    const Result<proto::DiscoverResponse>& answer);
+  void FinishRound(const FormationRound& answers);
+  void RecordNotifiedMembers(const FormationRound& answers);
+  void RequestJoin(const Endpoint& leader);
+  void HandleJoinResponse(const Result<proto::JoinResponse>& response);
+
+  RaftNodeContext& context_;
+  TimerId round_timer_ = 0;
+  MemberDirectory directory_;
+  /// Members that answers of others named last: seeds may all be gone by the time they are needed.
+  std::set<Endpoint> notified_members_;
+  /// The group was complete when this member last asked to join: it asks less often.
+  bool join_refused_ = false;
+  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+};
+
+}  // namespace cloverbank
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -6,40 +6,34 @@
 #include "base/logging.h"
 
 namespace cloverbank {
-namespace {
-
-/// Between tries of a write for which the disk had no room.
-constexpr Duration kDiskFullRetryInterval = milliseconds(200);
-
-}  // namespace
 
 RaftNode::RaftNode(Environment& environment, DataFolder& folder, StateMachine& state_machine,
                    RaftNodeOptions options)
-    : environment_(environment),
+    : context_{environment, std::move(options), [this] { Drain(); }, /*core=*/nullptr},
       storage_(
           folder, [this](RaftWriteId write) { OnPersisted(write); },
           [this](const Status& status) { Stop(status); },
-          [this](const Status& status) { OnDiskFull(status); }),
-      state_machine_(state_machine),
-      options_(std::move(options)) {}
+          [this](const Status& status) { disk_full_handler_.OnDiskFull(status); }),
+      applier_(context_, state_machine),
+      proposals_(context_),
+      disk_full_handler_(context_, storage_),
+      formation_(context_),
+      transport_(context_, formation_.directory()) {}
 
-RaftNode::~RaftNode() {
-  environment_.CancelTimer(wakeup_timer_);
-  environment_.CancelTimer(formation_timer_);
-  environment_.CancelTimer(retry_timer_);
-}
+RaftNode::~RaftNode() { context_.environment.CancelTimer(wakeup_timer_); }
 
 RaftCoreOptions RaftNode::CoreOptions() {
   RaftCoreOptions core_options;
-  core_options.minimum_election_timeout = options_.election_timeout;
-  core_options.maximum_election_timeout = 2 * options_.election_timeout;
-  core_options.heartbeat_interval = options_.heartbeat_interval;
-  core_options.trailing_entries = options_.trailing_entries;
-  core_options.snapshot_chunk_bytes = options_.snapshot_chunk_bytes;
-  core_options.maximum_append_entries = options_.maximum_append_entries;
-  core_options.maximum_members = std::max(options_.wanted_voters, options_.seeds.size());
-  core_options.replace_unresponsive_after = options_.replace_unresponsive_after;
-  core_options.random_seed = environment_.Random();
+  core_options.minimum_election_timeout = context_.options.election_timeout;
+  core_options.maximum_election_timeout = 2 * context_.options.election_timeout;
+  core_options.heartbeat_interval = context_.options.heartbeat_interval;
+  core_options.trailing_entries = context_.options.trailing_entries;
+  core_options.snapshot_chunk_bytes = context_.options.snapshot_chunk_bytes;
+  core_options.maximum_append_entries = context_.options.maximum_append_entries;
+  core_options.maximum_members =
+      std::max(context_.options.wanted_voters, context_.options.seeds.size());
+  core_options.replace_unresponsive_after = context_.options.replace_unresponsive_after;
+  core_options.random_seed = context_.environment.Random();
   return core_options;
 }
 
@@ -49,42 +43,42 @@
     return state.status();
   }
   if (state->snapshot) {
-    if (Status status = state_machine_.RestoreSnapshot(state->snapshot->state()); !status.ok()) {
+    if (Status status = applier_.Restore(*state->snapshot); !status.ok()) {
       return status;
     }
-    applied_index_ = state->snapshot->last_included_index();
-    snapshot_index_ = applied_index_;
   }
-  identity_durable_ = state->metadata.member_id() != 0;
-  if (!identity_durable_) {
+  context_.identity_durable = state->metadata.member_id() != 0;
+  if (!context_.identity_durable) {
     // The disk is empty: a new member, which must not be taken for one that remembers a vote.
-    state->metadata.set_member_id(std::max<std::uint64_t>(1, environment_.Random()));
+    state->metadata.set_member_id(std::max<std::uint64_t>(1, context_.environment.Random()));
     RaftWrite identity;
     identity.metadata = state->metadata;
     storage_.Write(std::move(identity));
   }
-  core_ = std::make_unique<RaftCore>(CoreOptions(), *std::move(state), environment_.Now());
+  context_.core =
+      std::make_unique<RaftCore>(CoreOptions(), *std::move(state), context_.environment.Now());
   return Status::Ok();
 }
 
 void RaftNode::Start() {
   Log(LogLevel::kInfo, "raft_started",
-      {{"member_id", core_->member_id()},
-       {"term", core_->term()},
-       {"last_index", core_->log().last_index()}});
-  ServePeers();
-  ServeFormation();
+      {{"member_id", context_.core->member_id()},
+       {"term", context_.core->term()},
+       {"last_index", context_.core->log().last_index()}});
+  transport_.Serve();
+  formation_.Serve();
   storage_.Start();
   ArmTimer();
-  ScheduleFormation();
+  formation_.Start();
 }
 
 void RaftNode::Propose(std::string command, std::function<void(Result<std::string>)> done) {
-  if (stopped_) {
+  if (context_.stopped) {
     done(Status(StatusCode::kNotLeader, "this member has stopped"));
     return;
   }
-  const Result<RaftPosition> position = core_->Propose(environment_.Now(), std::move(command));
+  const Result<RaftPosition> position =
+      context_.core->Propose(context_.environment.Now(), std::move(command));
   if (!position.ok()) {
     Drain();
     const Endpoint leader = leader_endpoint();
@@ -92,7 +86,7 @@
                 leader.valid() ? leader.ToString() : std::string()));
     return;
   }
-  proposals_[position->index] = {position->term, std::move(done)};
+  proposals_.Add(*position, std::move(done));
   Drain();
 }
 
@@ -100,40 +94,22 @@
   if (!IsReadyLeader()) {
     return {StatusCode::kNotLeader, "this member does not lead the group"};
   }
-  Status status = core_->TransferLeadership(environment_.Now());
+  Status status = context_.core->TransferLeadership(context_.environment.Now());
   Drain();
   return status;
 }
 
 bool RaftNode::HasLeaderLease() const {
-  return IsReadyLeader() && core_->HasLeaderLease(environment_.Now());
+  return IsReadyLeader() && context_.core->HasLeaderLease(context_.environment.Now());
 }
 
-bool RaftNode::IsReadyLeader() const {
-  return !stopped_ && core_ && core_->IsReadyLeader() &&
-         applied_index_ >= core_->term_start_index();
-}
+bool RaftNode::IsReadyLeader() const { return context_.IsReadyLeader(); }
 
-std::uint64_t RaftNode::term() const { return core_ ? core_->term() : 0; }
+std::uint64_t RaftNode::term() const { return context_.core ? context_.core->term() : 0; }
 
-Endpoint RaftNode::leader_endpoint() const {
-  for (const LogMember& member : members()) {
-    if (core_->leader_id() != 0 && member.member_id == core_->leader_id()) {
-      return member.endpoint;
-    }
-  }
-  return {};
-}
+Endpoint RaftNode::leader_endpoint() const { return context_.LeaderEndpoint(); }
 
-std::vector<LogMember> RaftNode::members() const {
-  std::vector<LogMember> members;
-  if (core_) {
-    for (const proto::RaftMember& member : core_->configuration().members()) {
-      members.push_back({member.member_id(), ToEndpoint(member.endpoint()), member.learner()});
-    }
-  }
-  return members;
-}
+std::vector<LogMember> RaftNode::members() const { return context_.Members(); }
 
 void RaftNode::OnLeadershipChange(std::function<void(bool leads)> observer) {
   leadership_observers_.push_back(std::move(observer));
@@ -144,61 +120,35 @@
 }
 
 void RaftNode::OnPersisted(RaftWriteId write) {
-  if (stopped_) {
+  if (context_.stopped) {
     return;
   }
-  identity_durable_ = true;
-  OnDiskSpaceAvailable();
-  core_->HandlePersisted(environment_.Now(), write);
+  context_.identity_durable = true;
+  disk_full_handler_.OnWritten();
+  context_.core->HandlePersisted(context_.environment.Now(), write);
   Drain();
 }
 
-void RaftNode::OnDiskFull(const Status& status) {
-  if (stopped_) {
-    return;
-  }
-  retry_timer_ = environment_.ScheduleAfter(kDiskFullRetryInterval, [this] { storage_.Retry(); });
-  if (std::exchange(disk_full_, true)) {
-    return;
-  }
-  Log(LogLevel::kWarning, "raft_disk_full", {{"reason", status.ToString()}});
-  environment_.metrics().SetGauge("raft_disk_full", 1);
-  core_->SetWritable(environment_.Now(), false);
-  Drain();
-}
-
-void RaftNode::OnDiskSpaceAvailable() {
-  if (std::exchange(disk_full_, false)) {
-    Log(LogLevel::kInfo, "raft_disk_space_available", {});
-    environment_.metrics().SetGauge("raft_disk_full", 0);
-    core_->SetWritable(environment_.Now(), true);
-  }
-}
-
 void RaftNode::Drain() {
-  if (draining_ || stopped_) {
+  if (draining_ || context_.stopped) {
     return;  // Called from a callback below: the loop further up takes the effects.
   }
   draining_ = true;
-  for (RaftEffects effects = core_->TakeEffects(); !effects.empty() && !stopped_;
-       effects = core_->TakeEffects()) {
-    ApplyEffects(effects);
-    FailLostProposals();
+  for (RaftEffects effects = context_.core->TakeEffects(); !effects.empty() && !context_.stopped;
+       effects = context_.core->TakeEffects()) {
+    ExecuteEffects(effects);
+    proposals_.FailLost();
     NotifyLeadership();
   }
   draining_ = false;
-  if (!stopped_) {
+  if (!context_.stopped) {
     ArmTimer();
   }
 }
 
-void RaftNode::RecordRefusal(RaftRefusal reason) {
-  environment_.metrics().Increment("raft_refusals_total", {{"reason", RaftRefusalName(reason)}});
-}
-
-void RaftNode::ApplyEffects(RaftEffects& effects) {
+void RaftNode::ExecuteEffects(RaftEffects& effects) {
   for (const RaftRefusal reason : effects.refusals) {
-    RecordRefusal(reason);
+    context_.RecordRefusal(reason);
   }
   if (effects.fatal) {
     Stop(*effects.fatal);
@@ -208,86 +158,48 @@
     storage_.Write(std::move(write));
   }
   for (const RaftReply& reply : effects.replies) {
-    SendReply(reply);
-  }
-  for (RaftMessage& message : effects.messages) {
-    Send(message);
-  }
-  if (effects.restore) {
-    if (Status status = state_machine_.RestoreSnapshot(effects.restore->state()); !status.ok()) {
-      Stop(status);
-      return;
-    }
-    applied_index_ = effects.restore->last_included_index();
-    snapshot_index_ = applied_index_;
-    bytes_since_snapshot_ = 0;
+    transport_.SendReply(reply);
   }
-  for (const proto::RaftEntry& entry : effects.committed) {
-    Apply(entry);
+  for (const RaftMessage& message : effects.messages) {
+    transport_.Send(message);
   }
-  if (effects.restore || !effects.committed.empty()) {
-    for (const auto& observer : applied_observers_) {
-      observer(applied_index_);
-    }
-    MaybeTakeSnapshot();
+  if (Status status = ApplyCommitted(effects); !status.ok()) {
+    Stop(status);
   }
 }
 
-void RaftNode::Apply(const proto::RaftEntry& entry) {
-  std::string result;
-  if (entry.has_command()) {
-    result = state_machine_.Apply(entry.index(), entry.command());
-    bytes_since_snapshot_ += entry.command().size();
+Status RaftNode::ApplyCommitted(const RaftEffects& effects) {
+  if (!effects.restore && effects.committed.empty()) {
+    return Status::Ok();
   }
-  applied_index_ = entry.index();
-  const auto found = proposals_.find(entry.index());
-  if (found == proposals_.end()) {
-    return;
-  }
-  PendingProposal proposal = std::move(found->second);
-  proposals_.erase(found);
-  if (proposal.term == entry.term()) {
-    proposal.done(std::move(result));
-  } else {
-    proposal.done(Status(StatusCode::kNotLeader, "another leader's command took its place"));
+  if (effects.restore) {
+    if (Status status = applier_.Restore(*effects.restore); !status.ok()) {
+      return status;
+    }
   }
-}
-
-void RaftNode::MaybeTakeSnapshot() {
-  const bool due = applied_index_ - snapshot_index_ >= options_.snapshot_threshold_entries ||
-                   bytes_since_snapshot_ >= options_.snapshot_threshold_bytes;
-  if (due && !core_->IsWritingSnapshot()) {
-    core_->StoreSnapshot(applied_index_, state_machine_.TakeSnapshot());
-    snapshot_index_ = applied_index_;
-    bytes_since_snapshot_ = 0;
-    environment_.metrics().Increment("raft_snapshots_total", {{"kind", "taken"}});
+  for (const proto::RaftEntry& entry : effects.committed) {
+    proposals_.Complete(entry, applier_.Apply(entry));
   }
-}
-
-void RaftNode::FailLostProposals() {
-  while (!proposals_.empty()) {
-    const auto first = proposals_.begin();
-    const bool still_leads = !stopped_ && core_->role() == RaftRole::kLeader;
-    if (still_leads && first->second.term == core_->term()) {
-      return;
-    }
-    auto done = std::move(first->second.done);
-    proposals_.erase(first);
-    done(Status(StatusCode::kUnknownOutcome, "leadership was lost before the commit"));
+  for (const auto& observer : applied_observers_) {
+    observer(context_.applied_index);
   }
+  applier_.TakeSnapshotIfDue();
+  return Status::Ok();
 }
 
 void RaftNode::NotifyLeadership() {
-  const std::uint64_t leads_term = IsReadyLeader() ? core_->term() : 0;
+  const std::uint64_t leads_term = IsReadyLeader() ? context_.core->term() : 0;
   if (leads_term == led_term_) {
     return;
   }
   const bool stopped_leading = led_term_ != 0;
   led_term_ = leads_term;
   Log(LogLevel::kInfo, "raft_leadership_changed",
-      {{"leads", leads_term != 0}, {"term", core_->term()}, {"applied", applied_index_}});
-  environment_.metrics().SetGauge("raft_is_leader", leads_term != 0 ? 1 : 0);
-  environment_.metrics().SetGauge("raft_term", static_cast<double>(core_->term()));
+      {{"leads", leads_term != 0},
+       {"term", context_.core->term()},
+       {"applied", context_.applied_index}});
+  context_.environment.metrics().SetGauge("raft_is_leader", leads_term != 0 ? 1 : 0);
+  context_.environment.metrics().SetGauge("raft_term", static_cast<double>(context_.core->term()));
   for (const auto& observer : leadership_observers_) {
     if (stopped_leading) {
       observer(false);
@@ -299,17 +211,17 @@
 }
 
 void RaftNode::ArmTimer() {
-  const TimePoint due = core_->NextWakeup();
+  const TimePoint due = context_.core->NextWakeup();
   if (wakeup_timer_ != 0 && wakeup_at_ <= due) {
     return;  // Fires early and is armed anew then: cheaper than once a heartbeat.
   }
-  environment_.CancelTimer(wakeup_timer_);
+  context_.environment.CancelTimer(wakeup_timer_);
   wakeup_at_ = due;
-  const Duration delay = std::max(Duration::zero(), due - environment_.Now());
-  wakeup_timer_ = environment_.ScheduleAfter(delay, [this] {
+  const Duration delay = std::max(Duration::zero(), due - context_.environment.Now());
+  wakeup_timer_ = context_.environment.ScheduleAfter(delay, [this] {
     wakeup_timer_ = 0;
-    if (!stopped_) {
-      core_->Tick(environment_.Now());
+    if (!context_.stopped) {
+      context_.core->Tick(context_.environment.Now());
       Drain();
       ArmTimer();
     }
@@ -317,22 +229,20 @@
 }
 
 void RaftNode::Stop(const Status& status) {
-  if (std::exchange(stopped_, true)) {
+  if (std::exchange(context_.stopped, true)) {
     return;
   }
   Log(LogLevel::kError, "raft_stopped", {{"reason", status.ToString()}});
-  environment_.metrics().Increment("raft_fatal_total", {{"reason", StatusCodeName(status.code())}});
-  environment_.CancelTimer(wakeup_timer_);
-  environment_.CancelTimer(formation_timer_);
-  environment_.CancelTimer(retry_timer_);
-  auto waiting = std::exchange(waiting_replies_, {});
-  for (auto& [token, reply] : waiting) {
-    reply(nullptr);
-  }
-  FailLostProposals();
+  context_.environment.metrics().Increment("raft_fatal_total",
+                                           {{"reason", StatusCodeName(status.code())}});
+  context_.environment.CancelTimer(wakeup_timer_);
+  formation_.Stop();
+  disk_full_handler_.Stop();
+  transport_.FailPendingReplies();
+  proposals_.FailLost();
   NotifyLeadership();
-  if (options_.on_fatal) {
-    options_.on_fatal(status);
+  if (context_.options.on_fatal) {
+    context_.options.on_fatal(status);
   }
 }
 
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -9,50 +9,24 @@
 
 #include <cstdint>
 #include <functional>
-#include <map>
-#include <memory>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
+#include "consensus/disk_full_handler.h"
+#include "consensus/pending_proposals.h"
+#include "consensus/raft_applier.h"
 #include "consensus/raft_core.h"
-#include "consensus/raft_formation.h"
+#include "consensus/raft_formation_driver.h"
+#include "consensus/raft_node_context.h"
+#include "consensus/raft_node_options.h"
 #include "consensus/raft_storage.h"
+#include "consensus/raft_transport.h"
 #include "consensus/replicated_log.h"
 #include "runtime/environment.h"
 #include "storage/data_folder.h"
 
 namespace cloverbank {
 
-struct RaftNodeOptions {
-  /// Peer endpoints of the first members, the same list at each.
-  std::vector<Endpoint> seeds;
-  /// Whether seeds that are all empty may found a new group. False on every start but the first of
-  /// the whole system: an empty disk then only ever joins.
-  bool may_found = true;
-  /// Voters of a complete group, if more than there are seeds. A group that is to bear n losses at
-  /// once needs 2n + 1.
-  std::size_t wanted_voters = 0;
-  /// See `RaftCoreOptions`. If set, seeds say nothing of who is to be replaced: they may lag.
-  Duration replace_unresponsive_after{};
-  /// Shortest silence of the leader after which another is elected; the longest is twice that.
-  Duration election_timeout = milliseconds(400);
-  Duration heartbeat_interval = milliseconds(100);
-  /// A snapshot is taken after this many commands or bytes of commands.
-  std::uint64_t snapshot_threshold_entries = 10000;
-  std::uint64_t snapshot_threshold_bytes = 4U << 20U;
-  /// Commands before a snapshot that are kept, so that a slow member needs no snapshot.
-  std::uint64_t trailing_entries = 512;
-  /// Most commands in one message.
-  std::size_t maximum_append_entries = 1024;
-  /// Size of one message of a snapshot.
-  std::size_t snapshot_chunk_bytes = 256U << 10U;
-  /// Runs once when the member can not go on (a failed sync, damaged state). The node then answers
-  /// nobody and leads nothing; the process should end. A full disk is no such case: the member
-  /// leads nothing and votes for nobody until there is room.
-  std::function<void(const Status&)> on_fatal;
-};
-
 class RaftNode final : public ReplicatedLog {
  public:
   /// All references must outlive the node.
@@ -85,93 +59,36 @@
   Status TransferLeadership();
 
   /// For status pages and tests. Requires a successful `Load`.
-  const RaftCore& core() const { return *core_; }
-  std::uint64_t applied_index() const { return applied_index_; }
+  const RaftCore& core() const { return *context_.core; }
+  std::uint64_t applied_index() const { return context_.applied_index; }
 
  private:
-  using Reply = std::function<void(const RaftReply*)>;
-  struct PendingProposal {
-    std::uint64_t term = 0;
-    std::function<void(Result<std::string>)> done;
-  };
-
-  // raft_node.cc
   RaftCoreOptions CoreOptions();
+  /// Executes what the core asks for, until it asks for nothing more.
   void Drain();
-  void ApplyEffects(RaftEffects& effects);
-  void RecordRefusal(RaftRefusal reason);
-  void Apply(const proto::RaftEntry& entry);
-  void MaybeTakeSnapshot();
-  void FailLostProposals();
+  void ExecuteEffects(RaftEffects& effects);
+  /// Restores, applies, and takes a snapshot if one is due.
+  Status ApplyCommitted(const RaftEffects& effects);
   void NotifyLeadership();
   void ArmTimer();
   void OnPersisted(RaftWriteId write);
-  void OnDiskFull(const Status& status);
-  void OnDiskSpaceAvailable();
   void Stop(const Status& status);
 
-  // raft_node_peers.cc
-  void ServePeers();
-  template <typename Request, typename Response>
-  void ServeRaftMethod(std::string_view method, std::uint64_t (Request::*sender_id)() const,
-                       void (RaftCore::*handle)(TimePoint, const Request&, RaftReplyToken));
-  Status Admit(std::uint64_t sender, std::uint64_t cluster_id, std::uint64_t recipient_id);
-  void SendReply(const RaftReply& reply);
-  void Send(RaftMessage& message);
-  void SendRequest(const RaftMessage& message, const proto::RequestVoteRequest& request);
-  void SendRequest(const RaftMessage& message, const proto::AppendEntriesRequest& request);
-  void SendRequest(const RaftMessage& message, const proto::InstallSnapshotRequest& request);
-  void SendRequest(const RaftMessage& message, const proto::TimeoutNowRequest& request);
-  void OnCallFailed(std::uint64_t member_id, std::uint64_t sequence);
-
-  // raft_node_formation.cc
-  void ServeFormation();
-  Result<proto::DiscoverResponse> Describe(const proto::DiscoverRequest& request);
-  void HandleJoin(const proto::JoinRequest& request,
-                  const std::function<void(Result<proto::JoinResponse>)>& reply);
-  std::uint64_t MemberOutsideSeeds(const Endpoint& joining) const;
-  void CorrectOwnEndpoint();
-  Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
-  proto::DiscoverRequest OwnIdentity() const;
-  bool NeedsGroup() const;
-  void ScheduleFormation();
-  void StartFormationRound();
-  void FinishFormationRound(const FormationRound& round);
-  void RecordNotifiedMembers(const FormationRound& answers);
-  void RequestJoin(const Endpoint& leader);
-
-  Environment& environment_;
+  RaftNodeContext context_;
   RaftStorage storage_;
-  StateMachine& state_machine_;
-  const RaftNodeOptions options_;
-  std::unique_ptr<RaftCore> core_;
-  bool identity_durable_ = false;
-  bool disk_full_ = false;
-  TimerId retry_timer_ = 0;  ///< Of a write that waits for room on the disk.
-  bool stopped_ = false;
+  RaftApplier applier_;
+  PendingProposals proposals_;
+  DiskFullHandler disk_full_handler_;
+  RaftFormationDriver formation_;
+  RaftTransport transport_;
   bool draining_ = false;
 
-  std::uint64_t applied_index_ = 0;
-  std::uint64_t snapshot_index_ = 0;
-  std::uint64_t bytes_since_snapshot_ = 0;
-  std::map<std::uint64_t, PendingProposal> proposals_;  ///< By index.
   std::uint64_t led_term_ = 0;  ///< Term reported to the observers as led; 0 if none.
   std::vector<std::function<void(bool)>> leadership_observers_;
   std::vector<std::function<void(std::uint64_t)>> applied_observers_;
 
   TimerId wakeup_timer_ = 0;
   TimePoint wakeup_at_;
-  TimerId formation_timer_ = 0;
-  MemberDirectory directory_;
-  /// Members that answers of others named last: seeds may all be gone by the time they are needed.
-  std::set<Endpoint> notified_members_;
-  /// The group was complete when this member last asked to join: it asks less often.
-  bool join_refused_ = false;
-
-  RaftReplyToken last_token_ = 0;
-  /// Gets the reply; null when none will come.
-  std::unordered_map<RaftReplyToken, Reply> waiting_replies_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace cloverbank
