--- a/src/control_client/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -44,6 +44,20 @@
 
 }  // namespace
 
+std::string_view UpdateOutcomeName(UpdateOutcome outcome) {
+  switch (outcome) {
+    case UpdateOutcome::kNothing:
+      return "nothing";
+    case UpdateOutcome::kTaken:
+      return "taken";
+    case UpdateOutcome::kGap:
+      return "gap";
+    case UpdateOutcome::kOlder:
+      return "older";
+  }
+  return "unknown";
+}
+
 bool ApplyChange(const proto::ConfigurationChange& change,
                  proto::RoutingConfiguration* configuration) {
   switch (change.change_case()) {
--- a/src/control_client/configuration_watch.h
+++ b/src/control_client/configuration_watch.h
@@ -4,6 +4,7 @@
 /// coordinators. Its version never goes back. Threads: the owner's event loop only.
 
 #include <cstdint>
+#include <string_view>
 
 #include "base/ids.h"
 #include "proto/configuration.pb.h"
@@ -18,6 +19,9 @@
   kOlder,    ///< It would go back; refused.
 };
 
+/// @return the name of `outcome` in metrics; stable.
+std::string_view UpdateOutcomeName(UpdateOutcome outcome);
+
 /// Applies one change to `configuration`, keeping lists sorted by name. The version is left alone.
 /// @return false if the change names nothing this program knows.
 bool ApplyChange(const proto::ConfigurationChange& change,
--- a/src/control_client/heartbeat_telemetry.cc
+++ b/src/control_client/heartbeat_telemetry.cc
@@ -15,12 +15,12 @@
 }
 
 void RecordUpdateOutcome(const NodeContext& context, std::string_view what, UpdateOutcome outcome) {
-  Metrics& metrics = context.environment.metrics();
-  if (outcome == UpdateOutcome::kGap) {
-    metrics.Increment("node_update_refused_total", {{"what", what}, {"reason", "gap"}});
+  if (outcome != UpdateOutcome::kGap && outcome != UpdateOutcome::kOlder) {
+    return;
   }
+  context.environment.metrics().Increment("node_update_refused_total",
+                                          {{"what", what}, {"reason", UpdateOutcomeName(outcome)}});
   if (outcome == UpdateOutcome::kOlder) {
-    metrics.Increment("node_update_refused_total", {{"what", what}, {"reason", "older"}});
     Log(LogLevel::kError, "older_version_rejected",
         {{"what", what}, {"machine", context.options.machine}});
   }
