--- a/src/log_writer/backup_directory.cc
+++ b/src/log_writer/backup_directory.cc
@@ -30,6 +30,29 @@
   return nullptr;
 }
 
+NodeId BackupDirectory::CurrentNode(const ReplicaLocation& location) const {
+  const proto::Server* server = Current(location);
+  return server == nullptr ? location.node : NodeId(server->node_id());
+}
+
+ReplicaCount BackupDirectory::CountByKind(const std::vector<ReplicaLocation>& locations) const {
+  ReplicaCount count;
+  for (const ReplicaLocation& location : locations) {
+    const proto::Server* server = Current(location);
+    if (server == nullptr) {
+      continue;
+    }
+    if (!AcceptsNewSegments(*server)) {
+      ++count.retiring;
+    } else if (server->spare()) {
+      ++count.spare;
+    } else {
+      ++count.regular;
+    }
+  }
+  return count;
+}
+
 Endpoint BackupDirectory::EndpointOf(const ReplicaLocation& location) const {
   const proto::Server* server = Current(location);
   return server == nullptr ? location.endpoint : ToEndpoint(server->peer_endpoint());
@@ -64,12 +87,10 @@
   request.replicas = replicas;
   request.avoid = RecentlyFailed();
   for (const ReplicaLocation& location : locations) {
-    const proto::Server* server = Current(location);
-    request.locations.insert(server == nullptr ? location.node : NodeId(server->node_id()));
+    request.locations.insert(CurrentNode(location));
   }
   for (const ReplicaLocation& location : excluded) {
-    const proto::Server* server = Current(location);
-    request.avoid.insert(server == nullptr ? location.node : NodeId(server->node_id()));
+    request.avoid.insert(CurrentNode(location));
   }
   return SelectBackups(agent_.fleet(), request, [this] { return environment_.Random(); });
 }
--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -22,6 +22,13 @@
   Endpoint endpoint;    ///< Last known.
 };
 
+/// Live replicas by the kind of their backup.
+struct ReplicaCount {
+  std::size_t regular = 0;
+  std::size_t spare = 0;
+  std::size_t retiring = 0;  ///< Regular or spare.
+};
+
 class BackupDirectory {
  public:
   BackupDirectory(Environment& environment, NodeAgent& agent, Duration failure_memory)
@@ -29,6 +36,10 @@
 
   /// @return the live backup that has the holder's disk now, or nullptr.
   const proto::Server* Current(const ReplicaLocation& location) const;
+  /// @return the node id of that backup, or the last known one while it is not live.
+  NodeId CurrentNode(const ReplicaLocation& location) const;
+  /// Counts the replicas at `locations`; those on lost backups are left out.
+  ReplicaCount CountByKind(const std::vector<ReplicaLocation>& locations) const;
   /// @return the holder's present endpoint, or the last known one while it is not live.
   Endpoint EndpointOf(const ReplicaLocation& location) const;
   /// @return the holder that `node` would be; requires that the fleet view has it.
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -36,23 +36,18 @@
 }
 
 void HeadSegment::Advance() {
-  pump_again_ = true;
-  if (pumping_) {
-    return;
-  }
-  pumping_ = true;
-  while (pump_again_ && !context_.stopped) {
-    pump_again_ = false;
-    EvaluateReplicaSet();
-    AddNewcomers();
-    // By index: a call may add nothing here, but keeps no reference over the loop.
-    for (std::size_t i = 0; i < replicas_.size(); ++i) {
-      Drive(replicas_[i]);
-    }
-    CommitIfReady();
-    UpdateDurableLength();
+  advance_.Run(context_.stopped, [this] { AdvanceOnce(); });
+}
+
+void HeadSegment::AdvanceOnce() {
+  EvaluateReplicaSet();
+  AddNewcomers();
+  // By index: a call may add nothing here, but keeps no reference over the loop.
+  for (std::size_t i = 0; i < replicas_.size(); ++i) {
+    Drive(replicas_[i]);
   }
-  pumping_ = false;
+  CommitIfReady();
+  UpdateDurableLength();
 }
 
 bool HeadSegment::IsLost(const Replica& replica) const {
@@ -60,12 +55,6 @@
          context_.directory.Current(replica.location) == nullptr;
 }
 
-bool HeadSegment::IsReady(const Replica& replica) const {
-  // The rest is copied after the change of the set has begun, while nothing is acknowledged: under
-  // steady appends a newcomer would never have everything.
-  return replica.epoch.valid() && replica.synced + context_.options.write_bytes >= content_.size();
-}
-
 std::size_t HeadSegment::replicas() const {
   return static_cast<std::size_t>(
       std::count_if(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
@@ -87,166 +76,6 @@
   return epoch_.valid() && committed_epoch_ == epoch_ && HasAllReplicas();
 }
 
-bool HeadSegment::NewcomersUnderWay() const {
-  return std::any_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
-    return !replica.member && !IsReady(replica);
-  });
-}
-
-void HeadSegment::AddNewcomers() {
-  if (closed()) {
-    return;
-  }
-  std::vector<ReplicaLocation> locations;
-  std::vector<ReplicaLocation> excluded;
-  for (const Replica& replica : replicas_) {
-    (IsLost(replica) ? excluded : locations).push_back(replica.location);
-  }
-  const std::size_t wanted = context_.options.replicas;
-  if (locations.size() >= wanted) {
-    return;
-  }
-  const auto chosen =
-      context_.directory.Select(wanted - locations.size(), wanted, locations, excluded);
-  for (const NodeId node : chosen) {
-    Replica replica;
-    replica.serial = ++last_serial_;
-    replica.location = context_.directory.FindLocation(node);
-    replicas_.push_back(std::move(replica));
-  }
-  if (locations.size() + chosen.size() < wanted) {
-    ScheduleAdvance();
-  }
-}
-
-void HeadSegment::DropNewcomers(const std::function<bool(const Replica&)>& keep) {
-  std::erase_if(replicas_, [&](const Replica& replica) {
-    if (replica.member || keep(replica)) {
-      return false;
-    }
-    // Backups refuse to open again under the epoch that was freed.
-    open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
-    if (context_.directory.Current(replica.location) == nullptr) {
-      return true;  // Another disk may be at its endpoint by now.
-    }
-    context_.client.FreeSegment(context_.directory.EndpointOf(replica.location), id_,
-                                [](const Status&) {});
-    return true;
-  });
-}
-
-HeadSegment::NextSet HeadSegment::ProposeSet() const {
-  NextSet next;
-  for (const Replica& replica : replicas_) {
-    const bool joins = !replica.member && IsReady(replica);
-    const bool leaves = replica.member && IsLost(replica);
-    next.size += joins || (replica.member && !leaves) ? 1 : 0;
-    next.differs = next.differs || joins || leaves;
-  }
-  return next;
-}
-
-void HeadSegment::EvaluateReplicaSet() {
-  if (closing_) {
-    return;  // The content is final: newcomers simply become further closed copies.
-  }
-  if (whole()) {
-    DropNewcomers([](const Replica&) { return false; });
-    return;
-  }
-  const NextSet next = ProposeSet();
-  const bool enough = next.size >= context_.options.replicas ||
-                      (next.size >= context_.options.minimum_replicas && !NewcomersUnderWay());
-  if (!next.differs || !enough) {
-    return;
-  }
-  if (next.size < context_.options.replicas) {
-    // Look once more for a backup that can still be asked before going on with fewer.
-    const std::size_t before = replicas_.size();
-    AddNewcomers();
-    if (replicas_.size() > before) {
-      return;
-    }
-  }
-  DropNewcomers([this](const Replica& replica) { return IsReady(replica); });
-  std::erase_if(replicas_,
-                [this](const Replica& replica) { return replica.member && IsLost(replica); });
-  epoch_ = open_epoch_;
-  open_epoch_ = epoch_.Next();
-  for (Replica& replica : replicas_) {
-    replica.member = true;
-  }
-  Log(LogLevel::kInfo, "segment_backups_changed",
-      {{"node", context_.node.value()},
-       {"segment", id_.value()},
-       {"epoch", epoch_.value()},
-       {"copies", replicas_.size()}});
-  context_.environment.metrics().Increment("queue_segment_epochs_total");
-}
-
-void HeadSegment::CommitIfReady() {
-  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() ||
-      committed_epoch_ == epoch_) {
-    return;
-  }
-  for (const Replica& replica : replicas_) {
-    if (replica.member && (replica.epoch != epoch_ || replica.copying)) {
-      return;
-    }
-  }
-  commit_under_way_ = true;
-  context_.agent.CallLeader<proto::CommitHeadResponse>(
-      "coordinator.CommitHead", CommitRequest(), context_.options.commit_deadline,
-      [weak = weak_from_this(), epoch = epoch_](const Result<proto::CommitHeadResponse>& result) {
-        if (const auto self = weak.lock()) {
-          self->HandleCommit(epoch, result.status());
-        }
-      });
-}
-
-const proto::CommitHeadRequest& HeadSegment::CommitRequest() {
-  proto::LogHead& head = *commit_request_.mutable_head();
-  if (head.epoch() == epoch_.value()) {
-    // An earlier try may have been committed: a backup that has restarted since keeps its old id in
-    // it.
-    return commit_request_;
-  }
-  head.Clear();
-  head.set_node_id(context_.node.value());
-  head.set_segment_id(id_.value());
-  head.set_epoch(epoch_.value());
-  for (const Replica& replica : replicas_) {
-    if (replica.member) {
-      const proto::Server* server = context_.directory.Current(replica.location);
-      head.add_backups(server == nullptr ? replica.location.node.value() : server->node_id());
-    }
-  }
-  return commit_request_;
-}
-
-void HeadSegment::HandleCommit(HeadEpoch epoch, const Status& status) {
-  commit_under_way_ = false;
-  if (context_.stopped) {
-    return;
-  }
-  if (status.code() == StatusCode::kFenced) {
-    context_.fenced("coordinators refused the head: " + status.message());
-    return;
-  }
-  if (!status.ok()) {
-    Log(LogLevel::kWarning, "commit_head_failed",
-        {{"node", context_.node.value()},
-         {"segment", id_.value()},
-         {"epoch", epoch.value()},
-         {"status", status.ToString()}});
-    ScheduleAdvance();
-    return;
-  }
-  committed_epoch_ = epoch;
-  Advance();
-  on_progress_();
-}
-
 void HeadSegment::UpdateDurableLength() {
   if (!epoch_.valid() || committed_epoch_ != epoch_) {
     return;
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -25,6 +25,7 @@
 
 #include "base/ids.h"
 #include "log_writer/log_context.h"
+#include "log_writer/repeated_step.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
@@ -92,19 +93,30 @@
     bool differs = false;  ///< From the present one.
   };
 
+  void AdvanceOnce();
+  void UpdateDurableLength();
+  bool HasAllReplicas() const;
+  bool IsLost(const Replica& replica) const;
+  void ScheduleAdvance();
+
+  // head_segment_replica_set.cc
   void AddNewcomers();
   NextSet ProposeSet() const;
   bool NewcomersUnderWay() const;
   /// Moves to a new set and epoch when one is ready that is better than the present one.
   void EvaluateReplicaSet();
-  bool HasAllReplicas() const;
+  /// Makes the live members and the newcomers that are ready the set of the next epoch.
+  void AdoptReadyReplicas();
   /// Frees the newcomers that are not to be kept.
   void DropNewcomers(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
   /// @return the commit of the present set; the same one for every try under one epoch.
   const proto::CommitHeadRequest& CommitRequest();
-  void UpdateDurableLength();
+  void HandleCommit(HeadEpoch epoch, const Status& status);
+  /// Whether a newcomer has so much of the content that the set can change to it.
+  bool IsReady(const Replica& replica) const;
 
+  // head_segment_calls.cc
   /// Makes the next call that `replica` needs, if any.
   void Drive(Replica& replica);
   void Open(Replica& replica);
@@ -112,15 +124,10 @@
   void SetEpoch(Replica& replica);
   void CloseAt(Replica& replica);
   std::uint64_t WriteEnd(std::uint64_t offset) const;
-  bool IsLost(const Replica& replica) const;
-  /// Whether a newcomer has so much of the content that the set can change to it.
-  bool IsReady(const Replica& replica) const;
 
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
   BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
   void HandleFailure(std::uint64_t serial, const Status& status);
-  void HandleCommit(HeadEpoch epoch, const Status& status);
-  void ScheduleAdvance();
   Replica* FindReplica(std::uint64_t serial);
 
   LogContext& context_;
@@ -138,8 +145,7 @@
   bool commit_allowed_ = false;
   bool commit_under_way_ = false;
   bool closing_ = false;
-  bool pumping_ = false;
-  bool pump_again_ = false;
+  RepeatedStep advance_;
   bool timer_set_ = false;
 };
 
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -110,7 +110,7 @@
       return;
     }
     if (status.code() == StatusCode::kFenced) {
-      self->context_.fenced("a backup refused segment " + self->id_.ToString());
+      self->context_.fenced(FencedBy::kBackupOfHead, self->id_.ToString());
       return;
     }
     if (!status.ok()) {
@@ -138,9 +138,7 @@
        {"status", status.ToString()}});
   context_.environment.metrics().Increment("queue_backup_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
-  const proto::Server* server = context_.directory.Current(replica->location);
-  context_.directory.RecordFailure(server == nullptr ? replica->location.node
-                                                     : NodeId(server->node_id()));
+  context_.directory.RecordFailure(context_.directory.CurrentNode(replica->location));
   if (!replica->member) {
     std::erase_if(replicas_, [&](const Replica& other) { return other.serial == serial; });
     return;
--- a/src/log_writer/log_context.h
+++ b/src/log_writer/log_context.h
@@ -2,6 +2,7 @@
 /// @file
 /// What the parts of one life's log share: options, the ways out, and the memory of failed backups.
 
+#include <cstdint>
 #include <functional>
 #include <string>
 
@@ -29,6 +30,13 @@
   std::size_t parallel_repairs = 2;         ///< Closed segments copied at a time.
 };
 
+/// Who refused the log's node id as dead.
+enum class FencedBy : std::uint8_t { kCoordinators, kBackupOfHead, kBackupOfRepair };
+
+/// @return the text for logs. @param detail of kCoordinators: their message; of kBackupOfHead: the
+/// segment id; else unused.
+std::string FencingReason(FencedBy source, const std::string& detail);
+
 struct LogContext {
   Environment& environment;
   NodeAgent& agent;
@@ -39,7 +47,7 @@
   BackupDirectory directory;
   bool stopped = false;
   /// Called when a backup or coordinator refuses `node` as dead. Sets `stopped`.
-  std::function<void(const std::string& reason)> fenced;
+  std::function<void(FencedBy source, const std::string& detail)> fenced;
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -64,6 +64,12 @@
       found.insert(SegmentId(key.segment_id()));
     }
   }
+  RecordLostReplicas(backup, expected, found);
+  FreeLeftoverReplicas(backup, head, found);
+}
+
+void SegmentRepairer::RecordLostReplicas(NodeId backup, const std::set<SegmentId>& expected,
+                                         const std::set<SegmentId>& found) {
   for (const SegmentId id : expected) {
     const auto segment = segments_.find(id);
     if (segment == segments_.end() || found.contains(id)) {
@@ -75,6 +81,10 @@
     Log(LogLevel::kWarning, "replica_lost",
         {{"node", context_.node.value()}, {"segment", id.value()}, {"backup", backup.value()}});
   }
+}
+
+void SegmentRepairer::FreeLeftoverReplicas(NodeId backup, SegmentId head,
+                                           const std::set<SegmentId>& found) {
   // Closed before the question was sent, so nothing of them is under way but repairs.
   const std::set<SegmentId> held = SegmentsOn(backup);
   for (const SegmentId id : found) {
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -8,7 +8,6 @@
 /// Threads: the owner's event loop only.
 
 #include <cstdint>
-#include <deque>
 #include <functional>
 #include <memory>
 #include <string>
@@ -16,8 +15,10 @@
 
 #include "base/ids.h"
 #include "base/status.h"
+#include "log_writer/append_queue.h"
 #include "log_writer/head_segment.h"
 #include "log_writer/log_context.h"
+#include "log_writer/repeated_step.h"
 #include "log_writer/segment_repairer.h"
 #include "log_writer/segment_usage.h"
 #include "proto/log.pb.h"
@@ -26,7 +27,7 @@
 
 class SegmentLog {
  public:
-  using Done = std::function<void(Status)>;
+  using Done = AppendQueue::Done;
   /// Entries without sequence to be written at the start of a new segment (PartitionWatermark).
   using Preamble = std::function<std::vector<proto::LogEntry>()>;
 
@@ -67,34 +68,28 @@
   std::uint64_t largest_entry() const { return context_.options.segment_bytes / 4; }
 
  private:
-  struct WaitingAppend {
-    std::vector<proto::LogEntry> entries;
-    std::size_t next = 0;  ///< First entry that is not in a segment yet.
-    std::uint64_t bytes = 0;
-    TimePoint since;
-    Done done;
-  };
-  struct PositionedAppend {
-    SegmentId segment;
-    std::uint64_t end = 0;
-    Done done;
-  };
-
   void Advance();
   void AdvanceOnce();
   void Place();
-  bool AppendNext(WaitingAppend& waiting);
+  /// @return whether all entries of `append` are in the head now; else the head is full.
+  bool PlaceEntries(AppendQueue::WaitingAppend& append);
+  void Acknowledge();
   void RefuseOverdue();
+  void Fence(FencedBy source, const std::string& detail);
+  void Later(Done done, Status status);
+  void Tick();
+
+  // segment_log_roll_over.cc
   void Roll();
+  bool ShouldOpenSuccessor() const;
+  bool ShouldRollEarly() const;
   void OpenSuccessor();
   void AdoptSuccessor();
-  void Acknowledge();
-  bool IsDurable(const PositionedAppend& placed) const;
-  bool ShouldRollEarly() const;
+  /// Hands the closed head to the repairer.
+  void RetireHead();
+  /// Frees the segments that the committed digest of the new head leaves out.
+  void FreeDeadSegments();
   std::string FirstContent(SegmentId segment, const std::vector<SegmentId>& digest);
-  void Fence(const std::string& reason);
-  void Later(Done done, Status status);
-  void Tick();
 
   LogContext context_;
   Preamble preamble_;
@@ -104,14 +99,11 @@
   std::shared_ptr<SegmentRepairer> repairer_;
   SegmentUsage usage_;
   std::vector<SegmentId> freed_by_successor_;  ///< Left out of its digest.
-  std::deque<WaitingAppend> waiting_;
-  std::deque<PositionedAppend> placed_;
-  std::uint64_t waiting_bytes_ = 0;
+  AppendQueue appends_;
   bool rolling_ = false;     ///< Nothing more goes into the head.
   bool early_roll_ = false;  ///< The head should move once its successor is open.
   TimePoint rolled_at_;
-  bool pumping_ = false;
-  bool pump_again_ = false;
+  RepeatedStep advance_;
   TimerId timer_ = 0;
 };
 
--- /dev/null
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -0,0 +1,141 @@
+// The roll-over of the log's head to its successor: when it begins, its steps, and which segments
+// it frees.
+
+#include <set>
+
+#include "base/checksum.h"
+#include "base/logging.h"
+#include "log_format/segment_format.h"
+#include "log_writer/segment_log.h"
+
+namespace cloverbank {
+namespace {
+
+/// Least time between roll-overs that are made only to move the head to better backups.
+constexpr Duration kEarlyRollInterval = seconds(2);
+/// Share of a segment that is used when its successor is opened, in percent.
+constexpr std::uint64_t kOpenSuccessorPercent = 75;
+
+}  // namespace
+
+void SegmentLog::Roll() {
+  if (!head_->committed()) {
+    return;
+  }
+  early_roll_ = early_roll_ || ShouldRollEarly();
+  if (successor_ == nullptr && ShouldOpenSuccessor()) {
+    OpenSuccessor();
+  }
+  if (successor_ == nullptr || !successor_->opened()) {
+    return;
+  }
+  rolling_ = rolling_ || early_roll_;
+  if (!rolling_) {
+    return;
+  }
+  if (!head_->closing() && head_->drained()) {
+    head_->Close();
+  }
+  if (head_->closed() && !successor_->committed()) {
+    successor_->AllowCommit();
+  }
+  if (head_->closed() && successor_->committed()) {
+    AdoptSuccessor();
+  }
+}
+
+bool SegmentLog::ShouldOpenSuccessor() const {
+  const bool nearly_full =
+      head_->length() * 100 >= context_.options.segment_bytes * kOpenSuccessorPercent;
+  return rolling_ || nearly_full || early_roll_;
+}
+
+bool SegmentLog::ShouldRollEarly() const {
+  if (context_.environment.Now() - rolled_at_ < kEarlyRollInterval) {
+    return false;
+  }
+  std::set<NodeId> members;
+  for (const ReplicaLocation& location : head_->locations()) {
+    const proto::Server* server = context_.directory.Current(location);
+    if (server != nullptr) {
+      members.insert(NodeId(server->node_id()));
+    }
+  }
+  std::size_t other_regular = 0;
+  std::size_t others = 0;
+  for (const auto& [id, server] : context_.agent.fleet().servers) {
+    if (AcceptsNewSegments(server) && !members.contains(id)) {
+      ++others;
+      other_regular += server.spare() ? 0 : 1;
+    }
+  }
+  const ReplicaCount count = context_.directory.CountByKind(head_->locations());
+  return (count.spare > 0 && other_regular > 0) || (count.retiring > 0 && others > 0);
+}
+
+void SegmentLog::OpenSuccessor() {
+  const SegmentId id = head_->id().Next();
+  std::vector<SegmentId> digest;
+  freed_by_successor_.clear();
+  for (const auto& [closed, segment] : repairer_->segments()) {
+    (usage_.IsDead(closed) ? freed_by_successor_ : digest).push_back(closed);
+  }
+  digest.push_back(head_->id());
+  digest.push_back(id);
+  successor_ =
+      std::make_shared<HeadSegment>(context_, id, FirstContent(id, digest), [this] { Advance(); });
+  successor_->Advance();
+}
+
+void SegmentLog::AdoptSuccessor() {
+  RetireHead();
+  FreeDeadSegments();
+  head_ = std::move(successor_);
+  successor_ = nullptr;
+  rolling_ = false;
+  early_roll_ = false;
+  rolled_at_ = context_.environment.Now();
+  Log(LogLevel::kInfo, "segment_opened",
+      {{"node", context_.node.value()},
+       {"segment", head_->id().value()},
+       {"live_segments", live_segments()}});
+  repairer_->Advance();
+  advance_.RequestRound();
+}
+
+void SegmentLog::RetireHead() {
+  ClosedSegment closed;
+  closed.id = head_->id();
+  closed.epoch = head_->highest_epoch();
+  closed.length = head_->length();
+  closed.checksum = Checksum(head_->content());
+  closed.locations = head_->locations();
+  repairer_->Add(std::move(closed));
+}
+
+void SegmentLog::FreeDeadSegments() {
+  for (const SegmentId freed : freed_by_successor_) {
+    repairer_->Free(freed);
+    usage_.Forget(freed);
+  }
+  freed_by_successor_.clear();
+}
+
+std::string SegmentLog::FirstContent(SegmentId segment, const std::vector<SegmentId>& digest) {
+  std::string content;
+  proto::LogEntry header;
+  header.mutable_segment_header()->set_node_id(context_.node.value());
+  header.mutable_segment_header()->set_segment_id(segment.value());
+  AppendEntry(&content, segment, header);
+  proto::LogEntry digest_entry;
+  for (const SegmentId live : digest) {
+    digest_entry.mutable_log_digest()->add_segment_ids(live.value());
+  }
+  AppendEntry(&content, segment, digest_entry);
+  for (const proto::LogEntry& watermark : preamble_()) {
+    AppendEntry(&content, segment, watermark);
+  }
+  return content;
+}
+
+}  // namespace cloverbank
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -66,25 +66,9 @@
   }
 }
 
-SegmentRepairer::ReplicaCount SegmentRepairer::Count(
-    const std::vector<ReplicaLocation>& live) const {
-  ReplicaCount count;
-  for (const ReplicaLocation& location : live) {
-    const proto::Server* server = context_.directory.Current(location);
-    if (!AcceptsNewSegments(*server)) {
-      ++count.retiring;
-    } else if (server->spare()) {
-      ++count.spare;
-    } else {
-      ++count.regular;
-    }
-  }
-  return count;
-}
-
 void SegmentRepairer::RepairIfNeeded(ClosedSegment& segment) {
   const std::vector<ReplicaLocation> live = LiveLocations(segment);
-  const ReplicaCount count = Count(live);
+  const ReplicaCount count = context_.directory.CountByKind(live);
   const std::size_t replicas = context_.options.replicas;
   if (count.regular + count.spare >= replicas) {
     DropUnneeded(segment, count.regular >= replicas);
@@ -127,7 +111,7 @@
       return;
     }
     if (status.code() == StatusCode::kFenced) {
-      self->context_.fenced("a backup refused a repair");
+      self->context_.fenced(FencedBy::kBackupOfRepair, "");
       return;
     }
     if (status.ok()) {
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -57,15 +57,7 @@
   using RepairPtr = std::shared_ptr<Repair>;
   using Step = void (SegmentRepairer::*)(const RepairPtr&);
 
-  /// Live copies of a segment by the kind of backup.
-  struct ReplicaCount {
-    std::size_t regular = 0;
-    std::size_t spare = 0;
-    std::size_t retiring = 0;
-  };
-
   std::vector<ReplicaLocation> LiveLocations(const ClosedSegment& segment) const;
-  ReplicaCount Count(const std::vector<ReplicaLocation>& live) const;
   /// Starts a repair of the segment if it needs one and a backup can take it.
   void RepairIfNeeded(ClosedSegment& segment);
   /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
@@ -86,6 +78,9 @@
   // segment_audit.cc
   std::set<SegmentId> SegmentsOn(NodeId backup) const;
   bool IsAt(const ReplicaLocation& location, NodeId backup) const;
+  void RecordLostReplicas(NodeId backup, const std::set<SegmentId>& expected,
+                          const std::set<SegmentId>& found);
+  void FreeLeftoverReplicas(NodeId backup, SegmentId head, const std::set<SegmentId>& found);
   void HandleAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
                    const proto::ListSegmentsResponse& listed);
 
