--- a/src/backup/backup_service.cc
+++ b/src/backup/backup_service.cc
@@ -1,42 +1,16 @@
 #include "backup/backup_service.h"
 
-#include <array>
-#include <charconv>
 #include <memory>
 #include <utility>
 
+#include "backup/corrupt_replica.h"
+#include "backup/disk_id.h"
 #include "backup/replica_reader.h"
 #include "backup/segment_loader.h"
 #include "base/logging.h"
 #include "runtime/typed_peer.h"
-#include "storage/record_file.h"
 
 namespace cloverbank {
-namespace {
-
-constexpr const char* kDiskIdFile = "disk_id";
-constexpr std::uint64_t kDiskIdSeed = 0;
-
-std::string RandomHex(Environment& environment) {
-  constexpr int kHexBase = 16;
-  constexpr int kWords = 2;
-  std::string text;
-  for (int i = 0; i < kWords; ++i) {
-    std::array<char, kHexBase> digits{};
-    const auto [end, error] =
-        std::to_chars(digits.data(), digits.data() + digits.size(), environment.Random(), kHexBase);
-    text.append(digits.data(), end);
-  }
-  return text;
-}
-
-template <typename Request>
-ReplicaKey KeyOf(const Request& request) {
-  return {NodeId(request.node_id()), SegmentId(request.segment_id())};
-}
-
-}  // namespace
-
 BackupService::BackupService(Environment& environment, DataFolder& folder,
                              const BackupOptions& options)
     : environment_(environment),
@@ -46,10 +20,10 @@
       fences_(folder),
       operations_(environment, folder, store_),
       recovery_(environment, folder, store_, operations_, fences_),
-      scrubber_(environment, folder, store_, recovery_, options.scrub_interval) {}
+      scrubber_(environment, folder, store_, options.scrub_interval) {}
 
 Status BackupService::Load() {
-  LoadDiskId();
+  disk_id_ = LoadOrCreateDiskId(environment_, folder_);
   const Result<std::set<NodeId>> fenced = fences_.Load();
   if (!fenced.ok()) {
     return fenced.status();
@@ -62,43 +36,27 @@
     return unfinished.status();
   }
   for (const ReplicaKey& key : *unfinished) {
-    operations_.Submit(
-        key,
-        []() -> Result<ReplicaChange> {
-          ReplicaChange change;
-          change.remove = true;
-          return change;
-        },
-        [](const Status&) { /* Failures are logged; the file holds nothing. */ });
+    RemoveUnfinished(key);
   }
   Log(LogLevel::kInfo, "backup_loaded",
       {{"disk_id", disk_id_}, {"replicas", store_.replicas().size()}, {"fenced", fenced->size()}});
   UpdateGauges();
-  ServeSegmentCalls();
+  ServeLifecycleCalls();
+  ServeWriteCalls();
   ServeReadCalls();
   ServeRecoveryCalls();
   scrubber_.Start();
   return Status::Ok();
 }
 
-void BackupService::LoadDiskId() {
-  const Result<std::string> bytes = folder_.Read(kDiskIdFile);
-  if (bytes.ok()) {
-    RecordReader reader(*bytes, kDiskIdSeed);
-    const std::optional<std::string_view> stored = reader.Next();
-    if (stored) {
-      disk_id_ = *stored;
-      return;
-    }
-    Log(LogLevel::kError, "disk_id_damaged", {{"file", kDiskIdFile}});
-  }
-  // Should this write be lost, the disk only counts as another one after the next start.
-  disk_id_ = RandomHex(environment_);
-  folder_.Replace(kDiskIdFile, EncodeRecord(disk_id_, kDiskIdSeed), [](const Status& status) {
-    if (!status.ok()) {
-      Log(LogLevel::kError, "disk_id_write_failed", {{"reason", status.ToString()}});
-    }
-  });
+void BackupService::RemoveUnfinished(const ReplicaKey& key) {
+  const auto remove = []() -> Result<ReplicaChange> {
+    ReplicaChange change;
+    change.remove = true;
+    return change;
+  };
+  operations_.Submit(key, remove,
+                     [](const Status&) { /* Failures are logged; the file holds nothing. */ });
 }
 
 std::uint64_t BackupService::FreeBytes() {
@@ -116,24 +74,22 @@
       [this, method, decide = std::move(decide), answer = std::move(answer)](
           const Request& request, const std::string&, Reply<Response> reply) {
         const auto shared = std::make_shared<const Request>(request);
-        const TimePoint start = environment_.Now();
+        const auto complete = [this, method, answer, shared, start = environment_.Now(),
+                               reply = std::move(reply)](const Status& status) {
+          CountOutcome(method, status);
+          if (!status.ok()) {
+            reply(status);
+            return;
+          }
+          ObserveDuration(method, start);
+          reply(answer(*shared));
+        };
         operations_.Submit(
-            KeyOf(request), [decide, shared] { return decide(*shared); },
-            [this, method, answer, shared, start, reply = std::move(reply)](const Status& status) {
-              CountOutcome(method, status);
-              if (!status.ok()) {
-                reply(status);
-                return;
-              }
-              const std::chrono::duration<double> took = environment_.Now() - start;
-              environment_.metrics().ObserveSeconds("backup_call_seconds", took.count(),
-                                                    {{"method", method}});
-              reply(answer(*shared));
-            });
+            ReplicaKeyFor(request), [decide, shared] { return decide(*shared); }, complete);
       });
 }
 
-void BackupService::ServeSegmentCalls() {
+void BackupService::ServeLifecycleCalls() {
   ServeChange<proto::OpenSegmentRequest, proto::OpenSegmentResponse>(
       "backup.OpenSegment",
       [this](const proto::OpenSegmentRequest& request) {
@@ -143,20 +99,6 @@
         UpdateGauges();
         return proto::OpenSegmentResponse();
       });
-  ServeChange<proto::WriteSegmentRequest, proto::WriteSegmentResponse>(
-      "backup.WriteSegment",
-      [this](const proto::WriteSegmentRequest& request) { return store_.Write(request); },
-      [this](const proto::WriteSegmentRequest& request) {
-        environment_.metrics().Increment("backup_written_bytes_total", {},
-                                         static_cast<double>(request.data().size()));
-        proto::WriteSegmentResponse response;
-        response.set_length(store_.Find(KeyOf(request))->length);
-        return response;
-      });
-  ServeChange<proto::SetSegmentEpochRequest, proto::SetSegmentEpochResponse>(
-      "backup.SetSegmentEpoch",
-      [this](const proto::SetSegmentEpochRequest& request) { return store_.SetEpoch(request); },
-      [](const proto::SetSegmentEpochRequest&) { return proto::SetSegmentEpochResponse(); });
   ServeChange<proto::CloseSegmentRequest, proto::CloseSegmentResponse>(
       "backup.CloseSegment",
       [this](const proto::CloseSegmentRequest& request) { return store_.Close(request); },
@@ -173,6 +115,23 @@
       });
 }
 
+void BackupService::ServeWriteCalls() {
+  ServeChange<proto::WriteSegmentRequest, proto::WriteSegmentResponse>(
+      "backup.WriteSegment",
+      [this](const proto::WriteSegmentRequest& request) { return store_.Write(request); },
+      [this](const proto::WriteSegmentRequest& request) {
+        environment_.metrics().Increment("backup_written_bytes_total", {},
+                                         static_cast<double>(request.data().size()));
+        proto::WriteSegmentResponse response;
+        response.set_length(store_.Find(ReplicaKeyFor(request))->length);
+        return response;
+      });
+  ServeChange<proto::SetSegmentEpochRequest, proto::SetSegmentEpochResponse>(
+      "backup.SetSegmentEpoch",
+      [this](const proto::SetSegmentEpochRequest& request) { return store_.SetEpoch(request); },
+      [](const proto::SetSegmentEpochRequest&) { return proto::SetSegmentEpochResponse(); });
+}
+
 void BackupService::ServeReadCalls() {
   ServePeer<proto::ReadSegmentRequest, proto::ReadSegmentResponse>(
       environment_, "backup.ReadSegment",
@@ -213,7 +172,7 @@
 
 Result<proto::ReadSegmentResponse> BackupService::ReadSegment(
     const proto::ReadSegmentRequest& request) {
-  const ReplicaKey key = KeyOf(request);
+  const ReplicaKey key = ReplicaKeyFor(request);
   const Replica* replica = store_.Find(key);
   if (replica == nullptr) {
     return Status(StatusCode::kNotFound, "no such segment");
@@ -226,7 +185,7 @@
   }
   Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
-    recovery_.DropCorrupt(key, "read", bytes.status());
+    DropCorruptReplica(environment_, store_, key, CorruptionFoundBy::kRead, bytes.status());
     return bytes.status();
   }
   proto::ReadSegmentResponse response;
@@ -255,6 +214,11 @@
   }
 }
 
+void BackupService::ObserveDuration(std::string_view method, TimePoint start) {
+  const std::chrono::duration<double> took = environment_.Now() - start;
+  environment_.metrics().ObserveSeconds("backup_call_seconds", took.count(), {{"method", method}});
+}
+
 void BackupService::UpdateGauges() {
   Metrics& metrics = environment_.metrics();
   metrics.SetGauge("backup_replicas", static_cast<double>(store_.replicas().size()));
--- a/src/backup/backup_service.h
+++ b/src/backup/backup_service.h
@@ -44,13 +44,18 @@
   std::uint64_t FreeBytes();
 
  private:
-  void LoadDiskId();
-  void ServeSegmentCalls();
+  /// Removes the file that an unfinished open left.
+  void RemoveUnfinished(const ReplicaKey& key);
+  /// OpenSegment, CloseSegment and FreeSegment.
+  void ServeLifecycleCalls();
+  /// WriteSegment and SetSegmentEpoch.
+  void ServeWriteCalls();
   void ServeReadCalls();
   void ServeRecoveryCalls();
   Result<proto::ReadSegmentResponse> ReadSegment(const proto::ReadSegmentRequest& request);
   proto::ListSegmentsResponse ListSegments() const;
   void CountOutcome(std::string_view method, const Status& status);
+  void ObserveDuration(std::string_view method, TimePoint start);
   void UpdateGauges();
 
   template <typename Response>
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -2,11 +2,38 @@
 
 #include <utility>
 
+#include "backup/corrupt_replica.h"
 #include "backup/replica_reader.h"
 #include "base/logging.h"
 
 namespace cloverbank {
 
+/// The removal of all replicas of one node, answered when the last one is over.
+class RecoveryReader::Removal {
+ public:
+  Removal(std::size_t count, Reply<proto::ReleaseRecoveryDataResponse> reply)
+      : left_(count), reply_(std::move(reply)) {}
+
+  void RecordRemoved(const Status& status) {
+    if (!status.ok() && first_failure_.ok()) {
+      first_failure_ = status;
+    }
+    if (--left_ > 0) {
+      return;
+    }
+    if (first_failure_.ok()) {
+      reply_(proto::ReleaseRecoveryDataResponse());
+    } else {
+      reply_(first_failure_);
+    }
+  }
+
+ private:
+  std::size_t left_;
+  Status first_failure_;
+  Reply<proto::ReleaseRecoveryDataResponse> reply_;
+};
+
 RecoveryReader::RecoveryReader(Environment& environment, DataFolder& folder, SegmentStore& store,
                                ReplicaOperations& operations, FenceFile& fences)
     : environment_(environment),
@@ -39,22 +66,23 @@
       return;
     }
     operations_.WhenIdle(node, [this, node] {
-      CheckFrom(node, std::make_shared<std::vector<ReplicaKey>>(store_.KeysOf(node)), 0);
+      auto check = std::make_shared<ReplicaCheck>();
+      check->node = node;
+      check->keys = store_.KeysOf(node);
+      ContinueCheck(check);
     });
   });
 }
 
-void RecoveryReader::CheckFrom(NodeId node, const std::shared_ptr<std::vector<ReplicaKey>>& keys,
-                               std::size_t position) {
-  while (position < keys->size()) {
-    const ReplicaKey key = (*keys)[position];
-    ++position;
-    const auto next = [this, node, keys, position] { CheckFrom(node, keys, position); };
-    if (CheckOne(key, next)) {
+void RecoveryReader::ContinueCheck(const std::shared_ptr<ReplicaCheck>& check) {
+  while (check->position < check->keys.size()) {
+    const ReplicaKey key = check->keys[check->position];
+    ++check->position;
+    if (CheckOne(key, [this, check] { ContinueCheck(check); })) {
       return;
     }
   }
-  FinishReading(node, StoredSegments(node));
+  FinishReading(check->node, StoredSegments(check->node));
 }
 
 bool RecoveryReader::CheckOne(const ReplicaKey& key, std::function<void()> next) {
@@ -64,7 +92,7 @@
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
-    DropCorrupt(key, "recovery", bytes.status());
+    DropCorrupt(key, bytes.status());
     return false;
   }
   if (replica->open()) {
@@ -135,13 +163,13 @@
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
-    DropCorrupt(key, "recovery", bytes.status());
+    DropCorrupt(key, bytes.status());
     return bytes.status();
   }
   proto::GetRecoveryDataResponse response;
   const Status filtered = FilterEntries(key.segment, *bytes, request, &response);
   if (!filtered.ok()) {
-    DropCorrupt(key, "recovery", filtered);
+    DropCorrupt(key, filtered);
     return filtered;
   }
   return response;
@@ -159,44 +187,21 @@
 }
 
 void RecoveryReader::RemoveAll(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply) {
-  struct Progress {
-    std::size_t left = 0;
-    Status first_failure;
-    Reply<proto::ReleaseRecoveryDataResponse> reply;
-  };
   const std::vector<ReplicaKey> keys = store_.KeysOf(node);
   if (keys.empty()) {
     reply(proto::ReleaseRecoveryDataResponse());
     return;
   }
-  const auto progress = std::make_shared<Progress>();
-  progress->left = keys.size();
-  progress->reply = std::move(reply);
+  const auto removal = std::make_shared<Removal>(keys.size(), std::move(reply));
   for (const ReplicaKey& key : keys) {
     operations_.Submit(
         key, [this, key]() -> Result<ReplicaChange> { return store_.Remove(key); },
-        [progress](const Status& status) {
-          if (!status.ok() && progress->first_failure.ok()) {
-            progress->first_failure = status;
-          }
-          if (--progress->left > 0) {
-            return;
-          }
-          if (progress->first_failure.ok()) {
-            progress->reply(proto::ReleaseRecoveryDataResponse());
-          } else {
-            progress->reply(progress->first_failure);
-          }
-        });
+        [removal](const Status& status) { removal->RecordRemoved(status); });
   }
 }
 
-void RecoveryReader::DropCorrupt(const ReplicaKey& key, std::string_view found_by,
-                                 const Status& why) {
-  store_.SetCorrupt(key);
-  environment_.metrics().Increment("backup_corrupt_replicas_total", {{"found_by", found_by}});
-  Log(LogLevel::kError, "replica_corrupt",
-      {{"file", SegmentFileName(key)}, {"found_by", found_by}, {"reason", why.message()}});
+void RecoveryReader::DropCorrupt(const ReplicaKey& key, const Status& reason) {
+  DropCorruptReplica(environment_, store_, key, CorruptionFoundBy::kRecovery, reason);
 }
 
 }  // namespace cloverbank
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -37,19 +37,23 @@
   /// Answers when the node's replicas are removed. Fences the node too, if it was not.
   void ReleaseRecoveryData(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply);
 
-  /// Takes a replica that failed its check out of every offer. @param found_by label for the
-  /// metric.
-  void DropCorrupt(const ReplicaKey& key, std::string_view found_by, const Status& why);
-
  private:
+  class Removal;
+  /// The check of a dead node's replicas, one after the other.
+  struct ReplicaCheck {
+    NodeId node;
+    std::vector<ReplicaKey> keys;
+    std::size_t position = 0;  ///< Of the next one.
+  };
+
   void Fence(NodeId node, DataFolder::Done done);
-  void CheckFrom(NodeId node, const std::shared_ptr<std::vector<ReplicaKey>>& keys,
-                 std::size_t position);
+  void ContinueCheck(const std::shared_ptr<ReplicaCheck>& check);
   /// @return whether the check goes on later by itself.
   bool CheckOne(const ReplicaKey& key, std::function<void()> next);
   void Seal(const ReplicaKey& key, const std::string& bytes, std::function<void()> next);
   void FinishReading(NodeId node, const Result<proto::StartReadingDataResponse>& result);
   proto::StartReadingDataResponse StoredSegments(NodeId node) const;
+  void DropCorrupt(const ReplicaKey& key, const Status& reason);
   void RemoveAll(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply);
 
   Environment& environment_;
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -19,7 +19,7 @@
 }
 
 void ReplicaOperations::WhenIdle(NodeId node, std::function<void()> action) {
-  idle_actions_.emplace_back(node, std::move(action));
+  idle_actions_.push_back({node, std::move(action)});
   RunIdleActions();
 }
 
@@ -38,15 +38,36 @@
   RunSteps(run);
 }
 
+ReplicaOperations::Step ReplicaOperations::WriteStep(const std::string& name, std::uint64_t offset,
+                                                     std::string bytes) {
+  return [this, name, offset, bytes = std::move(bytes)](DataFolder::Done done) mutable {
+    folder_.WriteAt(name, offset, std::move(bytes), std::move(done));
+  };
+}
+
+ReplicaOperations::Step ReplicaOperations::WriteHeaderStep(const std::string& name,
+                                                           const ReplicaHeader& header) {
+  return WriteStep(name, HeaderSlotOffset(header.generation), EncodeReplicaHeader(header));
+}
+
+ReplicaOperations::Step ReplicaOperations::TruncateStep(const std::string& name,
+                                                        std::uint64_t size) {
+  return [this, name, size](DataFolder::Done done) {
+    // Only gives back space: the header says where the segment ends.
+    folder_.Truncate(name, size, [name, done = std::move(done)](const Status& status) {
+      if (!status.ok()) {
+        Log(LogLevel::kWarning, "segment_truncate_failed",
+            {{"file", name}, {"reason", status.ToString()}});
+      }
+      done(Status::Ok());
+    });
+  };
+}
+
 std::deque<ReplicaOperations::Step> ReplicaOperations::Steps(const ReplicaKey& key,
                                                              const ReplicaChange& change) {
   const std::string name = SegmentFileName(key);
   std::deque<Step> steps;
-  const auto write_at = [&](std::uint64_t offset, std::string bytes) {
-    steps.push_back([this, name, offset, bytes = std::move(bytes)](DataFolder::Done done) mutable {
-      folder_.WriteAt(name, offset, std::move(bytes), std::move(done));
-    });
-  };
   if (change.remove) {
     steps.push_back([this, name](DataFolder::Done done) { folder_.Remove(name, std::move(done)); });
   }
@@ -55,31 +76,20 @@
     steps.push_back([this, name, size](DataFolder::Done done) {
       folder_.Reserve(name, size, std::move(done));
     });
-    write_at(0, EncodeFirstHeader(*change.header));
+    steps.push_back(WriteStep(name, 0, EncodeFirstHeader(*change.header)));
   }
   if (change.header_before) {
-    write_at(HeaderSlotOffset(change.header_before->generation),
-             EncodeReplicaHeader(*change.header_before));
+    steps.push_back(WriteHeaderStep(name, *change.header_before));
   }
   if (!change.data.empty()) {
-    const Replica* replica = store_.Find(key);
-    write_at(kSegmentDataOffset + replica->length, change.data);
+    const std::uint64_t length = store_.Find(key)->length;
+    steps.push_back(WriteStep(name, kSegmentDataOffset + length, change.data));
   }
   if (change.header && !change.create) {
-    write_at(HeaderSlotOffset(change.header->generation), EncodeReplicaHeader(*change.header));
+    steps.push_back(WriteHeaderStep(name, *change.header));
   }
   if (change.truncate) {
-    const std::uint64_t size = kSegmentDataOffset + change.header->length;
-    steps.push_back([this, name, size](DataFolder::Done done) {
-      // Only gives back space: the header says where the segment ends.
-      folder_.Truncate(name, size, [name, done = std::move(done)](const Status& status) {
-        if (!status.ok()) {
-          Log(LogLevel::kWarning, "segment_truncate_failed",
-              {{"file", name}, {"reason", status.ToString()}});
-        }
-        done(Status::Ok());
-      });
-    });
+    steps.push_back(TruncateStep(name, kSegmentDataOffset + change.header->length));
   }
   return steps;
 }
@@ -143,13 +153,13 @@
 }
 
 void ReplicaOperations::RunIdleActions() {
-  std::vector<std::pair<NodeId, std::function<void()>>> waiting;
+  std::vector<IdleAction> waiting;
   std::vector<std::function<void()>> ready;
-  for (auto& [node, action] : idle_actions_) {
-    if (Idle(node)) {
-      ready.push_back(std::move(action));
+  for (IdleAction& idle : idle_actions_) {
+    if (Idle(idle.node)) {
+      ready.push_back(std::move(idle.action));
     } else {
-      waiting.emplace_back(node, std::move(action));
+      waiting.push_back(std::move(idle));
     }
   }
   idle_actions_ = std::move(waiting);
--- a/src/backup/replica_operations.h
+++ b/src/backup/replica_operations.h
@@ -11,7 +11,6 @@
 #include <map>
 #include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "backup/segment_store.h"
@@ -47,9 +46,17 @@
     std::deque<Step> steps;
     Done done;
   };
+  /// Waits until no operation on a replica of `node` is left.
+  struct IdleAction {
+    NodeId node;
+    std::function<void()> action;
+  };
 
   void StartNext(const ReplicaKey& key);
   std::deque<Step> Steps(const ReplicaKey& key, const ReplicaChange& change);
+  Step WriteStep(const std::string& name, std::uint64_t offset, std::string bytes);
+  Step WriteHeaderStep(const std::string& name, const ReplicaHeader& header);
+  Step TruncateStep(const std::string& name, std::uint64_t size);
   void RunSteps(const std::shared_ptr<Run>& run);
   void Fail(const std::shared_ptr<Run>& run, const Status& status);
   void Finish(const ReplicaKey& key, const Done& done, const Status& status);
@@ -61,7 +68,7 @@
   SegmentStore& store_;
   /// The front one is under way.
   std::map<ReplicaKey, std::deque<Operation>> queues_;
-  std::vector<std::pair<NodeId, std::function<void()>>> idle_actions_;
+  std::vector<IdleAction> idle_actions_;
 };
 
 }  // namespace cloverbank
--- a/src/backup/scrubber.cc
+++ b/src/backup/scrubber.cc
@@ -2,17 +2,14 @@
 
 #include <algorithm>
 
+#include "backup/corrupt_replica.h"
 #include "backup/replica_reader.h"
 
 namespace cloverbank {
 
 Scrubber::Scrubber(Environment& environment, DataFolder& folder, SegmentStore& store,
-                   RecoveryReader& recovery, Duration interval)
-    : environment_(environment),
-      folder_(folder),
-      store_(store),
-      recovery_(recovery),
-      interval_(interval) {}
+                   Duration interval)
+    : environment_(environment), folder_(folder), store_(store), interval_(interval) {}
 
 Scrubber::~Scrubber() { environment_.CancelTimer(timer_); }
 
@@ -39,7 +36,7 @@
   const Result<std::string> bytes = ReadReplica(folder_, next->second);
   environment_.metrics().Increment("backup_scrubbed_replicas_total");
   if (!bytes.ok()) {
-    recovery_.DropCorrupt(last_, "scrub", bytes.status());
+    DropCorruptReplica(environment_, store_, last_, CorruptionFoundBy::kScrub, bytes.status());
   }
 }
 
--- a/src/backup/scrubber.h
+++ b/src/backup/scrubber.h
@@ -4,7 +4,6 @@
 ///
 /// Threads: the owner's event loop only.
 
-#include "backup/recovery_reader.h"
 #include "backup/segment_store.h"
 #include "runtime/environment.h"
 #include "storage/data_folder.h"
@@ -13,8 +12,7 @@
 
 class Scrubber {
  public:
-  Scrubber(Environment& environment, DataFolder& folder, SegmentStore& store,
-           RecoveryReader& recovery, Duration interval);
+  Scrubber(Environment& environment, DataFolder& folder, SegmentStore& store, Duration interval);
   ~Scrubber();
   Scrubber(const Scrubber&) = delete;
   Scrubber& operator=(const Scrubber&) = delete;
@@ -27,7 +25,6 @@
   Environment& environment_;
   DataFolder& folder_;
   SegmentStore& store_;
-  RecoveryReader& recovery_;
   Duration interval_;
   TimerId timer_ = 0;
   ReplicaKey last_;
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -4,17 +4,13 @@
 #include <string_view>
 #include <utility>
 
+#include "backup/corrupt_replica.h"
 #include "base/logging.h"
 #include "log_format/segment_format.h"
 
 namespace cloverbank {
 namespace {
 
-void ReportCorrupt(Environment& environment, const std::string& name, std::string_view why) {
-  environment.metrics().Increment("backup_corrupt_replicas_total", {{"found_by", "load"}});
-  Log(LogLevel::kError, "replica_corrupt", {{"file", name}, {"found_by", "load"}, {"reason", why}});
-}
-
 /// A file that can not be used: kept under the key of its name, so that it can be freed or
 /// reopened.
 Replica CorruptReplica(const ReplicaKey& key) {
@@ -41,6 +37,36 @@
   return replica;
 }
 
+/// Adds the replica in the file of `key` to `store`.
+/// @return false if an unfinished open left the file.
+bool LoadSegment(Environment& environment, DataFolder& folder, SegmentStore& store,
+                 const ReplicaKey& key, const std::string& name) {
+  const auto restore_corrupt = [&](std::string_view reason) {
+    ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad, reason);
+    store.Restore(CorruptReplica(key));
+  };
+  const Result<std::string> file = folder.Read(SegmentFileName(key));
+  if (!file.ok()) {
+    restore_corrupt(file.status().message());
+    return true;
+  }
+  const Result<ReplicaHeader> header = ReadReplicaHeader(*file);
+  if (!header.ok() && header.status().code() == StatusCode::kNotFound) {
+    return false;
+  }
+  if (!header.ok() || header->key != key) {
+    restore_corrupt(header.ok() ? "wrong key" : header.status().message());
+    return true;
+  }
+  Replica replica = ReplicaOf(*header, SegmentData(*file), !store.IsFenced(key.node));
+  if (replica.corrupt) {
+    ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad,
+                         "shorter than its recorded length");
+  }
+  store.Restore(std::move(replica));
+  return true;
+}
+
 }  // namespace
 
 Result<std::vector<ReplicaKey>> LoadSegments(Environment& environment, DataFolder& folder,
@@ -54,29 +80,9 @@
     const std::optional<ReplicaKey> key = ParseSegmentFileName(name);
     if (!key) {
       Log(LogLevel::kWarning, "segment_file_name_unknown", {{"file", name}});
-      continue;
-    }
-    const Result<std::string> file = folder.Read(SegmentFileName(*key));
-    if (!file.ok()) {
-      ReportCorrupt(environment, name, file.status().message());
-      store.Restore(CorruptReplica(*key));
-      continue;
-    }
-    const Result<ReplicaHeader> header = ReadReplicaHeader(*file);
-    if (!header.ok() && header.status().code() == StatusCode::kNotFound) {
+    } else if (!LoadSegment(environment, folder, store, *key, name)) {
       unfinished.push_back(*key);
-      continue;
-    }
-    if (!header.ok() || header->key != *key) {
-      ReportCorrupt(environment, name, header.ok() ? "wrong key" : header.status().message());
-      store.Restore(CorruptReplica(*key));
-      continue;
-    }
-    Replica replica = ReplicaOf(*header, SegmentData(*file), !store.IsFenced(key->node));
-    if (replica.corrupt) {
-      ReportCorrupt(environment, name, "shorter than its recorded length");
     }
-    store.Restore(std::move(replica));
   }
   return unfinished;
 }
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -9,11 +9,6 @@
 namespace cloverbank {
 namespace {
 
-template <typename Request>
-ReplicaKey KeyOf(const Request& request) {
-  return {NodeId(request.node_id()), SegmentId(request.segment_id())};
-}
-
 Status Fenced(NodeId node) {
   return {StatusCode::kFenced, "node " + node.ToString() + " is declared dead"};
 }
@@ -84,7 +79,7 @@
 
 Result<ReplicaChange> SegmentStore::Open(const proto::OpenSegmentRequest& request,
                                          std::uint64_t free_bytes, TimePoint now) {
-  const ReplicaKey key = KeyOf(request);
+  const ReplicaKey key = ReplicaKeyFor(request);
   const HeadEpoch epoch(request.epoch());
   if (IsFenced(key.node)) {
     return Fenced(key.node);
@@ -123,7 +118,7 @@
   change.remove = remove_first;
   change.create = true;
   change.header.emplace();
-  change.header->key = KeyOf(request);
+  change.header->key = ReplicaKeyFor(request);
   change.header->epoch = HeadEpoch(request.epoch());
   change.header->capacity = request.capacity();
   change.header->generation = 1;
@@ -201,7 +196,7 @@
 }
 
 Result<ReplicaChange> SegmentStore::Write(const proto::WriteSegmentRequest& request) {
-  const ReplicaKey key = KeyOf(request);
+  const ReplicaKey key = ReplicaKeyFor(request);
   Result<Replica*> found = FindForWriter(key);
   if (!found.ok()) {
     return found.status();
@@ -232,7 +227,7 @@
 }
 
 Result<ReplicaChange> SegmentStore::SetEpoch(const proto::SetSegmentEpochRequest& request) {
-  Result<Replica*> found = FindForWriter(KeyOf(request));
+  Result<Replica*> found = FindForWriter(ReplicaKeyFor(request));
   if (!found.ok()) {
     return found.status();
   }
@@ -257,7 +252,7 @@
 }
 
 Result<ReplicaChange> SegmentStore::Close(const proto::CloseSegmentRequest& request) {
-  Result<Replica*> found = FindForWriter(KeyOf(request));
+  Result<Replica*> found = FindForWriter(ReplicaKeyFor(request));
   if (!found.ok()) {
     return found.status();
   }
@@ -279,7 +274,7 @@
 }
 
 Result<ReplicaChange> SegmentStore::Free(const proto::FreeSegmentRequest& request) {
-  const ReplicaKey key = KeyOf(request);
+  const ReplicaKey key = ReplicaKeyFor(request);
   if (IsFenced(key.node)) {
     return Fenced(key.node);
   }
--- a/src/backup/segment_store.h
+++ b/src/backup/segment_store.h
@@ -21,6 +21,12 @@
 
 namespace cloverbank {
 
+/// @return the key of the replica that `request` names.
+template <typename Request>
+ReplicaKey ReplicaKeyFor(const Request& request) {
+  return {NodeId(request.node_id()), SegmentId(request.segment_id())};
+}
+
 struct SegmentStoreOptions {
   /// Largest segment that may be opened.
   std::uint64_t maximum_segment_bytes = 64ULL << 20U;
