--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -3,7 +3,6 @@
 #include <algorithm>
 
 #include "base/logging.h"
-#include "log_format/segment_format.h"
 
 namespace cloverbank {
 
@@ -11,20 +10,9 @@
                          std::function<void()> on_progress)
     : context_(context),
       id_(id),
-      content_(std::move(content)),
-      entry_ends_{static_cast<std::uint32_t>(content_.size())},
+      content_(id, std::move(content), context.options.segment_bytes),
       on_progress_(std::move(on_progress)) {}
 
-bool HeadSegment::Fits(std::uint64_t framed_bytes) const {
-  return content_.size() + framed_bytes <= context_.options.segment_bytes;
-}
-
-std::uint64_t HeadSegment::Append(const proto::LogEntry& entry) {
-  AppendEntry(&content_, id_, entry);
-  entry_ends_.push_back(static_cast<std::uint32_t>(content_.size()));
-  return content_.size();
-}
-
 void HeadSegment::AllowCommit() {
   commit_allowed_ = true;
   Advance();
@@ -80,7 +68,7 @@
   if (!epoch_.valid() || committed_epoch_ != epoch_) {
     return;
   }
-  std::uint64_t least = content_.size();
+  std::uint64_t least = content_.length();
   for (const Replica& replica : replicas_) {
     if (replica.member) {
       least = std::min(least, replica.synced);
@@ -97,7 +85,7 @@
 }
 
 bool HeadSegment::drained() const {
-  return epoch_.valid() && committed_epoch_ == epoch_ && held_ == content_.size();
+  return epoch_.valid() && committed_epoch_ == epoch_ && held_ == content_.length();
 }
 
 bool HeadSegment::closed() const {
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -26,6 +26,7 @@
 #include "base/ids.h"
 #include "log_writer/log_context.h"
 #include "log_writer/repeated_step.h"
+#include "log_writer/segment_content.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
@@ -40,9 +41,9 @@
   /// Goes on with whatever is due: call it after `Append`, on fleet changes and on a timer.
   void Advance();
 
-  /// Appends a framed entry; requires `Fits`. @return the segment's length with it.
-  std::uint64_t Append(const proto::LogEntry& entry);
-  bool Fits(std::uint64_t framed_bytes) const;
+  /// Appends a framed entry; requires `Fits`.
+  void Append(const proto::LogEntry& entry) { content_.Append(entry); }
+  bool Fits(std::uint64_t framed_bytes) const { return content_.Fits(framed_bytes); }
 
   /// Lets the set be committed at the coordinators; a successor waits for this.
   void AllowCommit();
@@ -52,8 +53,8 @@
   SegmentId id() const { return id_; }
   /// Highest epoch under which a replica may have been opened.
   HeadEpoch highest_epoch() const { return open_epoch_; }
-  std::uint64_t length() const { return content_.size(); }
-  const std::string& content() const { return content_; }
+  std::uint64_t length() const { return content_.length(); }
+  const std::string& content() const { return content_.bytes(); }
   /// Bytes that every member of the committed set has synced. Never falls.
   std::uint64_t held() const { return held_; }
   /// Whether a set of backups with at least the minimum of copies has the first content.
@@ -123,7 +124,6 @@
   void Write(Replica& replica);
   void SetEpoch(Replica& replica);
   void CloseAt(Replica& replica);
-  std::uint64_t WriteEnd(std::uint64_t offset) const;
 
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
   BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
@@ -132,8 +132,7 @@
 
   LogContext& context_;
   SegmentId id_;
-  std::string content_;
-  std::vector<std::uint32_t> entry_ends_;  ///< Writes end where entries end.
+  SegmentContent content_;
   std::function<void()> on_progress_;
   std::vector<Replica> replicas_;
   std::uint64_t last_serial_ = 0;
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -37,7 +37,7 @@
   }
   if (!replica.epoch.valid()) {
     Open(replica);
-  } else if (replica.synced < content_.size() ||
+  } else if (replica.synced < content_.length() ||
              (replica.copying && (replica.member || closing_))) {
     Write(replica);
   } else if (replica.member && replica.epoch != epoch_) {
@@ -54,26 +54,16 @@
                               context_.options.segment_bytes, std::move(done));
 }
 
-std::uint64_t HeadSegment::WriteEnd(std::uint64_t offset) const {
-  const std::uint64_t limit = offset + context_.options.write_bytes;
-  if (limit >= content_.size()) {
-    return content_.size();
-  }
-  const auto beyond = std::upper_bound(entry_ends_.begin(), entry_ends_.end(), limit);
-  const bool one_fits = beyond != entry_ends_.begin() && *std::prev(beyond) > offset;
-  return one_fits ? *std::prev(beyond) : *beyond;
-}
-
 void HeadSegment::Write(Replica& replica) {
-  const std::uint64_t end = WriteEnd(replica.synced);
+  const std::uint64_t end = content_.WriteEnd(replica.synced, context_.options.write_bytes);
   const HeadEpoch epoch = replica.member ? epoch_ : replica.epoch;
   SegmentWrite write;
   write.offset = replica.synced;
-  write.data = content_.substr(replica.synced, end - replica.synced);
+  write.data = content_.bytes().substr(replica.synced, end - replica.synced);
   write.atomic_replace = replica.copying;
   // Complete copies are offered to recoveries: only members, or copies of final content, may be.
   write.replace_complete =
-      replica.copying && end == content_.size() && (replica.member || closing_);
+      replica.copying && end == content_.length() && (replica.member || closing_);
   auto done = Answer(replica, [epoch, end, complete = write.replace_complete](Replica& written) {
     written.epoch = epoch;
     written.synced = end;
@@ -92,7 +82,7 @@
 void HeadSegment::CloseAt(Replica& replica) {
   auto done = Answer(replica, [](Replica& closed) { closed.closed = true; });
   context_.client.CloseSegment(context_.directory.EndpointOf(replica.location), id_,
-                               content_.size(), std::move(done));
+                               content_.length(), std::move(done));
 }
 
 HeadSegment::Replica* HeadSegment::FindReplica(std::uint64_t serial) {
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -11,7 +11,8 @@
 bool HeadSegment::IsReady(const Replica& replica) const {
   // The rest is copied after the change of the set has begun, while nothing is acknowledged: under
   // steady appends a newcomer would never have everything.
-  return replica.epoch.valid() && replica.synced + context_.options.write_bytes >= content_.size();
+  return replica.epoch.valid() &&
+         replica.synced + context_.options.write_bytes >= content_.length();
 }
 
 bool HeadSegment::NewcomersUnderWay() const {
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -13,6 +13,12 @@
   return status.code() == StatusCode::kConflict && status.detail() == std::to_string(length);
 }
 
+Status CheckContent(const ClosedSegment& segment, const std::string& content) {
+  const bool as_written = content.size() == segment.length && Checksum(content) == segment.checksum;
+  return as_written ? Status::Ok()
+                    : Status(StatusCode::kCorrupt, "replica differs from its segment");
+}
+
 }  // namespace
 
 void SegmentRepairer::Add(ClosedSegment segment) {
@@ -81,12 +87,18 @@
   if (chosen.empty()) {
     return;
   }
-  auto repair = std::make_shared<Repair>();
-  repair->segment = segment.id;
-  repair->source = live[context_.environment.Random() % live.size()];
-  repair->target = context_.directory.FindLocation(chosen.front());
+  StartRepair(segment, live[context_.environment.Random() % live.size()],
+              context_.directory.FindLocation(chosen.front()));
+}
+
+void SegmentRepairer::StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
+                                  const ReplicaLocation& target) {
   segment.epoch = segment.epoch.Next();
   segment.repairing = true;
+  auto repair = std::make_shared<Repair>();
+  repair->segment = segment.id;
+  repair->source = source;
+  repair->target = target;
   repair->epoch = segment.epoch;
   ++repairs_under_way_;
   Read(repair);
@@ -145,10 +157,7 @@
   Status status = result.status();
   if (result.ok()) {
     repair->data = std::move(*result->mutable_data());
-    const bool as_written = repair->data.size() == segment->second.length &&
-                            Checksum(repair->data) == segment->second.checksum;
-    status = as_written ? Status::Ok()
-                        : Status(StatusCode::kCorrupt, "replica differs from its segment");
+    status = CheckContent(segment->second, repair->data);
   }
   if (status.ok()) {
     Open(repair);
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -60,6 +60,8 @@
   std::vector<ReplicaLocation> LiveLocations(const ClosedSegment& segment) const;
   /// Starts a repair of the segment if it needs one and a backup can take it.
   void RepairIfNeeded(ClosedSegment& segment);
+  void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
+                   const ReplicaLocation& target);
   /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
   void DropUnneeded(ClosedSegment& segment, bool spares_too);
 
