--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -80,14 +80,20 @@
 void FenceFile::Save() {
   saving_ = true;
   under_way_ = std::exchange(waiting_, {});
-  const std::string bytes = Encode(wanted_);
-  folder_.Replace(kFileNames[0], bytes, [this, bytes, saved = wanted_](const Status& first) {
-    if (!first.ok()) {
-      Finish(saved, first);
-      return;
+  WriteFile(0, std::make_shared<const Content>(Content{wanted_, Encode(wanted_)}));
+}
+
+void FenceFile::WriteFile(std::size_t index, const std::shared_ptr<const Content>& content) {
+  if (index == std::size(kFileNames)) {
+    Finish(content->nodes, Status::Ok());
+    return;
+  }
+  folder_.Replace(kFileNames[index], content->bytes, [this, index, content](const Status& status) {
+    if (status.ok()) {
+      WriteFile(index + 1, content);
+    } else {
+      Finish(content->nodes, status);
     }
-    folder_.Replace(kFileNames[1], bytes,
-                    [this, saved](const Status& second) { Finish(saved, second); });
   });
 }
 
--- a/src/backup/fence_file.h
+++ b/src/backup/fence_file.h
@@ -6,8 +6,9 @@
 ///
 /// Threads: the owner's event loop only.
 
-#include <functional>
+#include <memory>
 #include <set>
+#include <string>
 #include <vector>
 
 #include "base/ids.h"
@@ -27,7 +28,15 @@
   bool IsSynced(NodeId node) const { return synced_.contains(node); }
 
  private:
+  /// What one save writes.
+  struct Content {
+    std::set<NodeId> nodes;
+    std::string bytes;
+  };
+
   void Save();
+  /// Writes the file at `index` and those after it, one at a time.
+  void WriteFile(std::size_t index, const std::shared_ptr<const Content>& content);
   void Finish(const std::set<NodeId>& saved, const Status& status);
 
   DataFolder& folder_;
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -65,15 +65,17 @@
       FinishReading(node, status);
       return;
     }
-    operations_.WhenIdle(node, [this, node] {
-      auto check = std::make_shared<ReplicaCheck>();
-      check->node = node;
-      check->keys = store_.KeysOf(node);
-      ContinueCheck(check);
-    });
+    operations_.WhenIdle(node, [this, node] { StartCheck(node); });
   });
 }
 
+void RecoveryReader::StartCheck(NodeId node) {
+  auto check = std::make_shared<ReplicaCheck>();
+  check->node = node;
+  check->keys = store_.KeysOf(node);
+  ContinueCheck(check);
+}
+
 void RecoveryReader::ContinueCheck(const std::shared_ptr<ReplicaCheck>& check) {
   while (check->position < check->keys.size()) {
     const ReplicaKey key = check->keys[check->position];
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -47,6 +47,7 @@
   };
 
   void Fence(NodeId node, DataFolder::Done done);
+  void StartCheck(NodeId node);
   void ContinueCheck(const std::shared_ptr<ReplicaCheck>& check);
   /// @return whether the check goes on later by itself.
   bool CheckOne(const ReplicaKey& key, std::function<void()> next);
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -60,12 +60,12 @@
                       [this](const Replica& replica) { return replica.member && IsLost(replica); });
 }
 
-bool HeadSegment::whole() const {
-  return epoch_.valid() && committed_epoch_ == epoch_ && HasAllReplicas();
-}
+bool HeadSegment::whole() const { return IsSetCommitted() && HasAllReplicas(); }
+
+bool HeadSegment::IsSetCommitted() const { return epoch_.valid() && committed_epoch_ == epoch_; }
 
 void HeadSegment::UpdateDurableLength() {
-  if (!epoch_.valid() || committed_epoch_ != epoch_) {
+  if (!IsSetCommitted()) {
     return;
   }
   std::uint64_t least = content_.length();
@@ -84,9 +84,7 @@
          });
 }
 
-bool HeadSegment::drained() const {
-  return epoch_.valid() && committed_epoch_ == epoch_ && held_ == content_.length();
-}
+bool HeadSegment::drained() const { return IsSetCommitted() && held_ == content_.length(); }
 
 bool HeadSegment::closed() const {
   if (!closing_) {
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -96,6 +96,8 @@
 
   void AdvanceOnce();
   void UpdateDurableLength();
+  /// Whether the coordinators confirmed the present set.
+  bool IsSetCommitted() const;
   bool HasAllReplicas() const;
   bool IsLost(const Replica& replica) const;
   void ScheduleAdvance();
@@ -127,6 +129,8 @@
 
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
   BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
+  void HandleAnswer(std::uint64_t serial, const Status& status,
+                    const std::function<void(Replica&)>& on_ok);
   void HandleFailure(std::uint64_t serial, const Status& status);
   Replica* FindReplica(std::uint64_t serial);
 
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -96,26 +96,30 @@
   return [weak = weak_from_this(), serial = replica.serial,
           on_ok = std::move(on_ok)](const Status& status) {
     const auto self = weak.lock();
-    if (self == nullptr || self->context_.stopped) {
-      return;
+    if (self != nullptr && !self->context_.stopped) {
+      self->HandleAnswer(serial, status, on_ok);
     }
-    if (status.code() == StatusCode::kFenced) {
-      self->context_.fenced(FencedBy::kBackupOfHead, self->id_.ToString());
-      return;
-    }
-    if (!status.ok()) {
-      self->HandleFailure(serial, status);
-    } else if (Replica* answered = self->FindReplica(serial)) {
-      answered->busy = false;
-      answered->failing = false;
-      self->context_.directory.RecordSuccess(answered->location.node);
-      on_ok(*answered);
-    }
-    self->Advance();
-    self->on_progress_();
   };
 }
 
+void HeadSegment::HandleAnswer(std::uint64_t serial, const Status& status,
+                               const std::function<void(Replica&)>& on_ok) {
+  if (status.code() == StatusCode::kFenced) {
+    context_.fenced(FencedBy::kBackupOfHead, id_.ToString());
+    return;
+  }
+  if (!status.ok()) {
+    HandleFailure(serial, status);
+  } else if (Replica* answered = FindReplica(serial)) {
+    answered->busy = false;
+    answered->failing = false;
+    context_.directory.RecordSuccess(answered->location.node);
+    on_ok(*answered);
+  }
+  Advance();
+  on_progress_();
+}
+
 void HeadSegment::HandleFailure(std::uint64_t serial, const Status& status) {
   Replica* replica = FindReplica(serial);
   if (replica == nullptr) {
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -117,8 +117,7 @@
 }
 
 void HeadSegment::CommitIfReady() {
-  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() ||
-      committed_epoch_ == epoch_) {
+  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() || IsSetCommitted()) {
     return;
   }
   for (const Replica& replica : replicas_) {
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -119,23 +119,24 @@
 BackupClient::Done SegmentRepairer::Then(const RepairPtr& repair, Step next) {
   return [weak = weak_from_this(), repair, next](const Status& status) {
     const auto self = weak.lock();
-    if (self == nullptr || self->context_.stopped) {
-      return;
-    }
-    if (status.code() == StatusCode::kFenced) {
-      self->context_.fenced(FencedBy::kBackupOfRepair, "");
-      return;
-    }
-    if (status.ok()) {
-      ((*self).*next)(repair);
-    } else if (HoldsItAlready(status, repair->data.size())) {
-      self->Finish(repair);
-    } else {
-      self->Fail(repair, repair->target, status);
+    if (self != nullptr && !self->context_.stopped) {
+      self->HandleStep(repair, next, status);
     }
   };
 }
 
+void SegmentRepairer::HandleStep(const RepairPtr& repair, Step next, const Status& status) {
+  if (status.code() == StatusCode::kFenced) {
+    context_.fenced(FencedBy::kBackupOfRepair, "");
+  } else if (status.ok()) {
+    (this->*next)(repair);
+  } else if (HoldsItAlready(status, repair->data.size())) {
+    Finish(repair);
+  } else {
+    Fail(repair, repair->target, status);
+  }
+}
+
 void SegmentRepairer::Read(const RepairPtr& repair) {
   context_.bulk_client.ReadSegment(
       context_.directory.EndpointOf(repair->source), repair->segment,
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -74,6 +74,7 @@
   void Fail(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
   /// @return a callback that goes on with `next`, or ends the repair.
   BackupClient::Done Then(const RepairPtr& repair, Step next);
+  void HandleStep(const RepairPtr& repair, Step next, const Status& status);
   /// Frees the replica if the holder's disk is live; never what another disk holds at its endpoint.
   void FreeAt(const ReplicaLocation& location, SegmentId segment);
 
