--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -5,6 +5,7 @@
 #include "backup/corrupt_replica.h"
 #include "backup/replica_reader.h"
 #include "base/logging.h"
+#include "log_format/segment_format.h"
 
 namespace cloverbank {
 
--- a/src/backup/replica_reader.cc
+++ b/src/backup/replica_reader.cc
@@ -31,19 +31,6 @@
   return bytes;
 }
 
-std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes) {
-  constexpr int kDigestPosition = 2;  // Behind the segment header.
-  SegmentReader reader(segment, bytes);
-  proto::LogEntry entry;
-  for (int i = 0; i < kDigestPosition && reader.Next(&entry); ++i) {
-    if (entry.has_log_digest()) {
-      const auto& ids = entry.log_digest().segment_ids();
-      return {ids.begin(), ids.end()};
-    }
-  }
-  return {};
-}
-
 Status FilterEntries(SegmentId segment, std::string_view bytes,
                      const proto::GetRecoveryDataRequest& request,
                      proto::GetRecoveryDataResponse* response) {
--- a/src/backup/replica_reader.h
+++ b/src/backup/replica_reader.h
@@ -5,10 +5,8 @@
 ///
 /// Threads: the owner's event loop only (reads are synchronous).
 
-#include <cstdint>
 #include <string>
 #include <string_view>
-#include <vector>
 
 #include "backup/segment_store.h"
 #include "storage/data_folder.h"
@@ -19,9 +17,6 @@
 /// than its recorded length (also when its file is gone or can not be read).
 Result<std::string> ReadReplica(DataFolder& folder, const Replica& replica);
 
-/// @return the segment ids of the log digest in `bytes`; empty if there is none.
-std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes);
-
 /// Appends the entries of `partitions` in `bytes` to `response`, in order. kCorrupt if an entry can
 /// not be decoded.
 Status FilterEntries(SegmentId segment, std::string_view bytes,
--- a/src/log_format/segment_format.cc
+++ b/src/log_format/segment_format.cc
@@ -38,6 +38,34 @@
   return true;
 }
 
+std::string EncodeSegmentStart(NodeId owner, SegmentId segment,
+                               const std::vector<SegmentId>& digest) {
+  std::string bytes;
+  proto::LogEntry header;
+  header.mutable_segment_header()->set_node_id(owner.value());
+  header.mutable_segment_header()->set_segment_id(segment.value());
+  AppendEntry(&bytes, segment, header);
+  proto::LogEntry digest_entry;
+  for (const SegmentId live : digest) {
+    digest_entry.mutable_log_digest()->add_segment_ids(live.value());
+  }
+  AppendEntry(&bytes, segment, digest_entry);
+  return bytes;
+}
+
+std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes) {
+  constexpr int kDigestPosition = 2;  // Behind the segment header.
+  SegmentReader reader(segment, bytes);
+  proto::LogEntry entry;
+  for (int i = 0; i < kDigestPosition && reader.Next(&entry); ++i) {
+    if (entry.has_log_digest()) {
+      const auto& ids = entry.log_digest().segment_ids();
+      return {ids.begin(), ids.end()};
+    }
+  }
+  return {};
+}
+
 SegmentScan ScanSegment(SegmentId segment, std::string_view bytes) {
   SegmentReader reader(segment, bytes);
   SegmentScan scan;
--- a/src/log_format/segment_format.h
+++ b/src/log_format/segment_format.h
@@ -9,8 +9,10 @@
 /// Source: RAMCloud page "Backup", log entries and their checksums. Pure functions; any thread.
 
 #include <cstddef>
+#include <cstdint>
 #include <string>
 #include <string_view>
+#include <vector>
 
 #include "base/ids.h"
 #include "proto/log.pb.h"
@@ -24,6 +26,14 @@
 /// Appends the framed `entry` to `out`. @return the bytes added.
 std::size_t AppendEntry(std::string* out, SegmentId segment, const proto::LogEntry& entry);
 
+/// @return the framed entries that begin a segment: its header, then the digest of the log's live
+/// segments.
+std::string EncodeSegmentStart(NodeId owner, SegmentId segment,
+                               const std::vector<SegmentId>& digest);
+
+/// @return the segment ids of the log digest in `bytes`; empty if there is none.
+std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes);
+
 /// Walks the entries of a segment's bytes from its start and stops at the first one that is not
 /// whole. The bytes must outlive the reader.
 class SegmentReader {
--- a/src/log_writer/backup_directory.cc
+++ b/src/log_writer/backup_directory.cc
@@ -53,6 +53,25 @@
   return count;
 }
 
+bool BackupDirectory::HasBetterBackups(const std::vector<ReplicaLocation>& locations) const {
+  std::set<NodeId> members;
+  for (const ReplicaLocation& location : locations) {
+    if (Current(location) != nullptr) {
+      members.insert(CurrentNode(location));
+    }
+  }
+  std::size_t other_regular = 0;
+  std::size_t others = 0;
+  for (const auto& [id, server] : agent_.fleet().servers) {
+    if (AcceptsNewSegments(server) && !members.contains(id)) {
+      ++others;
+      other_regular += server.spare() ? 0 : 1;
+    }
+  }
+  const ReplicaCount count = CountByKind(locations);
+  return (count.spare > 0 && other_regular > 0) || (count.retiring > 0 && others > 0);
+}
+
 Endpoint BackupDirectory::EndpointOf(const ReplicaLocation& location) const {
   const proto::Server* server = Current(location);
   return server == nullptr ? location.endpoint : ToEndpoint(server->peer_endpoint());
--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -40,6 +40,8 @@
   NodeId CurrentNode(const ReplicaLocation& location) const;
   /// Counts the replicas at `locations`; those on lost backups are left out.
   ReplicaCount CountByKind(const std::vector<ReplicaLocation>& locations) const;
+  /// @return whether a set on other backups would have fewer replicas on spare or retiring ones.
+  bool HasBetterBackups(const std::vector<ReplicaLocation>& locations) const;
   /// @return the holder's present endpoint, or the last known one while it is not live.
   Endpoint EndpointOf(const ReplicaLocation& location) const;
   /// @return the holder that `node` would be; requires that the fleet view has it.
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -23,7 +23,8 @@
                [this](FencedBy source, const std::string& detail) { Fence(source, detail); }},
       preamble_(std::move(preamble)),
       on_fenced_(std::move(on_fenced)),
-      repairer_(std::make_shared<SegmentRepairer>(context_)) {}
+      repairer_(std::make_shared<SegmentRepairer>(context_)),
+      audit_(std::make_shared<SegmentAudit>(context_, repairer_)) {}
 
 SegmentLog::~SegmentLog() {
   context_.stopped = true;
@@ -171,7 +172,7 @@
     RefuseOverdue();
     OnFleet();
     if (!context_.stopped && head_ != nullptr) {
-      repairer_->Audit(head_->id());
+      audit_->Advance(head_->id());
     }
     if (!context_.stopped) {
       Tick();
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -19,6 +19,7 @@
 #include "log_writer/head_segment.h"
 #include "log_writer/log_context.h"
 #include "log_writer/repeated_step.h"
+#include "log_writer/segment_audit.h"
 #include "log_writer/segment_repairer.h"
 #include "log_writer/segment_usage.h"
 #include "proto/log.pb.h"
@@ -97,6 +98,7 @@
   std::shared_ptr<HeadSegment> head_;
   std::shared_ptr<HeadSegment> successor_;
   std::shared_ptr<SegmentRepairer> repairer_;
+  std::shared_ptr<SegmentAudit> audit_;
   SegmentUsage usage_;
   std::vector<SegmentId> freed_by_successor_;  ///< Left out of its digest.
   AppendQueue appends_;
--- a/src/log_writer/segment_log_roll_over.cc
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -1,8 +1,6 @@
 // The roll-over of the log's head to its successor: when it begins, its steps, and which segments
 // it frees.
 
-#include <set>
-
 #include "base/checksum.h"
 #include "base/logging.h"
 #include "log_format/segment_format.h"
@@ -51,26 +49,8 @@
 }
 
 bool SegmentLog::ShouldRollEarly() const {
-  if (context_.environment.Now() - rolled_at_ < kEarlyRollInterval) {
-    return false;
-  }
-  std::set<NodeId> members;
-  for (const ReplicaLocation& location : head_->locations()) {
-    const proto::Server* server = context_.directory.Current(location);
-    if (server != nullptr) {
-      members.insert(NodeId(server->node_id()));
-    }
-  }
-  std::size_t other_regular = 0;
-  std::size_t others = 0;
-  for (const auto& [id, server] : context_.agent.fleet().servers) {
-    if (AcceptsNewSegments(server) && !members.contains(id)) {
-      ++others;
-      other_regular += server.spare() ? 0 : 1;
-    }
-  }
-  const ReplicaCount count = context_.directory.CountByKind(head_->locations());
-  return (count.spare > 0 && other_regular > 0) || (count.retiring > 0 && others > 0);
+  return context_.environment.Now() - rolled_at_ >= kEarlyRollInterval &&
+         context_.directory.HasBetterBackups(head_->locations());
 }
 
 void SegmentLog::OpenSuccessor() {
@@ -122,16 +102,7 @@
 }
 
 std::string SegmentLog::FirstContent(SegmentId segment, const std::vector<SegmentId>& digest) {
-  std::string content;
-  proto::LogEntry header;
-  header.mutable_segment_header()->set_node_id(context_.node.value());
-  header.mutable_segment_header()->set_segment_id(segment.value());
-  AppendEntry(&content, segment, header);
-  proto::LogEntry digest_entry;
-  for (const SegmentId live : digest) {
-    digest_entry.mutable_log_digest()->add_segment_ids(live.value());
-  }
-  AppendEntry(&content, segment, digest_entry);
+  std::string content = EncodeSegmentStart(context_.node, segment, digest);
   for (const proto::LogEntry& watermark : preamble_()) {
     AppendEntry(&content, segment, watermark);
   }
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -37,6 +37,39 @@
   segments_.erase(found);
 }
 
+bool SegmentRepairer::IsAt(const ReplicaLocation& location, NodeId backup) const {
+  const proto::Server* server = context_.directory.Current(location);
+  return server != nullptr && NodeId(server->node_id()) == backup;
+}
+
+std::set<SegmentId> SegmentRepairer::SegmentsOn(NodeId backup) const {
+  std::set<SegmentId> held;
+  for (const auto& [id, segment] : segments_) {
+    const bool holds =
+        std::any_of(segment.locations.begin(), segment.locations.end(),
+                    [&](const ReplicaLocation& location) { return IsAt(location, backup); });
+    if (holds) {
+      held.insert(id);
+    }
+  }
+  return held;
+}
+
+bool SegmentRepairer::IsRepairing(SegmentId segment) const {
+  const auto found = segments_.find(segment);
+  return found != segments_.end() && found->second.repairing;
+}
+
+bool SegmentRepairer::RemoveLocation(SegmentId segment, NodeId backup) {
+  const auto found = segments_.find(segment);
+  if (found == segments_.end()) {
+    return false;
+  }
+  std::erase_if(found->second.locations,
+                [&](const ReplicaLocation& location) { return IsAt(location, backup); });
+  return true;
+}
+
 void SegmentRepairer::FreeAt(const ReplicaLocation& location, SegmentId segment) {
   if (context_.directory.Current(location) == nullptr) {
     return;
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -38,13 +38,22 @@
   void Free(SegmentId segment);
   /// Starts repairs that are due: call it on fleet changes and on a timer.
   void Advance();
-  /// Asks backups that are due what they hold. @param head the segment from which on they are open.
-  void Audit(SegmentId head);
-
   const std::map<SegmentId, ClosedSegment>& segments() const { return segments_; }
   /// Whether any segment has fewer live copies than wanted.
   bool degraded() const;
 
+  /// Whether a repair of the segment is under way.
+  bool IsRepairing(SegmentId segment) const;
+  /// @return whether the live backup that has the disk of `location` is `backup`.
+  bool IsAt(const ReplicaLocation& location, NodeId backup) const;
+  /// @return the closed segments with a replica on `backup`.
+  std::set<SegmentId> SegmentsOn(NodeId backup) const;
+  /// No longer counts on the replica at `backup`. @return false if the segment was freed.
+  bool RemoveLocation(SegmentId segment, NodeId backup);
+  /// Frees the replica if the disk of `location` is live; never what another disk has at its
+  /// endpoint.
+  void FreeAt(const ReplicaLocation& location, SegmentId segment);
+
  private:
   /// One copy under way.
   struct Repair {
@@ -75,22 +84,10 @@
   /// @return a callback that goes on with `next`, or ends the repair.
   BackupClient::Done Then(const RepairPtr& repair, Step next);
   void HandleStep(const RepairPtr& repair, Step next, const Status& status);
-  /// Frees the replica if the holder's disk is live; never what another disk holds at its endpoint.
-  void FreeAt(const ReplicaLocation& location, SegmentId segment);
-
-  // segment_audit.cc
-  std::set<SegmentId> SegmentsOn(NodeId backup) const;
-  bool IsAt(const ReplicaLocation& location, NodeId backup) const;
-  void RecordLostReplicas(NodeId backup, const std::set<SegmentId>& expected,
-                          const std::set<SegmentId>& found);
-  void FreeLeftoverReplicas(NodeId backup, SegmentId head, const std::set<SegmentId>& found);
-  void HandleAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
-                   const proto::ListSegmentsResponse& listed);
 
   LogContext& context_;
   std::map<SegmentId, ClosedSegment> segments_;
   std::size_t repairs_under_way_ = 0;
-  std::map<NodeId, TimePoint> next_audit_;  ///< By backup.
 };
 
 }  // namespace cloverbank
