--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -78,10 +78,13 @@
 }
 
 bool HeadSegment::opened() const {
-  return epoch_.valid() && replicas() >= context_.options.minimum_replicas &&
-         std::all_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
-           return !replica.member || (replica.epoch == epoch_ && !replica.copying);
-         });
+  return epoch_.valid() && replicas() >= context_.options.minimum_replicas && AreMembersUpToDate();
+}
+
+bool HeadSegment::AreMembersUpToDate() const {
+  return std::all_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
+    return !replica.member || (replica.epoch == epoch_ && !replica.copying);
+  });
 }
 
 bool HeadSegment::drained() const { return IsSetCommitted() && held_ == content_.length(); }
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -100,6 +100,8 @@
   bool IsSetCommitted() const;
   bool HasAllReplicas() const;
   bool IsLost(const Replica& replica) const;
+  /// Whether every member's replica is complete and under the present epoch.
+  bool AreMembersUpToDate() const;
   void ScheduleAdvance();
 
   // head_segment_replica_set.cc
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -117,14 +117,10 @@
 }
 
 void HeadSegment::CommitIfReady() {
-  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() || IsSetCommitted()) {
+  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() || IsSetCommitted() ||
+      !AreMembersUpToDate()) {
     return;
   }
-  for (const Replica& replica : replicas_) {
-    if (replica.member && (replica.epoch != epoch_ || replica.copying)) {
-      return;
-    }
-  }
   commit_under_way_ = true;
   context_.agent.CallLeader<proto::CommitHeadResponse>(
       "coordinator.CommitHead", CommitRequest(), context_.options.commit_deadline,
