--- a/src/backup/segment_file.cc
+++ b/src/backup/segment_file.cc
@@ -1,10 +1,10 @@
 #include "backup/segment_file.h"
 
 #include <algorithm>
-#include <charconv>
 
 #include "base/checksum.h"
 #include "base/little_endian.h"
+#include "base/parse_number.h"
 
 namespace cloverbank {
 namespace {
@@ -35,15 +35,6 @@
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == '\0'; });
 }
 
-std::optional<std::uint64_t> ParseNumber(std::string_view text) {
-  std::uint64_t value = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
-  if (error != std::errc() || end != text.data() + text.size()) {
-    return std::nullopt;
-  }
-  return value;
-}
-
 }  // namespace
 
 std::string_view ReplicaStateName(ReplicaState state) {
@@ -144,8 +135,8 @@
   if (dash == std::string_view::npos) {
     return std::nullopt;
   }
-  const std::optional<std::uint64_t> node = ParseNumber(name.substr(0, dash));
-  const std::optional<std::uint64_t> segment = ParseNumber(name.substr(dash + 1));
+  const std::optional<std::uint64_t> node = ParseInteger(name.substr(0, dash));
+  const std::optional<std::uint64_t> segment = ParseInteger(name.substr(dash + 1));
   if (!node || !segment || *node == 0 || *segment == 0) {
     return std::nullopt;
   }
