--- a/src/log_writer/append_queue.cc
+++ b/src/log_writer/append_queue.cc
@@ -16,7 +16,7 @@
   waiting_.pop_front();
 }
 
-bool AppendQueue::IsNextDurable(SegmentId head, std::uint64_t durable_length) const {
+bool AppendQueue::IsOldestPlacedDurable(SegmentId head, std::uint64_t durable_length) const {
   if (placed_.empty()) {
     return false;
   }
@@ -31,7 +31,7 @@
   return done;
 }
 
-std::size_t AppendQueue::PartlyPlaced() const {
+std::size_t AppendQueue::CountPartlyPlaced() const {
   return waiting_.empty() || waiting_.front().next == 0 ? 0 : 1;
 }
 
--- a/src/log_writer/append_queue.h
+++ b/src/log_writer/append_queue.h
@@ -41,13 +41,13 @@
   void RecordPlaced(SegmentId segment, std::uint64_t end);
   /// @return whether the oldest placed append is in a segment before `head`, or in `head` within
   /// its first `durable_length` bytes.
-  bool IsNextDurable(SegmentId head, std::uint64_t durable_length) const;
+  bool IsOldestPlacedDurable(SegmentId head, std::uint64_t durable_length) const;
   /// Requires a placed append. @return the callback of the oldest one, which is removed.
   Done TakePlaced();
 
   /// @return how many waiting appends, at the front, have a part in a segment already. Such an
   /// append can only be synced or end with the log.
-  std::size_t PartlyPlaced() const;
+  std::size_t CountPartlyPlaced() const;
   /// @return whether a waiting append behind the first `skipped` waits since `limit` or longer.
   bool IsOverdue(std::size_t skipped, TimePoint limit) const;
   /// Requires `IsOverdue`. @return the callback of the append at `position`, which is removed.
--- a/src/log_writer/backup_directory.cc
+++ b/src/log_writer/backup_directory.cc
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-const proto::Server* BackupDirectory::Current(const ReplicaLocation& location) const {
+const proto::Server* BackupDirectory::FindBackup(const ReplicaLocation& location) const {
   const auto& servers = agent_.fleet().servers;
   const auto same = servers.find(location.node);
   if (same != servers.end() && IsLiveBackup(same->second)) {
@@ -30,15 +30,15 @@
   return nullptr;
 }
 
-NodeId BackupDirectory::CurrentNode(const ReplicaLocation& location) const {
-  const proto::Server* server = Current(location);
+NodeId BackupDirectory::GetCurrentNode(const ReplicaLocation& location) const {
+  const proto::Server* server = FindBackup(location);
   return server == nullptr ? location.node : NodeId(server->node_id());
 }
 
 ReplicaCount BackupDirectory::CountByKind(const std::vector<ReplicaLocation>& locations) const {
   ReplicaCount count;
   for (const ReplicaLocation& location : locations) {
-    const proto::Server* server = Current(location);
+    const proto::Server* server = FindBackup(location);
     if (server == nullptr) {
       continue;
     }
@@ -56,8 +56,8 @@
 bool BackupDirectory::HasBetterBackups(const std::vector<ReplicaLocation>& locations) const {
   std::set<NodeId> members;
   for (const ReplicaLocation& location : locations) {
-    if (Current(location) != nullptr) {
-      members.insert(CurrentNode(location));
+    if (FindBackup(location) != nullptr) {
+      members.insert(GetCurrentNode(location));
     }
   }
   std::size_t other_regular = 0;
@@ -72,12 +72,12 @@
   return (count.spare > 0 && other_regular > 0) || (count.retiring > 0 && others > 0);
 }
 
-Endpoint BackupDirectory::EndpointOf(const ReplicaLocation& location) const {
-  const proto::Server* server = Current(location);
+Endpoint BackupDirectory::GetEndpoint(const ReplicaLocation& location) const {
+  const proto::Server* server = FindBackup(location);
   return server == nullptr ? location.endpoint : ToEndpoint(server->peer_endpoint());
 }
 
-ReplicaLocation BackupDirectory::FindLocation(NodeId node) const {
+ReplicaLocation BackupDirectory::GetLocation(NodeId node) const {
   const proto::Server& server = agent_.fleet().servers.at(node);
   return {node, server.disk_id(), ToEndpoint(server.peer_endpoint())};
 }
@@ -87,7 +87,7 @@
   agent_.ReportSuspect(node);
 }
 
-std::set<NodeId> BackupDirectory::RecentlyFailed() {
+std::set<NodeId> BackupDirectory::GetRecentlyFailed() {
   const TimePoint now = environment_.Now();
   std::erase_if(failed_at_,
                 [&](const auto& failure) { return now - failure.second >= failure_memory_; });
@@ -104,12 +104,12 @@
   BackupRequest request;
   request.count = count;
   request.replicas = replicas;
-  request.avoid = RecentlyFailed();
+  request.avoid = GetRecentlyFailed();
   for (const ReplicaLocation& location : locations) {
-    request.locations.insert(CurrentNode(location));
+    request.locations.insert(GetCurrentNode(location));
   }
   for (const ReplicaLocation& location : excluded) {
-    request.avoid.insert(CurrentNode(location));
+    request.avoid.insert(GetCurrentNode(location));
   }
   return SelectBackups(agent_.fleet(), request, [this] { return environment_.Random(); });
 }
--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -35,17 +35,17 @@
       : environment_(environment), agent_(agent), failure_memory_(failure_memory) {}
 
   /// @return the live backup that has the holder's disk now, or nullptr.
-  const proto::Server* Current(const ReplicaLocation& location) const;
+  const proto::Server* FindBackup(const ReplicaLocation& location) const;
   /// @return the node id of that backup, or the last known one while it is not live.
-  NodeId CurrentNode(const ReplicaLocation& location) const;
+  NodeId GetCurrentNode(const ReplicaLocation& location) const;
   /// Counts the replicas at `locations`; those on lost backups are left out.
   ReplicaCount CountByKind(const std::vector<ReplicaLocation>& locations) const;
   /// @return whether a set on other backups would have fewer replicas on spare or retiring ones.
   bool HasBetterBackups(const std::vector<ReplicaLocation>& locations) const;
   /// @return the holder's present endpoint, or the last known one while it is not live.
-  Endpoint EndpointOf(const ReplicaLocation& location) const;
+  Endpoint GetEndpoint(const ReplicaLocation& location) const;
   /// @return the holder that `node` would be; requires that the fleet view has it.
-  ReplicaLocation FindLocation(NodeId node) const;
+  ReplicaLocation GetLocation(NodeId node) const;
 
   /// A call to `node` failed: it is reported as suspect and not chosen for the failure memory.
   void RecordFailure(NodeId node);
@@ -59,7 +59,7 @@
                              const std::vector<ReplicaLocation>& excluded);
 
  private:
-  std::set<NodeId> RecentlyFailed();
+  std::set<NodeId> GetRecentlyFailed();
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/log_writer/backup_selector.cc
+++ b/src/log_writer/backup_selector.cc
@@ -32,8 +32,8 @@
 }
 
 /// Takes up to `count` of `servers` (in their shuffled order), each time from a zone used least.
-void TakeSpread(std::vector<const proto::Server*> servers, std::size_t count,
-                std::map<std::string, int>& zone_use, std::vector<NodeId>* chosen) {
+void ChooseAcrossZones(std::vector<const proto::Server*> servers, std::size_t count,
+                       std::map<std::string, int>& zone_use, std::vector<NodeId>* chosen) {
   for (; count > 0 && !servers.empty(); --count) {
     const auto best = std::min_element(servers.begin(), servers.end(),
                                        [&](const proto::Server* left, const proto::Server* right) {
@@ -64,11 +64,12 @@
     }
   }
   std::vector<NodeId> chosen;
-  TakeSpread(candidates.regular, request.count, zone_use, &chosen);
-  const std::size_t held = request.locations.size() + chosen.size();
-  const std::size_t missing_replicas = request.replicas > held ? request.replicas - held : 0;
+  ChooseAcrossZones(candidates.regular, request.count, zone_use, &chosen);
+  const std::size_t replicas = request.locations.size() + chosen.size();
+  const std::size_t missing_replicas =
+      request.replicas > replicas ? request.replicas - replicas : 0;
   const std::size_t spares = std::min(request.count - chosen.size(), missing_replicas);
-  TakeSpread(candidates.spare, spares, zone_use, &chosen);
+  ChooseAcrossZones(candidates.spare, spares, zone_use, &chosen);
   return chosen;
 }
 
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -29,18 +29,18 @@
 
 void HeadSegment::AdvanceOnce() {
   EvaluateReplicaSet();
-  AddNewcomers();
+  AddCandidates();
   // By index: a call may add nothing here, but keeps no reference over the loop.
   for (std::size_t i = 0; i < replicas_.size(); ++i) {
-    Drive(replicas_[i]);
+    StartNextCall(replicas_[i]);
   }
   CommitIfReady();
   UpdateDurableLength();
 }
 
 bool HeadSegment::IsLost(const Replica& replica) const {
-  return replica.failing || replica.broken ||
-         context_.directory.Current(replica.location) == nullptr;
+  return replica.failing || replica.refused ||
+         context_.directory.FindBackup(replica.location) == nullptr;
 }
 
 std::size_t HeadSegment::replicas() const {
@@ -60,7 +60,7 @@
                       [this](const Replica& replica) { return replica.member && IsLost(replica); });
 }
 
-bool HeadSegment::whole() const { return IsSetCommitted() && HasAllReplicas(); }
+bool HeadSegment::IsFullyReplicated() const { return IsSetCommitted() && HasAllReplicas(); }
 
 bool HeadSegment::IsSetCommitted() const { return epoch_.valid() && committed_epoch_ == epoch_; }
 
@@ -74,7 +74,7 @@
       least = std::min(least, replica.synced);
     }
   }
-  held_ = std::max(held_, least);
+  durable_length_ = std::max(durable_length_, least);
 }
 
 bool HeadSegment::opened() const {
@@ -83,11 +83,13 @@
 
 bool HeadSegment::AreMembersUpToDate() const {
   return std::all_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
-    return !replica.member || (replica.epoch == epoch_ && !replica.copying);
+    return !replica.member || (replica.epoch == epoch_ && !replica.hidden);
   });
 }
 
-bool HeadSegment::drained() const { return IsSetCommitted() && held_ == content_.length(); }
+bool HeadSegment::drained() const {
+  return IsSetCommitted() && durable_length_ == content_.length();
+}
 
 bool HeadSegment::closed() const {
   if (!closing_) {
@@ -114,13 +116,13 @@
 }
 
 void HeadSegment::ScheduleAdvance() {
-  if (timer_set_) {
+  if (retry_scheduled_) {
     return;
   }
-  timer_set_ = true;
+  retry_scheduled_ = true;
   context_.environment.ScheduleAfter(context_.options.retry_delay, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->timer_set_ = false;
+      self->retry_scheduled_ = false;
       if (!self->context_.stopped) {
         self->Advance();
         self->on_progress_();
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -56,7 +56,7 @@
   std::uint64_t length() const { return content_.length(); }
   const std::string& content() const { return content_.bytes(); }
   /// Bytes that every member of the committed set has synced. Never falls.
-  std::uint64_t held() const { return held_; }
+  std::uint64_t durable_length() const { return durable_length_; }
   /// Whether a set of backups with at least the minimum of copies has the first content.
   bool opened() const;
   bool committed() const { return committed_epoch_.valid(); }
@@ -68,7 +68,7 @@
   /// Whether enough members answer to take new entries.
   bool healthy() const;
   /// Whether the committed set has as many live members as wanted.
-  bool whole() const;
+  bool IsFullyReplicated() const;
   std::size_t replicas() const;
   /// The members (open) or the backups that closed it.
   std::vector<ReplicaLocation> locations() const;
@@ -80,16 +80,16 @@
     HeadEpoch epoch;  ///< Under which it was last known; invalid: not opened.
     std::uint64_t synced = 0;
     bool member = false;   ///< Of the set of `epoch_`; else a newcomer.
-    bool copying = true;   ///< Its copy is hidden until replace_complete.
+    bool hidden = true;    ///< Its copy is hidden until replace_complete.
     bool busy = false;     ///< A call is under way.
     bool failing = false;  ///< Its last call failed.
-    bool broken = false;   ///< It refused for good: not retried.
+    bool refused = false;  ///< It refused for good: not retried.
     bool closed = false;
     TimePoint retry_at;
   };
 
   /// The set of backups that could be had now.
-  struct NextSet {
+  struct ProposedReplicaSet {
     std::size_t size = 0;
     bool differs = false;  ///< From the present one.
   };
@@ -105,15 +105,15 @@
   void ScheduleAdvance();
 
   // head_segment_replica_set.cc
-  void AddNewcomers();
-  NextSet ProposeSet() const;
-  bool NewcomersUnderWay() const;
+  void AddCandidates();
+  ProposedReplicaSet ProposeReplicaSet() const;
+  bool HasUnreadyCandidates() const;
   /// Moves to a new set and epoch when one is ready that is better than the present one.
   void EvaluateReplicaSet();
   /// Makes the live members and the newcomers that are ready the set of the next epoch.
   void AdoptReadyReplicas();
   /// Frees the newcomers that are not to be kept.
-  void DropNewcomers(const std::function<bool(const Replica&)>& keep);
+  void DropCandidates(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
   /// @return the commit of the present set; the same one for every try under one epoch.
   const proto::CommitHeadRequest& CommitRequest();
@@ -123,14 +123,14 @@
 
   // head_segment_calls.cc
   /// Makes the next call that `replica` needs, if any.
-  void Drive(Replica& replica);
-  void Open(Replica& replica);
-  void Write(Replica& replica);
-  void SetEpoch(Replica& replica);
-  void CloseAt(Replica& replica);
+  void StartNextCall(Replica& replica);
+  void OpenReplica(Replica& replica);
+  void WriteReplica(Replica& replica);
+  void SetReplicaEpoch(Replica& replica);
+  void CloseReplica(Replica& replica);
 
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
-  BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
+  BackupClient::Done MakeAnswerHandler(Replica& replica, std::function<void(Replica&)> on_ok);
   void HandleAnswer(std::uint64_t serial, const Status& status,
                     const std::function<void(Replica&)>& on_ok);
   void HandleFailure(std::uint64_t serial, const Status& status);
@@ -146,12 +146,12 @@
   HeadEpoch open_epoch_{1};    ///< For newcomers, and of the next set.
   HeadEpoch committed_epoch_;  ///< Last one the coordinators confirmed.
   proto::CommitHeadRequest commit_request_;
-  std::uint64_t held_ = 0;
+  std::uint64_t durable_length_ = 0;
   bool commit_allowed_ = false;
   bool commit_under_way_ = false;
   bool closing_ = false;
   RepeatedStep advance_;
-  bool timer_set_ = false;
+  bool retry_scheduled_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Whether a refusal can not be mended by repeating the call.
-bool RefusedForGood(StatusCode code) {
+bool IsPermanentRefusal(StatusCode code) {
   switch (code) {
     case StatusCode::kInvalidArgument:
     case StatusCode::kNotFound:
@@ -27,8 +27,8 @@
 
 }  // namespace
 
-void HeadSegment::Drive(Replica& replica) {
-  if (replica.busy || replica.broken || replica.closed) {
+void HeadSegment::StartNextCall(Replica& replica) {
+  if (replica.busy || replica.refused || replica.closed) {
     return;
   }
   if (replica.failing && context_.environment.Now() < replica.retry_at) {
@@ -36,52 +36,54 @@
     return;
   }
   if (!replica.epoch.valid()) {
-    Open(replica);
+    OpenReplica(replica);
   } else if (replica.synced < content_.length() ||
-             (replica.copying && (replica.member || closing_))) {
-    Write(replica);
+             (replica.hidden && (replica.member || closing_))) {
+    WriteReplica(replica);
   } else if (replica.member && replica.epoch != epoch_) {
-    SetEpoch(replica);
+    SetReplicaEpoch(replica);
   } else if (closing_) {
-    CloseAt(replica);
+    CloseReplica(replica);
   }
 }
 
-void HeadSegment::Open(Replica& replica) {
+void HeadSegment::OpenReplica(Replica& replica) {
   const HeadEpoch epoch = open_epoch_;
-  auto done = Answer(replica, [epoch](Replica& opened) { opened.epoch = epoch; });
-  context_.client.OpenSegment(context_.directory.EndpointOf(replica.location), id_, epoch,
+  auto done = MakeAnswerHandler(replica, [epoch](Replica& opened) { opened.epoch = epoch; });
+  context_.client.OpenSegment(context_.directory.GetEndpoint(replica.location), id_, epoch,
                               context_.options.segment_bytes, std::move(done));
 }
 
-void HeadSegment::Write(Replica& replica) {
+void HeadSegment::WriteReplica(Replica& replica) {
   const std::uint64_t end = content_.WriteEnd(replica.synced, context_.options.write_bytes);
   const HeadEpoch epoch = replica.member ? epoch_ : replica.epoch;
   SegmentWrite write;
   write.offset = replica.synced;
   write.data = content_.bytes().substr(replica.synced, end - replica.synced);
-  write.atomic_replace = replica.copying;
+  write.atomic_replace = replica.hidden;
   // Complete copies are offered to recoveries: only members, or copies of final content, may be.
   write.replace_complete =
-      replica.copying && end == content_.length() && (replica.member || closing_);
-  auto done = Answer(replica, [epoch, end, complete = write.replace_complete](Replica& written) {
-    written.epoch = epoch;
-    written.synced = end;
-    written.copying = written.copying && !complete;
-  });
-  context_.client.WriteSegment(context_.directory.EndpointOf(replica.location), id_, epoch,
+      replica.hidden && end == content_.length() && (replica.member || closing_);
+  auto done =
+      MakeAnswerHandler(replica, [epoch, end, complete = write.replace_complete](Replica& written) {
+        written.epoch = epoch;
+        written.synced = end;
+        written.hidden = written.hidden && !complete;
+      });
+  context_.client.WriteSegment(context_.directory.GetEndpoint(replica.location), id_, epoch,
                                std::move(write), std::move(done));
 }
 
-void HeadSegment::SetEpoch(Replica& replica) {
-  auto done = Answer(replica, [epoch = epoch_](Replica& told) { told.epoch = epoch; });
-  context_.client.SetSegmentEpoch(context_.directory.EndpointOf(replica.location), id_, epoch_,
+void HeadSegment::SetReplicaEpoch(Replica& replica) {
+  auto done =
+      MakeAnswerHandler(replica, [epoch = epoch_](Replica& updated) { updated.epoch = epoch; });
+  context_.client.SetSegmentEpoch(context_.directory.GetEndpoint(replica.location), id_, epoch_,
                                   std::move(done));
 }
 
-void HeadSegment::CloseAt(Replica& replica) {
-  auto done = Answer(replica, [](Replica& closed) { closed.closed = true; });
-  context_.client.CloseSegment(context_.directory.EndpointOf(replica.location), id_,
+void HeadSegment::CloseReplica(Replica& replica) {
+  auto done = MakeAnswerHandler(replica, [](Replica& closed) { closed.closed = true; });
+  context_.client.CloseSegment(context_.directory.GetEndpoint(replica.location), id_,
                                content_.length(), std::move(done));
 }
 
@@ -91,7 +93,8 @@
   return found == replicas_.end() ? nullptr : &*found;
 }
 
-BackupClient::Done HeadSegment::Answer(Replica& replica, std::function<void(Replica&)> on_ok) {
+BackupClient::Done HeadSegment::MakeAnswerHandler(Replica& replica,
+                                                  std::function<void(Replica&)> on_ok) {
   replica.busy = true;
   return [weak = weak_from_this(), serial = replica.serial,
           on_ok = std::move(on_ok)](const Status& status) {
@@ -105,7 +108,7 @@
 void HeadSegment::HandleAnswer(std::uint64_t serial, const Status& status,
                                const std::function<void(Replica&)>& on_ok) {
   if (status.code() == StatusCode::kFenced) {
-    context_.fenced(FencedBy::kBackupOfHead, id_.ToString());
+    context_.on_fenced(FencedBy::kBackupOfHead, id_.ToString());
     return;
   }
   if (!status.ok()) {
@@ -132,14 +135,14 @@
        {"status", status.ToString()}});
   context_.environment.metrics().Increment("queue_backup_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
-  context_.directory.RecordFailure(context_.directory.CurrentNode(replica->location));
+  context_.directory.RecordFailure(context_.directory.GetCurrentNode(replica->location));
   if (!replica->member) {
     std::erase_if(replicas_, [&](const Replica& other) { return other.serial == serial; });
     return;
   }
   replica->busy = false;
   replica->failing = true;
-  replica->broken = RefusedForGood(status.code());
+  replica->refused = IsPermanentRefusal(status.code());
   replica->retry_at = context_.environment.Now() + context_.options.retry_delay;
 }
 
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -15,13 +15,13 @@
          replica.synced + context_.options.write_bytes >= content_.length();
 }
 
-bool HeadSegment::NewcomersUnderWay() const {
+bool HeadSegment::HasUnreadyCandidates() const {
   return std::any_of(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
     return !replica.member && !IsReady(replica);
   });
 }
 
-void HeadSegment::AddNewcomers() {
+void HeadSegment::AddCandidates() {
   if (closed()) {
     return;
   }
@@ -39,7 +39,7 @@
   for (const NodeId node : chosen) {
     Replica replica;
     replica.serial = ++last_serial_;
-    replica.location = context_.directory.FindLocation(node);
+    replica.location = context_.directory.GetLocation(node);
     replicas_.push_back(std::move(replica));
   }
   if (locations.size() + chosen.size() < wanted) {
@@ -47,24 +47,24 @@
   }
 }
 
-void HeadSegment::DropNewcomers(const std::function<bool(const Replica&)>& keep) {
+void HeadSegment::DropCandidates(const std::function<bool(const Replica&)>& keep) {
   std::erase_if(replicas_, [&](const Replica& replica) {
     if (replica.member || keep(replica)) {
       return false;
     }
     // Backups refuse to open again under the epoch that was freed.
     open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
-    if (context_.directory.Current(replica.location) == nullptr) {
+    if (context_.directory.FindBackup(replica.location) == nullptr) {
       return true;  // Another disk may be at its endpoint by now.
     }
-    context_.client.FreeSegment(context_.directory.EndpointOf(replica.location), id_,
+    context_.client.FreeSegment(context_.directory.GetEndpoint(replica.location), id_,
                                 [](const Status&) {});
     return true;
   });
 }
 
-HeadSegment::NextSet HeadSegment::ProposeSet() const {
-  NextSet next;
+HeadSegment::ProposedReplicaSet HeadSegment::ProposeReplicaSet() const {
+  ProposedReplicaSet next;
   for (const Replica& replica : replicas_) {
     const bool joins = !replica.member && IsReady(replica);
     const bool leaves = replica.member && IsLost(replica);
@@ -78,20 +78,20 @@
   if (closing_) {
     return;  // The content is final: newcomers simply become further closed copies.
   }
-  if (whole()) {
-    DropNewcomers([](const Replica&) { return false; });
+  if (IsFullyReplicated()) {
+    DropCandidates([](const Replica&) { return false; });
     return;
   }
-  const NextSet next = ProposeSet();
+  const ProposedReplicaSet next = ProposeReplicaSet();
   const bool enough = next.size >= context_.options.replicas ||
-                      (next.size >= context_.options.minimum_replicas && !NewcomersUnderWay());
+                      (next.size >= context_.options.minimum_replicas && !HasUnreadyCandidates());
   if (!next.differs || !enough) {
     return;
   }
   if (next.size < context_.options.replicas) {
     // Look once more for a backup that can still be asked before going on with fewer.
     const std::size_t before = replicas_.size();
-    AddNewcomers();
+    AddCandidates();
     if (replicas_.size() > before) {
       return;
     }
@@ -100,7 +100,7 @@
 }
 
 void HeadSegment::AdoptReadyReplicas() {
-  DropNewcomers([this](const Replica& replica) { return IsReady(replica); });
+  DropCandidates([this](const Replica& replica) { return IsReady(replica); });
   std::erase_if(replicas_,
                 [this](const Replica& replica) { return replica.member && IsLost(replica); });
   epoch_ = open_epoch_;
@@ -144,7 +144,7 @@
   head.set_epoch(epoch_.value());
   for (const Replica& replica : replicas_) {
     if (replica.member) {
-      head.add_backups(context_.directory.CurrentNode(replica.location).value());
+      head.add_backups(context_.directory.GetCurrentNode(replica.location).value());
     }
   }
   return commit_request_;
@@ -156,7 +156,7 @@
     return;
   }
   if (status.code() == StatusCode::kFenced) {
-    context_.fenced(FencedBy::kCoordinators, status.message());
+    context_.on_fenced(FencedBy::kCoordinators, status.message());
     return;
   }
   if (!status.ok()) {
--- a/src/log_writer/log_context.h
+++ b/src/log_writer/log_context.h
@@ -47,7 +47,7 @@
   BackupDirectory directory;
   bool stopped = false;
   /// Called when a backup or coordinator refuses `node` as dead. Sets `stopped`.
-  std::function<void(FencedBy source, const std::string& detail)> fenced;
+  std::function<void(FencedBy source, const std::string& detail)> on_fenced;
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -12,8 +12,8 @@
 void SegmentAudit::Advance(SegmentId head) {
   const TimePoint now = context_.environment.Now();
   for (const auto& [id, server] : context_.agent.fleet().servers) {
-    const ReplicaLocation location = context_.directory.FindLocation(id);
-    if (!repairer_->IsAt(location, id) || now < next_audit_[id]) {
+    const ReplicaLocation location = context_.directory.GetLocation(id);
+    if (!repairer_->IsOn(location, id) || now < next_audit_[id]) {
       continue;
     }
     next_audit_[id] = now + kAuditInterval;
@@ -62,11 +62,11 @@
 void SegmentAudit::FreeLeftoverReplicas(NodeId backup, SegmentId head,
                                         const std::set<SegmentId>& found) {
   // Closed before the question was sent, so nothing of them is under way but repairs.
-  const std::set<SegmentId> held = repairer_->SegmentsOn(backup);
+  const std::set<SegmentId> counted = repairer_->SegmentsOn(backup);
   for (const SegmentId id : found) {
-    if (id < head && !held.contains(id) && !repairer_->IsRepairing(id)) {
+    if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
       context_.environment.metrics().Increment("queue_leftover_replicas_freed_total");
-      repairer_->FreeAt(context_.directory.FindLocation(backup), id);
+      repairer_->FreeAt(context_.directory.GetLocation(backup), id);
     }
   }
 }
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -20,7 +20,9 @@
                BackupClient(environment, agent.node_id(), options.bulk_deadline),
                BackupDirectory(environment, agent, options.failure_memory),
                false,
-               [this](FencedBy source, const std::string& detail) { Fence(source, detail); }},
+               [this](FencedBy source, const std::string& detail) {
+                 HandleFenced(source, detail);
+               }},
       preamble_(std::move(preamble)),
       on_fenced_(std::move(on_fenced)),
       repairer_(std::make_shared<SegmentRepairer>(context_)),
@@ -33,7 +35,7 @@
 
 void SegmentLog::Start() {
   const SegmentId first(1);
-  head_ = std::make_shared<HeadSegment>(context_, first, FirstContent(first, {first}),
+  head_ = std::make_shared<HeadSegment>(context_, first, BuildSegmentStart(first, {first}),
                                         [this] { Advance(); });
   head_->AllowCommit();
   Tick();
@@ -57,14 +59,15 @@
 
 void SegmentLog::Append(std::vector<proto::LogEntry> entries, Done done) {
   if (Status status = Accepting(); !status.ok()) {
-    Later(std::move(done), std::move(status));
+    CompleteLater(std::move(done), std::move(status));
     return;
   }
   AppendQueue::WaitingAppend append;
   for (const proto::LogEntry& entry : entries) {
     const std::uint64_t bytes = FramedEntryBytes(entry);
     if (bytes > largest_entry()) {
-      Later(std::move(done), {StatusCode::kInvalidArgument, "entry is too large for the log"});
+      CompleteLater(std::move(done),
+                    {StatusCode::kInvalidArgument, "entry is too large for the log"});
       return;
     }
     append.bytes += bytes;
@@ -76,7 +79,7 @@
   Advance();
 }
 
-void SegmentLog::Later(Done done, Status status) {
+void SegmentLog::CompleteLater(Done done, Status status) {
   context_.environment.ScheduleAfter(
       Duration::zero(), [done = std::move(done), status = std::move(status)] { done(status); });
 }
@@ -89,19 +92,19 @@
   if (head_ == nullptr) {
     return;
   }
-  Roll();
+  AdvanceRollOver();
   if (!context_.stopped) {
-    Place();
+    PlaceWaitingAppends();
     Acknowledge();
   }
 }
 
-void SegmentLog::Place() {
+void SegmentLog::PlaceWaitingAppends() {
   bool placed_any = false;
-  while (appends_.HasWaiting() && !rolling_ && head_->healthy()) {
+  while (appends_.HasWaiting() && !rolling_over_ && head_->healthy()) {
     AppendQueue::WaitingAppend& append = appends_.first_waiting();
     if (!PlaceEntries(append)) {
-      rolling_ = true;
+      rolling_over_ = true;
       advance_.RequestRound();
       break;
     }
@@ -127,7 +130,8 @@
 }
 
 void SegmentLog::Acknowledge() {
-  while (!context_.stopped && appends_.IsNextDurable(head_->id(), head_->held()) &&
+  while (!context_.stopped &&
+         appends_.IsOldestPlacedDurable(head_->id(), head_->durable_length()) &&
          context_.agent.LeaseValid()) {
     const Done done = appends_.TakePlaced();
     done(Status::Ok());
@@ -135,7 +139,7 @@
 }
 
 void SegmentLog::RefuseOverdue() {
-  const std::size_t partly_placed = appends_.PartlyPlaced();
+  const std::size_t partly_placed = appends_.CountPartlyPlaced();
   const TimePoint limit = context_.environment.Now() - context_.options.refuse_after;
   while (!context_.stopped && appends_.IsOverdue(partly_placed, limit)) {
     const Done done = appends_.TakeWaiting(partly_placed);
@@ -148,7 +152,7 @@
 }
 
 bool SegmentLog::degraded() const {
-  return head_ == nullptr || !head_->whole() || repairer_->degraded();
+  return head_ == nullptr || !head_->IsFullyReplicated() || repairer_->degraded();
 }
 
 void SegmentLog::OnFleet() {
@@ -180,7 +184,7 @@
   });
 }
 
-void SegmentLog::Fence(FencedBy source, const std::string& detail) {
+void SegmentLog::HandleFenced(FencedBy source, const std::string& detail) {
   if (context_.stopped) {
     return;
   }
@@ -195,7 +199,7 @@
   const Status unknown(StatusCode::kUnknownOutcome,
                        "this queue node's life ended before the entry was held");
   for (Done& done : appends_.TakeAll()) {
-    Later(std::move(done), unknown);
+    CompleteLater(std::move(done), unknown);
   }
 }
 
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -71,26 +71,26 @@
  private:
   void Advance();
   void AdvanceOnce();
-  void Place();
+  void PlaceWaitingAppends();
   /// @return whether all entries of `append` are in the head now; else the head is full.
   bool PlaceEntries(AppendQueue::WaitingAppend& append);
   void Acknowledge();
   void RefuseOverdue();
-  void Fence(FencedBy source, const std::string& detail);
-  void Later(Done done, Status status);
+  void HandleFenced(FencedBy source, const std::string& detail);
+  void CompleteLater(Done done, Status status);
   void Tick();
 
   // segment_log_roll_over.cc
-  void Roll();
+  void AdvanceRollOver();
   bool ShouldOpenSuccessor() const;
-  bool ShouldRollEarly() const;
+  bool ShouldRollOverEarly() const;
   void OpenSuccessor();
   void AdoptSuccessor();
   /// Hands the closed head to the repairer.
   void RetireHead();
   /// Frees the segments that the committed digest of the new head leaves out.
   void FreeDeadSegments();
-  std::string FirstContent(SegmentId segment, const std::vector<SegmentId>& digest);
+  std::string BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest);
 
   LogContext context_;
   Preamble preamble_;
@@ -102,9 +102,9 @@
   SegmentUsage usage_;
   std::vector<SegmentId> freed_by_successor_;  ///< Left out of its digest.
   AppendQueue appends_;
-  bool rolling_ = false;     ///< Nothing more goes into the head.
-  bool early_roll_ = false;  ///< The head should move once its successor is open.
-  TimePoint rolled_at_;
+  bool rolling_over_ = false;     ///< Nothing more goes into the head.
+  bool early_roll_over_ = false;  ///< The head should move once its successor is open.
+  TimePoint last_roll_over_;
   RepeatedStep advance_;
   TimerId timer_ = 0;
 };
--- a/src/log_writer/segment_log_roll_over.cc
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -10,25 +10,25 @@
 namespace {
 
 /// Least time between roll-overs that are made only to move the head to better backups.
-constexpr Duration kEarlyRollInterval = seconds(2);
+constexpr Duration kEarlyRollOverInterval = seconds(2);
 /// Share of a segment that is used when its successor is opened, in percent.
 constexpr std::uint64_t kOpenSuccessorPercent = 75;
 
 }  // namespace
 
-void SegmentLog::Roll() {
+void SegmentLog::AdvanceRollOver() {
   if (!head_->committed()) {
     return;
   }
-  early_roll_ = early_roll_ || ShouldRollEarly();
+  early_roll_over_ = early_roll_over_ || ShouldRollOverEarly();
   if (successor_ == nullptr && ShouldOpenSuccessor()) {
     OpenSuccessor();
   }
   if (successor_ == nullptr || !successor_->opened()) {
     return;
   }
-  rolling_ = rolling_ || early_roll_;
-  if (!rolling_) {
+  rolling_over_ = rolling_over_ || early_roll_over_;
+  if (!rolling_over_) {
     return;
   }
   if (!head_->closing() && head_->drained()) {
@@ -45,11 +45,11 @@
 bool SegmentLog::ShouldOpenSuccessor() const {
   const bool nearly_full =
       head_->length() * 100 >= context_.options.segment_bytes * kOpenSuccessorPercent;
-  return rolling_ || nearly_full || early_roll_;
+  return rolling_over_ || nearly_full || early_roll_over_;
 }
 
-bool SegmentLog::ShouldRollEarly() const {
-  return context_.environment.Now() - rolled_at_ >= kEarlyRollInterval &&
+bool SegmentLog::ShouldRollOverEarly() const {
+  return context_.environment.Now() - last_roll_over_ >= kEarlyRollOverInterval &&
          context_.directory.HasBetterBackups(head_->locations());
 }
 
@@ -62,8 +62,8 @@
   }
   digest.push_back(head_->id());
   digest.push_back(id);
-  successor_ =
-      std::make_shared<HeadSegment>(context_, id, FirstContent(id, digest), [this] { Advance(); });
+  successor_ = std::make_shared<HeadSegment>(context_, id, BuildSegmentStart(id, digest),
+                                             [this] { Advance(); });
   successor_->Advance();
 }
 
@@ -72,9 +72,9 @@
   FreeDeadSegments();
   head_ = std::move(successor_);
   successor_ = nullptr;
-  rolling_ = false;
-  early_roll_ = false;
-  rolled_at_ = context_.environment.Now();
+  rolling_over_ = false;
+  early_roll_over_ = false;
+  last_roll_over_ = context_.environment.Now();
   Log(LogLevel::kInfo, "segment_opened",
       {{"node", context_.node.value()},
        {"segment", head_->id().value()},
@@ -101,7 +101,7 @@
   freed_by_successor_.clear();
 }
 
-std::string SegmentLog::FirstContent(SegmentId segment, const std::vector<SegmentId>& digest) {
+std::string SegmentLog::BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest) {
   std::string content = EncodeSegmentStart(context_.node, segment, digest);
   for (const proto::LogEntry& watermark : preamble_()) {
     AppendEntry(&content, segment, watermark);
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Detail of the refusal by a backup that has the closed segment already: its length.
-bool HoldsItAlready(const Status& status, std::uint64_t length) {
+bool HasReplicaAlready(const Status& status, std::uint64_t length) {
   return status.code() == StatusCode::kConflict && status.detail() == std::to_string(length);
 }
 
@@ -37,22 +37,22 @@
   segments_.erase(found);
 }
 
-bool SegmentRepairer::IsAt(const ReplicaLocation& location, NodeId backup) const {
-  const proto::Server* server = context_.directory.Current(location);
+bool SegmentRepairer::IsOn(const ReplicaLocation& location, NodeId backup) const {
+  const proto::Server* server = context_.directory.FindBackup(location);
   return server != nullptr && NodeId(server->node_id()) == backup;
 }
 
 std::set<SegmentId> SegmentRepairer::SegmentsOn(NodeId backup) const {
-  std::set<SegmentId> held;
+  std::set<SegmentId> counted;
   for (const auto& [id, segment] : segments_) {
     const bool holds =
         std::any_of(segment.locations.begin(), segment.locations.end(),
-                    [&](const ReplicaLocation& location) { return IsAt(location, backup); });
+                    [&](const ReplicaLocation& location) { return IsOn(location, backup); });
     if (holds) {
-      held.insert(id);
+      counted.insert(id);
     }
   }
-  return held;
+  return counted;
 }
 
 bool SegmentRepairer::IsRepairing(SegmentId segment) const {
@@ -66,22 +66,22 @@
     return false;
   }
   std::erase_if(found->second.locations,
-                [&](const ReplicaLocation& location) { return IsAt(location, backup); });
+                [&](const ReplicaLocation& location) { return IsOn(location, backup); });
   return true;
 }
 
 void SegmentRepairer::FreeAt(const ReplicaLocation& location, SegmentId segment) {
-  if (context_.directory.Current(location) == nullptr) {
+  if (context_.directory.FindBackup(location) == nullptr) {
     return;
   }
-  context_.bulk_client.FreeSegment(context_.directory.EndpointOf(location), segment,
+  context_.bulk_client.FreeSegment(context_.directory.GetEndpoint(location), segment,
                                    [](const Status&) {});
 }
 
 std::vector<ReplicaLocation> SegmentRepairer::LiveLocations(const ClosedSegment& segment) const {
   std::vector<ReplicaLocation> live;
   for (const ReplicaLocation& location : segment.locations) {
-    if (context_.directory.Current(location) != nullptr) {
+    if (context_.directory.FindBackup(location) != nullptr) {
       live.push_back(location);
     }
   }
@@ -110,7 +110,7 @@
   const ReplicaCount count = context_.directory.CountByKind(live);
   const std::size_t replicas = context_.options.replicas;
   if (count.regular + count.spare >= replicas) {
-    DropUnneeded(segment, count.regular >= replicas);
+    FreeUnneeded(segment, count.regular >= replicas);
   }
   if (count.regular >= replicas || live.empty()) {
     return;
@@ -121,7 +121,7 @@
     return;
   }
   StartRepair(segment, live[context_.environment.Random() % live.size()],
-              context_.directory.FindLocation(chosen.front()));
+              context_.directory.GetLocation(chosen.front()));
 }
 
 void SegmentRepairer::StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
@@ -137,9 +137,9 @@
   Read(repair);
 }
 
-void SegmentRepairer::DropUnneeded(ClosedSegment& segment, bool spares_too) {
+void SegmentRepairer::FreeUnneeded(ClosedSegment& segment, bool spares_too) {
   std::erase_if(segment.locations, [&](const ReplicaLocation& location) {
-    const proto::Server* server = context_.directory.Current(location);
+    const proto::Server* server = context_.directory.FindBackup(location);
     const bool needed =
         server != nullptr && AcceptsNewSegments(*server) && !(server->spare() && spares_too);
     if (!needed) {
@@ -149,7 +149,7 @@
   });
 }
 
-BackupClient::Done SegmentRepairer::Then(const RepairPtr& repair, Step next) {
+BackupClient::Done SegmentRepairer::ContinueWith(const RepairPtr& repair, Step next) {
   return [weak = weak_from_this(), repair, next](const Status& status) {
     const auto self = weak.lock();
     if (self != nullptr && !self->context_.stopped) {
@@ -160,19 +160,19 @@
 
 void SegmentRepairer::HandleStep(const RepairPtr& repair, Step next, const Status& status) {
   if (status.code() == StatusCode::kFenced) {
-    context_.fenced(FencedBy::kBackupOfRepair, "");
+    context_.on_fenced(FencedBy::kBackupOfRepair, "");
   } else if (status.ok()) {
     (this->*next)(repair);
-  } else if (HoldsItAlready(status, repair->data.size())) {
-    Finish(repair);
+  } else if (HasReplicaAlready(status, repair->data.size())) {
+    CompleteRepair(repair);
   } else {
-    Fail(repair, repair->target, status);
+    FailRepair(repair, repair->target, status);
   }
 }
 
 void SegmentRepairer::Read(const RepairPtr& repair) {
   context_.bulk_client.ReadSegment(
-      context_.directory.EndpointOf(repair->source), repair->segment,
+      context_.directory.GetEndpoint(repair->source), repair->segment,
       [weak = weak_from_this(), repair](Result<proto::ReadSegmentResponse> result) {
         const auto self = weak.lock();
         if (self != nullptr && !self->context_.stopped) {
@@ -185,7 +185,7 @@
                                  Result<proto::ReadSegmentResponse> result) {
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
-    Fail(repair, repair->source, result.status());
+    FailRepair(repair, repair->source, result.status());
     return;
   }
   Status status = result.status();
@@ -203,13 +203,13 @@
       return location.node == repair->source.node;
     });
   }
-  Fail(repair, repair->source, status);
+  FailRepair(repair, repair->source, status);
 }
 
 void SegmentRepairer::Open(const RepairPtr& repair) {
-  context_.bulk_client.OpenSegment(context_.directory.EndpointOf(repair->target), repair->segment,
+  context_.bulk_client.OpenSegment(context_.directory.GetEndpoint(repair->target), repair->segment,
                                    repair->epoch, context_.options.segment_bytes,
-                                   Then(repair, &SegmentRepairer::Write));
+                                   ContinueWith(repair, &SegmentRepairer::Write));
 }
 
 void SegmentRepairer::Write(const RepairPtr& repair) {
@@ -217,17 +217,18 @@
   write.data = repair->data;
   write.atomic_replace = true;
   write.replace_complete = true;
-  context_.bulk_client.WriteSegment(context_.directory.EndpointOf(repair->target), repair->segment,
+  context_.bulk_client.WriteSegment(context_.directory.GetEndpoint(repair->target), repair->segment,
                                     repair->epoch, std::move(write),
-                                    Then(repair, &SegmentRepairer::Close));
+                                    ContinueWith(repair, &SegmentRepairer::Close));
 }
 
 void SegmentRepairer::Close(const RepairPtr& repair) {
-  context_.bulk_client.CloseSegment(context_.directory.EndpointOf(repair->target), repair->segment,
-                                    repair->data.size(), Then(repair, &SegmentRepairer::Finish));
+  context_.bulk_client.CloseSegment(context_.directory.GetEndpoint(repair->target), repair->segment,
+                                    repair->data.size(),
+                                    ContinueWith(repair, &SegmentRepairer::CompleteRepair));
 }
 
-void SegmentRepairer::Finish(const RepairPtr& repair) {
+void SegmentRepairer::CompleteRepair(const RepairPtr& repair) {
   --repairs_under_way_;
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
@@ -244,8 +245,8 @@
   Advance();
 }
 
-void SegmentRepairer::Fail(const RepairPtr& repair, const ReplicaLocation& culprit,
-                           const Status& status) {
+void SegmentRepairer::FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit,
+                                 const Status& status) {
   --repairs_under_way_;
   context_.environment.metrics().Increment("queue_segment_repair_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -45,7 +45,7 @@
   /// Whether a repair of the segment is under way.
   bool IsRepairing(SegmentId segment) const;
   /// @return whether the live backup that has the disk of `location` is `backup`.
-  bool IsAt(const ReplicaLocation& location, NodeId backup) const;
+  bool IsOn(const ReplicaLocation& location, NodeId backup) const;
   /// @return the closed segments with a replica on `backup`.
   std::set<SegmentId> SegmentsOn(NodeId backup) const;
   /// No longer counts on the replica at `backup`. @return false if the segment was freed.
@@ -72,17 +72,17 @@
   void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
                    const ReplicaLocation& target);
   /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
-  void DropUnneeded(ClosedSegment& segment, bool spares_too);
+  void FreeUnneeded(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
   void HandleRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result);
   void Open(const RepairPtr& repair);
   void Write(const RepairPtr& repair);
   void Close(const RepairPtr& repair);
-  void Finish(const RepairPtr& repair);
-  void Fail(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
+  void CompleteRepair(const RepairPtr& repair);
+  void FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
   /// @return a callback that goes on with `next`, or ends the repair.
-  BackupClient::Done Then(const RepairPtr& repair, Step next);
+  BackupClient::Done ContinueWith(const RepairPtr& repair, Step next);
   void HandleStep(const RepairPtr& repair, Step next, const Status& status);
 
   LogContext& context_;
--- a/src/log_writer/segment_usage.cc
+++ b/src/log_writer/segment_usage.cc
@@ -33,7 +33,7 @@
     auto batch = batches_.lower_bound({partition, 0, ""});
     while (batch != batches_.end() && batch->first.partition_tag == partition) {
       const auto next = std::next(batch);
-      Kill(batch->first, batch->second, segment);
+      MarkDead(batch->first, batch->second, segment);
       batch = next;
     }
     return;
@@ -45,7 +45,7 @@
   const BatchKey key{partition, generations_[partition], batch_id};
   BatchUse& use = batches_[key];
   if (entry.has_batch_removed()) {
-    Kill(key, use, segment);
+    MarkDead(key, use, segment);
     return;
   }
   if (use.tombstone.valid()) {
@@ -56,7 +56,7 @@
   batches_in_[segment].insert(key);
 }
 
-void SegmentUsage::Kill(const BatchKey& key, BatchUse& use, SegmentId tombstone) {
+void SegmentUsage::MarkDead(const BatchKey& key, BatchUse& use, SegmentId tombstone) {
   if (use.tombstone.valid()) {
     // A later tombstone takes over from the earlier one.
     --live_[use.tombstone];
@@ -67,12 +67,12 @@
   }
   use.tombstone = tombstone;
   ++live_[tombstone];
-  if (Settle(use)) {
+  if (DropUnreferenced(use)) {
     batches_.erase(key);
   }
 }
 
-bool SegmentUsage::Settle(BatchUse& use) {
+bool SegmentUsage::DropUnreferenced(BatchUse& use) {
   const bool only_beside_tombstone =
       use.entries.empty() || (use.entries.size() == 1 && use.entries.contains(use.tombstone));
   if (only_beside_tombstone) {
@@ -95,7 +95,7 @@
         continue;
       }
       batch->second.entries.erase(segment);
-      if (batch->second.tombstone.valid() && Settle(batch->second)) {
+      if (batch->second.tombstone.valid() && DropUnreferenced(batch->second)) {
         batches_.erase(batch);
       }
     }
--- a/src/log_writer/segment_usage.h
+++ b/src/log_writer/segment_usage.h
@@ -41,9 +41,9 @@
     SegmentId tombstone;                         ///< Invalid while the batch lives.
   };
 
-  void Kill(const BatchKey& key, BatchUse& use, SegmentId tombstone);
+  void MarkDead(const BatchKey& key, BatchUse& use, SegmentId tombstone);
   /// Drops what is no longer needed of a dead batch. @return whether nothing is left.
-  bool Settle(BatchUse& use);
+  bool DropUnreferenced(BatchUse& use);
 
   std::map<BatchKey, BatchUse> batches_;
   std::map<std::uint64_t, std::uint64_t> generations_;  ///< Marks seen, by partition tag.
