--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -22,17 +22,30 @@
   Endpoint endpoint;    ///< Last known.
 };
 
+/// Live replicas by the kind of their backup.
+struct ReplicaCount {
+  std::size_t regular = 0;
+  std::size_t spare = 0;
+  std::size_t retiring = 0;  ///< Regular or spare.
+};
+
 class BackupDirectory {
  public:
   BackupDirectory(Environment& environment, NodeAgent& agent, Duration failure_memory)
       : environment_(environment), agent_(agent), failure_memory_(failure_memory) {}
 
   /// @return the live backup that has the holder's disk now, or nullptr.
-  const proto::Server* Current(const ReplicaLocation& location) const;
+  const proto::Server* FindBackup(const ReplicaLocation& location) const;
+  /// @return the node id of that backup, or the last known one while it is not live.
+  NodeId GetCurrentNode(const ReplicaLocation& location) const;
+  /// Counts the replicas at `locations`; those on lost backups are left out.
+  ReplicaCount CountByKind(const std::vector<ReplicaLocation>& locations) const;
+  /// @return whether a set on other backups would have fewer replicas on spare or retiring ones.
+  bool HasBetterBackups(const std::vector<ReplicaLocation>& locations) const;
   /// @return the holder's present endpoint, or the last known one while it is not live.
-  Endpoint EndpointOf(const ReplicaLocation& location) const;
+  Endpoint GetEndpoint(const ReplicaLocation& location) const;
   /// @return the holder that `node` would be; requires that the fleet view has it.
-  ReplicaLocation FindLocation(NodeId node) const;
+  ReplicaLocation GetLocation(NodeId node) const;
 
   /// A call to `node` failed: it is reported as suspect and not chosen for the failure memory.
   void RecordFailure(NodeId node);
@@ -46,7 +59,7 @@
                              const std::vector<ReplicaLocation>& excluded);
 
  private:
-  std::set<NodeId> RecentlyFailed();
+  std::set<NodeId> GetRecentlyFailed();
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -25,6 +25,8 @@
 
 #include "base/ids.h"
 #include "log_writer/log_context.h"
+#include "log_writer/repeated_step.h"
+#include "log_writer/segment_content.h"
 #include "proto/coordinator.pb.h"
 
 namespace cloverbank {
@@ -39,9 +41,9 @@
   /// Goes on with whatever is due: call it after `Append`, on fleet changes and on a timer.
   void Advance();
 
-  /// Appends a framed entry; requires `Fits`. @return the segment's length with it.
-  std::uint64_t Append(const proto::LogEntry& entry);
-  bool Fits(std::uint64_t framed_bytes) const;
+  /// Appends a framed entry; requires `Fits`.
+  void Append(const proto::LogEntry& entry) { content_.Append(entry); }
+  bool Fits(std::uint64_t framed_bytes) const { return content_.Fits(framed_bytes); }
 
   /// Lets the set be committed at the coordinators; a successor waits for this.
   void AllowCommit();
@@ -51,10 +53,10 @@
   SegmentId id() const { return id_; }
   /// Highest epoch under which a replica may have been opened.
   HeadEpoch highest_epoch() const { return open_epoch_; }
-  std::uint64_t length() const { return content_.size(); }
-  const std::string& content() const { return content_; }
+  std::uint64_t length() const { return content_.length(); }
+  const std::string& content() const { return content_.bytes(); }
   /// Bytes that every member of the committed set has synced. Never falls.
-  std::uint64_t held() const { return held_; }
+  std::uint64_t durable_length() const { return durable_length_; }
   /// Whether a set of backups with at least the minimum of copies has the first content.
   bool opened() const;
   bool committed() const { return committed_epoch_.valid(); }
@@ -66,7 +68,7 @@
   /// Whether enough members answer to take new entries.
   bool healthy() const;
   /// Whether the committed set has as many live members as wanted.
-  bool whole() const;
+  bool IsFullyReplicated() const;
   std::size_t replicas() const;
   /// The members (open) or the backups that closed it.
   std::vector<ReplicaLocation> locations() const;
@@ -78,55 +80,65 @@
     HeadEpoch epoch;  ///< Under which it was last known; invalid: not opened.
     std::uint64_t synced = 0;
     bool member = false;   ///< Of the set of `epoch_`; else a newcomer.
-    bool copying = true;   ///< Its copy is hidden until replace_complete.
+    bool hidden = true;    ///< Its copy is hidden until replace_complete.
     bool busy = false;     ///< A call is under way.
     bool failing = false;  ///< Its last call failed.
-    bool broken = false;   ///< It refused for good: not retried.
+    bool refused = false;  ///< It refused for good: not retried.
     bool closed = false;
     TimePoint retry_at;
   };
 
   /// The set of backups that could be had now.
-  struct NextSet {
+  struct ProposedReplicaSet {
     std::size_t size = 0;
     bool differs = false;  ///< From the present one.
   };
 
-  void AddNewcomers();
-  NextSet ProposeSet() const;
-  bool NewcomersUnderWay() const;
+  void AdvanceOnce();
+  void UpdateDurableLength();
+  /// Whether the coordinators confirmed the present set.
+  bool IsSetCommitted() const;
+  bool HasAllReplicas() const;
+  bool IsLost(const Replica& replica) const;
+  /// Whether every member's replica is complete and under the present epoch.
+  bool AreMembersUpToDate() const;
+  void ScheduleAdvance();
+
+  // head_segment_replica_set.cc
+  void AddCandidates();
+  ProposedReplicaSet ProposeReplicaSet() const;
+  bool HasUnreadyCandidates() const;
   /// Moves to a new set and epoch when one is ready that is better than the present one.
   void EvaluateReplicaSet();
-  bool HasAllReplicas() const;
+  /// Makes the live members and the newcomers that are ready the set of the next epoch.
+  void AdoptReadyReplicas();
   /// Frees the newcomers that are not to be kept.
-  void DropNewcomers(const std::function<bool(const Replica&)>& keep);
+  void DropCandidates(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
   /// @return the commit of the present set; the same one for every try under one epoch.
   const proto::CommitHeadRequest& CommitRequest();
-  void UpdateDurableLength();
-
-  /// Makes the next call that `replica` needs, if any.
-  void Drive(Replica& replica);
-  void Open(Replica& replica);
-  void Write(Replica& replica);
-  void SetEpoch(Replica& replica);
-  void CloseAt(Replica& replica);
-  std::uint64_t WriteEnd(std::uint64_t offset) const;
-  bool IsLost(const Replica& replica) const;
+  void HandleCommit(HeadEpoch epoch, const Status& status);
   /// Whether a newcomer has so much of the content that the set can change to it.
   bool IsReady(const Replica& replica) const;
 
+  // head_segment_calls.cc
+  /// Makes the next call that `replica` needs, if any.
+  void StartNextCall(Replica& replica);
+  void OpenReplica(Replica& replica);
+  void WriteReplica(Replica& replica);
+  void SetReplicaEpoch(Replica& replica);
+  void CloseReplica(Replica& replica);
+
   /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
-  BackupClient::Done Answer(Replica& replica, std::function<void(Replica&)> on_ok);
+  BackupClient::Done MakeAnswerHandler(Replica& replica, std::function<void(Replica&)> on_ok);
+  void HandleAnswer(std::uint64_t serial, const Status& status,
+                    const std::function<void(Replica&)>& on_ok);
   void HandleFailure(std::uint64_t serial, const Status& status);
-  void HandleCommit(HeadEpoch epoch, const Status& status);
-  void ScheduleAdvance();
   Replica* FindReplica(std::uint64_t serial);
 
   LogContext& context_;
   SegmentId id_;
-  std::string content_;
-  std::vector<std::uint32_t> entry_ends_;  ///< Writes end where entries end.
+  SegmentContent content_;
   std::function<void()> on_progress_;
   std::vector<Replica> replicas_;
   std::uint64_t last_serial_ = 0;
@@ -134,13 +146,12 @@
   HeadEpoch open_epoch_{1};    ///< For newcomers, and of the next set.
   HeadEpoch committed_epoch_;  ///< Last one the coordinators confirmed.
   proto::CommitHeadRequest commit_request_;
-  std::uint64_t held_ = 0;
+  std::uint64_t durable_length_ = 0;
   bool commit_allowed_ = false;
   bool commit_under_way_ = false;
   bool closing_ = false;
-  bool pumping_ = false;
-  bool pump_again_ = false;
-  bool timer_set_ = false;
+  RepeatedStep advance_;
+  bool retry_scheduled_ = false;
 };
 
 }  // namespace cloverbank
--- /dev/null
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -0,0 +1,112 @@
+// The roll-over of the log's head to its successor: when it begins, its steps, and which segments
+// it frees.
+
+#include "base/checksum.h"
+#include "base/logging.h"
+#include "log_format/segment_format.h"
+#include "log_writer/segment_log.h"
+
+namespace cloverbank {
+namespace {
+
+/// Least time between roll-overs that are made only to move the head to better backups.
+constexpr Duration kEarlyRollOverInterval = seconds(2);
+/// Share of a segment that is used when its successor is opened, in percent.
+constexpr std::uint64_t kOpenSuccessorPercent = 75;
+
+}  // namespace
+
+void SegmentLog::AdvanceRollOver() {
+  if (!head_->committed()) {
+    return;
+  }
+  early_roll_over_ = early_roll_over_ || ShouldRollOverEarly();
+  if (successor_ == nullptr && ShouldOpenSuccessor()) {
+    OpenSuccessor();
+  }
+  if (successor_ == nullptr || !successor_->opened()) {
+    return;
+  }
+  rolling_over_ = rolling_over_ || early_roll_over_;
+  if (!rolling_over_) {
+    return;
+  }
+  if (!head_->closing() && head_->drained()) {
+    head_->Close();
+  }
+  if (head_->closed() && !successor_->committed()) {
+    successor_->AllowCommit();
+  }
+  if (head_->closed() && successor_->committed()) {
+    AdoptSuccessor();
+  }
+}
+
+bool SegmentLog::ShouldOpenSuccessor() const {
+  const bool nearly_full =
+      head_->length() * 100 >= context_.options.segment_bytes * kOpenSuccessorPercent;
+  return rolling_over_ || nearly_full || early_roll_over_;
+}
+
+bool SegmentLog::ShouldRollOverEarly() const {
+  return context_.environment.Now() - last_roll_over_ >= kEarlyRollOverInterval &&
+         context_.directory.HasBetterBackups(head_->locations());
+}
+
+void SegmentLog::OpenSuccessor() {
+  const SegmentId id = head_->id().Next();
+  std::vector<SegmentId> digest;
+  freed_by_successor_.clear();
+  for (const auto& [closed, segment] : repairer_->segments()) {
+    (usage_.IsDead(closed) ? freed_by_successor_ : digest).push_back(closed);
+  }
+  digest.push_back(head_->id());
+  digest.push_back(id);
+  successor_ = std::make_shared<HeadSegment>(context_, id, BuildSegmentStart(id, digest),
+                                             [this] { Advance(); });
+  successor_->Advance();
+}
+
+void SegmentLog::AdoptSuccessor() {
+  RetireHead();
+  FreeDeadSegments();
+  head_ = std::move(successor_);
+  successor_ = nullptr;
+  rolling_over_ = false;
+  early_roll_over_ = false;
+  last_roll_over_ = context_.environment.Now();
+  Log(LogLevel::kInfo, "segment_opened",
+      {{"node", context_.node.value()},
+       {"segment", head_->id().value()},
+       {"live_segments", live_segments()}});
+  repairer_->Advance();
+  advance_.RequestRound();
+}
+
+void SegmentLog::RetireHead() {
+  ClosedSegment closed;
+  closed.id = head_->id();
+  closed.epoch = head_->highest_epoch();
+  closed.length = head_->length();
+  closed.checksum = Checksum(head_->content());
+  closed.locations = head_->locations();
+  repairer_->Add(std::move(closed));
+}
+
+void SegmentLog::FreeDeadSegments() {
+  for (const SegmentId freed : freed_by_successor_) {
+    repairer_->Free(freed);
+    usage_.Forget(freed);
+  }
+  freed_by_successor_.clear();
+}
+
+std::string SegmentLog::BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest) {
+  std::string content = EncodeSegmentStart(context_.node, segment, digest);
+  for (const proto::LogEntry& watermark : preamble_()) {
+    AppendEntry(&content, segment, watermark);
+  }
+  return content;
+}
+
+}  // namespace cloverbank
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -38,13 +38,22 @@
   void Free(SegmentId segment);
   /// Starts repairs that are due: call it on fleet changes and on a timer.
   void Advance();
-  /// Asks backups that are due what they hold. @param head the segment from which on they are open.
-  void Audit(SegmentId head);
-
   const std::map<SegmentId, ClosedSegment>& segments() const { return segments_; }
   /// Whether any segment has fewer live copies than wanted.
   bool degraded() const;
 
+  /// Whether a repair of the segment is under way.
+  bool IsRepairing(SegmentId segment) const;
+  /// @return whether the live backup that has the disk of `location` is `backup`.
+  bool IsOn(const ReplicaLocation& location, NodeId backup) const;
+  /// @return the closed segments with a replica on `backup`.
+  std::set<SegmentId> SegmentsOn(NodeId backup) const;
+  /// No longer counts on the replica at `backup`. @return false if the segment was freed.
+  bool RemoveLocation(SegmentId segment, NodeId backup);
+  /// Frees the replica if the disk of `location` is live; never what another disk has at its
+  /// endpoint.
+  void FreeAt(const ReplicaLocation& location, SegmentId segment);
+
  private:
   /// One copy under way.
   struct Repair {
@@ -57,42 +66,28 @@
   using RepairPtr = std::shared_ptr<Repair>;
   using Step = void (SegmentRepairer::*)(const RepairPtr&);
 
-  /// Live copies of a segment by the kind of backup.
-  struct ReplicaCount {
-    std::size_t regular = 0;
-    std::size_t spare = 0;
-    std::size_t retiring = 0;
-  };
-
   std::vector<ReplicaLocation> LiveLocations(const ClosedSegment& segment) const;
-  ReplicaCount Count(const std::vector<ReplicaLocation>& live) const;
   /// Starts a repair of the segment if it needs one and a backup can take it.
   void RepairIfNeeded(ClosedSegment& segment);
+  void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
+                   const ReplicaLocation& target);
   /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
-  void DropUnneeded(ClosedSegment& segment, bool spares_too);
+  void FreeUnneeded(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
   void HandleRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result);
   void Open(const RepairPtr& repair);
   void Write(const RepairPtr& repair);
   void Close(const RepairPtr& repair);
-  void Finish(const RepairPtr& repair);
-  void Fail(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
+  void CompleteRepair(const RepairPtr& repair);
+  void FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
   /// @return a callback that goes on with `next`, or ends the repair.
-  BackupClient::Done Then(const RepairPtr& repair, Step next);
-  /// Frees the replica if the holder's disk is live; never what another disk holds at its endpoint.
-  void FreeAt(const ReplicaLocation& location, SegmentId segment);
-
-  // segment_audit.cc
-  std::set<SegmentId> SegmentsOn(NodeId backup) const;
-  bool IsAt(const ReplicaLocation& location, NodeId backup) const;
-  void HandleAudit(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
-                   const proto::ListSegmentsResponse& listed);
+  BackupClient::Done ContinueWith(const RepairPtr& repair, Step next);
+  void HandleStep(const RepairPtr& repair, Step next, const Status& status);
 
   LogContext& context_;
   std::map<SegmentId, ClosedSegment> segments_;
   std::size_t repairs_under_way_ = 0;
-  std::map<NodeId, TimePoint> next_audit_;  ///< By backup.
 };
 
 }  // namespace cloverbank
