--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 
 #include "base/logging.h"
+#include "control_client/batch_partitions.h"
 
 namespace cloverbank {
 
@@ -15,6 +16,11 @@
   return entry;
 }
 
+Status MakeNotOwnerStatus(PartitionId partition) {
+  return {StatusCode::kConflict, "partition " + partition.ToString() + " is not owned by this node",
+          std::string(kNotOwnerDetail)};
+}
+
 OwnedPartition::OwnedPartition(PartitionId id, std::unique_ptr<BatchStore> store, SegmentLog& log)
     : id_(id), store_(std::move(store)), log_(log), next_sequence_(store_->next_sequence()) {}
 
--- a/src/batches/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -5,11 +5,11 @@
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
+#include <compare>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
-#include <utility>
 #include <vector>
 
 #include "base/ids.h"
@@ -18,6 +18,14 @@
 
 namespace cloverbank {
 
+/// A route as used by one tenant.
+struct TenantRoute {
+  std::string tenant;
+  std::string route;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+  auto operator<=>(const TenantRoute&) const = default;
+};
+
 class OwnedPartition : public std::enable_shared_from_this<OwnedPartition> {
  public:
   using Done = std::function<void(Status)>;
@@ -56,13 +64,17 @@
   SegmentLog& log_;
   PartitionSequence next_sequence_;  ///< For the next entry; those before may be under way.
   std::map<std::string, std::uint64_t> reserved_items_;
-  std::map<std::pair<std::string, std::string>, std::uint64_t> reserved_tokens_;
+  std::map<TenantRoute, std::uint64_t> reserved_tokens_;
   bool active_ = true;
 };
 
 /// Stored in an entry's `partition_tag`.
 inline std::uint64_t PartitionTag(PartitionId partition) { return partition.value() + 1; }
 
+/// @return the kConflict (detail `kNotOwnerDetail`) of a request for a partition that this node
+/// does not own.
+Status MakeNotOwnerStatus(PartitionId partition);
+
 /// @return an entry that says where a partition stands.
 proto::LogEntry MakePartitionWatermark(PartitionId partition, PartitionSequence next,
                                        bool discard_earlier);
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -12,7 +12,9 @@
 
 void QueueService::Start() {
   ServeBatches();
+  ServeTokens();
   ServeWork();
+  ServeRecovery();
   const std::weak_ptr<bool> alive = alive_;
   const auto guarded = [alive](std::function<void()> action) {
     return [alive, action = std::move(action)] {
@@ -57,13 +59,13 @@
   environment_.ScheduleAfter(Duration::zero(), [ended] {});
 }
 
-template <typename Request, typename Response>
-void QueueService::Serve(std::string_view method,
-                         void (QueueNodeIncarnation::*handler)(
-                             const Request&, const QueueNodeIncarnation::Reply<Response>&)) {
+template <typename Handler, typename Request, typename Response>
+void QueueService::Serve(std::string_view method, Handler& (QueueNodeIncarnation::*get_handler)(),
+                         void (Handler::*handle)(const Request&,
+                                                 const std::function<void(Result<Response>)>&)) {
   ServePeer<Request, Response>(
       environment_, method,
-      [this, handler, alive = std::weak_ptr<bool>(alive_), name = std::string(method)](
+      [this, get_handler, handle, alive = std::weak_ptr<bool>(alive_), name = std::string(method)](
           const Request& request, const std::string&, std::function<void(Result<Response>)> reply) {
         if (alive.expired() || incarnation_ == nullptr) {
           reply(Status(StatusCode::kUnavailable, "this queue node is not registered"));
@@ -77,36 +79,34 @@
           }
           reply(std::move(result));
         };
-        ((*incarnation_).*handler)(request, counted);
+        (((*incarnation_).*get_handler)().*handle)(request, counted);
       });
 }
 
 void QueueService::ServeBatches() {
-  Serve<proto::SubmitBatchRequest, proto::SubmitBatchResponse>("queue.SubmitBatch",
-                                                               &QueueNodeIncarnation::Submit);
-  Serve<proto::ReserveTokensRequest, proto::ReserveTokensResponse>(
-      "queue.ReserveTokens", &QueueNodeIncarnation::ReserveTokens);
-  Serve<proto::CountOpenTokensRequest, proto::CountOpenTokensResponse>(
-      "queue.CountOpenTokens", &QueueNodeIncarnation::CountOpenTokens);
-  Serve<proto::GetBatchRequest, proto::GetBatchResponse>("queue.GetBatch",
-                                                         &QueueNodeIncarnation::Get);
-  Serve<proto::ListBatchesRequest, proto::ListBatchesResponse>("queue.ListBatches",
-                                                               &QueueNodeIncarnation::ListBatches);
-  Serve<proto::ListResultsRequest, proto::ListResultsResponse>("queue.ListResults",
-                                                               &QueueNodeIncarnation::ListResults);
-  Serve<proto::GetItemRequest, proto::GetItemResponse>("queue.GetItem",
-                                                       &QueueNodeIncarnation::GetItem);
-  Serve<proto::CancelBatchRequest, proto::CancelBatchResponse>("queue.CancelBatch",
-                                                               &QueueNodeIncarnation::Cancel);
+  const auto batch_requests = &QueueNodeIncarnation::batch_requests;
+  Serve("queue.SubmitBatch", batch_requests, &BatchRequestHandler::Submit);
+  Serve("queue.GetBatch", batch_requests, &BatchRequestHandler::Get);
+  Serve("queue.ListBatches", batch_requests, &BatchRequestHandler::ListBatches);
+  Serve("queue.ListResults", batch_requests, &BatchRequestHandler::ListResults);
+  Serve("queue.GetItem", batch_requests, &BatchRequestHandler::GetItem);
+  Serve("queue.CancelBatch", batch_requests, &BatchRequestHandler::Cancel);
+}
+
+void QueueService::ServeTokens() {
+  const auto token_requests = &QueueNodeIncarnation::token_requests;
+  Serve("queue.ReserveTokens", token_requests, &TokenRequestHandler::ReserveTokens);
+  Serve("queue.CountOpenTokens", token_requests, &TokenRequestHandler::CountOpenTokens);
 }
 
 void QueueService::ServeWork() {
-  Serve<proto::AcquireWorkRequest, proto::AcquireWorkResponse>("queue.AcquireWork",
-                                                               &QueueNodeIncarnation::Acquire);
-  Serve<proto::ReportWorkRequest, proto::ReportWorkResponse>("queue.ReportWork",
-                                                             &QueueNodeIncarnation::Report);
-  Serve<proto::RecoverPartitionsRequest, proto::RecoverPartitionsResponse>(
-      "queue.RecoverPartitions", &QueueNodeIncarnation::Recover);
+  const auto work_requests = &QueueNodeIncarnation::work_requests;
+  Serve("queue.AcquireWork", work_requests, &WorkRequestHandler::Acquire);
+  Serve("queue.ReportWork", work_requests, &WorkRequestHandler::Report);
+}
+
+void QueueService::ServeRecovery() {
+  Serve("queue.RecoverPartitions", &QueueNodeIncarnation::ownership, &PartitionOwnership::Recover);
 }
 
 }  // namespace cloverbank
--- a/src/queue/queue_service.h
+++ b/src/queue/queue_service.h
@@ -8,8 +8,9 @@
 ///
 /// Threads: the environment's event loop only.
 
+#include <functional>
 #include <memory>
-#include <string>
+#include <string_view>
 
 #include "control_client/node_agent.h"
 #include "queue/queue_node_incarnation.h"
@@ -35,11 +36,13 @@
   void BeginIncarnation();
   void EndIncarnation();
   void ServeBatches();
+  void ServeTokens();
   void ServeWork();
-  template <typename Request, typename Response>
-  void Serve(std::string_view method,
-             void (QueueNodeIncarnation::*handler)(const Request&,
-                                                   const QueueNodeIncarnation::Reply<Response>&));
+  void ServeRecovery();
+  /// Answers `method` with a call of the present incarnation's handler; kUnavailable without one.
+  template <typename Handler, typename Request, typename Response>
+  void Serve(std::string_view method, Handler& (QueueNodeIncarnation::*get_handler)(),
+             void (Handler::*handle)(const Request&, const std::function<void(Result<Response>)>&));
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/work_dispatch/work_results.cc
+++ b/src/work_dispatch/work_results.cc
@@ -1,7 +1,6 @@
 // Results: reports of gateways, renewals, silent leases and outcomes that stay unknown.
 
 #include "base/logging.h"
-#include "control_client/batch_partitions.h"
 #include "work_dispatch/work_dispatcher.h"
 
 namespace cloverbank {
@@ -22,9 +21,7 @@
 Status WorkDispatcher::CheckReports(const proto::ReportWorkRequest& request) const {
   for (const proto::WorkReport& report : request.reports()) {
     if (!partitions_.contains(PartitionId(report.partition_id()))) {
-      return {StatusCode::kConflict,
-              "partition " + std::to_string(report.partition_id()) + " is not owned by this node",
-              std::string(kNotOwnerDetail)};
+      return MakeNotOwnerStatus(PartitionId(report.partition_id()));
     }
   }
   return Status::Ok();
