--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -15,6 +15,19 @@
   return asked == 0 ? kDefaultPageEntries : std::min(asked, kLargestPageEntries);
 }
 
+/// @param position in the list, from 1.
+proto::ItemResult MakeListedResult(const StoredBatch& batch, const StoredResult& result,
+                                   std::uint64_t position) {
+  proto::ItemResult listed;
+  listed.set_position(position);
+  listed.set_custom_id(batch.items[result.item_index].custom_id());
+  listed.set_item_index(result.item_index);
+  listed.set_outcome(result.outcome);
+  listed.set_output(result.output);
+  listed.set_error(result.error);
+  return listed;
+}
+
 }  // namespace
 
 Status BatchStore::Apply(proto::LogEntry entry) {
@@ -75,29 +88,40 @@
   if (item_count != accepted.item_count() || by_id_.contains(accepted.batch_id())) {
     return Corrupt("batch does not match its items", accepted.batch_id());
   }
+  Insert(MakeBatch(accepted, sequence));
+  return Status::Ok();
+}
+
+std::unique_ptr<StoredBatch> BatchStore::MakeBatch(proto::BatchAccepted& accepted,
+                                                   PartitionSequence sequence) {
   auto batch = std::make_unique<StoredBatch>();
   batch->accepted = std::move(accepted);
   batch->position = sequence;
+  const auto gathered = unaccepted_.find(batch->accepted.batch_id());
   if (gathered != unaccepted_.end()) {
     batch->items = std::move(gathered->second);
     unaccepted_.erase(gathered);
   }
   batch->items.shrink_to_fit();
   batch->phases.assign(batch->items.size(), ItemPhase::kWaiting);
+  for (const proto::BatchItem& item : batch->items) {
+    batch->open_tokens += item.tokens();
+  }
+  return batch;
+}
+
+void BatchStore::Insert(std::unique_ptr<StoredBatch> batch) {
   Tenant& tenant = tenants_[batch->accepted.tenant()];
-  tenant.by_position.emplace(sequence, batch.get());
+  tenant.by_position.emplace(batch->position, batch.get());
   if (!batch->accepted.idempotency_key().empty()) {
     tenant.by_key.emplace(batch->accepted.idempotency_key(), batch.get());
   }
   tenant.open_items += batch->items.size();
-  for (const proto::BatchItem& item : batch->items) {
-    batch->open_tokens += item.tokens();
-  }
   tenant.open_tokens[batch->accepted.route()] += batch->open_tokens;
   open_items_ += batch->items.size();
   by_id_.emplace(batch->accepted.batch_id(), batch.get());
-  batches_.emplace(sequence, std::move(batch));
-  return Status::Ok();
+  const PartitionSequence position = batch->position;
+  batches_.emplace(position, std::move(batch));
 }
 
 Status BatchStore::ApplyStarted(const proto::ItemStarted& started) {
@@ -267,13 +291,7 @@
        left > 0 && position < batch->results.size() && bytes < kLargestPageBytes; --left) {
     const StoredResult& result = batch->results[position];
     ++position;
-    proto::ItemResult* listed = list.add_results();
-    listed->set_position(position);
-    listed->set_custom_id(batch->items[result.item_index].custom_id());
-    listed->set_item_index(result.item_index);
-    listed->set_outcome(result.outcome);
-    listed->set_output(result.output);
-    listed->set_error(result.error);
+    *list.add_results() = MakeListedResult(*batch, result, position);
     bytes += result.output.size() + result.error.size();
   }
   list.set_next_cursor(FormatCursor(position));
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -83,6 +83,11 @@
   Status ApplyPayload(proto::LogEntry& entry);
   Status ApplyItems(proto::BatchItems& items);
   Status ApplyAccepted(proto::BatchAccepted& accepted, PartitionSequence sequence);
+  /// @return the batch with the items that were logged before it.
+  std::unique_ptr<StoredBatch> MakeBatch(proto::BatchAccepted& accepted,
+                                         PartitionSequence sequence);
+  /// Adds the batch to all indexes and counts.
+  void Insert(std::unique_ptr<StoredBatch> batch);
   Status ApplyStarted(const proto::ItemStarted& started);
   Status ApplyFinished(proto::ItemFinished& finished);
   void ApplyCancelled(const proto::BatchCancelled& cancelled);
--- a/src/batches/partition_replay.cc
+++ b/src/batches/partition_replay.cc
@@ -1,6 +1,8 @@
 #include "batches/partition_replay.h"
 
 #include <algorithm>
+#include <compare>
+#include <cstdint>
 #include <set>
 #include <string>
 #include <unordered_set>
@@ -9,6 +11,16 @@
 #include "log_writer/segment_usage.h"
 
 namespace cloverbank {
+namespace {
+
+struct ItemKey {
+  std::string batch_id;
+  std::uint64_t index = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+  auto operator<=>(const ItemKey&) const = default;
+};
+
+}  // namespace
 
 void PartitionReplay::Add(proto::LogEntry entry) {
   if (entry.has_partition_watermark()) {
@@ -49,10 +61,10 @@
 }
 
 void PartitionReplay::DropFinishedRequests() {
-  std::set<std::pair<std::string, std::uint64_t>> finished;
+  std::set<ItemKey> finished;
   for (const auto& [sequence, entry] : entries_) {
     if (entry.has_item_finished()) {
-      finished.emplace(entry.item_finished().batch_id(), entry.item_finished().item_index());
+      finished.insert({entry.item_finished().batch_id(), entry.item_finished().item_index()});
     }
   }
   for (auto& [sequence, entry] : entries_) {
--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -83,9 +83,20 @@
               std::to_string(tenant->max_open_items()) + "; submit again when some are finished"};
 }
 
-bool BatchIntake::JoinEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum,
-                              Reply& reply) {
-  const std::string& idempotency_key = std::get<2>(key);
+Status BatchIntake::CheckAll(const OwnedPartition& partition,
+                             const proto::SubmitBatch& batch) const {
+  if (Status status = Check(batch); !status.ok()) {
+    return status;
+  }
+  if (Status status = CheckLimit(partition, batch); !status.ok()) {
+    return status;
+  }
+  return log_.Accepting();
+}
+
+bool BatchIntake::JoinEarlier(OwnedPartition& partition, const SubmissionKey& key,
+                              std::uint64_t checksum, Reply& reply) {
+  const std::string& idempotency_key = key.idempotency_key;
   if (idempotency_key.empty()) {
     return false;
   }
@@ -98,7 +109,7 @@
     }
     return true;
   }
-  const StoredBatch* earlier = partition.store().FindByKey(std::get<1>(key), idempotency_key);
+  const StoredBatch* earlier = partition.store().FindByKey(key.tenant, idempotency_key);
   if (earlier == nullptr) {
     return false;
   }
@@ -117,20 +128,17 @@
                          proto::SubmitBatchRequest request, Reply reply) {
   const proto::SubmitBatch& batch = request.batch();
   const std::uint64_t checksum = Checksum(batch.SerializeAsString());
-  const Key key(partition->id(), batch.tenant(), batch.idempotency_key());
+  const SubmissionKey key{partition->id(), batch.tenant(), batch.idempotency_key()};
   if (JoinEarlier(*partition, key, checksum, reply)) {
     return;
   }
-  Status status = Check(batch);
-  status = status.ok() ? CheckLimit(*partition, batch) : status;
-  status = status.ok() ? log_.Accepting() : status;
-  if (!status.ok()) {
+  if (Status status = CheckAll(*partition, batch); !status.ok()) {
     reply(std::move(status));
     return;
   }
   const SubmissionPtr submission = Begin(partition, std::move(request), checksum);
   submission->replies.push_back(std::move(reply));
-  if (!std::get<2>(key).empty()) {
+  if (!key.idempotency_key.empty()) {
     under_way_[key] = submission;
   }
   if (submission->batch.open_token_limit() == 0) {
@@ -144,23 +152,26 @@
   reserve_tokens_(
       submission->partition->id(), submission->batch, submission->reservation,
       [weak = weak_from_this(), submission](const Status& status) {
-        const auto self = weak.lock();
-        if (self == nullptr) {
-          for (const Reply& reply : submission->replies) {
-            reply(status.ok() ? Status(StatusCode::kUnavailable, "this life ended") : status);
-          }
-        } else if (!status.ok()) {
-          self->Finish(submission, status);
+        if (const auto self = weak.lock()) {
+          self->HandleTokensReserved(submission, status);
         } else {
-          submission->tokens_reserved = true;
-          submission->partition->ReserveTokens(submission->accepted.tenant(),
-                                               submission->accepted.route(),
-                                               submission->reservation.tokens);
-          self->LogNext(submission);
+          AnswerFailed(*submission,
+                       status.ok() ? Status(StatusCode::kUnavailable, "this life ended") : status);
         }
       });
 }
 
+void BatchIntake::HandleTokensReserved(const SubmissionPtr& submission, const Status& status) {
+  if (!status.ok()) {
+    Finish(submission, status);
+    return;
+  }
+  submission->tokens_reserved = true;
+  submission->partition->ReserveTokens(submission->accepted.tenant(), submission->accepted.route(),
+                                       submission->reservation.tokens);
+  LogNext(submission);
+}
+
 BatchIntake::SubmissionPtr BatchIntake::Begin(const std::shared_ptr<OwnedPartition>& partition,
                                               proto::SubmitBatchRequest request,
                                               std::uint64_t checksum) {
@@ -221,20 +232,39 @@
   }
   submission->partition->Log(
       std::move(entries), [weak = weak_from_this(), submission, last](const Status& status) {
-        const auto self = weak.lock();
-        if (self == nullptr) {
-          for (const Reply& reply : submission->replies) {
-            reply(Status(StatusCode::kUnknownOutcome, "this queue node's life ended"));
-          }
-        } else if (!status.ok() || last) {
-          self->Finish(submission, status);
+        if (const auto self = weak.lock()) {
+          self->HandleLogged(submission, last, status);
         } else {
-          self->LogNext(submission);
+          AnswerFailed(*submission,
+                       Status(StatusCode::kUnknownOutcome, "this queue node's life ended"));
         }
       });
 }
 
+void BatchIntake::HandleLogged(const SubmissionPtr& submission, bool last, const Status& status) {
+  if (!status.ok() || last) {
+    Finish(submission, status);
+  } else {
+    LogNext(submission);
+  }
+}
+
 void BatchIntake::Finish(const SubmissionPtr& submission, const Status& status) {
+  ReleaseReservations(submission);
+  OwnedPartition& partition = *submission->partition;
+  const std::string& batch_id = submission->accepted.batch_id();
+  const StoredBatch* batch = partition.store().Find(batch_id);
+  if (!status.ok() || batch == nullptr) {
+    partition.DropUnaccepted(batch_id);
+    AnswerFailed(*submission,
+                 status.ok() ? Status(StatusCode::kInternal, "batch was not applied") : status);
+    return;
+  }
+  on_accepted_(partition, *batch);
+  AnswerAccepted(*submission, *batch);
+}
+
+void BatchIntake::ReleaseReservations(const SubmissionPtr& submission) {
   OwnedPartition& partition = *submission->partition;
   const proto::BatchAccepted& accepted = submission->accepted;
   partition.ReleaseItems(accepted.tenant(), accepted.item_count());
@@ -246,21 +276,21 @@
   if (waiting != under_way_.end() && waiting->second == submission) {
     under_way_.erase(waiting);
   }
-  const StoredBatch* batch = partition.store().Find(accepted.batch_id());
-  if (!status.ok() || batch == nullptr) {
-    partition.DropUnaccepted(accepted.batch_id());
-    for (const Reply& reply : submission->replies) {
-      reply(status.ok() ? Status(StatusCode::kInternal, "batch was not applied") : status);
-    }
-    return;
-  }
-  on_accepted_(partition, *batch);
+}
+
+void BatchIntake::AnswerAccepted(const Submission& submission, const StoredBatch& batch) {
   proto::SubmitBatchResponse response;
-  *response.mutable_status() = batch->ToStatus();
-  for (const Reply& reply : submission->replies) {
+  *response.mutable_status() = batch.ToStatus();
+  for (const Reply& reply : submission.replies) {
     reply(response);
     response.set_resent(true);
   }
 }
 
+void BatchIntake::AnswerFailed(const Submission& submission, const Status& status) {
+  for (const Reply& reply : submission.replies) {
+    reply(status);
+  }
+}
+
 }  // namespace cloverbank
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -6,11 +6,11 @@
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
+#include <compare>
 #include <functional>
 #include <map>
 #include <memory>
 #include <string>
-#include <tuple>
 #include <vector>
 
 #include "base/ids.h"
@@ -44,7 +44,14 @@
               Reply reply);
 
  private:
-  using Key = std::tuple<PartitionId, std::string, std::string>;  ///< Partition, tenant, key.
+  /// What a resent submission has in common with its first one.
+  struct SubmissionKey {
+    PartitionId partition;
+    std::string tenant;
+    std::string idempotency_key;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+    auto operator<=>(const SubmissionKey&) const = default;
+  };
   /// One batch on its way to the log.
   struct Submission {
     std::shared_ptr<OwnedPartition> partition;
@@ -58,24 +65,32 @@
   using SubmissionPtr = std::shared_ptr<Submission>;
 
   Status Check(const proto::SubmitBatch& batch) const;
+  /// @return why the batch can not be accepted now, or OK.
+  Status CheckAll(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   Status CheckLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   /// @return whether the request met an earlier submission and needs nothing more.
-  bool JoinEarlier(OwnedPartition& partition, const Key& key, std::uint64_t checksum, Reply& reply);
+  bool JoinEarlier(OwnedPartition& partition, const SubmissionKey& key, std::uint64_t checksum,
+                   Reply& reply);
   SubmissionPtr Begin(const std::shared_ptr<OwnedPartition>& partition,
                       proto::SubmitBatchRequest request, std::uint64_t checksum);
   std::string NewBatchId(const OwnedPartition& partition);
   /// Logs the batch once the keeper of its route's limit has given room.
   void LogWithinLimit(const SubmissionPtr& submission);
+  void HandleTokensReserved(const SubmissionPtr& submission, const Status& status);
   void LogNext(const SubmissionPtr& submission);
+  void HandleLogged(const SubmissionPtr& submission, bool last, const Status& status);
   proto::LogEntry NextItems(Submission& submission) const;
   void Finish(const SubmissionPtr& submission, const Status& status);
+  void ReleaseReservations(const SubmissionPtr& submission);
+  static void AnswerAccepted(const Submission& submission, const StoredBatch& batch);
+  static void AnswerFailed(const Submission& submission, const Status& status);
 
   Environment& environment_;
   NodeAgent& agent_;
   SegmentLog& log_;
   ReserveTokens reserve_tokens_;
   Accepted on_accepted_;
-  std::map<Key, SubmissionPtr> under_way_;
+  std::map<SubmissionKey, SubmissionPtr> under_way_;
 };
 
 }  // namespace cloverbank
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -111,15 +111,9 @@
       static_cast<int>(source.attempts % static_cast<std::size_t>(segment.backups_size()));
   const Endpoint endpoint{segment.backups(backup).host(),
                           static_cast<std::uint16_t>(segment.backups(backup).port())};
-  proto::GetRecoveryDataRequest request;
-  request.set_dead_node_id(request_.dead_node_id());
-  request.set_segment_id(segment.segment_id());
-  for (const auto& [partition, recovering] : recovering_) {
-    request.add_partition_ids(partition.value());
-  }
   source.reading = true;
   CallPeer<proto::GetRecoveryDataResponse>(
-      environment_, endpoint, "backup.GetRecoveryData", request, kReadDeadline,
+      environment_, endpoint, "backup.GetRecoveryData", MakeReadRequest(segment), kReadDeadline,
       [weak = weak_from_this(), reads = reads_,
        position](Result<proto::GetRecoveryDataResponse> result) {
         reads->Release();
@@ -129,6 +123,17 @@
       });
 }
 
+proto::GetRecoveryDataRequest PartitionRecovery::MakeReadRequest(
+    const proto::RecoverySegment& segment) const {
+  proto::GetRecoveryDataRequest request;
+  request.set_dead_node_id(request_.dead_node_id());
+  request.set_segment_id(segment.segment_id());
+  for (const auto& [partition, recovering] : recovering_) {
+    request.add_partition_ids(partition.value());
+  }
+  return request;
+}
+
 bool PartitionRecovery::AcquireReadSlot() {
   const bool taken = reads_->Acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
@@ -201,33 +206,33 @@
     return;
   }
   for (auto& [partition, recovering] : recovering_) {
-    if (recovering.held) {
-      continue;
+    if (!recovering.held) {
+      LogChunk(partition, recovering);
+      return;
     }
-    logging_ = true;
-    const std::size_t before = recovering.logged;
-    auto chunk = std::make_shared<std::vector<proto::LogEntry>>(NextChunk(partition, recovering));
-    log_.Append(*chunk,
-                [weak = weak_from_this(), id = partition, before, chunk](const Status& status) {
-                  const auto self = weak.lock();
-                  if (self == nullptr) {
-                    return;
-                  }
-                  self->logging_ = false;
-                  const auto found = self->recovering_.find(id);
-                  if (!status.ok() && found != self->recovering_.end()) {
-                    found->second.logged = before;
-                  }
-                  self->HandleLogged(id, chunk, status);
-                });
-    return;
   }
   Report();
 }
 
-void PartitionRecovery::HandleLogged(PartitionId partition,
+void PartitionRecovery::LogChunk(PartitionId partition, RecoveringPartition& recovering) {
+  logging_ = true;
+  const std::size_t before = recovering.logged;
+  auto chunk = std::make_shared<std::vector<proto::LogEntry>>(NextChunk(partition, recovering));
+  log_.Append(*chunk, [weak = weak_from_this(), partition, before, chunk](const Status& status) {
+    if (const auto self = weak.lock()) {
+      self->HandleLogged(partition, before, chunk, status);
+    }
+  });
+}
+
+void PartitionRecovery::HandleLogged(PartitionId partition, std::size_t logged_before,
                                      const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
                                      const Status& status) {
+  logging_ = false;
+  const auto found = recovering_.find(partition);
+  if (!status.ok() && found != recovering_.end()) {
+    found->second.logged = logged_before;
+  }
   if (status.code() == StatusCode::kUnknownOutcome) {
     return;  // This life is over.
   }
@@ -235,25 +240,28 @@
     Later(&PartitionRecovery::LogMore);
     return;
   }
-  const auto found = recovering_.find(partition);
   if (found != recovering_.end()) {
-    RecoveringPartition& recovering = found->second;
-    for (proto::LogEntry& entry : *chunk) {
-      Status applied = recovering.store->Apply(std::move(entry));
-      if (!applied.ok()) {
-        Log(LogLevel::kError, "recovered_entry_apply_failed", {{"status", applied.ToString()}});
-        environment_.metrics().Increment("queue_recovery_corrupt_entries_total");
-      }
-    }
-    recovering.held = recovering.logged == recovering.entries.size();
-    if (recovering.held) {
-      recovering.entries.clear();
-      recovering.logged = 0;
-    }
+    ApplyChunk(found->second, *chunk);
   }
   LogMore();
 }
 
+void PartitionRecovery::ApplyChunk(RecoveringPartition& recovering,
+                                   std::vector<proto::LogEntry>& chunk) {
+  for (proto::LogEntry& entry : chunk) {
+    Status applied = recovering.store->Apply(std::move(entry));
+    if (!applied.ok()) {
+      Log(LogLevel::kError, "recovered_entry_apply_failed", {{"status", applied.ToString()}});
+      environment_.metrics().Increment("queue_recovery_corrupt_entries_total");
+    }
+  }
+  recovering.held = recovering.logged == recovering.entries.size();
+  if (recovering.held) {
+    recovering.entries.clear();
+    recovering.logged = 0;
+  }
+}
+
 void PartitionRecovery::Report() {
   if (reporting_ || reported_ || recovering_.empty()) {
     return;
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -63,6 +63,7 @@
 
   void ReadMore();
   void Read(std::size_t position);
+  proto::GetRecoveryDataRequest MakeReadRequest(const proto::RecoverySegment& segment) const;
   /// @return whether a read may begin now; if not, `ReadMore` runs again later.
   bool AcquireReadSlot();
   void HandleRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
@@ -70,9 +71,12 @@
   void LogMore();
   std::vector<proto::LogEntry> NextChunk(PartitionId partition,
                                          RecoveringPartition& recovering) const;
-  void HandleLogged(PartitionId partition,
+  void LogChunk(PartitionId partition, RecoveringPartition& recovering);
+  /// @param logged_before how much of the partition was logged without this chunk.
+  void HandleLogged(PartitionId partition, std::size_t logged_before,
                     const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
                     const Status& status);
+  void ApplyChunk(RecoveringPartition& recovering, std::vector<proto::LogEntry>& chunk);
   void Report();
   void HandleReport(const Status& status);
   void Later(void (PartitionRecovery::*step)());
--- a/src/scheduler/fair_queue.cc
+++ b/src/scheduler/fair_queue.cc
@@ -2,6 +2,7 @@
 
 #include <algorithm>
 #include <unordered_map>
+#include <utility>
 
 namespace cloverbank {
 
@@ -111,10 +112,10 @@
   if (tenant.batches.empty()) {
     // Idle time earns no credit.
     tenant.pass = std::max(tenant.pass, backend.virtual_time);
-    backend.order.emplace(tenant.pass, batch.tenant);
+    backend.order.insert({tenant.pass, batch.tenant});
   }
   batch.pass = std::max(batch.pass, tenant.virtual_time);
-  tenant.batches.emplace(batch.pass, id);
+  tenant.batches.insert({batch.pass, id});
 }
 
 void FairQueue::Deactivate(QueuedBatchId id, const Batch& batch) {
@@ -138,10 +139,10 @@
   }
   BackendQueue& backend = found->second;
   while (picked.size() < limit && !backend.order.empty()) {
-    const std::string tenant_name = backend.order.begin()->second;
+    const std::string tenant_name = backend.order.begin()->name;
     TenantQueue& tenant = backend.tenants[tenant_name];
     backend.virtual_time = tenant.pass;
-    const QueuedBatchId id = tenant.batches.begin()->second;
+    const QueuedBatchId id = tenant.batches.begin()->id;
     Batch& batch = batches_[id];
     tenant.virtual_time = batch.pass;
     Deactivate(id, batch);
@@ -152,7 +153,7 @@
     const Pass charge = taken * kPassScale / Weight(tenant_name);
     if (!tenant.batches.empty()) {
       backend.order.erase({tenant.pass, tenant_name});
-      backend.order.emplace(tenant.pass + charge, tenant_name);
+      backend.order.insert({tenant.pass + charge, tenant_name});
     }
     tenant.pass += charge;
     if (batch.waiting() > 0) {
--- a/src/scheduler/fair_queue.h
+++ b/src/scheduler/fair_queue.h
@@ -8,6 +8,7 @@
 /// Pure: no clock, no randomness. A pick costs O(log tenants + log batches) whatever the size of
 /// the batches; an item costs four bytes. Threads: none of its own.
 
+#include <compare>
 #include <cstdint>
 #include <deque>
 #include <functional>
@@ -15,7 +16,6 @@
 #include <set>
 #include <string>
 #include <string_view>
-#include <utility>
 #include <vector>
 
 #include "base/ids.h"
@@ -80,15 +80,28 @@
     Pass pass = 0;
     std::size_t waiting() const { return items.size() - next + returned.size(); }
   };
+  /// Orders by service received; ties by id or name.
+  struct RankedBatch {
+    Pass pass = 0;
+    QueuedBatchId id;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+    auto operator<=>(const RankedBatch&) const = default;
+  };
+  struct RankedTenant {
+    Pass pass = 0;
+    std::string name;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+    auto operator<=>(const RankedTenant&) const = default;
+  };
   struct TenantQueue {
     Pass pass = 0;
     Pass virtual_time = 0;
-    std::set<std::pair<Pass, QueuedBatchId>> batches;  ///< Those with waiting items.
+    std::set<RankedBatch> batches;  ///< Those with waiting items.
   };
   struct BackendQueue {
     Pass virtual_time = 0;
     std::map<std::string, TenantQueue> tenants;
-    std::set<std::pair<Pass, std::string>> order;  ///< Tenants with waiting items.
+    std::set<RankedTenant> order;  ///< Tenants with waiting items.
   };
 
   void Activate(QueuedBatchId id, Batch& batch);
--- a/src/token_quota/token_allowance.cc
+++ b/src/token_quota/token_allowance.cc
@@ -17,7 +17,7 @@
 
 void TokenAllowances::Drop(PartitionId partition) {
   std::erase_if(allowances_,
-                [partition](const auto& entry) { return std::get<0>(entry.first) == partition; });
+                [partition](const auto& entry) { return entry.first.partition == partition; });
 }
 
 }  // namespace cloverbank
--- a/src/token_quota/token_allowance.h
+++ b/src/token_quota/token_allowance.h
@@ -8,11 +8,11 @@
 /// lower. A keeper that is gone grants nothing more, and a new one counts first. So whatever is
 /// taken within allowances stays within the limit.
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <string>
-#include <tuple>
 
 #include "base/ids.h"
 
@@ -31,17 +31,24 @@
   std::optional<std::uint64_t> allowed_;
 };
 
+/// A route as used by one tenant in one partition.
+struct AllowanceKey {
+  PartitionId partition;
+  std::string tenant;
+  std::string route;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+  auto operator<=>(const AllowanceKey&) const = default;
+};
+
 /// The allowances of all routes at a queue node's partitions.
 class TokenAllowances {
  public:
-  using Key = std::tuple<PartitionId, std::string, std::string>;  ///< Partition, tenant, route.
-
-  TokenAllowance& operator[](const Key& key) { return allowances_[key]; }
+  TokenAllowance& operator[](const AllowanceKey& key) { return allowances_[key]; }
   /// The partition has another owner now.
   void Drop(PartitionId partition);
 
  private:
-  std::map<Key, TokenAllowance> allowances_;
+  std::map<AllowanceKey, TokenAllowance> allowances_;
 };
 
 }  // namespace cloverbank
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -66,13 +66,18 @@
   return limit.usage.Complete(agent_.partition_count());
 }
 
-void TokenQuotaOwner::Reserve(const proto::ReserveTokensRequest& request, Reply reply) {
-  const Key key(request.tenant(), request.route());
+TokenQuotaOwner::LimitPtr& TokenQuotaOwner::GetLimit(const QuotaKey& key, PartitionId partition) {
   LimitPtr& limit = limits_[key];
   if (limit == nullptr) {
     limit = std::make_shared<Limit>();
-    limit->partition = PartitionId(request.partition_id());
+    limit->partition = partition;
   }
+  return limit;
+}
+
+void TokenQuotaOwner::Reserve(const proto::ReserveTokensRequest& request, Reply reply) {
+  const QuotaKey key{request.tenant(), request.route()};
+  const LimitPtr& limit = GetLimit(key, PartitionId(request.partition_id()));
   const TimePoint now = environment_.Now();
   limit->wait_queue.DropOverdue(now);
   if (request.tokens() <= request.limit()) {
@@ -84,7 +89,7 @@
     reply(std::move(response));
     return;
   }
-  const bool fresh = Complete(*limit) && !limit->allowance && now - limit->counted_at <= kCountAge;
+  const bool fresh = HasFreshCount(*limit, now);
   if (fresh && !limit->counting && !ShouldWait(*limit, request)) {
     Refuse(*limit, request, reply);
     return;
@@ -98,6 +103,10 @@
   }
 }
 
+bool TokenQuotaOwner::HasFreshCount(const Limit& limit, TimePoint now) const {
+  return Complete(limit) && !limit.allowance && now - limit.counted_at <= kCountAge;
+}
+
 bool TokenQuotaOwner::ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request) {
   if (request.wait_ms() == 0 || request.tokens() > request.limit()) {
     return false;
@@ -126,7 +135,7 @@
                           wait));
 }
 
-void TokenQuotaOwner::CountSoon(const Key& key, const LimitPtr& limit) {
+void TokenQuotaOwner::CountSoon(const QuotaKey& key, const LimitPtr& limit) {
   environment_.ScheduleAfter(kCountAge, [weak = weak_from_this(), key, limit] {
     const auto self = weak.lock();
     if (self != nullptr && !limit->counting && !limit->waiting.empty()) {
@@ -135,46 +144,57 @@
   });
 }
 
-void TokenQuotaOwner::BeginCount(const Key& key, const LimitPtr& limit) {
-  std::map<NodeId, proto::CountOpenTokensRequest> questions;
+std::map<NodeId, proto::CountOpenTokensRequest> TokenQuotaOwner::MakeCountRequests(
+    const QuotaKey& key) const {
+  std::map<NodeId, proto::CountOpenTokensRequest> requests;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
     if (partition.owner() != 0) {
-      questions[NodeId(partition.owner())].add_partition_ids(id.value());
+      proto::CountOpenTokensRequest& request = requests[NodeId(partition.owner())];
+      request.set_tenant(key.tenant);
+      request.set_route(key.route);
+      request.add_partition_ids(id.value());
     }
   }
+  return requests;
+}
+
+void TokenQuotaOwner::BeginCount(const QuotaKey& key, const LimitPtr& limit) {
+  const std::map<NodeId, proto::CountOpenTokensRequest> requests = MakeCountRequests(key);
   limit->counting = true;
   limit->allowance = false;
   limit->count_began = environment_.Now();
-  limit->awaited = static_cast<int>(questions.size()) + 1;
+  limit->awaited = static_cast<int>(requests.size()) + 1;
   environment_.metrics().Increment("queue_token_counts_total");
-  for (auto& [owner, question] : questions) {
-    question.set_tenant(key.first);
-    question.set_route(key.second);
-    if (owner == agent_.node_id()) {
-      HandleCounts(key, limit, count_own_(question));
-      continue;
-    }
-    const auto server = agent_.fleet().servers.find(owner);
-    if (server == agent_.fleet().servers.end()) {
-      HandleCounts(key, limit, Status(StatusCode::kUnavailable, "its owner is not known"));
-      continue;
-    }
-    const proto::Endpoint& endpoint = server->second.peer_endpoint();
-    CallPeer<proto::CountOpenTokensResponse>(
-        environment_, {endpoint.host(), static_cast<std::uint16_t>(endpoint.port())},
-        "queue.CountOpenTokens", question, kCountDeadline,
-        [weak = weak_from_this(), key,
-         limit](const Result<proto::CountOpenTokensResponse>& counts) {
-          if (const auto self = weak.lock()) {
-            self->HandleCounts(key, limit, counts);
-          }
-        });
+  for (const auto& [owner, request] : requests) {
+    RequestCount(key, limit, owner, request);
   }
   // Stands for the round itself, so that it never ends before all questions are asked.
   HandleCounts(key, limit, proto::CountOpenTokensResponse());
 }
 
-void TokenQuotaOwner::HandleCounts(const Key& key, const LimitPtr& limit,
+void TokenQuotaOwner::RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
+                                   const proto::CountOpenTokensRequest& request) {
+  if (owner == agent_.node_id()) {
+    HandleCounts(key, limit, count_own_(request));
+    return;
+  }
+  const auto server = agent_.fleet().servers.find(owner);
+  if (server == agent_.fleet().servers.end()) {
+    HandleCounts(key, limit, Status(StatusCode::kUnavailable, "its owner is not known"));
+    return;
+  }
+  const proto::Endpoint& endpoint = server->second.peer_endpoint();
+  CallPeer<proto::CountOpenTokensResponse>(
+      environment_, {endpoint.host(), static_cast<std::uint16_t>(endpoint.port())},
+      "queue.CountOpenTokens", request, kCountDeadline,
+      [weak = weak_from_this(), key, limit](const Result<proto::CountOpenTokensResponse>& counts) {
+        if (const auto self = weak.lock()) {
+          self->HandleCounts(key, limit, counts);
+        }
+      });
+}
+
+void TokenQuotaOwner::HandleCounts(const QuotaKey& key, const LimitPtr& limit,
                                    const Result<proto::CountOpenTokensResponse>& counts) {
   if (counts.ok()) {
     for (const proto::OpenTokens& count : counts->counts()) {
@@ -185,9 +205,12 @@
                                {counts->pending().begin(), counts->pending().end()}});
     }
   }
-  if (--limit->awaited > 0) {
-    return;
+  if (--limit->awaited == 0) {
+    CompleteCount(key, limit);
   }
+}
+
+void TokenQuotaOwner::CompleteCount(const QuotaKey& key, const LimitPtr& limit) {
   limit->counting = false;
   limit->counted_at = limit->count_began;
   const std::uint64_t finished = limit->drain_rate.Update(
@@ -196,7 +219,7 @@
   AnswerWaiting(key, limit);
 }
 
-void TokenQuotaOwner::AnswerWaiting(const Key& key, const LimitPtr& limit) {
+void TokenQuotaOwner::AnswerWaiting(const QuotaKey& key, const LimitPtr& limit) {
   const bool complete = Complete(*limit);
   const TimePoint now = environment_.Now();
   std::list<Waiting> still_waiting;
--- a/src/token_quota/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -10,13 +10,13 @@
 /// a batch that was refused is told when to come again and keeps its place until then.
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
+#include <compare>
 #include <cstdint>
 #include <functional>
 #include <list>
 #include <map>
 #include <memory>
 #include <string>
-#include <utility>
 
 #include "base/ids.h"
 #include "control_client/node_agent.h"
@@ -44,7 +44,12 @@
   void Drop(PartitionId partition);
 
  private:
-  using Key = std::pair<std::string, std::string>;  ///< Tenant and route.
+  struct QuotaKey {
+    std::string tenant;
+    std::string route;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+    auto operator<=>(const QuotaKey&) const = default;
+  };
   struct Waiting {
     proto::ReserveTokensRequest request;
     Reply reply;
@@ -66,6 +71,10 @@
   };
   using LimitPtr = std::shared_ptr<Limit>;
 
+  /// @return the state of the limit that the request is for, made at its first request.
+  LimitPtr& GetLimit(const QuotaKey& key, PartitionId partition);
+  /// Whether a count that has just ended already says all that a new one could.
+  bool HasFreshCount(const Limit& limit, TimePoint now) const;
   /// Grants if there is room for the request and for all that stand before it.
   static bool Grant(Limit& limit, const proto::ReserveTokensRequest& request,
                     std::uint64_t allowance);
@@ -77,16 +86,21 @@
   bool Complete(const Limit& limit) const;
   /// Whether room for the request is likely to come before it gives up waiting.
   static bool ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request);
-  void CountSoon(const Key& key, const LimitPtr& limit);
-  void BeginCount(const Key& key, const LimitPtr& limit);
-  void HandleCounts(const Key& key, const LimitPtr& limit,
+  void CountSoon(const QuotaKey& key, const LimitPtr& limit);
+  void BeginCount(const QuotaKey& key, const LimitPtr& limit);
+  /// @return what each owner of partitions is asked.
+  std::map<NodeId, proto::CountOpenTokensRequest> MakeCountRequests(const QuotaKey& key) const;
+  void RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
+                    const proto::CountOpenTokensRequest& request);
+  void HandleCounts(const QuotaKey& key, const LimitPtr& limit,
                     const Result<proto::CountOpenTokensResponse>& counts);
-  void AnswerWaiting(const Key& key, const LimitPtr& limit);
+  void CompleteCount(const QuotaKey& key, const LimitPtr& limit);
+  void AnswerWaiting(const QuotaKey& key, const LimitPtr& limit);
 
   Environment& environment_;
   NodeAgent& agent_;
   CountOwn count_own_;
-  std::map<Key, LimitPtr> limits_;
+  std::map<QuotaKey, LimitPtr> limits_;
 };
 
 }  // namespace cloverbank
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -48,20 +48,20 @@
                                                        const Pending& pending,
                                                        const TokenReservation& reservation,
                                                        std::uint64_t limit) {
-  const auto& [partition, tenant, route] = pending.key;
+  const AllowanceKey& key = pending.key;
   proto::ReserveTokensRequest request;
-  request.set_partition_id(PartitionOfTenant(tenant, agent_.partition_count()).value());
-  request.set_tenant(tenant);
-  request.set_route(route);
+  request.set_partition_id(PartitionOfTenant(key.tenant, agent_.partition_count()).value());
+  request.set_tenant(key.tenant);
+  request.set_route(key.route);
   request.set_limit(limit);
   request.set_tokens(pending.tokens);
   request.set_wait_ms(static_cast<std::uint32_t>(
       std::chrono::duration_cast<milliseconds>(reservation.longest_wait).count()));
-  request.set_requester_partition_id(partition.value());
+  request.set_requester_partition_id(key.partition.value());
   request.set_owner_node_id(agent_.node_id().value());
   request.set_sequence(sequence);
   request.set_batch(pending.batch);
-  request.set_spare(Spare(pending.key));
+  request.set_spare(Spare(key));
   return request;
 }
 
@@ -123,9 +123,8 @@
   });
 }
 
-std::uint64_t TokenReserver::Spare(const TokenAllowances::Key& key) {
-  const auto& [partition, tenant, route] = key;
-  return allowances_[key].Spare(count_open_(partition, tenant, route));
+std::uint64_t TokenReserver::Spare(const AllowanceKey& key) {
+  return allowances_[key].Spare(count_open_(key.partition, key.tenant, key.route));
 }
 
 void TokenReserver::RecordCount(PartitionId partition, const std::string& tenant,
--- a/src/token_quota/token_reserver.h
+++ b/src/token_quota/token_reserver.h
@@ -52,7 +52,7 @@
 
  private:
   struct Pending {
-    TokenAllowances::Key key;
+    AllowanceKey key;
     std::string batch;  ///< As its client names it; empty if it does not.
     std::uint64_t tokens = 0;
     std::shared_ptr<Done> done;  ///< Empty once it was called.
@@ -64,7 +64,7 @@
   void TakeAnswer(std::uint64_t sequence, const Result<proto::ReserveTokensResponse>& answer);
   /// Takes the batch within the allowance as soon as that has room, while no answer comes.
   void WatchQuotaOwner(std::uint64_t sequence, Duration patience);
-  std::uint64_t Spare(const TokenAllowances::Key& key);
+  std::uint64_t Spare(const AllowanceKey& key);
   bool Allowed(const Pending& pending) { return pending.tokens <= Spare(pending.key); }
   void Finish(std::uint64_t sequence, const Status& status);
   static void CallOnce(Done& done, const Status& status);
