--- /dev/null
+++ b/src/work_dispatch/unknown_items.h
@@ -0,0 +1,32 @@
+#pragma once
+/// @file
+/// Items that must not repeat and whose outcome nobody can know any more: their leases have ended
+/// without a result. They wait here to be finished as unknown. Pure.
+
+#include <set>
+
+#include "work_dispatch/work_leases.h"
+
+namespace cloverbank {
+
+class UnknownItems {
+ public:
+  void Add(const WorkItemKey& item) { items_.insert(item); }
+  /// The item has a result.
+  void Remove(const WorkItemKey& item) { items_.erase(item); }
+  void RemovePartition(PartitionId partition) {
+    std::erase_if(items_,
+                  [partition](const WorkItemKey& item) { return item.partition == partition; });
+  }
+  bool HasItemsOf(const BatchKey& batch) const {
+    const auto first = items_.lower_bound({batch.partition, batch.batch_id, 0});
+    return first != items_.end() && first->partition == batch.partition &&
+           first->batch_id == batch.batch_id;
+  }
+  const std::set<WorkItemKey>& items() const { return items_; }
+
+ private:
+  std::set<WorkItemKey> items_;
+};
+
+}  // namespace cloverbank
--- a/src/work_dispatch/work_grants.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -1,8 +1,7 @@
-// Grants: which items a gateway that asks for work is given, and when.
+#include "work_dispatch/work_granter.h"
 
 #include <algorithm>
-
-#include "work_dispatch/work_dispatcher.h"
+#include <utility>
 
 namespace cloverbank {
 namespace {
@@ -22,7 +21,14 @@
 
 }  // namespace
 
-void WorkDispatcher::Acquire(const proto::AcquireWorkRequest& request, AcquireReply reply) {
+WorkGranter::WorkGranter(Environment& environment, NodeAgent& agent,
+                         std::shared_ptr<WorkQueue> queue, std::shared_ptr<WorkLeases> leases)
+    : environment_(environment),
+      agent_(agent),
+      queue_(std::move(queue)),
+      leases_(std::move(leases)) {}
+
+void WorkGranter::Acquire(const proto::AcquireWorkRequest& request, Reply reply) {
   pending_.push_back({request, environment_.Now(), std::move(reply), 0});
   const auto pending = std::prev(pending_.end());
   const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kLongestHold);
@@ -34,13 +40,13 @@
   ServePending();
 }
 
-void WorkDispatcher::ExpirePending(std::list<PendingAcquire>::iterator pending) {
-  const AcquireReply reply = std::move(pending->reply);
+void WorkGranter::ExpirePending(std::list<PendingAcquire>::iterator pending) {
+  const Reply reply = std::move(pending->reply);
   pending_.erase(pending);
   reply(proto::AcquireWorkResponse());
 }
 
-void WorkDispatcher::Shutdown() {
+void WorkGranter::Shutdown() {
   for (const PendingAcquire& pending : pending_) {
     environment_.CancelTimer(pending.timer);
     pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
@@ -48,11 +54,11 @@
   pending_.clear();
 }
 
-void WorkDispatcher::ServePending() {
+void WorkGranter::ServePending() {
   if (agent_.configuration().batch().paused() || !agent_.LeaseValid()) {
     return;
   }
-  for (auto pending = pending_.begin(); pending != pending_.end() && queue_.waiting_count() > 0;) {
+  for (auto pending = pending_.begin(); pending != pending_.end() && queue_->waiting_count() > 0;) {
     const auto next = std::next(pending);
     if (!IsFresh(*pending)) {
       pending = next;
@@ -73,17 +79,17 @@
   WakePending();
 }
 
-bool WorkDispatcher::IsFresh(const PendingAcquire& pending) const {
+bool WorkGranter::IsFresh(const PendingAcquire& pending) const {
   return environment_.Now() - pending.arrived <= kFreshQuestion;
 }
 
-void WorkDispatcher::WakePending() {
+void WorkGranter::WakePending() {
   const TimePoint now = environment_.Now();
-  if (queue_.waiting_count() == 0 || pending_.empty() || wake_scheduled_) {
+  if (queue_->waiting_count() == 0 || pending_.empty() || wake_scheduled_) {
     return;
   }
   if (now >= next_wake_) {
-    const std::size_t wanted = kWakeFactor * queue_.waiting_count();
+    const std::size_t wanted = kWakeFactor * queue_->waiting_count();
     const std::size_t near = WakeZone(/*own=*/true, 0, wanted);
     WakeZone(/*own=*/false, near, wanted);
     next_wake_ = now + kWakeInterval;
@@ -97,15 +103,15 @@
   });
 }
 
-std::size_t WorkDispatcher::UsableSlots(const proto::AcquireWorkRequest& request) const {
+std::size_t WorkGranter::UsableSlots(const proto::AcquireWorkRequest& request) const {
   std::size_t slots = 0;
   for (const proto::BackendCapacity& capacity : request.capacity()) {
-    slots += queue_.HasWaiting(capacity.backend()) ? capacity.slots() : 0;
+    slots += queue_->HasWaiting(capacity.backend()) ? capacity.slots() : 0;
   }
   return slots;
 }
 
-std::size_t WorkDispatcher::WakeZone(bool own, std::size_t capacity, std::size_t wanted) {
+std::size_t WorkGranter::WakeZone(bool own, std::size_t capacity, std::size_t wanted) {
   for (auto pending = pending_.begin(); pending != pending_.end() && capacity < wanted;) {
     const auto next = std::next(pending);
     const std::size_t usable = UsableSlots(pending->request);
@@ -120,24 +126,22 @@
   return capacity;
 }
 
-std::vector<WorkItemKey> WorkDispatcher::SelectItems(const proto::AcquireWorkRequest& request,
-                                                     StartEntries* starts) {
+std::vector<WorkItemKey> WorkGranter::SelectItems(const proto::AcquireWorkRequest& request,
+                                                  StartEntries* starts) {
   std::vector<WorkItemKey> items;
   std::size_t bytes = 0;
   for (const proto::BackendCapacity& capacity : request.capacity()) {
     std::size_t slots = capacity.slots();
     while (slots > 0 && items.size() < kLargestGrants && bytes < kLargestGrantBytes) {
       const std::size_t asked = std::min(slots, FairQueue::kLongestRun);
-      const auto picked = queue_.Pick(capacity.backend(), asked);
+      const auto picked = queue_->Pick(capacity.backend(), asked);
       if (picked.empty()) {
         break;
       }
-      for (const PickedItem& pick : picked) {
-        const BatchKey& key = queued_keys_.at(pick.batch);
-        const WorkItemKey item{key.first, key.second, pick.index};
+      for (const WorkItemKey& item : picked) {
         if (LeaseItem(item, request, starts)) {
           items.push_back(item);
-          bytes += FindBatch(item)->items[item.index].ByteSizeLong();
+          bytes += queue_->FindBatch(item)->items[item.index].ByteSizeLong();
           --slots;
         }
       }
@@ -146,18 +150,18 @@
   return items;
 }
 
-bool WorkDispatcher::LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
-                               StartEntries* starts) {
-  const StoredBatch* batch = FindBatch(item);
+bool WorkGranter::LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
+                            StartEntries* starts) {
+  const StoredBatch* batch = queue_->FindBatch(item);
   const bool waiting = batch != nullptr && !batch->cancelled &&
                        batch->phases[item.index] != ItemPhase::kFinished &&
-                       leases_.Find(item) == nullptr;
+                       leases_->Find(item) == nullptr;
   if (!waiting) {
     return false;  // A late report brought its result while it was queued.
   }
   const bool idempotent = batch->accepted.idempotent();
-  leases_.Grant(item, request.gateway_node_id(), Incarnation(request.incarnation()), idempotent,
-                environment_.Now());
+  leases_->Grant(item, request.gateway_node_id(), Incarnation(request.incarnation()), idempotent,
+                 environment_.Now());
   if (!idempotent && batch->phases[item.index] == ItemPhase::kWaiting) {
     proto::ItemStarted& started = *(*starts)[item.partition].emplace_back().mutable_item_started();
     started.set_batch_id(item.batch_id);
@@ -166,14 +170,14 @@
   return true;
 }
 
-void WorkDispatcher::LogStarts(const PendingGrantsPtr& grants, StartEntries* starts) {
+void WorkGranter::LogStarts(const PendingGrantsPtr& grants, StartEntries* starts) {
   if (starts->empty()) {
     SendGrants(grants);
     return;
   }
   grants->logs_under_way = starts->size();
   for (auto& [id, entries] : *starts) {
-    FindPartition(id)->Log(
+    queue_->FindPartition(id)->Log(
         std::move(entries), [weak = weak_from_this(), grants, id = id](const Status& status) {
           if (const auto self = weak.lock()) {
             self->HandleStartsLogged(grants, id, status);
@@ -184,17 +188,17 @@
   }
 }
 
-void WorkDispatcher::HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
-                                        const Status& status) {
+void WorkGranter::HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
+                                     const Status& status) {
   if (!status.ok()) {
     // Certain that the grant did not leave: the items wait again.
     std::erase_if(grants->items, [&](const WorkItemKey& item) {
-      const StoredBatch* batch = item.partition == partition ? FindBatch(item) : nullptr;
+      const StoredBatch* batch = item.partition == partition ? queue_->FindBatch(item) : nullptr;
       if (item.partition != partition || (batch != nullptr && batch->accepted.idempotent())) {
         return false;
       }
-      leases_.End(item);
-      ReturnItem(item);
+      leases_->End(item);
+      queue_->ReturnItem(item);
       return true;
     });
   }
@@ -203,43 +207,42 @@
   }
 }
 
-bool WorkDispatcher::CanGrant(const WorkItemKey& item) const {
-  const StoredBatch* batch = FindBatch(item);
+bool WorkGranter::CanGrant(const WorkItemKey& item) const {
+  const StoredBatch* batch = queue_->FindBatch(item);
   return batch != nullptr && !batch->cancelled &&
          batch->phases[item.index] != ItemPhase::kFinished &&
          !agent_.configuration().batch().paused() && agent_.LeaseValid();
 }
 
-proto::WorkGrant WorkDispatcher::MakeGrant(const WorkItemKey& item, Duration pending) const {
-  const StoredBatch* batch = FindBatch(item);
+proto::WorkGrant WorkGranter::MakeGrant(const WorkItemKey& item, Duration pending) const {
+  const StoredBatch* batch = queue_->FindBatch(item);
   proto::WorkGrant grant;
-  grant.set_lease_id(leases_.Find(item)->id.value());
+  grant.set_lease_id(leases_->Find(item)->id.value());
   grant.set_partition_id(item.partition.value());
   grant.set_batch_id(item.batch_id);
   grant.set_item_index(item.index);
   *grant.mutable_item() = batch->items[item.index];
   grant.set_route(batch->accepted.route());
   grant.set_idempotent(batch->accepted.idempotent());
-  const auto failed = failed_runs_.find(item);
-  grant.set_failed_runs(failed == failed_runs_.end() ? 0 : failed->second);
+  grant.set_failed_runs(queue_->FailedRuns(item));
   // Counts from when the request was sent, which was before it arrived and was held here.
   const auto window = std::chrono::duration_cast<milliseconds>(pending + kWorkLeaseStartWindow);
   grant.set_start_within_ms(static_cast<std::uint32_t>(window.count()));
   return grant;
 }
 
-void WorkDispatcher::SendGrants(const PendingGrantsPtr& grants) {
+void WorkGranter::SendGrants(const PendingGrantsPtr& grants) {
   proto::AcquireWorkResponse response;
   const Duration pending = environment_.Now() - grants->pending.arrived;
   for (const WorkItemKey& item : grants->items) {
-    if (leases_.Find(item) == nullptr) {
+    if (leases_->Find(item) == nullptr) {
       continue;  // Its partition was given up.
     }
     if (CanGrant(item)) {
       *response.add_grants() = MakeGrant(item, pending);
     } else {
-      leases_.End(item);
-      ReturnItem(item);
+      leases_->End(item);
+      queue_->ReturnItem(item);
     }
   }
   environment_.metrics().Increment("queue_grants_total", {}, response.grants_size());
--- /dev/null
+++ b/src/work_dispatch/work_granter.h
@@ -0,0 +1,84 @@
+#pragma once
+/// @file
+/// Answers gateways that ask for work with items under leases. A request waits here until there are
+/// items for its free slots. An item that must not repeat is logged as started before its grant
+/// leaves.
+///
+/// Threads: the owner's event loop only. Made by `std::make_shared`.
+
+#include <functional>
+#include <list>
+#include <map>
+#include <memory>
+#include <vector>
+
+#include "base/ids.h"
+#include "control_client/node_agent.h"
+#include "proto/batch.pb.h"
+#include "runtime/environment.h"
+#include "work_dispatch/work_leases.h"
+#include "work_dispatch/work_queue.h"
+
+namespace cloverbank {
+
+class WorkGranter : public std::enable_shared_from_this<WorkGranter> {
+ public:
+  using Reply = std::function<void(Result<proto::AcquireWorkResponse>)>;
+
+  WorkGranter(Environment& environment, NodeAgent& agent, std::shared_ptr<WorkQueue> queue,
+              std::shared_ptr<WorkLeases> leases);
+
+  /// Answers with grants as soon as there are any, or empty after the request's hold time.
+  void Acquire(const proto::AcquireWorkRequest& request, Reply reply);
+  /// Grants what waits to the requests that wait; call it when either may have changed.
+  void ServePending();
+  /// Answers all waiting requests with kUnavailable.
+  void Shutdown();
+
+ private:
+  /// A held AcquireWork.
+  struct PendingAcquire {
+    proto::AcquireWorkRequest request;
+    TimePoint arrived;
+    Reply reply;
+    TimerId timer = 0;
+  };
+  /// Grants whose starts are being logged.
+  struct PendingGrants {
+    PendingAcquire pending;
+    std::vector<WorkItemKey> items;
+    std::size_t logs_under_way = 0;
+  };
+  using PendingGrantsPtr = std::shared_ptr<PendingGrants>;
+  using StartEntries = std::map<PartitionId, std::vector<proto::LogEntry>>;
+
+  /// Answers some of the questions that were held for long, so that their gateways ask again.
+  void WakePending();
+  /// Answers such questions of the own zone, or of others, until their room reaches `wanted`.
+  std::size_t WakeZone(bool own, std::size_t capacity, std::size_t wanted);
+  bool IsFresh(const PendingAcquire& pending) const;
+  /// @return the slots of the request for which items wait.
+  std::size_t UsableSlots(const proto::AcquireWorkRequest& request) const;
+  void ExpirePending(std::list<PendingAcquire>::iterator pending);
+  /// @return the items taken for the request, leased.
+  std::vector<WorkItemKey> SelectItems(const proto::AcquireWorkRequest& request,
+                                       StartEntries* starts);
+  bool LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
+                 StartEntries* starts);
+  void LogStarts(const PendingGrantsPtr& grants, StartEntries* starts);
+  void HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
+                          const Status& status);
+  void SendGrants(const PendingGrantsPtr& grants);
+  bool CanGrant(const WorkItemKey& item) const;
+  proto::WorkGrant MakeGrant(const WorkItemKey& item, Duration pending) const;
+
+  Environment& environment_;
+  NodeAgent& agent_;
+  std::shared_ptr<WorkQueue> queue_;
+  std::shared_ptr<WorkLeases> leases_;
+  std::list<PendingAcquire> pending_;
+  TimePoint next_wake_{};  ///< Before, those that were woken last are waited for.
+  bool wake_scheduled_ = false;
+};
+
+}  // namespace cloverbank
--- a/src/work_dispatch/work_leases.h
+++ b/src/work_dispatch/work_leases.h
@@ -35,6 +35,14 @@
   auto operator<=>(const WorkItemKey&) const = default;
 };
 
+/// Names one batch.
+struct BatchKey {
+  PartitionId partition;
+  std::string batch_id;
+  // NOLINTNEXTLINE(modernize-use-nullptr): as above.
+  auto operator<=>(const BatchKey&) const = default;
+};
+
 struct WorkLease {
   WorkLeaseId id;
   WorkItemKey item;
--- /dev/null
+++ b/src/work_dispatch/work_queue.cc
@@ -0,0 +1,106 @@
+#include "work_dispatch/work_queue.h"
+
+#include <string_view>
+#include <utility>
+
+namespace cloverbank {
+
+void WorkQueue::AddPartition(const std::shared_ptr<OwnedPartition>& partition) {
+  partitions_[partition->id()] = partition;
+}
+
+void WorkQueue::RemovePartition(PartitionId partition) {
+  for (auto queued = queued_.begin(); queued != queued_.end();) {
+    const BatchKey key = queued->first;
+    ++queued;
+    if (key.partition == partition) {
+      Dequeue(key);
+    }
+  }
+  std::erase_if(failed_runs_,
+                [&](const auto& entry) { return entry.first.partition == partition; });
+  partitions_.erase(partition);
+}
+
+std::shared_ptr<OwnedPartition> WorkQueue::FindPartition(PartitionId partition) const {
+  const auto found = partitions_.find(partition);
+  return found == partitions_.end() ? nullptr : found->second;
+}
+
+const StoredBatch* WorkQueue::FindBatch(const WorkItemKey& item) const {
+  const auto partition = FindPartition(item.partition);
+  const StoredBatch* batch =
+      partition == nullptr ? nullptr : partition->store().Find(item.batch_id);
+  return batch == nullptr || item.index >= batch->items.size() ? nullptr : batch;
+}
+
+const proto::Route* WorkQueue::FindRoute(const std::string& name) const {
+  for (const proto::Route& route : agent_.configuration().routes()) {
+    if (route.name() == name) {
+      return &route;
+    }
+  }
+  return nullptr;
+}
+
+std::string WorkQueue::FindBackend(const std::string& route_name) const {
+  const proto::Route* route = FindRoute(route_name);
+  return route == nullptr ? "" : route->backend();
+}
+
+void WorkQueue::Enqueue(const OwnedPartition& partition, const StoredBatch& batch) {
+  auto items = GroupByPrefix(
+      static_cast<std::uint32_t>(batch.items.size()),
+      [&](std::uint32_t index) { return std::string_view{batch.items[index].prefix_key()}; },
+      [&](std::uint32_t index) { return batch.phases[index] == ItemPhase::kWaiting; });
+  const BatchKey key{partition.id(), batch.accepted.batch_id()};
+  const QueuedBatchId queued = queue_.AddBatch(
+      batch.accepted.tenant(), FindBackend(batch.accepted.route()), std::move(items));
+  queued_[key] = queued;
+  queued_keys_[queued] = key;
+}
+
+void WorkQueue::Dequeue(const BatchKey& batch) {
+  const auto queued = queued_.find(batch);
+  if (queued == queued_.end()) {
+    return;
+  }
+  queue_.RemoveBatch(queued->second);
+  queued_keys_.erase(queued->second);
+  queued_.erase(queued);
+}
+
+std::vector<WorkItemKey> WorkQueue::Pick(const std::string& backend, std::size_t limit) {
+  std::vector<WorkItemKey> items;
+  for (const PickedItem& picked : queue_.Pick(backend, limit)) {
+    const BatchKey& key = queued_keys_.at(picked.batch);
+    items.push_back({key.partition, key.batch_id, picked.index});
+  }
+  return items;
+}
+
+void WorkQueue::ReturnItem(const WorkItemKey& item) {
+  const auto queued = queued_.find({item.partition, item.batch_id});
+  if (queued != queued_.end()) {
+    queue_.ReturnItem(queued->second, item.index);
+  }
+}
+
+std::uint32_t WorkQueue::FailedRuns(const WorkItemKey& item) const {
+  const auto found = failed_runs_.find(item);
+  return found == failed_runs_.end() ? 0 : found->second;
+}
+
+void WorkQueue::OnConfiguration() {
+  for (const proto::Tenant& tenant : agent_.configuration().tenants()) {
+    queue_.SetTenantWeight(tenant.name(), tenant.batch_weight());
+  }
+  for (const auto& [key, queued] : queued_) {
+    const StoredBatch* batch = FindBatch({key.partition, key.batch_id, 0});
+    if (batch != nullptr) {
+      queue_.SetBackend(queued, FindBackend(batch->accepted.route()));
+    }
+  }
+}
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/work_dispatch/work_queue.h
@@ -0,0 +1,67 @@
+#pragma once
+/// @file
+/// The owned partitions as dispatch sees them: their batches, and which of their items wait. The
+/// order of items is `FairQueue`'s; this class maps its batches to partitions and routes.
+///
+/// Threads: the owner's event loop only.
+
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "batches/owned_partition.h"
+#include "control_client/node_agent.h"
+#include "scheduler/fair_queue.h"
+#include "work_dispatch/work_leases.h"
+
+namespace cloverbank {
+
+class WorkQueue {
+ public:
+  explicit WorkQueue(NodeAgent& agent) : agent_(agent) {}
+
+  /// Adds the partition without its batches.
+  void AddPartition(const std::shared_ptr<OwnedPartition>& partition);
+  /// Removes the partition and all that is queued of it.
+  void RemovePartition(PartitionId partition);
+  bool Owns(PartitionId partition) const { return partitions_.contains(partition); }
+  /// @return nullptr if the partition is not owned.
+  std::shared_ptr<OwnedPartition> FindPartition(PartitionId partition) const;
+  /// @return the batch if it has such an item, else nullptr.
+  const StoredBatch* FindBatch(const WorkItemKey& item) const;
+  /// @return the route of that name in the configuration held, or nullptr.
+  const proto::Route* FindRoute(const std::string& name) const;
+
+  /// Queues the items of the batch that wait.
+  void Enqueue(const OwnedPartition& partition, const StoredBatch& batch);
+  /// Removes the batch's items from the queue; those that were picked do not come back.
+  void Dequeue(const BatchKey& batch);
+  /// @return up to `limit` items for the backend, taken off the queue.
+  std::vector<WorkItemKey> Pick(const std::string& backend, std::size_t limit);
+  /// Queues an item that was picked again, if its batch is still queued.
+  void ReturnItem(const WorkItemKey& item);
+  bool HasWaiting(const std::string& backend) const { return queue_.HasWaiting(backend); }
+  std::size_t waiting_count() const { return queue_.waiting_count(); }
+
+  /// How often an item ran and failed before it was returned. Not logged: a new owner counts anew.
+  void SetFailedRuns(const WorkItemKey& item, std::uint32_t count) { failed_runs_[item] = count; }
+  void ForgetFailedRuns(const WorkItemKey& item) { failed_runs_.erase(item); }
+  std::uint32_t FailedRuns(const WorkItemKey& item) const;
+
+  /// Applies weights of tenants and backends of routes.
+  void OnConfiguration();
+
+ private:
+  std::string FindBackend(const std::string& route) const;
+
+  NodeAgent& agent_;
+  FairQueue queue_;
+  std::map<PartitionId, std::shared_ptr<OwnedPartition>> partitions_;
+  std::map<BatchKey, QueuedBatchId> queued_;
+  std::map<QueuedBatchId, BatchKey> queued_keys_;
+  std::map<WorkItemKey, std::uint32_t> failed_runs_;
+};
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/work_dispatch/work_reporter.cc
@@ -0,0 +1,275 @@
+#include "work_dispatch/work_reporter.h"
+
+#include <map>
+#include <utility>
+
+#include "base/logging.h"
+
+namespace cloverbank {
+namespace {
+
+WorkItemKey KeyOf(const proto::WorkReport& report) {
+  return {PartitionId(report.partition_id()), report.batch_id(),
+          static_cast<std::uint32_t>(report.item_index())};
+}
+
+/// Longest output and error kept; a longer result could not be logged.
+constexpr std::size_t kLargestOutputBytes = 512U << 10U;
+/// Items finished as unknown in one go.
+constexpr std::size_t kUnknownPerTick = 1000;
+
+/// @return the items whose results the ItemFinished entries are.
+std::vector<WorkItemKey> FinishedItems(PartitionId partition,
+                                       const std::vector<proto::LogEntry>& entries) {
+  std::vector<WorkItemKey> items;
+  items.reserve(entries.size());
+  for (const proto::LogEntry& entry : entries) {
+    items.push_back({partition, entry.item_finished().batch_id(),
+                     static_cast<std::uint32_t>(entry.item_finished().item_index())});
+  }
+  return items;
+}
+
+}  // namespace
+
+WorkReporter::WorkReporter(Environment& environment, Parts parts)
+    : environment_(environment),
+      queue_(std::move(parts.queue)),
+      leases_(std::move(parts.leases)),
+      unknown_(std::move(parts.unknown)),
+      granter_(std::move(parts.granter)),
+      canceller_(std::move(parts.canceller)) {}
+
+Status WorkReporter::CheckReports(const proto::ReportWorkRequest& request) const {
+  for (const proto::WorkReport& report : request.reports()) {
+    if (!queue_->Owns(PartitionId(report.partition_id()))) {
+      return MakeNotOwnerStatus(PartitionId(report.partition_id()));
+    }
+  }
+  return Status::Ok();
+}
+
+void WorkReporter::Renew(const proto::ReportWorkRequest& request,
+                         proto::ReportWorkResponse* response) {
+  for (const std::uint64_t id : request.running_lease_ids()) {
+    const WorkLease* lease = leases_->Renew(WorkLeaseId(id), request.gateway_node_id(),
+                                            Incarnation(request.incarnation()), environment_.Now());
+    const StoredBatch* batch = lease == nullptr ? nullptr : queue_->FindBatch(lease->item);
+    if (batch == nullptr || batch->cancelled) {
+      response->add_ended_lease_ids(id);
+    }
+  }
+}
+
+void WorkReporter::Report(const proto::ReportWorkRequest& request, Reply reply) {
+  auto pending = std::make_shared<PendingReport>();
+  pending->reply = std::move(reply);
+  Renew(request, &pending->response);
+  if (Status status = CheckReports(request); !status.ok()) {
+    pending->reply(std::move(status));
+    return;
+  }
+  std::map<PartitionId, std::vector<proto::LogEntry>> results;
+  for (const proto::WorkReport& report : request.reports()) {
+    if (auto entry = HandleReport(report, pending.get())) {
+      results[PartitionId(report.partition_id())].push_back(std::move(*entry));
+    }
+  }
+  granter_->ServePending();
+  if (results.empty()) {
+    Answer(pending);
+    return;
+  }
+  pending->logs_under_way = results.size();
+  for (auto& [partition, entries] : results) {
+    LogResults(pending, partition, std::move(entries));
+  }
+}
+
+std::optional<proto::LogEntry> WorkReporter::HandleReport(const proto::WorkReport& report,
+                                                          PendingReport* pending) {
+  const WorkItemKey item = KeyOf(report);
+  const StoredBatch* batch = queue_->FindBatch(item);
+  if (batch == nullptr) {
+    return std::nullopt;  // Removed since.
+  }
+  const bool has_result = batch->phases[item.index] == ItemPhase::kFinished;
+  proto::LogEntry entry;
+  switch (leases_->Decide(report, item, has_result)) {
+    case ReportAction::kDrop:
+      return std::nullopt;
+    case ReportAction::kWait:
+      pending->status = Status(StatusCode::kUnavailable, "a result of the item is being logged");
+      return std::nullopt;
+    case ReportAction::kReturnItem:
+      ReturnItem(item, report);
+      return std::nullopt;
+    case ReportAction::kLogUnknown:
+      entry = MakeFinished(item, proto::ITEM_OUTCOME_UNKNOWN);
+      entry.mutable_item_finished()->set_error(report.error());
+      break;
+    case ReportAction::kLogResult:
+      entry = MakeResult(item, report);
+  }
+  leases_->SetReporting(item, true, environment_.Now());
+  return entry;
+}
+
+void WorkReporter::ReturnItem(const WorkItemKey& item, const proto::WorkReport& report) {
+  Log(LogLevel::kInfo, "work_returned",
+      {{"batch", item.batch_id}, {"item", item.index}, {"reason", report.error()}});
+  if (report.failed_runs() > 0) {
+    queue_->SetFailedRuns(item, report.failed_runs());
+  }
+  leases_->End(item);
+  queue_->ReturnItem(item);
+}
+
+proto::LogEntry WorkReporter::MakeResult(const WorkItemKey& item,
+                                         const proto::WorkReport& report) const {
+  if (report.output().size() + report.error().size() > kLargestOutputBytes) {
+    proto::LogEntry entry = MakeFinished(item, proto::ITEM_OUTCOME_FAILED);
+    entry.mutable_item_finished()->set_error("the output is too large to be kept");
+    return entry;
+  }
+  proto::LogEntry entry = MakeFinished(item, report.outcome());
+  entry.mutable_item_finished()->set_output(report.output());
+  entry.mutable_item_finished()->set_error(report.error());
+  return entry;
+}
+
+proto::LogEntry WorkReporter::MakeFinished(const WorkItemKey& item,
+                                           proto::ItemOutcome outcome) const {
+  proto::LogEntry entry;
+  proto::ItemFinished& finished = *entry.mutable_item_finished();
+  finished.set_batch_id(item.batch_id);
+  finished.set_item_index(item.index);
+  finished.set_outcome(outcome);
+  finished.set_finished_at_ms(environment_.WallMilliseconds());
+  return entry;
+}
+
+void WorkReporter::LogResults(const PendingReportPtr& pending, PartitionId partition,
+                              std::vector<proto::LogEntry> entries) {
+  const std::vector<WorkItemKey> items = FinishedItems(partition, entries);
+  queue_->FindPartition(partition)->Log(
+      std::move(entries),
+      [weak = weak_from_this(), pending, partition, items](const Status& status) {
+        if (const auto self = weak.lock()) {
+          self->HandleResultsLogged(partition, items, status);
+        }
+        if (!status.ok()) {
+          pending->status = status;
+        }
+        if (--pending->logs_under_way == 0) {
+          Answer(pending);
+        }
+      });
+}
+
+void WorkReporter::Answer(const PendingReportPtr& pending) {
+  if (pending->status.ok()) {
+    pending->reply(std::move(pending->response));
+  } else {
+    pending->reply(pending->status);
+  }
+}
+
+void WorkReporter::HandleResultsLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
+                                       const Status& status) {
+  if (!queue_->Owns(partition)) {
+    return;
+  }
+  for (const WorkItemKey& item : items) {
+    if (status.ok()) {
+      HandleResultLogged(item);
+    } else {
+      leases_->SetReporting(item, false, environment_.Now());
+    }
+  }
+}
+
+void WorkReporter::HandleResultLogged(const WorkItemKey& item) {
+  leases_->End(item);
+  unknown_->Remove(item);
+  queue_->ForgetFailedRuns(item);
+  const StoredBatch* batch = queue_->FindBatch(item);
+  if (batch == nullptr) {
+    return;
+  }
+  RecordLateResult(*batch);
+  if (batch->AllFinished()) {
+    queue_->Dequeue({item.partition, item.batch_id});
+    canceller_->RemoveIncomplete({item.partition, item.batch_id});
+  }
+}
+
+void WorkReporter::RecordLateResult(const StoredBatch& batch) const {
+  const proto::Route* route = queue_->FindRoute(batch.accepted.route());
+  if (route == nullptr || route->batch_target_ms() == 0 || batch.cancelled) {
+    return;
+  }
+  const std::int64_t taken = environment_.WallMilliseconds() - batch.accepted.accepted_at_ms();
+  if (taken <= route->batch_target_ms()) {
+    return;
+  }
+  environment_.metrics().Increment("queue_results_late_total", {{"route", route->name()}});
+  Log(LogLevel::kInfo, "result_late",
+      {{"route", route->name()},
+       {"batch", batch.accepted.batch_id()},
+       {"taken_ms", taken},
+       {"target_ms", route->batch_target_ms()},
+       {"open_items", batch.open_items()},
+       {"waiting_items", queue_->waiting_count()}});
+}
+
+void WorkReporter::EndExpiredLeases() {
+  for (const WorkLease& lease : leases_->EndExpired(environment_.Now())) {
+    const StoredBatch* batch = queue_->FindBatch(lease.item);
+    if (batch == nullptr || batch->phases[lease.item.index] == ItemPhase::kFinished) {
+      continue;
+    }
+    environment_.metrics().Increment("queue_expired_leases_total");
+    Log(LogLevel::kInfo, "work_lease_expired",
+        {{"batch", lease.item.batch_id},
+         {"item", lease.item.index},
+         {"gateway", lease.gateway_node_id}});
+    if (lease.idempotent && !batch->cancelled) {
+      queue_->ReturnItem(lease.item);
+    } else {
+      unknown_->Add(lease.item);
+    }
+  }
+  granter_->ServePending();
+}
+
+void WorkReporter::LogUnknown() {
+  std::map<PartitionId, std::vector<proto::LogEntry>> results;
+  for (const WorkItemKey& item : unknown_->items()) {
+    if (unknown_under_way_.size() >= kUnknownPerTick) {
+      break;
+    }
+    if (unknown_under_way_.insert(item).second) {
+      results[item.partition].push_back(MakeFinished(item, proto::ITEM_OUTCOME_UNKNOWN));
+    }
+  }
+  for (auto& [id, entries] : results) {
+    const std::vector<WorkItemKey> items = FinishedItems(id, entries);
+    queue_->FindPartition(id)->Log(std::move(entries),
+                                   [weak = weak_from_this(), id = id, items](const Status& status) {
+                                     if (const auto self = weak.lock()) {
+                                       self->HandleUnknownLogged(id, items, status);
+                                     }
+                                   });
+  }
+}
+
+void WorkReporter::HandleUnknownLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
+                                       const Status& status) {
+  for (const WorkItemKey& item : items) {
+    unknown_under_way_.erase(item);
+  }
+  HandleResultsLogged(partition, items, status);
+}
+
+}  // namespace cloverbank
