--- a/src/queue/batch_request_handler.cc
+++ b/src/queue/batch_request_handler.cc
@@ -3,6 +3,21 @@
 #include <utility>
 
 namespace cloverbank {
+namespace {
+
+/// Answers with what `read` finds among the partition's batches, or why it must not be asked.
+template <typename Response, typename Read>
+void AnswerFromStore(const PartitionOwnership& ownership, std::uint64_t partition_id,
+                     const BatchRequestHandler::Reply<Response>& reply, const Read& read) {
+  const auto partition = ownership.Require(partition_id);
+  if (!partition.ok()) {
+    reply(partition.status());
+    return;
+  }
+  reply(read((*partition)->store()));
+}
+
+}  // namespace
 
 BatchRequestHandler::BatchRequestHandler(const PartitionOwnership& ownership, BatchIntake& intake,
                                          WorkDispatcher& dispatcher)
@@ -20,72 +35,60 @@
 
 void BatchRequestHandler::Get(const proto::GetBatchRequest& request,
                               const Reply<proto::GetBatchResponse>& reply) {
-  const auto partition = ownership_.Require(request.partition_id());
-  if (!partition.ok()) {
-    reply(partition.status());
-    return;
-  }
-  const StoredBatch* batch = (*partition)->store().Find(request.batch_id());
-  if (batch == nullptr) {
-    reply(Status(StatusCode::kNotFound, "no batch " + request.batch_id()));
-    return;
-  }
-  proto::GetBatchResponse response;
-  *response.mutable_status() = batch->ToStatus();
-  reply(std::move(response));
+  AnswerFromStore(ownership_, request.partition_id(), reply,
+                  [&](const BatchStore& store) -> Result<proto::GetBatchResponse> {
+                    const StoredBatch* batch = store.Find(request.batch_id());
+                    if (batch == nullptr) {
+                      return Status(StatusCode::kNotFound, "no batch " + request.batch_id());
+                    }
+                    proto::GetBatchResponse response;
+                    *response.mutable_status() = batch->ToStatus();
+                    return response;
+                  });
 }
 
 void BatchRequestHandler::ListBatches(const proto::ListBatchesRequest& request,
                                       const Reply<proto::ListBatchesResponse>& reply) {
-  const auto partition = ownership_.Require(request.partition_id());
-  if (!partition.ok()) {
-    reply(partition.status());
-    return;
-  }
-  auto list =
-      (*partition)->store().ListBatches(request.tenant(), request.cursor(), request.limit());
-  if (!list.ok()) {
-    reply(list.status());
-    return;
-  }
-  proto::ListBatchesResponse response;
-  *response.mutable_list() = std::move(*list);
-  reply(std::move(response));
+  AnswerFromStore(ownership_, request.partition_id(), reply,
+                  [&](const BatchStore& store) -> Result<proto::ListBatchesResponse> {
+                    auto list =
+                        store.ListBatches(request.tenant(), request.cursor(), request.limit());
+                    if (!list.ok()) {
+                      return list.status();
+                    }
+                    proto::ListBatchesResponse response;
+                    *response.mutable_list() = std::move(*list);
+                    return response;
+                  });
 }
 
 void BatchRequestHandler::ListResults(const proto::ListResultsRequest& request,
                                       const Reply<proto::ListResultsResponse>& reply) {
-  const auto partition = ownership_.Require(request.partition_id());
-  if (!partition.ok()) {
-    reply(partition.status());
-    return;
-  }
-  auto list =
-      (*partition)->store().ListResults(request.batch_id(), request.cursor(), request.limit());
-  if (!list.ok()) {
-    reply(list.status());
-    return;
-  }
-  proto::ListResultsResponse response;
-  *response.mutable_list() = std::move(*list);
-  reply(std::move(response));
+  AnswerFromStore(ownership_, request.partition_id(), reply,
+                  [&](const BatchStore& store) -> Result<proto::ListResultsResponse> {
+                    auto list =
+                        store.ListResults(request.batch_id(), request.cursor(), request.limit());
+                    if (!list.ok()) {
+                      return list.status();
+                    }
+                    proto::ListResultsResponse response;
+                    *response.mutable_list() = std::move(*list);
+                    return response;
+                  });
 }
 
 void BatchRequestHandler::GetItem(const proto::GetItemRequest& request,
                                   const Reply<proto::GetItemResponse>& reply) {
-  const auto partition = ownership_.Require(request.partition_id());
-  if (!partition.ok()) {
-    reply(partition.status());
-    return;
-  }
-  auto item = (*partition)->store().OpenItem(request.batch_id(), request.custom_id());
-  if (!item.ok()) {
-    reply(item.status());
-    return;
-  }
-  proto::GetItemResponse response;
-  *response.mutable_item() = std::move(*item);
-  reply(std::move(response));
+  AnswerFromStore(ownership_, request.partition_id(), reply,
+                  [&](const BatchStore& store) -> Result<proto::GetItemResponse> {
+                    auto item = store.OpenItem(request.batch_id(), request.custom_id());
+                    if (!item.ok()) {
+                      return item.status();
+                    }
+                    proto::GetItemResponse response;
+                    *response.mutable_item() = std::move(*item);
+                    return response;
+                  });
 }
 
 void BatchRequestHandler::Cancel(const proto::CancelBatchRequest& request,
