--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -226,7 +226,6 @@
 }
 
 void BatchStore::DropUnaccepted(const std::string& batch_id) { unaccepted_.erase(batch_id); }
-void BatchStore::DropAllUnaccepted() { unaccepted_.clear(); }
 
 StoredBatch* BatchStore::FindMutable(const std::string& batch_id) {
   const auto found = by_id_.find(batch_id);
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -38,8 +38,6 @@
 
   /// Forgets the items of a batch whose BatchAccepted was never logged.
   void DropUnaccepted(const std::string& batch_id);
-  /// Same for all such batches, at the end of a replay.
-  void DropAllUnaccepted();
 
   /// @return nullptr if there is no such batch.
   const StoredBatch* Find(const std::string& batch_id) const;
--- a/src/batches/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -53,7 +53,6 @@
 
   /// The node no longer owns it: nothing is answered from it any more.
   void Deactivate() { active_ = false; }
-  bool active() const { return active_; }
 
   /// @return where the partition stands, for the start of a segment.
   proto::LogEntry Watermark() const;
--- a/src/work_dispatch/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -57,7 +57,6 @@
   void Tick();
 
   std::size_t leases() const { return leases_->size(); }
-  std::size_t waiting_items() const { return queue_->waiting_count(); }
 
  private:
   /// Leases the items that were logged as started to a gateway that is not known.
