--- a/src/scheduler/fair_queue.cc
+++ b/src/scheduler/fair_queue.cc
@@ -6,38 +6,54 @@
 
 namespace cloverbank {
 
-std::vector<OrderedItem> GroupByPrefix(
-    std::uint32_t item_count, const std::function<std::string_view(std::uint32_t)>& prefix_key,
-    const std::function<bool(std::uint32_t)>& is_waiting) {
-  // A counting sort by group: the number of a group is the order of its first item.
+namespace {
+
+/// Waiting items and their groups; a group is numbered in the order of its first item.
+struct PrefixGroups {
+  std::vector<std::uint32_t> items;
+  std::vector<std::uint32_t> group_of_item;  ///< Beside `items`.
+  std::vector<std::uint32_t> sizes;          ///< By group.
+};
+
+PrefixGroups CollectGroups(std::uint32_t item_count,
+                           const std::function<std::string_view(std::uint32_t)>& prefix_key,
+                           const std::function<bool(std::uint32_t)>& is_waiting) {
+  PrefixGroups groups;
   std::unordered_map<std::string_view, std::uint32_t> group_of_key;
-  std::vector<std::uint32_t> waiting;
-  std::vector<std::uint32_t> group_of_waiting;
-  std::vector<std::uint32_t> group_sizes;
   for (std::uint32_t index = 0; index < item_count; ++index) {
     if (!is_waiting(index)) {
       continue;
     }
-    const auto next_group = static_cast<std::uint32_t>(group_sizes.size());
+    const auto next_group = static_cast<std::uint32_t>(groups.sizes.size());
     const std::uint32_t group =
         group_of_key.try_emplace(prefix_key(index), next_group).first->second;
     if (group == next_group) {
-      group_sizes.push_back(0);
+      groups.sizes.push_back(0);
     }
-    ++group_sizes[group];
-    waiting.push_back(index);
-    group_of_waiting.push_back(group);
-  }
-  std::vector<std::uint32_t> group_starts(group_sizes.size(), 0);
-  for (std::size_t group = 1; group < group_sizes.size(); ++group) {
-    group_starts[group] = group_starts[group - 1] + group_sizes[group - 1];
-  }
-  std::vector<std::uint32_t> filled(group_sizes.size(), 0);
-  std::vector<OrderedItem> ordered(waiting.size());
-  for (std::size_t i = 0; i < waiting.size(); ++i) {
-    const std::uint32_t group = group_of_waiting[i];
-    const std::uint32_t place = filled[group]++;
-    ordered[group_starts[group] + place] = {waiting[i], place == 0 ? 1U : 0U};
+    ++groups.sizes[group];
+    groups.items.push_back(index);
+    groups.group_of_item.push_back(group);
+  }
+  return groups;
+}
+
+}  // namespace
+
+std::vector<OrderedItem> GroupByPrefix(
+    std::uint32_t item_count, const std::function<std::string_view(std::uint32_t)>& prefix_key,
+    const std::function<bool(std::uint32_t)>& is_waiting) {
+  // A counting sort by group.
+  const PrefixGroups groups = CollectGroups(item_count, prefix_key, is_waiting);
+  std::vector<std::uint32_t> group_starts(groups.sizes.size(), 0);
+  for (std::size_t group = 1; group < groups.sizes.size(); ++group) {
+    group_starts[group] = group_starts[group - 1] + groups.sizes[group - 1];
+  }
+  std::vector<std::uint32_t> filled(groups.sizes.size(), 0);
+  std::vector<OrderedItem> ordered(groups.items.size());
+  for (std::size_t i = 0; i < groups.items.size(); ++i) {
+    const std::uint32_t group = groups.group_of_item[i];
+    const std::uint32_t position = filled[group]++;
+    ordered[group_starts[group] + position] = {groups.items[i], position == 0 ? 1U : 0U};
   }
   return ordered;
 }
