--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -38,8 +38,6 @@
 
   /// Forgets the items of a batch whose BatchAccepted was never logged.
   void DropUnaccepted(const std::string& batch_id);
-  /// Same for all such batches, at the end of a replay.
-  void DropAllUnaccepted();
 
   /// @return nullptr if there is no such batch.
   const StoredBatch* Find(const std::string& batch_id) const;
@@ -83,6 +81,11 @@
   Status ApplyPayload(proto::LogEntry& entry);
   Status ApplyItems(proto::BatchItems& items);
   Status ApplyAccepted(proto::BatchAccepted& accepted, PartitionSequence sequence);
+  /// @return the batch with the items that were logged before it.
+  std::unique_ptr<StoredBatch> MakeBatch(proto::BatchAccepted& accepted,
+                                         PartitionSequence sequence);
+  /// Adds the batch to all indexes and counts.
+  void Insert(std::unique_ptr<StoredBatch> batch);
   Status ApplyStarted(const proto::ItemStarted& started);
   Status ApplyFinished(proto::ItemFinished& finished);
   void ApplyCancelled(const proto::BatchCancelled& cancelled);
