--- /dev/null
+++ b/src/calls/attempt_session.h
@@ -0,0 +1,51 @@
+#pragma once
+/// @file
+/// What every kind of attempt does in the same way: it reports its use of the replica to the pool
+/// exactly once, is asked right before its request leaves whether it still may, and classifies the
+/// end of a call that brought no complete response. Threads: the owner's event loop only.
+
+#include <memory>
+
+#include "calls/call_attempt.h"
+
+namespace cloverbank {
+
+class AttemptSession {
+ public:
+  /// @param context, request outlive the session.
+  AttemptSession(const AttemptContext& context, const AttemptRequest& request)
+      : context_(context), request_(request), pool_lifetime_(context.pool.lifetime()) {}
+
+  /// The request is handed to the HTTP client. @return the time left until the call's deadline.
+  Duration Begin();
+  /// Asked by the HTTP client immediately before the first byte leaves.
+  bool CanSend();
+  /// Reports to the pool that the replica is free of this call; only the first time counts.
+  void Release(CallEnd health);
+
+  /// The attempt has its result, or was cancelled: nothing is sent or reported from now on.
+  void MarkDone() { done_ = true; }
+  bool done() const { return done_; }
+  /// @return how far the attempt is, for one that is being cancelled.
+  CancelledWhen cancelled_when() const {
+    return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
+  }
+
+  /// @return time since `Begin`.
+  Duration Elapsed() const { return context_.environment.Now() - sent_at_; }
+  /// Classifies a call that ended without a complete response.
+  /// @param head_came whether the replica had begun to respond.
+  FailureReading ClassifyNoResponse(const HttpOutcome& outcome, bool head_came) const;
+
+ private:
+  const AttemptContext& context_;
+  const AttemptRequest& request_;
+  std::weak_ptr<const void> pool_lifetime_;
+  TimePoint sent_at_;
+  bool asked_ = false;  ///< Whether `CanSend` was asked: nothing was sent before.
+  bool withheld_ = false;
+  bool released_ = false;
+  bool done_ = false;
+};
+
+}  // namespace cloverbank
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -42,7 +42,7 @@
       request_(std::move(request)),
       exchange_(std::move(exchange)),
       events_(std::move(events)),
-      pool_lifetime_(context.pool.lifetime()),
+      session_(context_, request_),
       splitter_(context.options.maximum_chunk_bytes) {}
 
 HttpRequest ForwardAttempt::MakeRequest(Duration remaining) const {
@@ -70,13 +70,12 @@
 }
 
 void ForwardAttempt::Start() {
-  sent_at_ = context_.environment.Now();
-  const Duration remaining = request_.deadline - sent_at_;
+  const Duration remaining = session_.Begin();
   HttpRequest http = MakeRequest(remaining);
   const std::weak_ptr<ForwardAttempt> weak = weak_from_this();
   http.may_send = [weak] {
     const auto self = weak.lock();
-    return self != nullptr && self->CanSend();
+    return self != nullptr && self->session_.CanSend();
   };
   HttpStreamCallbacks callbacks;
   callbacks.on_head = [weak](int status, const HttpHeaders& headers) {
@@ -93,7 +92,6 @@
   callbacks.on_end = [self = shared_from_this()](HttpOutcome outcome) {
     self->OnEnd(std::move(outcome));
   };
-  context_.pool.OnCallStarted(request_.use);
   // To a caller that waits, silence is no reason to end an answer before its deadline.
   const Duration idle_limit =
       exchange_->call().judge_failures ? context_.options.batch_idle_limit : Duration::zero();
@@ -116,7 +114,7 @@
 }
 
 void ForwardAttempt::CheckResponseTimeout() {
-  if (done_) {
+  if (session_.done()) {
     return;
   }
   const bool heard = std::exchange(heard_, false);
@@ -130,25 +128,19 @@
 }
 
 CancelledWhen ForwardAttempt::Cancel() {
-  if (done_) {
+  if (session_.done()) {
     return CancelledWhen::kNotUnderWay;
   }
-  done_ = true;
+  session_.MarkDone();
   if (call_ != nullptr) {
     call_->Cancel();
   }
   Release(CallEnd::kWithdrawn);
-  return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
-}
-
-bool ForwardAttempt::CanSend() {
-  asked_ = true;
-  withheld_ = done_ || !request_.may_send();
-  return !withheld_;
+  return session_.cancelled_when();
 }
 
 void ForwardAttempt::OnHead(int status, const HttpHeaders& headers) {
-  if (done_) {
+  if (session_.done()) {
     return;
   }
   heard_ = true;
@@ -158,12 +150,11 @@
   not_run_ = status == kHttpMisdirected ||
              (IsRejection(status) && !FindHeader(headers, names.not_run).empty());
   const std::string_view echoed = FindHeader(headers, names.call_id);
-  foreign_ = !not_run_ && echoed != exchange_->call_id();
-  if (foreign_) {
+  if (!not_run_ && echoed != exchange_->call_id()) {
     BreakOff("other_call");
     return;
   }
-  context_.pool.OnAnswerHead(request_.use, headers, context_.environment.Now() - sent_at_);
+  context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
   if (!not_run_) {
     const bool events = exchange_->call().streamed && IsSuccess(status);
     reading_ = events ? Reading::kEvents : Reading::kComplete;
@@ -171,7 +162,7 @@
 }
 
 void ForwardAttempt::OnBytes(const std::string& bytes, std::function<void()> more) {
-  if (done_) {
+  if (session_.done()) {
     return;
   }
   heard_ = true;
@@ -194,7 +185,7 @@
 
 void ForwardAttempt::OnEnd(HttpOutcome outcome) {
   outcome_ = std::move(outcome);
-  if (done_) {
+  if (session_.done()) {
     Release(CallEnd::kSuccess);
     return;
   }
@@ -216,7 +207,7 @@
 }
 
 bool ForwardAttempt::Step() {
-  if (done_ || event_under_way_) {
+  if (session_.done() || event_under_way_) {
     return false;
   }
   if (std::optional<StreamEvent> event = splitter_.Next()) {
@@ -324,12 +315,7 @@
 }
 
 void ForwardAttempt::CompleteTimedOut() {
-  NoResponseContext facts;
-  facts.withheld = withheld_;
-  facts.head_came = status_ != 0;
-  facts.deadline_reached = context_.environment.Now() >= request_.deadline;
-  facts.patience = request_.deadline - sent_at_;
-  FailureReading reading = ClassifyTimeout(*outcome_, facts, context_.options);
+  FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
   if (not_run_) {
     reading.result.end = AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
   }
@@ -355,7 +341,7 @@
 }
 
 void ForwardAttempt::Finish(AttemptResult result, CallEnd health) {
-  done_ = true;
+  session_.MarkDone();
   if (!outcome_ && call_ != nullptr) {
     call_->Cancel();
   }
@@ -365,10 +351,7 @@
 
 void ForwardAttempt::Release(CallEnd health) {
   context_.environment.CancelTimer(std::exchange(response_timer_, 0));
-  if (!released_ && !pool_lifetime_.expired()) {
-    released_ = true;
-    context_.pool.OnCallEnded(request_.use, health);
-  }
+  session_.Release(health);
 }
 
 }  // namespace cloverbank
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -6,6 +6,7 @@
 #include <optional>
 #include <string>
 
+#include "calls/attempt_session.h"
 #include "calls/forward_exchange.h"
 
 namespace cloverbank {
@@ -32,7 +33,6 @@
   /// elsewhere.
   void ArmResponseTimer();
   void CheckResponseTimeout();
-  bool CanSend();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
@@ -54,10 +54,9 @@
   AttemptRequest request_;
   std::shared_ptr<ForwardExchange> exchange_;
   ExchangeEvents events_;
-  std::weak_ptr<const void> pool_lifetime_;
+  AttemptSession session_;
   EventSplitter splitter_;
   std::shared_ptr<HttpCall> call_;
-  TimePoint sent_at_;
   Reading reading_ = Reading::kNothing;
   int status_ = 0;  ///< 0 until the head came.
   HttpHeaders headers_;
@@ -66,14 +65,9 @@
   std::optional<HttpOutcome> outcome_;
   TimerId response_timer_ = 0;
   bool heard_ = false;    ///< Whether anything came in since the last look.
-  bool foreign_ = false;  ///< The answer is to another call.
   bool not_run_ = false;  ///< The replica says that it did not run the request.
-  bool asked_ = false;    ///< Whether `may_send` was asked: nothing was sent before.
-  bool withheld_ = false;
   bool event_under_way_ = false;
   bool advancing_ = false;
-  bool released_ = false;
-  bool done_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -1,6 +1,7 @@
 #include <utility>
 
 #include "base/logging.h"
+#include "calls/attempt_session.h"
 #include "calls/call_attempt.h"
 #include "json/json.h"
 
@@ -16,56 +17,46 @@
  public:
   ServiceAttempt(const AttemptContext& context, JsonAttemptRequest request,
                  JsonAttemptCallbacks callbacks)
-      : context_(context), request_(std::move(request)), callbacks_(std::move(callbacks)) {}
+      : context_(context),
+        request_(std::move(request)),
+        callbacks_(std::move(callbacks)),
+        session_(context_, request_) {}
 
   void Start() override {
-    sent_at_ = context_.environment.Now();
-    const Duration remaining = request_.deadline - sent_at_;
+    const Duration remaining = session_.Begin();
     HttpRequest http = MakeReplicaRequest(kServePath, request_, remaining);
     const std::weak_ptr<ServiceAttempt> weak = weak_from_this();
     http.may_send = [weak] {
       const auto self = weak.lock();
-      return self != nullptr && self->CanSend();
+      return self != nullptr && self->session_.CanSend();
     };
-    context_.pool.OnCallStarted(request_.use);
     call_ = context_.client.Call(
         request_.endpoint, std::move(http), remaining,
         [self = shared_from_this()](const HttpOutcome& outcome) { self->OnOutcome(outcome); });
   }
 
   CancelledWhen Cancel() override {
-    if (done_) {
+    if (session_.done()) {
       return CancelledWhen::kNotUnderWay;
     }
-    done_ = true;
+    session_.MarkDone();
     if (call_ != nullptr) {
       call_->Cancel();
     }
-    context_.pool.OnCallEnded(request_.use, CallEnd::kWithdrawn);
-    return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
+    session_.Release(CallEnd::kWithdrawn);
+    return session_.cancelled_when();
   }
 
  private:
-  bool CanSend() {
-    asked_ = true;
-    withheld_ = done_ || !request_.may_send();
-    return !withheld_;
-  }
-
   void OnOutcome(const HttpOutcome& outcome) {
-    if (done_) {
+    if (session_.done()) {
       return;
     }
-    const TimePoint now = context_.environment.Now();
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      NoResponseContext facts;
-      facts.withheld = withheld_;
-      facts.deadline_reached = now >= request_.deadline;
-      facts.patience = request_.deadline - sent_at_;
-      Finish(ClassifyTimeout(outcome, facts, context_.options));
+      Finish(session_.ClassifyNoResponse(outcome, false));
       return;
     }
-    context_.pool.OnAnswerHead(request_.use, outcome.response.headers, now - sent_at_);
+    context_.pool.OnAnswerHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
       Finish(ReadRefusal(outcome.response.status, outcome.response.body));
       return;
@@ -96,19 +87,16 @@
   }
 
   void Finish(FailureReading reading) {
-    done_ = true;
-    context_.pool.OnCallEnded(request_.use, reading.health);
+    session_.MarkDone();
+    session_.Release(reading.health);
     callbacks_.on_done(std::move(reading.result));
   }
 
   AttemptContext context_;
   JsonAttemptRequest request_;
   JsonAttemptCallbacks callbacks_;
+  AttemptSession session_;
   std::shared_ptr<HttpCall> call_;
-  TimePoint sent_at_;
-  bool asked_ = false;  ///< Whether `may_send` was asked: nothing was sent before.
-  bool withheld_ = false;
-  bool done_ = false;
 };
 
 }  // namespace
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -2,6 +2,7 @@
 #include <utility>
 
 #include "base/logging.h"
+#include "calls/attempt_session.h"
 #include "calls/call_attempt.h"
 #include "calls/line_reader.h"
 #include "calls/stream_check.h"
@@ -23,19 +24,18 @@
       : context_(context),
         request_(std::move(request)),
         callbacks_(std::move(callbacks)),
-        pool_lifetime_(context.pool.lifetime()),
+        session_(context_, request_),
         check_(request_.body.call_id()),
         lines_(context.options.maximum_chunk_bytes) {}
 
   void Start() override {
-    sent_at_ = context_.environment.Now();
-    const Duration remaining = request_.deadline - sent_at_;
+    const Duration remaining = session_.Begin();
     request_.body.set_stream(true);
     HttpRequest http = MakeReplicaRequest(kGeneratePath, request_, remaining);
     const std::weak_ptr<StreamAttempt> weak = weak_from_this();
     http.may_send = [weak] {
       const auto self = weak.lock();
-      return self != nullptr && self->CanSend();
+      return self != nullptr && self->session_.CanSend();
     };
     HttpStreamCallbacks stream;
     stream.on_head = [weak](int status, const HttpHeaders& headers) {
@@ -52,38 +52,31 @@
     stream.on_end = [self = shared_from_this()](HttpOutcome outcome) {
       self->OnEnd(std::move(outcome));
     };
-    context_.pool.OnCallStarted(request_.use);
     call_ = context_.client.Stream(request_.endpoint, std::move(http), remaining,
                                    context_.options.stream_idle_limit, std::move(stream));
   }
 
   CancelledWhen Cancel() override {
-    if (done_) {
+    if (session_.done()) {
       return CancelledWhen::kNotUnderWay;
     }
-    done_ = true;
+    session_.MarkDone();
     CloseUpstream();
-    Release(CallEnd::kWithdrawn);
-    return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
+    session_.Release(CallEnd::kWithdrawn);
+    return session_.cancelled_when();
   }
 
  private:
-  bool CanSend() {
-    asked_ = true;
-    withheld_ = done_ || !request_.may_send();
-    return !withheld_;
-  }
-
   void OnHead(int status, const HttpHeaders& headers) {
-    if (done_) {
+    if (session_.done()) {
       return;
     }
     status_ = status;
-    context_.pool.OnAnswerHead(request_.use, headers, context_.environment.Now() - sent_at_);
+    context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
   }
 
   void OnBytes(const std::string& bytes, std::function<void()> more) {
-    if (done_) {
+    if (session_.done()) {
       AfterLastChunk();
       return;
     }
@@ -103,14 +96,14 @@
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
     CloseUpstream();
-    Release(CallEnd::kSuccess);
+    session_.Release(CallEnd::kSuccess);
   }
 
   void OnEnd(HttpOutcome outcome) {
     const bool regular = outcome.kind == HttpOutcomeKind::kAnswered;
     outcome_ = std::move(outcome);
-    if (done_) {
-      Release(CallEnd::kSuccess);
+    if (session_.done()) {
+      session_.Release(CallEnd::kSuccess);
     } else if (regular) {
       Advance();
     } else {
@@ -131,7 +124,7 @@
 
   /// Hands on the next piece, or reads on, or concludes. @return whether there is more to do now.
   bool Step() {
-    if (done_ || chunk_in_flight_) {
+    if (session_.done() || chunk_in_flight_) {
       return false;
     }
     if (const std::optional<std::string> line = lines_.Next()) {
@@ -145,7 +138,7 @@
     }
     if (outcome_) {
       Complete();
-      return !done_;
+      return !session_.done();
     }
     if (!read_on_) {
       return false;
@@ -192,13 +185,7 @@
   /// The body ended, or the call did, with no last piece.
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
-      const TimePoint now = context_.environment.Now();
-      NoResponseContext facts;
-      facts.withheld = withheld_;
-      facts.head_came = status_ != 0;
-      facts.deadline_reached = now >= request_.deadline;
-      facts.patience = request_.deadline - sent_at_;
-      const FailureReading reading = ClassifyTimeout(*outcome_, facts, context_.options);
+      const FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
       Finish(reading.result, reading.health);
       return;
     }
@@ -245,9 +232,9 @@
   /// The last piece is with the caller. The connection is let run out, so that it can be used
   /// again.
   void FinishSuccessfully() {
-    done_ = true;
+    session_.MarkDone();
     if (outcome_) {
-      Release(CallEnd::kSuccess);
+      session_.Release(CallEnd::kSuccess);
     }
     if (read_on_) {
       std::exchange(read_on_, nullptr)();
@@ -258,11 +245,11 @@
   }
 
   void Finish(JsonAttemptResult result, CallEnd health) {
-    done_ = true;
+    session_.MarkDone();
     if (!outcome_) {
       CloseUpstream();
     }
-    Release(health);
+    session_.Release(health);
     callbacks_.on_done(std::move(result));
   }
 
@@ -272,32 +259,19 @@
     }
   }
 
-  /// Tells the pool, once, that the replica is free of this call.
-  void Release(CallEnd health) {
-    if (!released_ && !pool_lifetime_.expired()) {
-      released_ = true;
-      context_.pool.OnCallEnded(request_.use, health);
-    }
-  }
-
   AttemptContext context_;
   JsonAttemptRequest request_;
   JsonAttemptCallbacks callbacks_;
-  std::weak_ptr<const void> pool_lifetime_;
+  AttemptSession session_;
   StreamCheck check_;
   LineReader lines_;
   std::shared_ptr<HttpCall> call_;
-  TimePoint sent_at_;
   int status_ = 0;  ///< 0 until the head came.
   std::string error_body_;
   std::function<void()> read_on_;
   std::optional<HttpOutcome> outcome_;
-  bool asked_ = false;  ///< Whether `may_send` was asked: nothing was sent before.
-  bool withheld_ = false;
   bool chunk_in_flight_ = false;
   bool advancing_ = false;
-  bool released_ = false;
-  bool done_ = false;
 };
 
 }  // namespace
