--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -21,12 +21,41 @@
   return status == kHttpMisdirected || status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
 
+/// Whether a replica says by this status that it ran the request and failed.
+bool IsReplicaFailure(int status) {
+  return status >= kFirstServerError || status == kHttpTooManyRequests;
+}
+
+std::string MessageForStatus(int status) {
+  return "the replica answered " + std::to_string(status);
+}
+
 std::int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<milliseconds>(duration).count();
 }
 
 }  // namespace
 
+std::string_view ResponseFaultName(ResponseFault fault) {
+  switch (fault) {
+    case ResponseFault::kNoResponse:
+      return "silent";
+    case ResponseFault::kOtherCall:
+      return "other_call";
+    case ResponseFault::kTooLarge:
+      return "too_large";
+    case ResponseFault::kEventTooLarge:
+      return "event_too_large";
+    case ResponseFault::kGap:
+      return "gap";
+    case ResponseFault::kCutEvent:
+      return "cut_event";
+    case ResponseFault::kNotResumed:
+      return "not_resumed";
+  }
+  return "cut_event";
+}
+
 std::shared_ptr<CallAttempt> ForwardExchange::NewAttempt(const AttemptContext& context,
                                                          AttemptRequest request,
                                                          ExchangeEvents events) {
@@ -121,7 +150,7 @@
   const bool elsewhere = request_.may_go_elsewhere && request_.may_go_elsewhere();
   // A slow replica is waited for; one that is silent to everybody here is left.
   if (!heard && elsewhere && !event_under_way_ && context_.pool.Stalled(request_.use)) {
-    BreakOff("silent");
+    BreakOff(ResponseFault::kNoResponse);
     return;
   }
   ArmResponseTimer();
@@ -151,7 +180,7 @@
              (IsRejection(status) && !FindHeader(headers, names.not_run).empty());
   const std::string_view echoed = FindHeader(headers, names.call_id);
   if (!not_run_ && echoed != exchange_->call_id()) {
-    BreakOff("other_call");
+    BreakOff(ResponseFault::kOtherCall);
     return;
   }
   context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
@@ -177,7 +206,7 @@
     body_ += bytes;
   }
   if (body_.size() > context_.options.largest_answer) {
-    BreakOff("too_large");
+    BreakOff(ResponseFault::kTooLarge);
     return;
   }
   more();
@@ -215,7 +244,7 @@
     return true;
   }
   if (splitter_.TooLarge()) {
-    BreakOff("event_too_large");
+    BreakOff(ResponseFault::kEventTooLarge);
     return false;
   }
   if (outcome_) {
@@ -236,7 +265,7 @@
 
 void ForwardAttempt::Forward(StreamEvent event) {
   if (!Follows(event)) {
-    BreakOff("gap");
+    BreakOff(ResponseFault::kGap);
     return;
   }
   if (!exchange_->started()) {
@@ -259,75 +288,79 @@
 
 void ForwardAttempt::Complete() {
   if (outcome_->kind != HttpOutcomeKind::kAnswered) {
-    CompleteTimedOut();
-    return;
-  }
-  if (not_run_) {
+    CompleteWithoutResponse();
+  } else if (not_run_) {
     FinishWith(AttemptEnd::kNotRun, "replica_refused",
-               "the replica answered " + std::to_string(status_) + " and did not run the request",
-               CallEnd::kRefused);
-    return;
+               MessageForStatus(status_) + " and did not run the request", CallEnd::kRefused);
+  } else if (reading_ == Reading::kComplete) {
+    CompleteResponse();
+  } else {
+    CompleteStream();
   }
-  if (reading_ == Reading::kComplete) {
-    CompleteSuccessfully();
-    return;
+}
+
+void ForwardAttempt::CompleteWithoutResponse() {
+  FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
+  if (not_run_) {
+    reading.result.end = AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
   }
+  Finish(std::move(reading.result), reading.health);
+}
+
+void ForwardAttempt::CompleteStream() {
   if (splitter_.Partial() || !exchange_->started()) {
-    BreakOff("cut_event");
+    BreakOff(ResponseFault::kCutEvent);
     return;
   }
-  AttemptResult complete;
-  complete.end = AttemptEnd::kComplete;
-  Finish(std::move(complete), CallEnd::kSuccess);
+  FinishSuccessfully();
 }
 
-void ForwardAttempt::CompleteSuccessfully() {
+void ForwardAttempt::CompleteResponse() {
   HttpResponse response;
   response.status = status_;
   response.headers = EndToEndHeaders(headers_, {});
   response.body = std::move(body_);
-  const bool failed = status_ >= kFirstServerError || status_ == kHttpTooManyRequests;
-  const std::string message = "the replica answered " + std::to_string(status_);
-  if (failed) {
-    exchange_->CountFailure();
-    exchange_->RecordFailure(std::move(response));
-    AttemptResult result;
-    result.end = AttemptEnd::kFailed;
-    result.error.set_code("replica_failed");
-    result.error.set_message(message);
-    result.final = exchange_->FailedForGood();
-    Finish(std::move(result), CallEnd::kFailed);
+  if (IsReplicaFailure(status_)) {
+    FinishReplicaFailure(std::move(response));
     return;
   }
   if (!IsSuccess(status_) && exchange_->call().judge_failures) {
-    FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), message,
+    FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), MessageForStatus(status_),
                CallEnd::kSuccess);
     return;
   }
   if (exchange_->started()) {
-    BreakOff("not_resumed");  // An error where the stream should have gone on.
+    BreakOff(ResponseFault::kNotResumed);
     return;
   }
   exchange_->sink().OnComplete(std::move(response));
+  FinishSuccessfully();
+}
+
+void ForwardAttempt::FinishReplicaFailure(HttpResponse response) {
+  exchange_->CountFailure();
+  exchange_->RecordFailure(std::move(response));
+  AttemptResult result;
+  result.end = AttemptEnd::kFailed;
+  result.error.set_code("replica_failed");
+  result.error.set_message(MessageForStatus(status_));
+  result.final = exchange_->FailedForGood();
+  Finish(std::move(result), CallEnd::kFailed);
+}
+
+void ForwardAttempt::FinishSuccessfully() {
   AttemptResult complete;
   complete.end = AttemptEnd::kComplete;
   Finish(std::move(complete), CallEnd::kSuccess);
 }
 
-void ForwardAttempt::CompleteTimedOut() {
-  FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
-  if (not_run_) {
-    reading.result.end = AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
-  }
-  Finish(std::move(reading.result), reading.health);
-}
-
-void ForwardAttempt::BreakOff(const std::string& fault) {
-  context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", fault}});
+void ForwardAttempt::BreakOff(ResponseFault fault) {
+  const std::string_view name = ResponseFaultName(fault);
+  context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", name}});
   Log(LogLevel::kInfo, "response_broken",
-      {{"call_id", exchange_->call_id()}, {"replica", request_.use.id}, {"fault", fault}});
+      {{"call_id", exchange_->call_id()}, {"replica", request_.use.id}, {"fault", name}});
   FinishWith(AttemptEnd::kUnknown, "response_broken",
-             "the replica's answer was not one whole answer to this call: " + fault,
+             "the replica's answer was not one whole answer to this call: " + std::string(name),
              CallEnd::kFailed);
 }
 
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -2,15 +2,30 @@
 /// @file
 /// One try of a `ForwardExchange` at one replica. Threads: the owner's event loop only.
 
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "calls/attempt_session.h"
 #include "calls/forward_exchange.h"
 
 namespace cloverbank {
 
+/// Why a response is not one complete response to this call.
+enum class ResponseFault : std::uint8_t {
+  kNoResponse,     ///< The replica has responded to nobody here for too long.
+  kOtherCall,      ///< It responds to another call.
+  kTooLarge,       ///< A complete body beyond the limit.
+  kEventTooLarge,  ///< An event beyond the limit.
+  kGap,            ///< A resumed stream that does not go on after the last event.
+  kCutEvent,       ///< The body ended within an event, or without any.
+  kNotResumed,     ///< An error where a stream should have been resumed.
+};
+/// @return the stable snake_case name, for metrics, logs and messages.
+std::string_view ResponseFaultName(ResponseFault fault);
+
 class ForwardAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ForwardAttempt> {
  public:
@@ -41,10 +56,15 @@
   bool Step();
   void Forward(StreamEvent event);
   bool Follows(const StreamEvent& event) const;
+  /// The body ended, or the connection did.
   void Complete();
-  void CompleteSuccessfully();
-  void CompleteTimedOut();
-  void BreakOff(const std::string& fault);
+  void CompleteWithoutResponse();
+  void CompleteStream();
+  /// A response that is not a stream of events came in whole.
+  void CompleteResponse();
+  void FinishReplicaFailure(HttpResponse response);
+  void FinishSuccessfully();
+  void BreakOff(ResponseFault fault);
   void FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
                   CallEnd health);
   void Finish(AttemptResult result, CallEnd health);
