--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -108,7 +108,7 @@
     queue.window_start = now;
   }
   queue.ranks.insert(rank);
-  expiries_.emplace(bounded.give_up_at, bounded.id);
+  expiries_.insert({bounded.give_up_at, bounded.id});
   waiting_.emplace(bounded.id, bounded);
   waiting_bytes_ += bounded.bytes;
   return std::nullopt;
@@ -130,10 +130,10 @@
   }
   const Rank last = *queue.ranks.rbegin();
   // Only a higher priority displaces: an earlier deadline alone would let a crowd churn the queue.
-  if (std::get<0>(last) <= std::get<0>(rank)) {
+  if (last.urgency <= rank.urgency) {
     return false;
   }
-  const WaitId id = std::get<2>(last);
+  const WaitId id = last.id;
   Remove(id);
   displaced->push_back(id);
   return HasCapacity(queue, bytes);
@@ -150,7 +150,7 @@
     if (first.size() == count) {
       break;
     }
-    first.push_back(std::get<2>(rank));
+    first.push_back(rank.id);
   }
   return first;
 }
@@ -170,8 +170,8 @@
 
 std::vector<WaitId> AdmissionControl::TakeExpired(TimePoint now) {
   std::vector<WaitId> expired;
-  while (!expiries_.empty() && expiries_.begin()->first <= now) {
-    const WaitId id = expiries_.begin()->second;
+  while (!expiries_.empty() && expiries_.begin()->at <= now) {
+    const WaitId id = expiries_.begin()->id;
     Remove(id);
     expired.push_back(id);
   }
@@ -182,7 +182,7 @@
   if (expiries_.empty()) {
     return std::nullopt;
   }
-  return expiries_.begin()->first;
+  return expiries_.begin()->at;
 }
 
 bool AdmissionControl::Serve(WaitId id, TimePoint now) {
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -7,13 +7,13 @@
 /// expected wait is longer than what it may wait is refused when it arrives, so that a crowd is
 /// told early to come back later instead of waiting for nothing.
 
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
 #include <string_view>
-#include <tuple>
 #include <unordered_map>
 #include <vector>
 
@@ -111,8 +111,18 @@
   void Tidy(const proto::RoutingConfiguration& configuration, TimePoint now);
 
  private:
-  /// First served first: urgent, then early deadline, then early arrival.
-  using Rank = std::tuple<int, TimePoint, WaitId>;
+  /// Place in a queue. First served first: urgent, then early deadline, then early arrival.
+  struct Rank {
+    int urgency = 0;  ///< Lower is served first.
+    TimePoint give_up_at{};
+    WaitId id = 0;
+    friend auto operator<=>(const Rank&, const Rank&) = default;
+  };
+  struct Expiry {
+    TimePoint at{};
+    WaitId id = 0;
+    friend auto operator<=>(const Expiry&, const Expiry&) = default;
+  };
   struct Queue {
     std::set<Rank> ranks;
     /// Pace of the queue while it is not empty (an idle back end's pace says nothing of what it can
@@ -134,7 +144,7 @@
   std::map<std::string, Queue> queues_;
   std::unordered_map<WaitId, WaitingCall> waiting_;
   std::size_t waiting_bytes_ = 0;
-  std::set<std::pair<TimePoint, WaitId>> expiries_;
+  std::set<Expiry> expiries_;
 };
 
 }  // namespace cloverbank
