--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -14,7 +14,6 @@
 constexpr int kHttpBadGateway = 502;
 constexpr int kHttpUnavailable = 503;
 constexpr int kHttpGatewayTimeout = 504;
-constexpr Duration kShortRetryAfter = milliseconds(500);
 constexpr Duration kRetryAfter = seconds(1);
 
 std::uint32_t ToMilliseconds(Duration duration) {
@@ -53,8 +52,10 @@
 
 CallRunner::~CallRunner() { (void)Cancel(); }
 
-void CallRunner::Start() {
-  timer_ = context_.attempt.environment.ScheduleAfter(Duration::zero(), [weak = weak_from_this()] {
+void CallRunner::Start() { ScheduleAttempt(Duration::zero()); }
+
+void CallRunner::ScheduleAttempt(Duration delay) {
+  timer_ = context_.attempt.environment.ScheduleAfter(delay, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->timer_ = 0;
       self->AttemptNow();
@@ -86,24 +87,16 @@
 }
 
 CallRunner::Placement CallRunner::AttemptForward() {
-  const proto::Route* route = nullptr;
-  if (!CheckRights(&route)) {
+  const proto::Route* route = FindRoute(context_.right.configuration(), spec_.route);
+  if (const std::optional<CallFailure> obstacle = FindObstacle(route)) {
+    FinishWith(*obstacle);
     return Placement::kEnded;
   }
   spec_.backend = ChooseBackend(*route, split_draw_);
   if (!context_.attempt.pool.list_usable()) {
     return Placement::kNoCapacity;  // The process was frozen: a new list is being asked for.
   }
-  RoutingQuery query;
-  query.configuration = &context_.right.configuration();
-  query.route = route;
-  query.backend = spec_.backend;
-  query.prefix_key = spec_.exchange->prefix_key();
-  query.prompt = spec_.exchange->prompt();
-  query.excluded = &tried_;
-  query.work = spec_.work;
-  query.tie_breaker = context_.attempt.environment.Random();
-  const RoutingChoice choice = context_.attempt.pool.Choose(query);
+  const RoutingChoice choice = context_.attempt.pool.Choose(MakeRoutingQuery(*route));
   if (choice.replica != nullptr) {
     Send(*choice.replica, *route);
     return Placement::kSent;
@@ -113,39 +106,54 @@
   if (passing) {
     return Placement::kNoCapacity;
   }
-  FinishWith(std::string(RoutingFailureName(choice.failure)),
+  FinishWith(RoutingFailureName(choice.failure),
              "no replica serves this route now; come back later", kRetryAfter);
   return Placement::kEnded;
 }
 
-bool CallRunner::CheckRights(const proto::Route** route) {
+std::optional<CallFailure> CallRunner::FindObstacle(const proto::Route* route) const {
   if (context_.attempt.environment.Now() >= spec_.deadline) {
-    FinishWith("deadline_reached", "the deadline passed before an answer came", kShortRetryAfter);
-    return false;
+    return CallFailure::kDeadlineReached;
   }
   if (!context_.right.Valid()) {
-    FinishWith("lease_expired", "this gateway has lost touch with control; try another one",
-               kShortRetryAfter);
-    return false;
+    return CallFailure::kLeaseExpired;
   }
   if (!context_.attempt.pool.list_loaded()) {
-    FinishWith("no_replica_list", "this gateway has not read the list of replicas yet",
-               kShortRetryAfter);
-    return false;
+    return CallFailure::kNoReplicaList;
   }
-  *route = FindRoute(context_.right.configuration(), spec_.route);
-  if (*route == nullptr) {
-    FinishWith("unknown_route", "the configuration no longer has this route", Duration::zero());
-    return false;
+  if (route == nullptr) {
+    return CallFailure::kUnknownRoute;
   }
   if (spec_.may_start && !spec_.may_start()) {
-    FinishWith("start_withdrawn", "the right to start this call ran out", Duration::zero());
-    return false;
+    return CallFailure::kStartWithdrawn;
   }
-  return true;
+  return std::nullopt;
+}
+
+RoutingQuery CallRunner::MakeRoutingQuery(const proto::Route& route) const {
+  RoutingQuery query;
+  query.configuration = &context_.right.configuration();
+  query.route = &route;
+  query.backend = spec_.backend;
+  query.prefix_key = spec_.exchange->prefix_key();
+  query.prompt = spec_.exchange->prompt();
+  query.excluded = &tried_;
+  query.work = spec_.work;
+  query.tie_breaker = context_.attempt.environment.Random();
+  return query;
 }
 
 void CallRunner::Send(const ReplicaRecord& replica, const proto::Route& route) {
+  tried_.push_back(replica.id);
+  route_idempotent_ = route.idempotent();
+  retry_.OnAttempt();
+  attempt_ = spec_.exchange->NewAttempt(context_.attempt, MakeAttemptRequest(replica, route),
+                                        MakeExchangeEvents());
+  attempt_->Start();
+}
+
+AttemptRequest CallRunner::MakeAttemptRequest(const ReplicaRecord& replica,
+                                              const proto::Route& route) {
   AttemptRequest request;
   request.endpoint = replica.endpoint;
   request.use = context_.attempt.pool.MakeUse(replica, spec_.work, spec_.exchange->prompt(),
@@ -162,6 +170,11 @@
     const auto self = weak.lock();
     return self != nullptr && self->CanSendNow(use);
   };
+  return request;
+}
+
+ExchangeEvents CallRunner::MakeExchangeEvents() {
+  const std::weak_ptr<CallRunner> weak = weak_from_this();
   ExchangeEvents events;
   events.on_passed_on = [weak] {
     if (const auto self = weak.lock()) {
@@ -173,11 +186,7 @@
       self->OnAttemptDone(result);
     }
   };
-  tried_.push_back(replica.id);
-  route_idempotent_ = route.idempotent();
-  retry_.OnAttempt();
-  attempt_ = spec_.exchange->NewAttempt(context_.attempt, std::move(request), std::move(events));
-  attempt_->Start();
+  return events;
 }
 
 bool CallRunner::CanSendNow(const ReplicaUse& use) const {
@@ -190,7 +199,7 @@
 
 void CallRunner::Wait() {
   if (spec_.work == WorkKind::kBatch) {
-    FinishWith("no_room", "no replica has room for batch work now", kShortRetryAfter);
+    FinishWith(CallFailure::kNoCapacity);
     return;
   }
   tried_.clear();
@@ -220,7 +229,7 @@
 
 void CallRunner::OnGivenUp(const RefusalNotice& notice) {
   wait_id_ = 0;
-  FinishWith(std::string(RefusalName(notice.refusal)),
+  FinishWith(RefusalName(notice.refusal),
              "too many calls for the replicas there are; come back later", notice.retry_after);
 }
 
@@ -263,13 +272,7 @@
       if (decision.action == RetryAction::kSendLater) {
         spec_.wait_until = spec_.deadline;  // The wait for room begins anew.
       }
-      timer_ =
-          context_.attempt.environment.ScheduleAfter(decision.backoff, [weak = weak_from_this()] {
-            if (const auto self = weak.lock()) {
-              self->timer_ = 0;
-              self->AttemptNow();
-            }
-          });
+      ScheduleAttempt(decision.backoff);
       return;
   }
 }
@@ -286,19 +289,34 @@
   Finish(std::move(refused));
 }
 
-void CallRunner::FinishWith(const std::string& code, const std::string& message,
-                            Duration retry_after) {
+void CallRunner::FinishWith(CallFailure failure) {
+  const CallFailureDetails details = DescribeCallFailure(failure);
+  CountAbandoned(details.code);
+  CallResult result = MakeFailedResult(details.code, details.message, details.retry_after);
+  if (failure == CallFailure::kUnknownRoute && retry_.executed() == proto::EXECUTED_NO) {
+    result.http_status = kHttpNotFound;
+  }
+  Finish(std::move(result));
+}
+
+void CallRunner::FinishWith(std::string_view code, std::string_view message, Duration retry_after) {
+  CountAbandoned(code);
+  Finish(MakeFailedResult(code, message, retry_after));
+}
+
+void CallRunner::CountAbandoned(std::string_view code) {
   context_.attempt.environment.metrics().Increment("gateway_calls_abandoned_total",
                                                    {{"reason", code}});
+}
+
+CallResult CallRunner::MakeFailedResult(std::string_view code, std::string_view message,
+                                        Duration retry_after) const {
   CallResult result;
   const proto::Executed executed = retry_.executed();
-  result.error.set_code(code);
-  result.error.set_message(message);
+  result.error.set_code(std::string(code));
+  result.error.set_message(std::string(message));
   result.error.set_executed(executed);
   result.http_status = HttpStatusOf(executed);
-  if (code == "unknown_route" && executed == proto::EXECUTED_NO) {
-    result.http_status = kHttpNotFound;
-  }
   if (executed == proto::EXECUTED_NO && retry_after > Duration::zero()) {
     // Up to half as long again, so that a refused crowd does not come back as one.
     const std::uint64_t half = ToMilliseconds(retry_after) / 2 + 1;
@@ -306,7 +324,7 @@
     result.error.set_retry_after_ms(ToMilliseconds(retry_after) +
                                     static_cast<std::uint32_t>(jitter));
   }
-  Finish(std::move(result));
+  return result;
 }
 
 void CallRunner::Finish(CallResult result) {
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -9,11 +9,14 @@
 
 #include <functional>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "admission/call_queue.h"
 #include "calls/call_exchange.h"
+#include "calls/call_failure.h"
 #include "calls/retry_policy.h"
 #include "calls/serving_right.h"
 
@@ -77,15 +80,24 @@
 
   void AttemptNow();
   Placement AttemptForward();
-  /// @return whether the call may still be forwarded; ends it if not.
-  bool CheckRights(const proto::Route** route);
+  /// @param route nullptr if the configuration no longer has it.
+  /// @return why the call can not be forwarded at all now, if so.
+  std::optional<CallFailure> FindObstacle(const proto::Route* route) const;
+  RoutingQuery MakeRoutingQuery(const proto::Route& route) const;
   void Send(const ReplicaRecord& replica, const proto::Route& route);
+  AttemptRequest MakeAttemptRequest(const ReplicaRecord& replica, const proto::Route& route);
+  ExchangeEvents MakeExchangeEvents();
   bool CanSendNow(const ReplicaUse& use) const;
   void Wait();
   void OnAttemptDone(const AttemptResult& result);
   void RetryOrFinish(const AttemptResult& result, const RetryDecision& decision);
   void FinishFailed(const AttemptResult& result);
-  void FinishWith(const std::string& code, const std::string& message, Duration retry_after);
+  void ScheduleAttempt(Duration delay);
+  void FinishWith(CallFailure failure);
+  void FinishWith(std::string_view code, std::string_view message, Duration retry_after);
+  void CountAbandoned(std::string_view code);
+  CallResult MakeFailedResult(std::string_view code, std::string_view message,
+                              Duration retry_after) const;
   void Finish(CallResult result);
   /// Whether the call may be carried out twice, as far as `route` says.
   bool Repeatable(const proto::Route& route) const;
