--- /dev/null
+++ b/src/calls/capacity_allowances.cc
@@ -0,0 +1,55 @@
+#include "calls/capacity_allowances.h"
+
+#include <algorithm>
+
+namespace cloverbank {
+
+CapacityAllowances::CapacityAllowances(Environment& environment, const Router& router,
+                                       const ReplicaHealth& health, const SharingOptions& options)
+    : environment_(environment),
+      router_(router),
+      health_(health),
+      slow_start_pacer_(options.initial_slow_start_quota, options.slow_start_quota_growth),
+      batch_pacer_(options.initial_batch_quota, options.batch_quota_growth) {}
+
+void CapacityAllowances::OnLoadReport(const ReplicaRecord& replica,
+                                      const proto::RoutingConfiguration& configuration,
+                                      ReplicaLoad& load) {
+  const TimePoint now = environment_.Now();
+  GrantBatch(replica, configuration, load, now);
+  if (health_.Ramping(replica.id, now)) {
+    GrantSlowStartCalls(replica, load, now);
+  }
+}
+
+void CapacityAllowances::GrantBatch(const ReplicaRecord& replica,
+                                    const proto::RoutingConfiguration& configuration,
+                                    ReplicaLoad& load, TimePoint now) {
+  const Router::BatchCapacityReserve headroom =
+      router_.CapacityReserveFor(replica, configuration, now);
+  if (load.own_batch() > 0 && load.total() > headroom.bound) {
+    batch_pacer_.OnCollision(now);
+  } else if (load.own_batch() > 0) {
+    batch_pacer_.OnSmoothReport();
+  }
+  load.SetBatchAllowance(batch_pacer_.Allowance(headroom.free, environment_.Random()), now);
+}
+
+void CapacityAllowances::GrantSlowStartCalls(const ReplicaRecord& replica, ReplicaLoad& load,
+                                             TimePoint now) {
+  const std::uint32_t limit = health_.LimitOf(replica.id, load.Capacity(replica.capacity), now);
+  if (load.own() > 0 && load.total() > limit) {
+    slow_start_pacer_.OnCollision(now);
+  } else if (load.own() > 0) {
+    slow_start_pacer_.OnSmoothReport();
+  }
+  const std::uint32_t free = limit - std::min(limit, load.total());
+  load.SetSlowStartAllowance(slow_start_pacer_.Allowance(free, environment_.Random()), now);
+}
+
+void CapacityAllowances::PublishMetrics() {
+  environment_.metrics().SetGauge("gateway_batch_quota_ratio", batch_pacer_.ratio());
+  environment_.metrics().SetGauge("gateway_slow_start_quota_ratio", slow_start_pacer_.ratio());
+}
+
+}  // namespace cloverbank
--- /dev/null
+++ b/src/calls/capacity_allowances.h
@@ -0,0 +1,41 @@
+#pragma once
+/// @file
+/// How much of a replica's free capacity this gateway may use until the replica's next load report:
+/// for batch work, and for live calls while the replica's health ramps up. The part that is used
+/// grows and shrinks as `RatePacer` says. Pure but for the random source.
+
+#include "calls/gateway_options.h"
+#include "replicas/rate_pacer.h"
+#include "replicas/replica_health.h"
+#include "replicas/replica_load.h"
+#include "routing/router.h"
+#include "runtime/environment.h"
+
+namespace cloverbank {
+
+class CapacityAllowances {
+ public:
+  /// All references outlive it.
+  CapacityAllowances(Environment& environment, const Router& router, const ReplicaHealth& health,
+                     const SharingOptions& options);
+
+  /// `replica` reported its load: grants what may start there until the next report.
+  void OnLoadReport(const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
+                    ReplicaLoad& load);
+  /// A replica refused batch work for lack of capacity.
+  void OnBatchRefused() { batch_pacer_.OnCollision(environment_.Now()); }
+  void PublishMetrics();
+
+ private:
+  void GrantBatch(const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
+                  ReplicaLoad& load, TimePoint now);
+  void GrantSlowStartCalls(const ReplicaRecord& replica, ReplicaLoad& load, TimePoint now);
+
+  Environment& environment_;
+  const Router& router_;
+  const ReplicaHealth& health_;
+  RatePacer slow_start_pacer_;
+  RatePacer batch_pacer_;
+};
+
+}  // namespace cloverbank
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -1,7 +1,6 @@
 #include "calls/replica_pool.h"
 
 #include <algorithm>
-#include <limits>
 #include <utility>
 
 #include "base/logging.h"
@@ -13,9 +12,6 @@
 constexpr Duration kEvaluationInterval = seconds(1);
 /// Between offers of room while calls are held back from cold replicas.
 constexpr Duration kSlowStartOfferInterval = milliseconds(20);
-/// Longer than a gateway takes to hear that its share has gone to another one.
-constexpr Duration kTakeOver = milliseconds(1500);
-constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
 RouterOptions OptionsOfRouter(const GatewayOptions& options) {
   RouterOptions router;
@@ -40,19 +36,18 @@
     : environment_(environment),
       right_(right),
       own_zone_(options.zone),
-      sharing_(options.sharing),
+      longest_start_delay_(options.sharing.longest_start_delay),
       health_(OptionsOfHealth(options)),
+      slow_start_(right, directory_, GatewayQuota{options.zone}),
       prefill_(options.prefill),
-      router_(OptionsOfRouter(options), directory_, health_, loads_, &slow_start_, &prefill_),
+      router_(OptionsOfRouter(options), directory_, health_, loads_, &slow_start_.slow_start(),
+              &prefill_),
       poller_(environment, client, options.replica_list,
               [this](const proto::ReplicaList& list) { return OnList(list); }),
       prober_(environment, client, options.probe,
               [this](const std::string& id, const std::string& instance_id, bool answered,
                      const HttpHeaders& headers) { OnProbe(id, instance_id, answered, headers); }),
-      slow_start_pacer_(options.sharing.initial_slow_start_quota,
-                        options.sharing.slow_start_quota_growth),
-      batch_pacer_(options.sharing.initial_batch_quota, options.sharing.batch_quota_growth),
-      quota_{options.zone},
+      allowances_(environment, router_, health_, options.sharing),
       probed_(options.probe.enabled) {}
 
 ReplicaPool::~ReplicaPool() {
@@ -70,13 +65,13 @@
 
 void ReplicaPool::OnConfiguration() {
   RefreshActive({});
-  UpdateSlowStartRates(Duration::zero());
+  slow_start_.OnConfiguration(environment_.Now());
 }
 
 RoutingChoice ReplicaPool::Choose(const RoutingQuery& query) {
   const TimePoint now = environment_.Now();
   const RoutingChoice choice = router_.Choose(query, now);
-  if (choice.replica == nullptr && slow_start_.AnyWarmingUp(now)) {
+  if (choice.replica == nullptr && slow_start_.slow_start().AnyWarmingUp(now)) {
     ScheduleCapacityOffer();
   }
   return choice;
@@ -93,38 +88,8 @@
 }
 
 void ReplicaPool::SetQuota(const GatewayQuota& quota) {
-  if (quota == quota_) {
-    return;
-  }
-  quota_ = quota;
-  router_.SetQuota(quota);
-  UpdateSlowStartRates(kTakeOver);
-}
-
-void ReplicaPool::UpdateSlowStartRates(Duration delay) {
-  slow_start_.ChangeRates(
-      [this](const std::string& id) {
-        const ReplicaRecord* record = directory_.Find(id);
-        return record == nullptr ? 0 : SlowStartRate(*record);
-      },
-      delay, environment_.Now());
-}
-
-double ReplicaPool::SlowStartRate(const ReplicaRecord& record) const {
-  const proto::Backend* backend = FindBackend(right_.configuration(), record.backend);
-  if (backend == nullptr) {
-    return 0;
-  }
-  const double bound = backend->cold_calls_per_second();
-  return bound > 0 ? quota_.RateOf(record.id, record.zone, bound) : kUnbounded;
-}
-
-void ReplicaPool::UpdateWarmUpTimes() {
-  const TimePoint now = environment_.Now();
-  for (const auto& [id, record] : directory_.records()) {
-    if (record.cold_left > Duration::zero()) {
-      slow_start_.SetWarmingUp(id, SlowStartRate(record), now + record.cold_left, now);
-    }
+  if (slow_start_.SetQuota(quota, environment_.Now())) {
+    router_.SetQuota(quota);
   }
 }
 
@@ -173,7 +138,7 @@
     }
   }
   loads_[use.id].OnStart(use.work);
-  slow_start_.OnStart(use.id, environment_.Now());
+  slow_start_.slow_start().OnStart(use.id, environment_.Now());
   health_.OnCallStarted(use.id, environment_.Now());
 }
 
@@ -185,11 +150,11 @@
     if (end == CallEnd::kRefused) {
       load->second.OnRefused(now);
       if (use.work == WorkKind::kBatch) {
-        batch_pacer_.OnCollision(now);
+        allowances_.OnBatchRefused();
       }
     }
-    if (load->second.own() == 0 && directory_.Find(use.id) == nullptr) {
-      loads_.erase(load);
+    if (directory_.Find(use.id) == nullptr) {
+      RemoveLoadIfUnused(use.id);
     }
   }
   // What an earlier life of the replica did says nothing of this one.
@@ -234,10 +199,7 @@
   }
   for (const std::string& id : change->removed) {
     prefill_.Remove(id);
-    const auto load = loads_.find(id);
-    if (load != loads_.end() && load->second.own() == 0) {
-      loads_.erase(load);
-    }
+    RemoveLoadIfUnused(id);
   }
   Log(LogLevel::kInfo, "replica_list_changed",
       {{"version", list.version()},
@@ -247,68 +209,58 @@
   for (const auto& [id, record] : directory_.records()) {
     prefill_.Watch(id, record.backend);
   }
-  UpdateWarmUpTimes();
+  slow_start_.OnList(environment_.Now());
   RefreshActive(change->warming_up);
   return Status::Ok();
 }
 
-void ReplicaPool::RefreshActive(const std::vector<std::string>& warming_up) {
-  const proto::RoutingConfiguration& configuration = right_.configuration();
-  std::set<std::string> active;
-  std::vector<std::string> fresh;
-  for (const auto& [id, record] : directory_.records()) {
-    const proto::Zone* zone = FindZone(configuration, record.zone);
-    if (!record.ready || zone == nullptr || zone->state() != proto::ZONE_STATE_OPEN) {
-      continue;
-    }
-    active.insert(id);
-    const bool is_warming_up =
-        std::find(warming_up.begin(), warming_up.end(), id) != warming_up.end();
-    if (is_warming_up || !active_.contains(id)) {
-      fresh.push_back(id);
-    }
+void ReplicaPool::RemoveLoadIfUnused(const std::string& id) {
+  const auto load = loads_.find(id);
+  if (load != loads_.end() && load->second.own() == 0) {
+    loads_.erase(load);
   }
-  for (const std::string& id : active_) {
-    if (!active.contains(id)) {
-      health_.Remove(id);
-      preexisting_.erase(id);
-    }
+}
+
+void ReplicaPool::RefreshActive(const std::vector<std::string>& restarted) {
+  const ActiveReplicas::Change change =
+      active_.Update(directory_, right_.configuration(), restarted);
+  ResetHealth(change);
+  if (probed_) {
+    UpdateProbeTargets(change.added);
   }
-  active_ = std::move(active);
-  StartWatching(fresh);
 }
 
-void ReplicaPool::StartWatching(const std::vector<std::string>& fresh) {
-  for (const std::string& id : fresh) {
+void ReplicaPool::ResetHealth(const ActiveReplicas::Change& change) {
+  for (const std::string& id : change.removed) {
+    health_.Remove(id);
+  }
+  for (const std::string& id : change.added) {
     Duration delay{};
-    if (activated_) {
-      preexisting_.erase(id);
-      const auto longest = static_cast<std::uint64_t>(sharing_.longest_start_delay.count());
+    if (!change.initial) {
+      const auto longest = static_cast<std::uint64_t>(longest_start_delay_.count());
       delay = Duration(static_cast<std::int64_t>(environment_.Random() % (longest + 1)));
-    } else {
-      preexisting_.insert(id);
     }
     health_.Reset(id, directory_.Find(id)->backend, delay);
   }
-  activated_ = activated_ || !active_.empty();
-  std::vector<std::string> nearest_first = fresh;
+}
+
+void ReplicaPool::UpdateProbeTargets(const std::vector<std::string>& added) {
+  std::vector<std::string> nearest_first = added;
   std::stable_partition(nearest_first.begin(), nearest_first.end(), [this](const std::string& id) {
     return directory_.Find(id)->zone == own_zone_;
   });
   std::vector<ReplicaProber::Target> targets;
-  targets.reserve(active_.size());
-  for (const std::string& id : active_) {
+  targets.reserve(active_.ids().size());
+  for (const std::string& id : active_.ids()) {
     const ReplicaRecord* record = directory_.Find(id);
     targets.push_back({id, record->endpoint, record->instance_id});
   }
-  if (probed_) {
-    prober_.SetTargets(targets, nearest_first);
-  }
+  prober_.SetTargets(targets, nearest_first);
 }
 
 void ReplicaPool::OnProbe(const std::string& id, const std::string& instance_id, bool answered,
                           const HttpHeaders& headers) {
-  if (!active_.contains(id) || !IsCurrent(id, instance_id)) {
+  if (!active_.Contains(id) || !IsCurrent(id, instance_id)) {
     return;
   }
   const TimePoint now = environment_.Now();
@@ -318,7 +270,7 @@
     others = loads_[id].others();
   }
   // A replica that was there before this gateway, and serves others, is not cold.
-  const bool preexisting = answered && preexisting_.erase(id) > 0;
+  const bool preexisting = answered && active_.ConsumePreexisting(id);
   health_.OnProbe(id, answered, preexisting && others > 0, now);
   if (others > 0) {
     health_.OnWorkSeen(id, now);
@@ -345,36 +297,7 @@
 }
 
 void ReplicaPool::GrantAllowances(const std::string& id) {
-  const TimePoint now = environment_.Now();
-  const ReplicaRecord* record = directory_.Find(id);
-  ReplicaLoad& load = loads_[id];
-  GrantBatch(*record, load, now);
-  if (health_.Ramping(id, now)) {
-    GrantSlowStartCalls(*record, load, now);
-  }
-}
-
-void ReplicaPool::GrantBatch(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now) {
-  const Router::BatchCapacityReserve headroom =
-      router_.CapacityReserveFor(record, right_.configuration(), now);
-  if (load.own_batch() > 0 && load.total() > headroom.bound) {
-    batch_pacer_.OnCollision(now);
-  } else if (load.own_batch() > 0) {
-    batch_pacer_.OnSmoothReport();
-  }
-  load.SetBatchAllowance(batch_pacer_.Allowance(headroom.free, environment_.Random()), now);
-}
-
-void ReplicaPool::GrantSlowStartCalls(const ReplicaRecord& record, ReplicaLoad& load,
-                                      TimePoint now) {
-  const std::uint32_t limit = health_.LimitOf(record.id, load.Capacity(record.capacity), now);
-  if (load.own() > 0 && load.total() > limit) {
-    slow_start_pacer_.OnCollision(now);
-  } else if (load.own() > 0) {
-    slow_start_pacer_.OnSmoothReport();
-  }
-  const std::uint32_t room = limit - std::min(limit, load.total());
-  load.SetSlowStartAllowance(slow_start_pacer_.Allowance(room, environment_.Random()), now);
+  allowances_.OnLoadReport(*directory_.Find(id), right_.configuration(), loads_[id]);
 }
 
 void ReplicaPool::EvaluateHealth() {
@@ -385,18 +308,18 @@
 
 void ReplicaPool::PublishMetrics() {
   std::uint32_t usable = 0;
-  for (const std::string& id : active_) {
+  for (const std::string& id : active_.ids()) {
     const bool yes = health_.UsabilityOf(id, environment_.Now()) == Usability::kYes;
     usable += yes ? 1 : 0;
   }
   Metrics& metrics = environment_.metrics();
   metrics.SetGauge("gateway_replicas", usable, {{"state", "usable"}});
-  metrics.SetGauge("gateway_replicas", static_cast<double>(active_.size()), {{"state", "active"}});
+  metrics.SetGauge("gateway_replicas", static_cast<double>(active_.ids().size()),
+                   {{"state", "active"}});
   metrics.SetGauge("gateway_replicas", static_cast<double>(directory_.records().size()),
                    {{"state", "listed"}});
   metrics.SetGauge("gateway_replica_list_usable", list_usable() ? 1 : 0);
-  metrics.SetGauge("gateway_batch_quota_ratio", batch_pacer_.ratio());
-  metrics.SetGauge("gateway_slow_start_quota_ratio", slow_start_pacer_.ratio());
+  allowances_.PublishMetrics();
 }
 
 }  // namespace cloverbank
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -6,20 +6,20 @@
 
 #include <functional>
 #include <memory>
-#include <set>
 #include <string>
 #include <vector>
 
+#include "calls/active_replicas.h"
+#include "calls/capacity_allowances.h"
 #include "calls/gateway_options.h"
 #include "calls/serving_right.h"
+#include "calls/slow_start_quota.h"
 #include "net/http_types.h"
-#include "replicas/rate_pacer.h"
 #include "replicas/replica_directory.h"
 #include "replicas/replica_health.h"
 #include "replicas/replica_list_poller.h"
 #include "replicas/replica_load.h"
 #include "replicas/replica_prober.h"
-#include "replicas/slow_start.h"
 #include "routing/router.h"
 #include "runtime/environment.h"
 
@@ -90,20 +90,16 @@
   Status OnList(const proto::ReplicaList& list);
   void OnProbe(const std::string& id, const std::string& instance_id, bool answered,
                const HttpHeaders& headers);
-  /// Works out who is to be probed and watched now; `cold` ones begin anew.
-  void RefreshActive(const std::vector<std::string>& warming_up);
-  void StartWatching(const std::vector<std::string>& fresh);
+  /// @param restarted replicas that began a new incarnation.
+  void RefreshActive(const std::vector<std::string>& restarted);
+  void ResetHealth(const ActiveReplicas::Change& change);
+  /// @param added health checks of these come first.
+  void UpdateProbeTargets(const std::vector<std::string>& added);
+  void RemoveLoadIfUnused(const std::string& id);
   bool IsCurrent(const std::string& id, const std::string& instance_id) const;
   void HandleReport(const std::string& id, const HttpHeaders& headers);
-  /// Works out how much of a replica's room this gateway may take until the next report.
+  /// Grants what this gateway may send to a replica until its next report.
   void GrantAllowances(const std::string& id);
-  void GrantBatch(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now);
-  void GrantSlowStartCalls(const ReplicaRecord& record, ReplicaLoad& load, TimePoint now);
-  void UpdateWarmUpTimes();
-  /// @param delay before calls begin where there were none before.
-  void UpdateSlowStartRates(Duration delay);
-  /// @return how many calls a second this gateway may send to a cold replica.
-  double SlowStartRate(const ReplicaRecord& record) const;
   /// Offers room again soon: time alone gives some while replicas are cold.
   void ScheduleCapacityOffer();
   void EvaluateHealth();
@@ -117,25 +113,21 @@
   Environment& environment_;
   const ServingRight& right_;
   const std::string own_zone_;
-  const SharingOptions sharing_;
+  const Duration longest_start_delay_;
   ReplicaDirectory directory_;
   ReplicaHealth health_;
   LoadTable loads_;
-  SlowStart slow_start_;
+  SlowStartQuota slow_start_;
   PrefillLoad prefill_;
   Router router_;
   ReplicaListPoller poller_;
   ReplicaProber prober_;
-  RatePacer slow_start_pacer_;
-  RatePacer batch_pacer_;
-  std::set<std::string> active_;       ///< Ready, in an open zone: watched and probed.
-  std::set<std::string> preexisting_;  ///< Not probed yet, and listed before this gateway started.
-  bool activated_ = false;             ///< Whether a list and a configuration were there together.
+  CapacityAllowances allowances_;
+  ActiveReplicas active_;
   std::function<void()> on_capacity_;
   PromptObserver on_prompt_;
   TimerId evaluation_timer_ = 0;
   TimerId capacity_timer_ = 0;
-  GatewayQuota quota_;
   const bool probed_;
   std::shared_ptr<const void> lifetime_ = std::make_shared<int>(0);
 };
--- /dev/null
+++ b/src/calls/slow_start_quota.cc
@@ -0,0 +1,51 @@
+#include "calls/slow_start_quota.h"
+
+#include <limits>
+
+#include "routing/route_match.h"
+
+namespace cloverbank {
+namespace {
+
+/// Longer than a gateway takes to learn that its part of a rate has gone to another one.
+constexpr Duration kTakeOverDelay = milliseconds(1500);
+constexpr double kUnbounded = std::numeric_limits<double>::infinity();
+
+}  // namespace
+
+bool SlowStartQuota::SetQuota(const GatewayQuota& quota, TimePoint now) {
+  if (quota == quota_) {
+    return false;
+  }
+  quota_ = quota;
+  UpdateRates(kTakeOverDelay, now);
+  return true;
+}
+
+void SlowStartQuota::OnList(TimePoint now) {
+  for (const auto& [id, record] : directory_.records()) {
+    if (record.cold_left > Duration::zero()) {
+      slow_start_.SetWarmingUp(id, RateFor(record), now + record.cold_left, now);
+    }
+  }
+}
+
+void SlowStartQuota::UpdateRates(Duration delay, TimePoint now) {
+  slow_start_.ChangeRates(
+      [this](const std::string& id) {
+        const ReplicaRecord* record = directory_.Find(id);
+        return record == nullptr ? 0 : RateFor(*record);
+      },
+      delay, now);
+}
+
+double SlowStartQuota::RateFor(const ReplicaRecord& record) const {
+  const proto::Backend* backend = FindBackend(right_.configuration(), record.backend);
+  if (backend == nullptr) {
+    return 0;
+  }
+  const double bound = backend->cold_calls_per_second();
+  return bound > 0 ? quota_.RateOf(record.id, record.zone, bound) : kUnbounded;
+}
+
+}  // namespace cloverbank
