--- /dev/null
+++ b/src/gateway/client_call.h
@@ -0,0 +1,66 @@
+#pragma once
+/// @file
+/// What live calls of both HTTP interfaces have in common: runs the call, writes a stream to the
+/// client under back-pressure, ends the call when the client disconnects, and counts its outcome.
+/// Threads: the owner's event loop only.
+
+#include <functional>
+#include <memory>
+#include <string>
+
+#include "calls/call_runner.h"
+#include "net/http_types.h"
+
+namespace cloverbank {
+
+class ClientCall : public std::enable_shared_from_this<ClientCall> {
+ public:
+  /// Runs once, after the response was sent or the client disconnected.
+  using FinishedHandler = std::function<void()>;
+
+  ClientCall(const ClientCall&) = delete;
+  ClientCall& operator=(const ClientCall&) = delete;
+
+ protected:
+  ClientCall(const CallContext& context, std::shared_ptr<HttpResponder> responder,
+             FinishedHandler on_finished);
+  virtual ~ClientCall() = default;
+
+  /// The call ended at its replica; it may have been kept running for a client that disconnected.
+  virtual void OnDone(const CallResult& result) = 0;
+  /// The client disconnected while the call was running. Runs at most once.
+  virtual void OnClientDisconnected() = 0;
+
+  /// Starts the call.
+  void Run(CallSpec spec);
+  /// Withdraws the call. @return whether it may have been carried out so far.
+  proto::Executed CancelRunner() { return runner_->Cancel(); }
+  void StartStream(int status, HttpHeaders headers);
+  /// @param more runs when the client's socket has taken `bytes`, so that the replica is read no
+  /// faster than the client reads.
+  void WriteChunk(std::string bytes, std::function<void()> more);
+  void RecordOutcome(const std::string& outcome);
+  void Finish();
+
+  HttpResponder& responder() { return *responder_; }
+  const CallContext& context() const { return context_; }
+  Environment& environment() { return context_.attempt.environment; }
+  const std::string& route() const { return route_; }
+  TimePoint started_at() const { return started_at_; }
+  bool stream_started() const { return stream_started_; }
+  bool client_disconnected() const { return client_disconnected_; }
+
+ private:
+  void HandleDisconnect();
+
+  CallContext context_;
+  std::shared_ptr<HttpResponder> responder_;
+  FinishedHandler on_finished_;
+  std::shared_ptr<CallRunner> runner_;
+  std::string route_;
+  TimePoint started_at_;
+  bool stream_started_ = false;
+  bool client_disconnected_ = false;
+};
+
+}  // namespace cloverbank
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -74,20 +74,16 @@
 }
 
 LiveCall::LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder,
-                   Options options, IdempotencyCache& kept, OverHandler over)
-    : context_(context),
-      responder_(std::move(responder)),
+                   Options options, IdempotencyCache& kept, FinishedHandler on_finished)
+    : ClientCall(context, std::move(responder), std::move(on_finished)),
       options_(std::move(options)),
-      kept_(kept),
-      over_(std::move(over)) {}
+      kept_(kept) {}
 
 void LiveCall::Start(CallSpec spec, proto::CallRequest body) {
-  started_at_ = context_.attempt.environment.Now();
   call_id_ = body.call_id();
-  route_ = spec.route;
-  const std::weak_ptr<LiveCall> weak = weak_from_this();
   JsonExchange::ChunkHandler on_chunk;
   if (options_.stream) {
+    const std::weak_ptr<LiveCall> weak = std::static_pointer_cast<LiveCall>(shared_from_this());
     on_chunk = [weak](const proto::StreamChunk& chunk, std::function<void()> more) {
       if (const auto self = weak.lock()) {
         self->OnChunk(chunk, std::move(more));
@@ -96,50 +92,17 @@
   }
   exchange_ = std::make_shared<JsonExchange>(std::move(body), std::move(on_chunk));
   spec.exchange = exchange_;
-  responder_->OnDisconnect([weak] {
-    if (const auto self = weak.lock()) {
-      self->OnClientDisconnected();
-    }
-  });
-  runner_ =
-      std::make_shared<CallRunner>(context_, std::move(spec), [weak](const CallResult& result) {
-        if (const auto self = weak.lock()) {
-          self->OnDone(result);
-        }
-      });
-  runner_->Start();
-}
-
-void LiveCall::TakeAnswer(const CallResult& result) {
-  if (result.succeeded) {
-    answer_ = exchange_->TakeAnswer();
-  }
+  Run(std::move(spec));
 }
 
 void LiveCall::OnChunk(const proto::StreamChunk& chunk, std::function<void()> more) {
-  if (!stream_started_) {
-    stream_started_ = true;
-    const Duration waited = context_.attempt.environment.Now() - started_at_;
-    context_.attempt.environment.metrics().ObserveSeconds(
-        "gateway_first_chunk_seconds", std::chrono::duration<double>(waited).count());
-    responder_->StartStream(kHttpOk, StreamHeaders(call_id_));
+  if (!stream_started()) {
+    StartStream(kHttpOk, StreamHeaders(call_id_));
   }
   run_id_ = chunk.run_id();
   next_sequence_ = chunk.sequence() + 1;
   CollectChunk(chunk);
-  // The replica is read on only when the caller's socket has taken the piece.
-  responder_->WriteChunk(ToLine(chunk),
-                         [weak = weak_from_this(), more = std::move(more)](bool alive) {
-                           const auto self = weak.lock();
-                           if (self == nullptr) {
-                             return;
-                           }
-                           if (alive) {
-                             more();
-                           } else {
-                             self->OnClientDisconnected();
-                           }
-                         });
+  WriteChunk(ToLine(chunk), std::move(more));
 }
 
 void LiveCall::CollectChunk(const proto::StreamChunk& chunk) {
@@ -152,35 +115,30 @@
 }
 
 void LiveCall::OnDone(const CallResult& result) {
-  TakeAnswer(result);
+  if (result.succeeded) {
+    answer_ = exchange_->TakeAnswer();
+  }
   Remember(result);
-  Count(result);
-  if (client_disconnected_) {
-    Over();
-    return;
+  RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
+  if (!client_disconnected()) {
+    SendResult(result);
   }
-  if (options_.stream && (stream_started_ || result.succeeded)) {
+  Finish();
+}
+
+void LiveCall::SendResult(const CallResult& result) {
+  if (options_.stream && (stream_started() || result.succeeded)) {
     FinishStream(result);
   } else if (result.succeeded) {
-    SendAnswer(*responder_, answer_);
+    SendAnswer(responder(), answer_);
   } else {
-    SendError(*responder_, result.http_status, result.error);
+    SendError(responder(), result.http_status, result.error);
   }
-  Over();
-}
-
-void LiveCall::Count(const CallResult& result) {
-  const Duration time = context_.attempt.environment.Now() - started_at_;
-  const std::string outcome = result.succeeded ? "succeeded" : result.error.code();
-  Metrics& metrics = context_.attempt.environment.metrics();
-  metrics.Increment("gateway_calls_total", {{"route", route_}, {"outcome", outcome}});
-  metrics.ObserveSeconds("gateway_call_seconds", std::chrono::duration<double>(time).count(),
-                         {{"route", route_}});
 }
 
 void LiveCall::FinishStream(const CallResult& result) {
-  if (!stream_started_) {  // A service's whole answer to a caller that asked for a stream.
-    SendAsStream(*responder_, answer_);
+  if (!stream_started()) {  // A service's whole answer to a caller that asked for a stream.
+    SendAsStream(responder(), answer_);
     return;
   }
   if (!result.succeeded) {
@@ -189,21 +147,16 @@
     last.set_call_id(call_id_);
     last.set_sequence(next_sequence_);
     *last.mutable_error() = result.error;
-    responder_->WriteChunk(ToLine(last), [](bool) {});
+    responder().WriteChunk(ToLine(last), [](bool) {});
   }
-  responder_->FinishStream();
+  responder().FinishStream();
 }
 
 void LiveCall::OnClientDisconnected() {
-  if (client_disconnected_ || runner_ == nullptr) {
-    return;
-  }
-  client_disconnected_ = true;
-  context_.attempt.environment.metrics().Increment("gateway_client_disconnects_total");
   if (!options_.idempotency_key.empty() && !options_.stream) {
     return;  // The caller may come back for the answer under the same key.
   }
-  const proto::Executed executed = runner_->Cancel();
+  const proto::Executed executed = CancelRunner();
   CallResult left;
   left.error.set_code("caller_left");
   left.error.set_message("the first request under this key was withdrawn by its caller");
@@ -211,7 +164,7 @@
   left.error.set_call_id(call_id_);
   left.http_status = HttpStatusOf(executed);
   Remember(left);
-  Over();
+  Finish();
 }
 
 void LiveCall::Remember(const CallResult& result) {
@@ -223,19 +176,12 @@
     kept_.Forget(options_.idempotency_key, kept);
     return;
   }
-  if (result.succeeded && stream_started_) {
+  if (result.succeeded && stream_started()) {
     kept.answer = streamed_;
     kept.answer.set_call_id(call_id_);
     kept.text_kept = collecting_;
   }
-  kept_.Store(options_.idempotency_key, std::move(kept), context_.attempt.environment.Now());
-}
-
-void LiveCall::Over() {
-  runner_ = nullptr;
-  if (const OverHandler over = std::exchange(over_, nullptr)) {
-    over();
-  }
+  kept_.Store(options_.idempotency_key, std::move(kept), environment().Now());
 }
 
 }  // namespace cloverbank
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -10,6 +10,7 @@
 #include "calls/call_runner.h"
 #include "calls/idempotency_cache.h"
 #include "calls/json_exchange.h"
+#include "gateway/client_call.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
@@ -19,49 +20,39 @@
 /// @return what is kept of a finished call. @param answer of one that succeeded.
 CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer);
 
-class LiveCall : public std::enable_shared_from_this<LiveCall> {
+class LiveCall final : public ClientCall {
  public:
   struct Options {
     bool stream = false;
     std::string idempotency_key;  ///< Full cache key; empty if the caller named none.
   };
-  /// Runs once, after the caller was answered or left.
-  using OverHandler = std::function<void()>;
 
   LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder, Options options,
-           IdempotencyCache& kept, OverHandler over);
+           IdempotencyCache& kept, FinishedHandler on_finished);
 
   /// @param spec lacks its exchange, which is made of `body`.
   void Start(CallSpec spec, proto::CallRequest body);
 
  private:
+  // ClientCall
+  void OnDone(const CallResult& result) override;
+  void OnClientDisconnected() override;
+
   void OnChunk(const proto::StreamChunk& chunk, std::function<void()> more);
-  void OnDone(const CallResult& result);
+  void CollectChunk(const proto::StreamChunk& chunk);
+  void SendResult(const CallResult& result);
   void FinishStream(const CallResult& result);
-  void OnClientDisconnected();
-  void Count(const CallResult& result);
   void Remember(const CallResult& result);
-  void TakeAnswer(const CallResult& result);
-  void CollectChunk(const proto::StreamChunk& chunk);
-  void Over();
 
-  CallContext context_;
-  std::shared_ptr<HttpResponder> responder_;
   Options options_;
   IdempotencyCache& kept_;
-  OverHandler over_;
   std::shared_ptr<JsonExchange> exchange_;
-  std::shared_ptr<CallRunner> runner_;
   proto::CallAnswer answer_;  ///< Of a call that succeeded.
   std::string call_id_;
-  std::string route_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
   proto::CallAnswer streamed_;  ///< Text that went out, as far as it may be kept.
   bool collecting_ = true;
-  bool stream_started_ = false;
-  bool client_disconnected_ = false;
-  TimePoint started_at_;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -38,7 +38,6 @@
   std::size_t calls_under_way() const { return calls_.size(); }
 
  private:
-  friend class LiveCall;
   using Responder = std::shared_ptr<HttpResponder>;
 
   void Handle(const HttpRequest& request, const Responder& responder);
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -52,103 +52,56 @@
   responder.Send(std::move(response));
 }
 
-LiveForward::LiveForward(const CallContext& context, std::shared_ptr<HttpResponder> responder,
-                         std::function<void()> over)
-    : context_(context), responder_(std::move(responder)), over_(std::move(over)) {}
-
 void LiveForward::Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names) {
-  started_at_ = context_.attempt.environment.Now();
-  route_ = spec.route;
-  timing_.emplace(AnswerTargets{call.target, call.longest_pause}, started_at_);
+  timing_.emplace(AnswerTargets{call.target, call.longest_pause}, started_at());
   exchange_ = std::make_shared<ForwardExchange>(std::move(call), names, *this);
   spec.exchange = exchange_;
-  const std::weak_ptr<LiveForward> weak = weak_from_this();
-  responder_->OnDisconnect([weak] {
-    if (const auto self = weak.lock()) {
-      self->OnClientDisconnected();
-    }
-  });
-  runner_ =
-      std::make_shared<CallRunner>(context_, std::move(spec), [weak](const CallResult& result) {
-        if (const auto self = weak.lock()) {
-          self->OnDone(result);
-        }
-      });
-  runner_->Start();
+  Run(std::move(spec));
 }
 
 void LiveForward::OnComplete(HttpResponse response) {
-  answered_ = true;
-  timing_->OnComplete(context_.attempt.environment.Now());
-  responder_->Send(std::move(response));
+  timing_->OnComplete(environment().Now());
+  responder().Send(std::move(response));
 }
 
 void LiveForward::OnStreamHead(int status, HttpHeaders headers) {
-  stream_started_ = true;
-  const Duration waited = context_.attempt.environment.Now() - started_at_;
-  context_.attempt.environment.metrics().ObserveSeconds(
-      "gateway_first_chunk_seconds", std::chrono::duration<double>(waited).count());
-  responder_->StartStream(status, std::move(headers));
+  StartStream(status, std::move(headers));
 }
 
 void LiveForward::OnEvent(StreamEvent event, std::function<void()> more) {
-  timing_->OnEvent(context_.attempt.environment.Now());
-  // The replica is read on only when the caller's socket has taken the event.
-  responder_->WriteChunk(std::move(event.bytes),
-                         [weak = weak_from_this(), more = std::move(more)](bool alive) {
-                           const auto self = weak.lock();
-                           if (self == nullptr) {
-                             return;
-                           }
-                           if (alive) {
-                             more();
-                           } else {
-                             self->OnClientDisconnected();
-                           }
-                         });
+  timing_->OnEvent(environment().Now());
+  WriteChunk(std::move(event.bytes), std::move(more));
 }
 
 void LiveForward::OnDone(const CallResult& result) {
-  Count(result.succeeded ? "succeeded" : result.error.code());
+  RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
+  RecordLateness();
   if (!result.succeeded) {
     AnswerFailure(result);
-  } else if (stream_started_) {
-    responder_->FinishStream();
+  } else if (stream_started()) {
+    responder().FinishStream();
   }
-  Over();
+  Finish();
 }
 
 void LiveForward::AnswerFailure(const CallResult& result) {
-  if (stream_started_) {
-    responder_->Abort();  // Must not look whole.
+  if (stream_started()) {
+    responder().Abort();  // Must not look whole.
     return;
   }
   const std::optional<HttpResponse>& failure = exchange_->failure();
   if (failure && !PromisesNotRun(failure->status)) {
-    responder_->Send(*failure);
+    responder().Send(*failure);
     return;
   }
-  SendRefusal(*responder_, result.http_status, result.error);
+  SendRefusal(responder(), result.http_status, result.error);
 }
 
 void LiveForward::OnClientDisconnected() {
-  if (client_disconnected_ || runner_ == nullptr) {
-    return;
-  }
-  client_disconnected_ = true;
-  context_.attempt.environment.metrics().Increment("gateway_client_disconnects_total");
-  (void)runner_->Cancel();
-  Count("caller_left");
-  Over();
-}
-
-void LiveForward::Count(const std::string& outcome) {
-  const Duration time = context_.attempt.environment.Now() - started_at_;
-  Metrics& metrics = context_.attempt.environment.metrics();
-  metrics.Increment("gateway_calls_total", {{"route", route_}, {"outcome", outcome}});
-  metrics.ObserveSeconds("gateway_call_seconds", std::chrono::duration<double>(time).count(),
-                         {{"route", route_}});
+  (void)CancelRunner();
+  RecordOutcome("caller_left");
   RecordLateness();
+  Finish();
 }
 
 void LiveForward::RecordLateness() {
@@ -157,10 +110,10 @@
     return;
   }
   const std::string cause(LatenessName(lateness));
-  context_.attempt.environment.metrics().Increment("gateway_late_responses_total",
-                                                   {{"route", route_}, {"cause", cause}});
+  environment().metrics().Increment("gateway_late_responses_total",
+                                    {{"route", route()}, {"cause", cause}});
   Log(LogLevel::kInfo, "response_late",
-      {{"route", route_},
+      {{"route", route()},
        {"call_id", exchange_->call_id()},
        {"cause", cause},
        {"target_ms", ToMilliseconds(exchange_->call().target)},
@@ -172,11 +125,4 @@
        {"replica", exchange_->last_replica()}});
 }
 
-void LiveForward::Over() {
-  runner_ = nullptr;
-  if (const auto over = std::exchange(over_, nullptr)) {
-    over();
-  }
-}
-
 }  // namespace cloverbank
