--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -11,10 +11,6 @@
 namespace cloverbank {
 namespace {
 
-Endpoint PeerEndpointOf(const proto::Server& server) {
-  return {server.peer_endpoint().host(), static_cast<std::uint16_t>(server.peer_endpoint().port())};
-}
-
 std::uint32_t ToMilliseconds(Duration duration) {
   return static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(duration).count());
 }
@@ -40,15 +36,6 @@
 
 }  // namespace
 
-template <typename Action>
-auto BatchWorker::Guarded(Action action) {
-  return [token = std::weak_ptr<bool>(alive_), action = std::move(action)](auto&&... arguments) {
-    if (!token.expired()) {
-      action(std::forward<decltype(arguments)>(arguments)...);
-    }
-  };
-}
-
 BatchWorker::BatchWorker(Environment& environment, NodeAgent& agent, BackendCaller& caller,
                          BatchWorkerOptions options)
     : environment_(environment),
@@ -56,7 +43,10 @@
       caller_(caller),
       options_(options),
       work_items_(options.limits),
-      offers_(options.offers) {}
+      offers_(options.offers),
+      reporter_(environment, agent, work_items_,
+                {options.renewal, options.report_deadline, options.retry_delay},
+                {[this](WorkLeaseId lease) { EndLease(lease); }, [this] { RequestRun(); }}) {}
 
 BatchWorker::~BatchWorker() {
   environment_.CancelTimer(tick_timer_);
@@ -66,8 +56,8 @@
 }
 
 void BatchWorker::Start() {
-  agent_.OnFleet(Guarded([this] { RequestRun(); }));
-  agent_.OnConfiguration(Guarded([this] { RequestRun(); }));
+  agent_.OnFleet(lifetime_.Wrap([this] { RequestRun(); }));
+  agent_.OnConfiguration(lifetime_.Wrap([this] { RequestRun(); }));
   Run();
 }
 
@@ -76,19 +66,19 @@
     return;
   }
   run_requested_ = true;
-  environment_.ScheduleAfter(Duration::zero(), Guarded([this] { Run(); }));
+  environment_.ScheduleAfter(Duration::zero(), lifetime_.Wrap([this] { Run(); }));
 }
 
 void BatchWorker::Run() {
   run_requested_ = false;
   environment_.CancelTimer(tick_timer_);
   StartWaiting();
-  SendReports();
+  reporter_.SendDue();
   Acquire();
   environment_.metrics().SetGauge("batch_worker_pending_items", static_cast<double>(held()));
   environment_.metrics().SetGauge("batch_worker_unreported_results",
                                   static_cast<double>(unreported()));
-  tick_timer_ = environment_.ScheduleAfter(options_.tick, Guarded([this] { Run(); }));
+  tick_timer_ = environment_.ScheduleAfter(options_.tick, lifetime_.Wrap([this] { Run(); }));
 }
 
 StartConditions BatchWorker::Conditions() const {
@@ -102,25 +92,30 @@
   }
   BatchCapacity free = FreeCapacity();
   for (const WorkLeaseId lease : waiting) {
-    const StartConditions conditions = Conditions();
-    StartRefusal refusal = work_items_.CanStart(lease, conditions);
+    StartOrRefuse(lease, &free);
+  }
+}
+
+void BatchWorker::StartOrRefuse(WorkLeaseId lease, BatchCapacity* free) {
+  const StartConditions conditions = Conditions();
+  StartRefusal refusal = work_items_.CanStart(lease, conditions);
+  if (refusal == StartRefusal::kNone) {
     const proto::Route* route =
         FindRouteNamed(agent_.configuration(), work_items_.FindGrant(lease)->route());
-    if (refusal == StartRefusal::kNone && free[route->backend()] == 0) {
-      if (conditions.now - work_items_.ArrivedAt(lease) < options_.grant_patience) {
-        continue;
-      }
-      refusal = StartRefusal::kNoCapacity;
-    }
-    if (refusal == StartRefusal::kNone) {
-      --free[route->backend()];
+    std::uint32_t& slots = (*free)[route->backend()];
+    if (slots > 0) {
+      --slots;
       StartItem(lease, *route);
-      continue;
+      return;
     }
-    environment_.metrics().Increment("batch_item_not_started_total",
-                                     {{"reason", StartRefusalName(refusal)}});
-    work_items_.Refuse(lease, refusal);
+    if (conditions.now - work_items_.ArrivedAt(lease) < options_.grant_patience) {
+      return;
+    }
+    refusal = StartRefusal::kNoCapacity;
   }
+  environment_.metrics().Increment("batch_item_not_started_total",
+                                   {{"reason", StartRefusalName(refusal)}});
+  work_items_.Refuse(lease, refusal);
 }
 
 void BatchWorker::StartItem(WorkLeaseId lease, const proto::Route& route) {
@@ -134,10 +129,8 @@
   environment_.metrics().Increment("batch_items_started_total");
   calls_[lease] = caller_.RunBatchItem(
       granted_route, MakeCallRequest(grant), deadline,
-      [this, lease, token = std::weak_ptr<bool>(alive_)] {
-        return !token.expired() && CanDispatch(lease);
-      },
-      Guarded([this, lease, backend = route.backend()](const BackendOutcome& outcome) {
+      [this, lease, token = lifetime_.token()] { return !token.expired() && CanDispatch(lease); },
+      lifetime_.Wrap([this, lease, backend = route.backend()](const BackendOutcome& outcome) {
         FinishItem(lease, backend, outcome);
       }));
 }
@@ -176,8 +169,7 @@
   }
   BatchCapacity free;
   for (const proto::Route& route : agent_.configuration().routes()) {
-    const auto paused = paused_backends_.find(route.backend());
-    if (paused != paused_backends_.end() && environment_.Now() < paused->second) {
+    if (IsPaused(route.backend())) {
       free[route.backend()] = 0;
     }
     if (!free.contains(route.backend())) {
@@ -188,15 +180,10 @@
   return free;
 }
 
-NodeId BatchWorker::OwnerOf(PartitionId partition) const {
-  const proto::Server* owner = agent_.fleet().OwnerOf(partition);
-  return owner == nullptr ? NodeId() : NodeId(owner->node_id());
-}
-
 std::vector<NodeId> BatchWorker::OwningNodes() const {
   std::set<NodeId> nodes;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
-    const NodeId owner = OwnerOf(id);
+    const NodeId owner = FindPartitionOwner(agent_, id);
     if (owner.valid()) {
       nodes.insert(owner);
     }
@@ -204,12 +191,12 @@
   return {nodes.begin(), nodes.end()};
 }
 
-void BatchWorker::Acquire() {
-  const bool willing = !draining_ && agent_.LeaseValid() && !work_items_.Full() &&
-                       !agent_.configuration().batch().paused();
-  if (!willing) {
-    return;
-  }
+bool BatchWorker::IsPaused(const std::string& backend) const {
+  const auto paused = paused_backends_.find(backend);
+  return paused != paused_backends_.end() && environment_.Now() < paused->second;
+}
+
+BatchCapacity BatchWorker::UnclaimedCapacity() const {
   BatchCapacity free = FreeCapacity();
   for (const WorkLeaseId lease : work_items_.Waiting()) {
     const proto::Route* route =
@@ -218,7 +205,20 @@
       --free[route->backend()];
     }
   }
-  for (const WorkOffer& offer : offers_.Next(environment_.Now(), OwningNodes(), free)) {
+  return free;
+}
+
+bool BatchWorker::ShouldAcquire() const {
+  return !draining_ && agent_.LeaseValid() && !work_items_.Full() &&
+         !agent_.configuration().batch().paused();
+}
+
+void BatchWorker::Acquire() {
+  if (!ShouldAcquire()) {
+    return;
+  }
+  for (const WorkOffer& offer :
+       offers_.Next(environment_.Now(), OwningNodes(), UnclaimedCapacity())) {
     AcquireWork(offer, agent_.fleet().servers.at(offer.node));
   }
 }
@@ -237,21 +237,26 @@
   request.set_zone(agent_.zone());
   const TimePoint sent = environment_.Now();
   CallPeer<proto::AcquireWorkResponse>(
-      environment_, PeerEndpointOf(server), "queue.AcquireWork", request,
+      environment_, PeerEndpointFor(server), "queue.AcquireWork", request,
       offer.hold + options_.acquire_grace,
-      Guarded([this, sent, node = offer.node,
-               gateway = agent_.node_id()](const Result<proto::AcquireWorkResponse>& result) {
-        if (!result.ok()) {
-          offers_.Failed(node, environment_.Now() + options_.retry_delay);
-          RecordFailure("AcquireWork", node, result.status());
-          return;
-        }
-        offers_.Answered(node, static_cast<std::size_t>(result->grants_size()), environment_.Now());
-        HandleGrants(*result, gateway, sent);
-        RequestRun();
+      lifetime_.Wrap([this, sent, node = offer.node, gateway = agent_.node_id()](
+                         const Result<proto::AcquireWorkResponse>& result) {
+        OnAcquired(node, gateway, sent, result);
       }));
 }
 
+void BatchWorker::OnAcquired(NodeId node, NodeId gateway, TimePoint sent,
+                             const Result<proto::AcquireWorkResponse>& result) {
+  if (!result.ok()) {
+    offers_.Failed(node, environment_.Now() + options_.retry_delay);
+    RecordQueueNodeFailure(environment_, agent_, "AcquireWork", node, result.status());
+    return;
+  }
+  offers_.Answered(node, static_cast<std::size_t>(result->grants_size()), environment_.Now());
+  HandleGrants(*result, gateway, sent);
+  RequestRun();
+}
+
 void BatchWorker::HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway,
                                TimePoint sent) {
   for (const proto::WorkGrant& grant : response.grants()) {
@@ -261,51 +266,6 @@
   }
 }
 
-void BatchWorker::SendReports() {
-  const auto owner_of = [this](PartitionId partition) { return OwnerOf(partition); };
-  const TimePoint now = environment_.Now();
-  const std::vector<ReportAddress> with_results = work_items_.Addresses(owner_of, false);
-  for (const ReportAddress& address : work_items_.Addresses(owner_of, true)) {
-    const ReportState& state = reports_[address];
-    const bool has_results = std::binary_search(with_results.begin(), with_results.end(), address);
-    const bool due = has_results || now >= state.next_renewal;
-    if (due && !state.under_way && now >= state.retry_at) {
-      Report(address);
-    }
-  }
-  std::erase_if(reports_, [this](const auto& entry) {
-    return !entry.second.under_way && !agent_.fleet().servers.contains(entry.first.owner);
-  });
-}
-
-void BatchWorker::Report(const ReportAddress& address) {
-  const auto server = agent_.fleet().servers.find(address.owner);
-  const auto request = std::make_shared<proto::ReportWorkRequest>(work_items_.TakeReports(
-      address, [this](PartitionId partition) { return OwnerOf(partition); }));
-  request->set_incarnation(agent_.incarnation().value());
-  ReportState& state = reports_[address];
-  state.under_way = true;
-  state.next_renewal = environment_.Now() + options_.renewal;
-  CallPeer<proto::ReportWorkResponse>(
-      environment_, PeerEndpointOf(server->second), "queue.ReportWork", *request,
-      options_.report_deadline,
-      Guarded([this, address, request](const Result<proto::ReportWorkResponse>& result) {
-        ReportState& answered = reports_[address];
-        answered.under_way = false;
-        if (!result.ok()) {
-          answered.retry_at = environment_.Now() + options_.retry_delay;
-          work_items_.ReportFailed(*request);
-          RecordFailure("ReportWork", address.owner, result.status());
-          return;
-        }
-        work_items_.Reported(*request);
-        for (const std::uint64_t lease : result->ended_lease_ids()) {
-          EndLease(WorkLeaseId(lease));
-        }
-        RequestRun();
-      }));
-}
-
 void BatchWorker::EndLease(WorkLeaseId lease) {
   if (work_items_.End(lease) != EndedAction::kWithdraw) {
     return;
@@ -319,14 +279,4 @@
   environment_.metrics().Increment("batch_items_withdrawn_total");
 }
 
-void BatchWorker::RecordFailure(std::string_view method, NodeId node, const Status& status) {
-  environment_.metrics().Increment("batch_worker_call_failed_total",
-                                   {{"method", method}, {"reason", StatusCodeName(status.code())}});
-  const bool silent =
-      status.code() == StatusCode::kUnavailable || status.code() == StatusCode::kUnknownOutcome;
-  if (silent) {
-    agent_.ReportSuspect(node);
-  }
-}
-
 }  // namespace cloverbank
--- a/src/batch_work/batch_worker.h
+++ b/src/batch_work/batch_worker.h
@@ -14,7 +14,9 @@
 #include <vector>
 
 #include "batch_work/batch_work_offers.h"
+#include "batch_work/queue_node_call.h"
 #include "batch_work/work_item_table.h"
+#include "batch_work/work_reporter.h"
 #include "calls/backend_caller.h"
 #include "control_client/node_agent.h"
 #include "runtime/environment.h"
@@ -55,33 +57,29 @@
   std::size_t unreported() const { return work_items_.unreported(); }
 
  private:
-  struct ReportState {
-    bool under_way = false;
-    TimePoint next_renewal;
-    TimePoint retry_at;
-  };
-
   void RequestRun();
   void Run();
   void StartWaiting();
+  /// Starts the item, gives it back, or leaves it waiting. @param free is reduced by a start.
+  void StartOrRefuse(WorkLeaseId lease, BatchCapacity* free);
   void StartItem(WorkLeaseId lease, const proto::Route& route);
   bool CanDispatch(WorkLeaseId lease);
   void FinishItem(WorkLeaseId lease, const std::string& backend, const BackendOutcome& outcome);
+  bool ShouldAcquire() const;
   void Acquire();
   void AcquireWork(const WorkOffer& offer, const proto::Server& server);
+  void OnAcquired(NodeId node, NodeId gateway, TimePoint sent,
+                  const Result<proto::AcquireWorkResponse>& result);
   void HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway, TimePoint sent);
-  void SendReports();
-  void Report(const ReportAddress& address);
   void EndLease(WorkLeaseId lease);
-  void RecordFailure(std::string_view method, NodeId node, const Status& status);
 
   StartConditions Conditions() const;
+  /// @return free slots by back end, less those of items that were started and have not left.
   BatchCapacity FreeCapacity() const;
+  /// @return the same, less those of items that wait here.
+  BatchCapacity UnclaimedCapacity() const;
+  bool IsPaused(const std::string& backend) const;
   std::vector<NodeId> OwningNodes() const;
-  NodeId OwnerOf(PartitionId partition) const;
-  /// Wraps `action` so that it does nothing once the worker is gone.
-  template <typename Action>
-  auto Guarded(Action action);
 
   Environment& environment_;
   NodeAgent& agent_;
@@ -89,11 +87,11 @@
   BatchWorkerOptions options_;
   WorkItemTable work_items_;
   WorkOffers offers_;
+  WorkReporter reporter_;
   std::map<WorkLeaseId, std::shared_ptr<BackendCall>> calls_;
-  std::map<ReportAddress, ReportState> reports_;
   /// Back ends that turned an item away lately get no further ones until then.
   std::map<std::string, TimePoint> paused_backends_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  LifetimeGuard lifetime_;
   TimerId tick_timer_ = 0;
   bool run_requested_ = false;
   bool draining_ = false;
--- /dev/null
+++ b/src/batch_work/start_refusal.cc
@@ -0,0 +1,39 @@
+#include "batch_work/start_refusal.h"
+
+namespace cloverbank {
+
+std::string_view StartRefusalName(StartRefusal refusal) {
+  switch (refusal) {
+    case StartRefusal::kNone:
+      return "none";
+    case StartRefusal::kWindowOver:
+      return "window_over";
+    case StartRefusal::kNodeLease:
+      return "node_lease";
+    case StartRefusal::kNoCapacity:
+      return "no_room";
+    case StartRefusal::kPaused:
+      return "paused";
+    case StartRefusal::kLeaseEnded:
+      return "lease_ended";
+    case StartRefusal::kNoRoute:
+      return "no_route";
+    case StartRefusal::kMustNotRepeat:
+      return "must_not_repeat";
+  }
+  return "none";
+}
+
+bool IsFinal(StartRefusal refusal) {
+  return refusal == StartRefusal::kNoRoute || refusal == StartRefusal::kMustNotRepeat;
+}
+
+std::string ExplainFinalRefusal(StartRefusal refusal, const std::string& route) {
+  if (refusal == StartRefusal::kNoRoute) {
+    return "not run: route " + route + " was removed after the batch was accepted";
+  }
+  return "not run: route " + route +
+         " was set to must-not-repeat after the batch was accepted; hand the item in again";
+}
+
+}  // namespace cloverbank
--- a/src/batch_work/work_item_table.cc
+++ b/src/batch_work/work_item_table.cc
@@ -9,19 +9,6 @@
 namespace cloverbank {
 namespace {
 
-/// Refusals that no other gateway and no later time can lift.
-bool IsFinal(StartRefusal refusal) {
-  return refusal == StartRefusal::kNoRoute || refusal == StartRefusal::kMustNotRepeat;
-}
-
-std::string ExplainFinal(StartRefusal refusal, const std::string& route) {
-  if (refusal == StartRefusal::kNoRoute) {
-    return "not run: route " + route + " was removed after the batch was accepted";
-  }
-  return "not run: route " + route +
-         " was set to must-not-repeat after the batch was accepted; hand the item in again";
-}
-
 std::size_t SizeOf(const proto::WorkReport& report) {
   return report.output().size() + report.error().size();
 }
@@ -32,28 +19,6 @@
   return outcome.executed == proto::EXECUTED_NO && outcome.error.code() == kReplicaRejectedCode;
 }
 
-std::string_view StartRefusalName(StartRefusal refusal) {
-  switch (refusal) {
-    case StartRefusal::kNone:
-      return "none";
-    case StartRefusal::kWindowOver:
-      return "window_over";
-    case StartRefusal::kNodeLease:
-      return "node_lease";
-    case StartRefusal::kNoCapacity:
-      return "no_room";
-    case StartRefusal::kPaused:
-      return "paused";
-    case StartRefusal::kLeaseEnded:
-      return "lease_ended";
-    case StartRefusal::kNoRoute:
-      return "no_route";
-    case StartRefusal::kMustNotRepeat:
-      return "must_not_repeat";
-  }
-  return "none";
-}
-
 bool WorkItemTable::Add(const proto::WorkGrant& grant, NodeId gateway, TimePoint sent,
                         TimePoint now) {
   Item item;
@@ -106,10 +71,9 @@
     return;
   }
   if (IsFinal(refusal)) {
-    Complete(*item, proto::WORK_DISPOSITION_FINISHED, proto::ITEM_OUTCOME_FAILED, "",
-             ExplainFinal(refusal, item->grant.route()));
+    CompleteFailed(*item, ExplainFinalRefusal(refusal, item->grant.route()));
   } else {
-    Complete(*item, proto::WORK_DISPOSITION_NOT_RUN, proto::ITEM_OUTCOME_UNSPECIFIED, "", "");
+    CompleteNotRun(*item, "");
   }
 }
 
@@ -126,20 +90,19 @@
   }
   const std::string& message = outcome.error.message();
   if (WasRejected(outcome)) {
-    Complete(*item, proto::WORK_DISPOSITION_FINISHED, proto::ITEM_OUTCOME_FAILED, "", message);
+    CompleteFailed(*item, message);
     return;
   }
   switch (outcome.executed) {
     case proto::EXECUTED_YES:
-      Complete(*item, proto::WORK_DISPOSITION_FINISHED, proto::ITEM_OUTCOME_FAILED, "", message);
+      CompleteFailed(*item, message);
       return;
     case proto::EXECUTED_NO:
       if (keep_if_not_run && !item->ended) {
         item->phase = Phase::kWaiting;
         return;
       }
-      Complete(*item, proto::WORK_DISPOSITION_NOT_RUN, proto::ITEM_OUTCOME_UNSPECIFIED, "",
-               message);
+      CompleteNotRun(*item, message);
       return;
     default:
       Complete(*item, proto::WORK_DISPOSITION_UNKNOWN, proto::ITEM_OUTCOME_UNKNOWN, "", message);
@@ -275,6 +238,14 @@
   return found == items_.end() ? nullptr : &found->second;
 }
 
+void WorkItemTable::CompleteNotRun(Item& item, const std::string& reason) {
+  Complete(item, proto::WORK_DISPOSITION_NOT_RUN, proto::ITEM_OUTCOME_UNSPECIFIED, "", reason);
+}
+
+void WorkItemTable::CompleteFailed(Item& item, const std::string& error) {
+  Complete(item, proto::WORK_DISPOSITION_FINISHED, proto::ITEM_OUTCOME_FAILED, "", error);
+}
+
 void WorkItemTable::Complete(Item& item, proto::WorkDisposition disposition,
                              proto::ItemOutcome outcome, const std::string& output,
                              const std::string& error) {
--- a/src/batch_work/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -8,36 +8,23 @@
 /// kept until an owner of its partition has answered it; each lease is reported at most once at a
 /// time.
 
+#include <compare>
 #include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
 #include <string>
-#include <string_view>
-#include <tuple>
 #include <vector>
 
 #include "base/ids.h"
 #include "base/time.h"
+#include "batch_work/start_refusal.h"
 #include "calls/backend_caller.h"
 #include "proto/batch.pb.h"
 #include "proto/configuration.pb.h"
 
 namespace cloverbank {
 
-/// Why an item may not start now.
-enum class StartRefusal : std::uint8_t {
-  kNone,           ///< It may start.
-  kWindowOver,     ///< The grant's time to start has run out.
-  kNodeLease,      ///< The gateway may not act.
-  kNoCapacity,     ///< Live work took the room back.
-  kPaused,         ///< Operators stopped batch work.
-  kLeaseEnded,     ///< The queue node took the lease back.
-  kNoRoute,        ///< The configuration no longer has the route: the item can not run.
-  kMustNotRepeat,  ///< Accepted as repeatable, but the route no longer is: the item can not run.
-};
-std::string_view StartRefusalName(StartRefusal refusal);
-
 /// @return whether a replica refused the item for good: giving it back would only repeat that.
 bool WasRejected(const BackendOutcome& outcome);
 
@@ -70,9 +57,7 @@
 struct ReportAddress {
   NodeId owner;
   NodeId gateway;
-  friend bool operator<(const ReportAddress& left, const ReportAddress& right) {
-    return std::tie(left.owner, left.gateway) < std::tie(right.owner, right.gateway);
-  }
+  friend auto operator<=>(const ReportAddress&, const ReportAddress&) = default;
 };
 
 class WorkItemTable {
@@ -141,6 +126,10 @@
   Item* Find(WorkLeaseId lease);
   const Item* Find(WorkLeaseId lease) const;
   static bool IsDone(const Item& item) { return item.phase >= Phase::kDone; }
+  /// Ends an item that did not run: another gateway may get it.
+  void CompleteNotRun(Item& item, const std::string& reason);
+  /// Ends an item with a failure that is its result.
+  void CompleteFailed(Item& item, const std::string& error);
   void Complete(Item& item, proto::WorkDisposition disposition, proto::ItemOutcome outcome,
                 const std::string& output, const std::string& error);
 
--- /dev/null
+++ b/src/batch_work/work_reporter.h
@@ -0,0 +1,60 @@
+#pragma once
+/// @file
+/// Sends the results of `WorkItemTable` to the owners of their partitions until one has confirmed
+/// them, and renews the leases of running items. Threads: the owner's event loop only.
+
+#include <functional>
+#include <map>
+
+#include "batch_work/queue_node_call.h"
+#include "batch_work/work_item_table.h"
+#include "control_client/node_agent.h"
+#include "runtime/environment.h"
+
+namespace cloverbank {
+
+struct WorkReporterOptions {
+  Duration renewal = milliseconds(500);  ///< Between renewals of running items.
+  Duration deadline = milliseconds(1500);
+  Duration retry_delay = milliseconds(200);  ///< After a call that failed.
+};
+
+class WorkReporter {
+ public:
+  struct Events {
+    /// A queue node ended the lease.
+    std::function<void(WorkLeaseId)> on_lease_ended;
+    /// A queue node confirmed a report: there may be capacity for more items.
+    std::function<void()> on_confirmed;
+  };
+
+  /// All references outlive the reporter.
+  WorkReporter(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
+               WorkReporterOptions options, Events events);
+
+  /// Sends every report and renewal that is due now.
+  void SendDue();
+
+ private:
+  struct ReportState {
+    bool under_way = false;
+    TimePoint next_renewal;
+    TimePoint retry_at;
+  };
+
+  void Send(const ReportAddress& address);
+  void OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
+                  const Result<proto::ReportWorkResponse>& result);
+  void RemoveUnknownOwners();
+  WorkItemTable::OwnerLookup OwnerLookup() const;
+
+  Environment& environment_;
+  NodeAgent& agent_;
+  WorkItemTable& work_items_;
+  const WorkReporterOptions options_;
+  const Events events_;
+  std::map<ReportAddress, ReportState> reports_;
+  LifetimeGuard lifetime_;
+};
+
+}  // namespace cloverbank
