--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -4,12 +4,11 @@
 
 #include "calls/http_json.h"
 #include "json/json.h"
+#include "net/http_status.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpTooManyRequests = 429;
-constexpr int kHttpServiceUnavailable = 503;
 constexpr int kFirstClientError = 400;
 constexpr int kFirstServerError = 500;
 
@@ -30,7 +29,7 @@
   const std::string message = "the replica answered " + std::to_string(status) + words;
   const bool ran = told == proto::EXECUTED_YES || told == proto::EXECUTED_UNKNOWN;
   FailureReading reading;
-  if (status == kHttpTooManyRequests || status == kHttpServiceUnavailable) {
+  if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
     reading.health = CallEnd::kRefused;
     reading.result.end = ran ? AttemptEnd::kUnknown : AttemptEnd::kNotRun;
     reading.result.error = ErrorOf("replica_refused", message);
--- a/src/calls/call_failure.cc
+++ b/src/calls/call_failure.cc
@@ -27,4 +27,11 @@
   return {};
 }
 
+std::uint32_t JitteredRetryAfterMs(Duration retry_after, std::uint64_t random) {
+  const auto wait_ms =
+      static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(retry_after).count());
+  const std::uint64_t jitter_ms = random % (std::uint64_t{wait_ms} / 2 + 1);
+  return wait_ms + static_cast<std::uint32_t>(jitter_ms);
+}
+
 }  // namespace cloverbank
--- a/src/calls/call_failure.h
+++ b/src/calls/call_failure.h
@@ -27,4 +27,8 @@
 
 CallFailureDetails DescribeCallFailure(CallFailure failure);
 
+/// @param random any number. @return `retry_after` in milliseconds and up to half as long again, so
+/// that clients that were refused together do not return together.
+std::uint32_t JitteredRetryAfterMs(Duration retry_after, std::uint64_t random);
+
 }  // namespace cloverbank
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -4,22 +4,15 @@
 #include <utility>
 
 #include "base/logging.h"
+#include "net/http_status.h"
 #include "routing/route_match.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpBadRequest = 400;
-constexpr int kHttpNotFound = 404;
 constexpr int kHttpBadGateway = 502;
-constexpr int kHttpUnavailable = 503;
-constexpr int kHttpGatewayTimeout = 504;
 constexpr Duration kRetryAfter = seconds(1);
 
-std::uint32_t ToMilliseconds(Duration duration) {
-  return static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(duration).count());
-}
-
 RetryOptions OptionsFor(const CallSpec& spec, RetryOptions options) {
   if (spec.attempts > 0) {
     options.maximum_refusals = std::max(options.maximum_attempts, options.maximum_refusals);
@@ -318,11 +311,8 @@
   result.error.set_executed(executed);
   result.http_status = HttpStatusOf(executed);
   if (executed == proto::EXECUTED_NO && retry_after > Duration::zero()) {
-    // Up to half as long again, so that a refused crowd does not come back as one.
-    const std::uint64_t half = ToMilliseconds(retry_after) / 2 + 1;
-    const std::uint64_t jitter = context_.attempt.environment.Random() % half;
-    result.error.set_retry_after_ms(ToMilliseconds(retry_after) +
-                                    static_cast<std::uint32_t>(jitter));
+    result.error.set_retry_after_ms(
+        JitteredRetryAfterMs(retry_after, context_.attempt.environment.Random()));
   }
   return result;
 }
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -4,11 +4,11 @@
 #include "calls/attempt_session.h"
 #include "calls/call_attempt.h"
 #include "json/json.h"
+#include "net/http_status.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpOk = 200;
 constexpr std::string_view kServePath = "/serve";
 
 /// One request to a plain service and its whole answer.
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -7,11 +7,11 @@
 #include "calls/line_reader.h"
 #include "calls/stream_check.h"
 #include "json/json.h"
+#include "net/http_status.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpOk = 200;
 constexpr std::string_view kGeneratePath = "/generate";
 constexpr std::size_t kLargestErrorBody = std::size_t{64} << 10U;
 
