--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -7,7 +7,6 @@
 #include "calls/http_json.h"
 #include "control_client/batch_partitions.h"
 #include "control_client/overload_rejection.h"
-#include "gateway/batch_owner_call.h"
 #include "gateway/http_query.h"
 
 namespace cloverbank {
@@ -90,10 +89,25 @@
   SendError(responder, http_status, error);
 }
 
+/// @return a handler that sends the part `body` of a read's response.
+template <typename Response, typename Body>
+auto RespondToRead(const std::shared_ptr<HttpResponder>& responder,
+                   const Body& (Response::*body)() const) {
+  return [responder, body](const Result<Response>& result) {
+    if (result.ok()) {
+      SendJson(*responder, 200, ((*result).*body)());
+    } else {
+      SendReadFailure(*responder, result.status());
+    }
+  };
+}
+
 }  // namespace
 
 BatchApi::BatchApi(Environment& environment, HttpRouter& router, NodeAgent& agent)
-    : environment_(environment), agent_(agent) {
+    : environment_(environment),
+      agent_(agent),
+      owners_(environment, agent, Status(StatusCode::kInternal, "malformed queue node answer")) {
   const auto handle = [this, &router](
                           std::string_view method, std::string_view pattern,
                           void (BatchApi::*handler)(const HttpRequest&, const Responder&)) {
@@ -109,29 +123,6 @@
   handle("POST", "/v1/batches/{id}/cancel", &BatchApi::Cancel);
 }
 
-template <typename Response, typename Request>
-void BatchApi::CallOwner(std::string_view method, const Request& request, Duration deadline,
-                         std::function<void(Result<Response>)> done) {
-  OwnerCallOptions options;
-  options.method = std::string(method);
-  options.body = request.SerializeAsString();
-  options.partition = PartitionId(request.partition_id());
-  options.deadline = deadline;
-  BatchOwnerCall::Start(environment_, agent_, alive_, std::move(options),
-                        [done = std::move(done)](PeerReply reply) {
-                          if (!reply.status.ok()) {
-                            done(std::move(reply.status));
-                            return;
-                          }
-                          Response response;
-                          if (!response.ParseFromString(reply.body)) {
-                            done(Status(StatusCode::kInternal, "malformed queue node answer"));
-                            return;
-                          }
-                          done(std::move(response));
-                        });
-}
-
 bool BatchApi::CheckServing(HttpResponder& responder) {
   if (!agent_.LeaseValid() || agent_.partition_count() == 0) {
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "node_lease"}});
@@ -179,7 +170,7 @@
   }
   submit.set_partition_id(PartitionOfTenant(batch.tenant(), agent_.partition_count()).value());
   submit.set_idempotent(FindRouteNamed(agent_.configuration(), batch.route())->idempotent());
-  CallOwner<proto::SubmitBatchResponse>(
+  owners_.Call<proto::SubmitBatchResponse>(
       "queue.SubmitBatch", submit, kChangeDeadline,
       [responder](const Result<proto::SubmitBatchResponse>& result) {
         if (result.ok()) {
@@ -212,15 +203,9 @@
   list.set_tenant(tenant);
   list.set_cursor(std::string(FindHeader(request.query, "cursor")));
   list.set_limit(*limit);
-  CallOwner<proto::ListBatchesResponse>(
+  owners_.Call<proto::ListBatchesResponse>(
       "queue.ListBatches", list, kReadDeadline,
-      [responder](const Result<proto::ListBatchesResponse>& result) {
-        if (result.ok()) {
-          SendJson(*responder, 200, result->list());
-        } else {
-          SendReadFailure(*responder, result.status());
-        }
-      });
+      RespondToRead(responder, &proto::ListBatchesResponse::list));
 }
 
 void BatchApi::Get(const HttpRequest& request, const Responder& responder) {
@@ -232,14 +217,8 @@
   proto::GetBatchRequest get;
   get.set_partition_id(partition.value());
   get.set_batch_id(batch_id);
-  CallOwner<proto::GetBatchResponse>("queue.GetBatch", get, kReadDeadline,
-                                     [responder](const Result<proto::GetBatchResponse>& result) {
-                                       if (result.ok()) {
-                                         SendJson(*responder, 200, result->status());
-                                       } else {
-                                         SendReadFailure(*responder, result.status());
-                                       }
-                                     });
+  owners_.Call<proto::GetBatchResponse>("queue.GetBatch", get, kReadDeadline,
+                                        RespondToRead(responder, &proto::GetBatchResponse::status));
 }
 
 void BatchApi::ListResults(const HttpRequest& request, const Responder& responder) {
@@ -258,15 +237,9 @@
   list.set_batch_id(batch_id);
   list.set_cursor(std::string(FindHeader(request.query, "cursor")));
   list.set_limit(*limit);
-  CallOwner<proto::ListResultsResponse>(
+  owners_.Call<proto::ListResultsResponse>(
       "queue.ListResults", list, kReadDeadline,
-      [responder](const Result<proto::ListResultsResponse>& result) {
-        if (result.ok()) {
-          SendJson(*responder, 200, result->list());
-        } else {
-          SendReadFailure(*responder, result.status());
-        }
-      });
+      RespondToRead(responder, &proto::ListResultsResponse::list));
 }
 
 void BatchApi::Cancel(const HttpRequest& request, const Responder& responder) {
@@ -278,7 +251,7 @@
   proto::CancelBatchRequest cancel;
   cancel.set_partition_id(partition.value());
   cancel.set_batch_id(batch_id);
-  CallOwner<proto::CancelBatchResponse>(
+  owners_.Call<proto::CancelBatchResponse>(
       "queue.CancelBatch", cancel, kChangeDeadline,
       [responder](const Result<proto::CancelBatchResponse>& result) {
         if (result.ok()) {
--- a/src/gateway/batch_api.h
+++ b/src/gateway/batch_api.h
@@ -16,6 +16,7 @@
 #include <string>
 
 #include "control_client/node_agent.h"
+#include "gateway/batch_owner_client.h"
 #include "net/http_types.h"
 #include "proto/batch.pb.h"
 #include "runtime/environment.h"
@@ -41,13 +42,10 @@
   /// @return whether the path's batch id names a partition; else it has answered.
   bool ReadBatchId(const HttpRequest& request, HttpResponder& responder, std::string* batch_id,
                    PartitionId* partition);
-  template <typename Response, typename Request>
-  void CallOwner(std::string_view method, const Request& request, Duration deadline,
-                 std::function<void(Result<Response>)> done);
 
   Environment& environment_;
   NodeAgent& agent_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  BatchOwnerClient owners_;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -4,7 +4,6 @@
 
 #include "base/logging.h"
 #include "control_client/batch_partitions.h"
-#include "gateway/batch_owner_call.h"
 
 namespace cloverbank {
 namespace {
@@ -64,7 +63,10 @@
 }  // namespace
 
 BatchService::BatchService(Environment& environment, NodeAgent& agent)
-    : environment_(environment), agent_(agent) {}
+    : environment_(environment),
+      agent_(agent),
+      owners_(environment, agent, Status(StatusCode::kUnknownOutcome, "malformed owner's answer")) {
+}
 
 Status BatchService::Serving() const {
   if (agent_.LeaseValid() && agent_.partition_count() > 0) {
@@ -77,27 +79,6 @@
   return PartitionOfNamedBatch(host, batch_id, agent_.partition_count()).value();
 }
 
-template <typename Response, typename Request>
-void BatchService::CallOwner(std::string_view method, const Request& request, Duration deadline,
-                             Done<Response> done) {
-  OwnerCallOptions options;
-  options.method = std::string(method);
-  options.body = request.SerializeAsString();
-  options.partition = PartitionId(request.partition_id());
-  options.deadline = deadline;
-  BatchOwnerCall::Start(environment_, agent_, alive_, std::move(options),
-                        [done = std::move(done)](PeerReply reply) {
-                          Response response;
-                          if (!reply.status.ok()) {
-                            done(std::move(reply.status));
-                          } else if (!response.ParseFromString(reply.body)) {
-                            done(Status(StatusCode::kUnknownOutcome, "malformed owner's answer"));
-                          } else {
-                            done(std::move(response));
-                          }
-                        });
-}
-
 void BatchService::Submit(const proto::Route& route, BatchSubmission submission,
                           Done<proto::BatchStatus> done) {
   if (Status serving = Serving(); !serving.ok()) {
@@ -117,7 +98,7 @@
   for (proto::BatchItem& item : submission.items) {
     *batch.add_items() = std::move(item);
   }
-  CallOwner<proto::SubmitBatchResponse>(
+  owners_.Call<proto::SubmitBatchResponse>(
       "queue.SubmitBatch", request, kChangeDeadline,
       [this, sent = environment_.Now(), name = route.name(), target = route.target_ms(),
        items = request.batch().items_size(), bytes = request.ByteSizeLong(),
@@ -143,7 +124,7 @@
   request.set_batch_id(batch_id);
   request.set_cursor(CursorAt(position));
   request.set_limit(kLargestPage);
-  CallOwner<proto::ListResultsResponse>(
+  owners_.Call<proto::ListResultsResponse>(
       "queue.ListResults", request, kReadDeadline,
       [position, done = std::move(done)](Result<proto::ListResultsResponse> result) {
         if (result.ok()) {
@@ -164,7 +145,7 @@
   request.set_partition_id(PartitionOf(host, batch_id));
   request.set_batch_id(batch_id);
   request.set_custom_id(item_id);
-  CallOwner<proto::GetItemResponse>(
+  owners_.Call<proto::GetItemResponse>(
       "queue.GetItem", request, kReadDeadline,
       [done = std::move(done)](Result<proto::GetItemResponse> result) {
         if (result.ok()) {
@@ -184,7 +165,7 @@
   proto::CancelBatchRequest request;
   request.set_partition_id(PartitionOf(host, batch_id));
   request.set_batch_id(batch_id);
-  CallOwner<proto::CancelBatchResponse>(
+  owners_.Call<proto::CancelBatchResponse>(
       "queue.CancelBatch", request, kChangeDeadline,
       [done = std::move(done)](Result<proto::CancelBatchResponse> result) {
         if (result.ok()) {
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -16,6 +16,7 @@
 
 #include "base/status.h"
 #include "control_client/node_agent.h"
+#include "gateway/batch_owner_client.h"
 #include "proto/batch.pb.h"
 #include "runtime/environment.h"
 
@@ -65,13 +66,10 @@
   /// Whether this gateway may ask on behalf of clients now.
   Status Serving() const;
   std::uint64_t PartitionOf(std::string_view host, std::string_view batch_id) const;
-  template <typename Response, typename Request>
-  void CallOwner(std::string_view method, const Request& request, Duration deadline,
-                 Done<Response> done);
 
   Environment& environment_;
   NodeAgent& agent_;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
+  BatchOwnerClient owners_;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "gateway/admission_response.h"
 #include "gateway/live_forward.h"
 #include "net/http_status.h"
 #include "routing/route_match.h"
@@ -13,6 +14,19 @@
 constexpr Duration kBatchRetryAfter = milliseconds(100);
 constexpr Duration kRetryAfter = milliseconds(500);
 
+ForwardCall MakeForwardCall(IncomingCall call, const proto::Route& route) {
+  ForwardCall forward;
+  forward.call_id = std::move(call.call_id);
+  forward.prefix_key = std::move(call.prefix_key);
+  forward.prompt = call.prompt;
+  forward.request = std::move(call.request);
+  forward.streamed = route.streamed();
+  forward.resumable = route.resumable();
+  forward.target = milliseconds(route.target_ms());
+  forward.longest_pause = milliseconds(route.pause_target_ms());
+  return forward;
+}
+
 }  // namespace
 
 ForwardingService::ForwardingService(const CallContext& context, const GatewayOptions& options)
@@ -117,27 +131,22 @@
   const auto refusal =
       context_.queue.admission().Admit(*route, nullptr, context_.attempt.environment.Now());
   if (refusal) {
-    Refuse(*responder,
-           refusal->refusal == Refusal::kTenantRate ? kHttpTooManyRequests : kHttpUnavailable,
+    Refuse(*responder, HttpStatusForRefusal(refusal->refusal),
            std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
            refusal->retry_after);
     return;
   }
-  CallSpec spec = MakeSpec(*route, call);
-  ForwardCall forward;
-  forward.call_id = std::move(call.call_id);
-  forward.prefix_key = std::move(call.prefix_key);
-  forward.prompt = call.prompt;
-  forward.request = std::move(call.request);
-  forward.streamed = route->streamed();
-  forward.resumable = route->resumable();
-  forward.target = milliseconds(route->target_ms());
-  forward.longest_pause = milliseconds(route->pause_target_ms());
+  StartCall(std::move(call), responder, *route);
+}
+
+void ForwardingService::StartCall(IncomingCall call, const Responder& responder,
+                                  const proto::Route& route) {
+  CallSpec spec = MakeSpec(route, call);
   const std::uint64_t number = next_call_++;
   auto live = std::make_shared<LiveForward>(
-      context_, responder, [this, number, name = route->name()] { OnCallOver(number, name); });
+      context_, responder, [this, number, name = route.name()] { OnCallOver(number, name); });
   calls_.emplace(number, live);
-  live->Start(std::move(spec), std::move(forward), options_.forward_headers);
+  live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -71,6 +71,7 @@
   void StopWaiting(std::uint64_t number, bool answer);
   void RefuseWithoutControl(HttpResponder& responder);
   void Admit(IncomingCall call, const Responder& responder);
+  void StartCall(IncomingCall call, const Responder& responder, const proto::Route& route);
   CallSpec MakeSpec(const proto::Route& route, const IncomingCall& call) const;
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -3,12 +3,11 @@
 #include <utility>
 
 #include "calls/http_json.h"
+#include "net/http_status.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpOk = 200;
-constexpr int kHttpConflict = 409;
 constexpr std::size_t kLargestKeptStream = std::size_t{256} << 10U;
 
 std::string ToLine(const proto::StreamChunk& chunk) { return ToJson(chunk) + "\n"; }
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -8,17 +8,14 @@
 
 #include "base/checksum.h"
 #include "calls/http_json.h"
-#include "gateway/live_call.h"
+#include "gateway/admission_response.h"
+#include "net/http_status.h"
 
 namespace cloverbank {
 namespace {
 
-constexpr int kHttpBadRequest = 400;
-constexpr int kHttpNotFound = 404;
 constexpr int kHttpTooLarge = 413;
 constexpr int kHttpKeyReused = 422;
-constexpr int kHttpTooManyRequests = 429;
-constexpr int kHttpUnavailable = 503;
 constexpr std::size_t kRouteSegment = 2;  // Of /v1/call/{route}.
 constexpr std::size_t kLargestKey = 256;
 constexpr Duration kRetryAfter = milliseconds(500);
@@ -34,6 +31,16 @@
   return milliseconds(count);
 }
 
+LiveCallHeaders ParseHeaders(const HttpRequest& request) {
+  const std::string_view deadline = FindHeader(request.headers, "X-Deadline-Ms");
+  LiveCallHeaders headers;
+  headers.tenant = FindHeader(request.headers, "X-Tenant");
+  headers.idempotency_key = FindHeader(request.headers, "Idempotency-Key");
+  headers.has_deadline = !deadline.empty();
+  headers.deadline = ParseDeadline(deadline);
+  return headers;
+}
+
 std::string ToHex(std::uint64_t number) {
   std::array<char, kHexDigits> digits{};
   const auto [stop, error] =
@@ -51,10 +58,6 @@
   return joined;
 }
 
-int HttpStatusOfRefusal(Refusal refusal) {
-  return refusal == Refusal::kTenantRate ? kHttpTooManyRequests : kHttpUnavailable;
-}
-
 }  // namespace
 
 LiveCallHandler::LiveCallHandler(const CallContext& context, const GatewayOptions& options)
@@ -77,22 +80,9 @@
   if (route == nullptr) {
     return;
   }
-  if (request.body.size() > options_.calls.largest_request) {
-    Refuse(*responder, kHttpTooLarge, "request_too_large",
-           "the body is larger than " + std::to_string(options_.calls.largest_request) + " bytes",
-           Duration::zero());
-    return;
-  }
-  const std::string_view deadline = FindHeader(request.headers, "X-Deadline-Ms");
-  if (!deadline.empty() && !ParseDeadline(deadline)) {
-    Refuse(*responder, kHttpBadRequest, "invalid_deadline",
-           "X-Deadline-Ms must be a whole number of milliseconds above 0", Duration::zero());
-    return;
-  }
-  if (FindHeader(request.headers, "Idempotency-Key").size() > kLargestKey) {
-    Refuse(*responder, kHttpBadRequest, "invalid_idempotency_key",
-           "Idempotency-Key must be at most " + std::to_string(kLargestKey) + " bytes",
-           Duration::zero());
+  const LiveCallHeaders headers = ParseHeaders(request);
+  if (const std::optional<RequestProblem> problem = FindProblem(request, headers)) {
+    Refuse(*responder, problem->http_status, problem->code, problem->message, Duration::zero());
     return;
   }
   proto::CallRequest body;
@@ -101,7 +91,39 @@
     Refuse(*responder, kHttpBadRequest, "invalid_request", parsed.message(), Duration::zero());
     return;
   }
-  StartCall(request, responder, *route, std::move(body));
+  std::string key;
+  if (!headers.idempotency_key.empty()) {
+    key = CacheKey(headers.tenant, route->name(), headers.idempotency_key);
+    if (!ReserveKey(key, Checksum(request.body), body.stream(), responder)) {
+      return;
+    }
+  }
+  if (!Admit(*route, headers.tenant, key, *responder)) {
+    return;
+  }
+  LiveCall::Options options;
+  options.stream = body.stream();
+  options.idempotency_key = std::move(key);
+  StartCall(responder, MakeSpec(*route, headers), std::move(options), std::move(body));
+}
+
+std::optional<LiveCallHandler::RequestProblem> LiveCallHandler::FindProblem(
+    const HttpRequest& request, const LiveCallHeaders& headers) const {
+  if (request.body.size() > options_.calls.largest_request) {
+    return RequestProblem{
+        kHttpTooLarge, "request_too_large",
+        "the body is larger than " + std::to_string(options_.calls.largest_request) + " bytes"};
+  }
+  if (headers.has_deadline && !headers.deadline) {
+    return RequestProblem{kHttpBadRequest, "invalid_deadline",
+                          "X-Deadline-Ms must be a whole number of milliseconds above 0"};
+  }
+  if (headers.idempotency_key.size() > kLargestKey) {
+    return RequestProblem{
+        kHttpBadRequest, "invalid_idempotency_key",
+        "Idempotency-Key must be at most " + std::to_string(kLargestKey) + " bytes"};
+  }
+  return std::nullopt;
 }
 
 const proto::Route* LiveCallHandler::CheckServing(const HttpRequest& request,
@@ -125,42 +147,48 @@
   return route;
 }
 
-void LiveCallHandler::StartCall(const HttpRequest& request, const Responder& responder,
-                                const proto::Route& route, proto::CallRequest body) {
+bool LiveCallHandler::Admit(const proto::Route& route, std::string_view tenant_name,
+                            const std::string& key, HttpResponder& responder) {
+  const proto::Tenant* tenant = FindTenant(context_.right.configuration(), tenant_name);
+  const auto refusal =
+      context_.queue.admission().Admit(route, tenant, context_.attempt.environment.Now());
+  if (!refusal) {
+    return true;
+  }
+  kept_.Forget(key, {});
+  Refuse(responder, HttpStatusForRefusal(refusal->refusal),
+         std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
+         refusal->retry_after);
+  return false;
+}
+
+CallSpec LiveCallHandler::MakeSpec(const proto::Route& route,
+                                   const LiveCallHeaders& headers) const {
   const TimePoint now = context_.attempt.environment.Now();
-  const std::string_view tenant_name = FindHeader(request.headers, "X-Tenant");
-  const std::string_view caller_key = FindHeader(request.headers, "Idempotency-Key");
-  std::string key;
-  if (!caller_key.empty()) {
-    key = CacheKey(tenant_name, route.name(), caller_key);
-    if (!ReserveKey(key, Checksum(request.body), body.stream(), responder)) {
-      return;
-    }
+  Duration longest = options_.calls.default_deadline;
+  if (route.deadline_ms() != 0) {
+    longest = milliseconds(route.deadline_ms());
   }
-  const proto::Tenant* tenant = FindTenant(context_.right.configuration(), tenant_name);
-  const auto refusal = context_.queue.admission().Admit(route, tenant, now);
-  if (refusal) {
-    kept_.Forget(key, {});
-    Refuse(*responder, HttpStatusOfRefusal(refusal->refusal),
-           std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
-           refusal->retry_after);
-    return;
+  if (headers.deadline && *headers.deadline < longest) {
+    longest = *headers.deadline;
   }
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
-  spec.deadline = DeadlineOf(request, route);
+  spec.deadline = now + longest;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
-  LiveCall::Options call_options;
-  call_options.stream = body.stream();
-  call_options.idempotency_key = key;
+  return spec;
+}
+
+void LiveCallHandler::StartCall(const Responder& responder, CallSpec spec,
+                                LiveCall::Options options, proto::CallRequest body) {
   const std::string call_id = NewCallId();
   body.set_call_id(call_id);
-  auto call = std::make_shared<LiveCall>(
-      context_, responder, std::move(call_options), kept_,
-      [this, call_id, name = route.name()] { OnCallOver(call_id, name); });
+  auto call =
+      std::make_shared<LiveCall>(context_, responder, std::move(options), kept_,
+                                 [this, call_id, name = spec.route] { OnCallOver(call_id, name); });
   calls_.emplace(call_id, call);
   call->Start(std::move(spec), std::move(body));
 }
@@ -195,27 +223,12 @@
   error.set_code(code);
   error.set_message(message);
   error.set_executed(proto::EXECUTED_NO);
-  const auto wait = std::chrono::duration_cast<milliseconds>(retry_after).count();
-  if (wait > 0) {
-    // Up to half as long again, so that a refused crowd does not come back as one.
-    const std::uint64_t jitter = environment.Random() % (static_cast<std::uint64_t>(wait) / 2 + 1);
-    error.set_retry_after_ms(static_cast<std::uint32_t>(wait) + static_cast<std::uint32_t>(jitter));
+  if (retry_after >= milliseconds(1)) {
+    error.set_retry_after_ms(JitteredRetryAfterMs(retry_after, environment.Random()));
   }
   SendError(responder, http_status, error);
 }
 
-TimePoint LiveCallHandler::DeadlineOf(const HttpRequest& request, const proto::Route& route) const {
-  Duration longest = options_.calls.default_deadline;
-  if (route.deadline_ms() != 0) {
-    longest = milliseconds(route.deadline_ms());
-  }
-  const auto wanted = ParseDeadline(FindHeader(request.headers, "X-Deadline-Ms"));
-  if (wanted && *wanted < longest) {
-    longest = *wanted;
-  }
-  return context_.attempt.environment.Now() + longest;
-}
-
 std::string LiveCallHandler::NewCallId() { return ToHex(id_prefix_) + "-" + ToHex(next_call_++); }
 
 void LiveCallHandler::OnCallOver(const std::string& call_id, const std::string& route) {
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -14,16 +14,25 @@
 
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <unordered_map>
 
 #include "calls/call_runner.h"
 #include "calls/idempotency_cache.h"
+#include "gateway/live_call.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
 
-class LiveCall;
+/// The headers of a live call, valid as long as its request.
+struct LiveCallHeaders {
+  std::string_view tenant;
+  std::string_view idempotency_key;  ///< Empty: none.
+  bool has_deadline = false;
+  std::optional<milliseconds> deadline;  ///< Unset: none, or malformed.
+};
 
 class LiveCallHandler {
  public:
@@ -39,18 +48,30 @@
 
  private:
   using Responder = std::shared_ptr<HttpResponder>;
+  struct RequestProblem {
+    int http_status = 0;
+    std::string code;
+    std::string message;
+  };
 
   void Handle(const HttpRequest& request, const Responder& responder);
   /// @return the route, or nullptr after the refusal was sent.
   const proto::Route* CheckServing(const HttpRequest& request, HttpResponder& responder);
-  void StartCall(const HttpRequest& request, const Responder& responder, const proto::Route& route,
-                 proto::CallRequest body);
+  /// @return what is wrong with the request apart from its body's content.
+  std::optional<RequestProblem> FindProblem(const HttpRequest& request,
+                                            const LiveCallHeaders& headers) const;
   /// @return whether the call goes on as a new one; else it was answered, or will be.
   bool ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
                   const Responder& responder);
+  /// @param key reserved in the idempotency cache, or empty. @return false after the refusal was
+  /// sent.
+  bool Admit(const proto::Route& route, std::string_view tenant_name, const std::string& key,
+             HttpResponder& responder);
+  CallSpec MakeSpec(const proto::Route& route, const LiveCallHeaders& headers) const;
+  void StartCall(const Responder& responder, CallSpec spec, LiveCall::Options options,
+                 proto::CallRequest body);
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
-  TimePoint DeadlineOf(const HttpRequest& request, const proto::Route& route) const;
   std::string NewCallId();
   void OnCallOver(const std::string& call_id, const std::string& route);
 
