--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -1,7 +1,8 @@
 #include "admission/admission_control.h"
 
 #include <algorithm>
-#include <cmath>
+
+#include "admission/fractional_seconds.h"
 
 namespace cloverbank {
 namespace {
@@ -9,12 +10,6 @@
 constexpr Duration kPaceWindow = milliseconds(500);
 constexpr double kPaceMemory = 0.5;  // Share of the past in the moving average.
 
-double ToSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
-
-Duration FromSeconds(double count) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
-}
-
 int UrgencyOf(proto::Priority priority) {
   return priority == proto::PRIORITY_UNSPECIFIED ? proto::PRIORITY_STANDARD : priority;
 }
@@ -39,29 +34,6 @@
   return "queue_full";
 }
 
-double TokenBucket::Level(double per_second, double capacity, TimePoint now) const {
-  if (tokens_ < 0) {
-    return capacity;
-  }
-  return std::min(capacity, tokens_ + ToSeconds(now - updated_) * per_second);
-}
-
-Duration TokenBucket::Acquire(double per_second, Duration burst, TimePoint now) {
-  const double capacity = std::max(1.0, per_second * ToSeconds(burst));
-  tokens_ = Level(per_second, capacity, now);
-  updated_ = now;
-  if (tokens_ >= 1) {
-    tokens_ -= 1;
-    return Duration::zero();
-  }
-  return FromSeconds((1 - tokens_) / per_second) + Duration(1);
-}
-
-bool TokenBucket::Full(double per_second, Duration burst, TimePoint now) const {
-  const double capacity = std::max(1.0, per_second * ToSeconds(burst));
-  return Level(per_second, capacity, now) >= capacity;
-}
-
 std::optional<RefusalNotice> AdmissionControl::Admit(const proto::Route& route,
                                                      const proto::Tenant* tenant, TimePoint now) {
   std::uint32_t& in_flight = in_flight_[route.name()];
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -17,6 +17,7 @@
 #include <unordered_map>
 #include <vector>
 
+#include "admission/token_bucket.h"
 #include "base/time.h"
 #include "proto/configuration.pb.h"
 
@@ -62,20 +63,6 @@
   std::size_t bytes = 0;  ///< Of its request.
 };
 
-/// A tenant's calls per second, as a bucket of tokens.
-class TokenBucket {
- public:
-  /// Takes one token. @return 0, or how long until there is one.
-  Duration Acquire(double per_second, Duration burst, TimePoint now);
-  /// Whether it is as good as new, so that it need not be kept.
-  bool Full(double per_second, Duration burst, TimePoint now) const;
-
- private:
-  double Level(double per_second, double capacity, TimePoint now) const;
-  double tokens_ = -1;  ///< Negative: never used, hence full.
-  TimePoint updated_{};
-};
-
 class AdmissionControl {
  public:
   explicit AdmissionControl(AdmissionOptions options) : options_(options) {}
