--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -30,13 +30,12 @@
 }  // namespace
 
 ForwardingService::ForwardingService(const CallContext& context, const GatewayOptions& options)
-    : context_(context), options_(options) {}
+    : context_(context),
+      options_(options),
+      waiting_(context.attempt.environment,
+               [this](HttpResponder& responder) { RefuseWithoutControl(responder); }) {}
 
-ForwardingService::~ForwardingService() {
-  for (const Waiting& waiting : waiting_) {
-    context_.attempt.environment.CancelTimer(waiting.timer);
-  }
-}
+ForwardingService::~ForwardingService() = default;
 
 const proto::Route* ForwardingService::FindRouteOf(std::string_view host,
                                                    std::string_view path) const {
@@ -58,51 +57,18 @@
 }
 
 void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  Environment& environment = context_.attempt.environment;
-  Duration wait = options_.calls.control_wait;
   const Duration patience = call.patience.value_or(options_.calls.default_deadline);
-  wait = std::min(wait, patience / 2);
-  const std::uint64_t number = next_call_++;
-  Waiting waiting;
-  waiting.number = number;
-  waiting.call = std::move(call);
-  waiting.responder = responder;
-  waiting.deadline = environment.Now() + patience;
-  waiting.timer =
-      environment.ScheduleAfter(wait, [this, number] { StopWaiting(number, /*answer=*/true); });
-  waiting_.push_back(std::move(waiting));
-  environment.metrics().Increment("gateway_calls_waited_for_control_total");
-  responder->OnDisconnect([this, number, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) {
-      StopWaiting(number, /*answer=*/false);
-    }
-  });
-}
-
-void ForwardingService::StopWaiting(std::uint64_t number, bool answer) {
-  const auto waiting =
-      std::find_if(waiting_.begin(), waiting_.end(),
-                   [number](const Waiting& entry) { return entry.number == number; });
-  if (waiting == waiting_.end()) {
-    return;
-  }
-  const Responder responder = waiting->responder;
-  context_.attempt.environment.CancelTimer(waiting->timer);
-  waiting_.erase(waiting);
-  if (answer) {
-    RefuseWithoutControl(*responder);
-  }
+  const Duration wait = std::min(options_.calls.control_wait, patience / 2);
+  waiting_.Add(std::move(call), responder, wait, patience);
 }
 
 void ForwardingService::OnConfiguration() {
   if (!CanServe()) {
     return;
   }
-  Environment& environment = context_.attempt.environment;
-  for (Waiting& waiting : std::exchange(waiting_, {})) {
-    environment.CancelTimer(waiting.timer);
-    waiting.call.patience = waiting.deadline - environment.Now();
-    Admit(std::move(waiting.call), waiting.responder);
+  for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
+    entry.call.patience = entry.deadline - context_.attempt.environment.Now();
+    Admit(std::move(entry.call), entry.responder);
   }
 }
 
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -7,35 +7,21 @@
 /// Threads: the owner's event loop only.
 
 #include <cstdint>
-#include <functional>
-#include <list>
 #include <memory>
-#include <optional>
 #include <string>
 #include <unordered_map>
 
 #include "calls/call_runner.h"
 #include "calls/forward_exchange.h"
 #include "calls/gateway_options.h"
+#include "gateway/configuration_wait_queue.h"
+#include "gateway/incoming_call.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
 
 class LiveForward;
 
-/// A request as a front interface read it.
-struct IncomingCall {
-  std::string host;
-  std::string path;  ///< Without the query, as it came.
-  std::string call_id;
-  std::string prefix_key;
-  PromptShape prompt;
-  std::optional<Duration> patience;  ///< How long the caller will wait; unset: not told.
-  proto::ForwardedRequest request;
-  /// Runs in place of the call if its route turns out to take batches; unset: the call is refused.
-  std::function<void(const proto::Route&)> take_as_batch;
-};
-
 class ForwardingService {
  public:
   ForwardingService(const CallContext& context, const GatewayOptions& options);
@@ -55,20 +41,10 @@
   std::size_t calls_under_way() const { return calls_.size(); }
 
  private:
-  /// A call that came before this gateway had a configuration.
-  struct Waiting {
-    std::uint64_t number = 0;
-    IncomingCall call;
-    std::shared_ptr<HttpResponder> responder;
-    TimePoint deadline;  ///< Of the caller's patience.
-    TimerId timer = 0;
-  };
-
   using Responder = std::shared_ptr<HttpResponder>;
 
   bool CanServe() const;
   void WaitForControl(IncomingCall call, const Responder& responder);
-  void StopWaiting(std::uint64_t number, bool answer);
   void RefuseWithoutControl(HttpResponder& responder);
   void Admit(IncomingCall call, const Responder& responder);
   void StartCall(IncomingCall call, const Responder& responder, const proto::Route& route);
@@ -80,9 +56,8 @@
   CallContext context_;
   const GatewayOptions& options_;
   std::unordered_map<std::uint64_t, std::shared_ptr<LiveForward>> calls_;
-  std::list<Waiting> waiting_;  ///< In order of arrival.
+  ConfigurationWaitQueue waiting_;
   std::uint64_t next_call_ = 1;
-  std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
 }  // namespace cloverbank
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -54,23 +54,24 @@
   spec.may_start = [this, backend = route.backend(), may_start = std::move(may_start)] {
     return CanStartBatches(backend) && may_start();
   };
-  ReadAnswer read_answer;
-  spec.exchange = MakeExchange(route, request, &read_answer);
-  return Run(std::move(spec), std::move(read_answer), std::move(done));
+  ItemExchange item =
+      request.has_forwarded() ? MakeForwardExchange(route, request) : MakeJsonExchange(request);
+  spec.exchange = std::move(item.exchange);
+  return Run(std::move(spec), std::move(item.read_answer), std::move(done));
 }
 
-std::shared_ptr<CallExchange> ReplicaBackendCaller::MakeExchange(const proto::Route& route,
-                                                                 const proto::CallRequest& request,
-                                                                 ReadAnswer* read_answer) const {
-  if (!request.has_forwarded()) {
-    const auto exchange = std::make_shared<JsonExchange>(request, nullptr);
-    *read_answer = [exchange](BackendOutcome* outcome) {
-      if (outcome->succeeded) {
-        outcome->answer = exchange->TakeAnswer();
-      }
-    };
-    return exchange;
-  }
+ReplicaBackendCaller::ItemExchange ReplicaBackendCaller::MakeJsonExchange(
+    const proto::CallRequest& request) {
+  const auto exchange = std::make_shared<JsonExchange>(request, nullptr);
+  return {exchange, [exchange](BackendOutcome* outcome) {
+            if (outcome->succeeded) {
+              outcome->answer = exchange->TakeAnswer();
+            }
+          }};
+}
+
+ReplicaBackendCaller::ItemExchange ReplicaBackendCaller::MakeForwardExchange(
+    const proto::Route& route, const proto::CallRequest& request) const {
   ForwardCall call;
   call.call_id = request.call_id();
   call.prefix_key = request.prefix_key();
@@ -81,19 +82,18 @@
   call.streamed = true;
   call.resumable = true;
   call.judge_failures = true;
-  const auto collector = std::make_shared<EventCollector>();
   call.most_failures = std::max(1U, route.attempts());
   call.earlier_failures = request.failed_runs();
+  const auto collector = std::make_shared<EventCollector>();
   const auto exchange = std::make_shared<ForwardExchange>(std::move(call), names_, *collector);
-  *read_answer = [exchange, collector](BackendOutcome* outcome) {
-    outcome->failed_runs = exchange->failures();
-    if (outcome->succeeded) {
-      outcome->answer.set_text(collector->TakeText());
-    } else if (outcome->executed == proto::EXECUTED_YES && !exchange->FailedForGood()) {
-      outcome->executed = proto::EXECUTED_UNKNOWN;  // It may be tried further.
-    }
-  };
-  return exchange;
+  return {exchange, [exchange, collector](BackendOutcome* outcome) {
+            outcome->failed_runs = exchange->failures();
+            if (outcome->succeeded) {
+              outcome->answer.set_text(collector->TakeText());
+            } else if (outcome->executed == proto::EXECUTED_YES && !exchange->FailedForGood()) {
+              outcome->executed = proto::EXECUTED_UNKNOWN;  // It may be tried further.
+            }
+          }};
 }
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, ReadAnswer read_answer,
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -29,11 +29,16 @@
  private:
   /// Fills in the outcome of a call that ended.
   using ReadAnswer = std::function<void(BackendOutcome*)>;
+  /// What one item says to a replica, and how the response becomes its outcome.
+  struct ItemExchange {
+    std::shared_ptr<CallExchange> exchange;
+    ReadAnswer read_answer;
+  };
 
   bool CanStartBatches(const std::string& backend) const;
-  std::shared_ptr<CallExchange> MakeExchange(const proto::Route& route,
-                                             const proto::CallRequest& request,
-                                             ReadAnswer* read_answer) const;
+  static ItemExchange MakeJsonExchange(const proto::CallRequest& request);
+  ItemExchange MakeForwardExchange(const proto::Route& route,
+                                   const proto::CallRequest& request) const;
   std::shared_ptr<BackendCall> Run(CallSpec spec, ReadAnswer read_answer,
                                    std::function<void(BackendOutcome)> done);
 
