--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -1,7 +1,8 @@
 #include "admission/admission_control.h"
 
 #include <algorithm>
-#include <cmath>
+
+#include "admission/fractional_seconds.h"
 
 namespace cloverbank {
 namespace {
@@ -9,12 +10,6 @@
 constexpr Duration kPaceWindow = milliseconds(500);
 constexpr double kPaceMemory = 0.5;  // Share of the past in the moving average.
 
-double ToSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
-
-Duration FromSeconds(double count) {
-  return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
-}
-
 int UrgencyOf(proto::Priority priority) {
   return priority == proto::PRIORITY_UNSPECIFIED ? proto::PRIORITY_STANDARD : priority;
 }
@@ -39,29 +34,6 @@
   return "queue_full";
 }
 
-double TokenBucket::Level(double per_second, double capacity, TimePoint now) const {
-  if (tokens_ < 0) {
-    return capacity;
-  }
-  return std::min(capacity, tokens_ + ToSeconds(now - updated_) * per_second);
-}
-
-Duration TokenBucket::Acquire(double per_second, Duration burst, TimePoint now) {
-  const double capacity = std::max(1.0, per_second * ToSeconds(burst));
-  tokens_ = Level(per_second, capacity, now);
-  updated_ = now;
-  if (tokens_ >= 1) {
-    tokens_ -= 1;
-    return Duration::zero();
-  }
-  return FromSeconds((1 - tokens_) / per_second) + Duration(1);
-}
-
-bool TokenBucket::Full(double per_second, Duration burst, TimePoint now) const {
-  const double capacity = std::max(1.0, per_second * ToSeconds(burst));
-  return Level(per_second, capacity, now) >= capacity;
-}
-
 std::optional<RefusalNotice> AdmissionControl::Admit(const proto::Route& route,
                                                      const proto::Tenant* tenant, TimePoint now) {
   std::uint32_t& in_flight = in_flight_[route.name()];
@@ -108,7 +80,7 @@
     queue.window_start = now;
   }
   queue.ranks.insert(rank);
-  expiries_.emplace(bounded.give_up_at, bounded.id);
+  expiries_.insert({bounded.give_up_at, bounded.id});
   waiting_.emplace(bounded.id, bounded);
   waiting_bytes_ += bounded.bytes;
   return std::nullopt;
@@ -130,10 +102,10 @@
   }
   const Rank last = *queue.ranks.rbegin();
   // Only a higher priority displaces: an earlier deadline alone would let a crowd churn the queue.
-  if (std::get<0>(last) <= std::get<0>(rank)) {
+  if (last.urgency <= rank.urgency) {
     return false;
   }
-  const WaitId id = std::get<2>(last);
+  const WaitId id = last.id;
   Remove(id);
   displaced->push_back(id);
   return HasCapacity(queue, bytes);
@@ -150,7 +122,7 @@
     if (first.size() == count) {
       break;
     }
-    first.push_back(std::get<2>(rank));
+    first.push_back(rank.id);
   }
   return first;
 }
@@ -170,8 +142,8 @@
 
 std::vector<WaitId> AdmissionControl::TakeExpired(TimePoint now) {
   std::vector<WaitId> expired;
-  while (!expiries_.empty() && expiries_.begin()->first <= now) {
-    const WaitId id = expiries_.begin()->second;
+  while (!expiries_.empty() && expiries_.begin()->at <= now) {
+    const WaitId id = expiries_.begin()->id;
     Remove(id);
     expired.push_back(id);
   }
@@ -182,7 +154,7 @@
   if (expiries_.empty()) {
     return std::nullopt;
   }
-  return expiries_.begin()->first;
+  return expiries_.begin()->at;
 }
 
 bool AdmissionControl::Serve(WaitId id, TimePoint now) {
--- /dev/null
+++ b/src/calls/call_failure.cc
@@ -0,0 +1,37 @@
+#include "calls/call_failure.h"
+
+namespace cloverbank {
+namespace {
+
+constexpr Duration kShortRetryAfter = milliseconds(500);
+
+}  // namespace
+
+CallFailureDetails DescribeCallFailure(CallFailure failure) {
+  switch (failure) {
+    case CallFailure::kDeadlineReached:
+      return {"deadline_reached", "the deadline passed before an answer came", kShortRetryAfter};
+    case CallFailure::kLeaseExpired:
+      return {"lease_expired", "this gateway has lost touch with control; try another one",
+              kShortRetryAfter};
+    case CallFailure::kNoReplicaList:
+      return {"no_replica_list", "this gateway has not read the list of replicas yet",
+              kShortRetryAfter};
+    case CallFailure::kUnknownRoute:
+      return {"unknown_route", "the configuration no longer has this route", Duration::zero()};
+    case CallFailure::kStartWithdrawn:
+      return {"start_withdrawn", "the right to start this call ran out", Duration::zero()};
+    case CallFailure::kNoCapacity:
+      return {"no_room", "no replica has room for batch work now", kShortRetryAfter};
+  }
+  return {};
+}
+
+std::uint32_t JitteredRetryAfterMs(Duration retry_after, std::uint64_t random) {
+  const auto wait_ms =
+      static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(retry_after).count());
+  const std::uint64_t jitter_ms = random % (std::uint64_t{wait_ms} / 2 + 1);
+  return wait_ms + static_cast<std::uint32_t>(jitter_ms);
+}
+
+}  // namespace cloverbank
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -2,14 +2,30 @@
 /// @file
 /// One try of a `ForwardExchange` at one replica. Threads: the owner's event loop only.
 
+#include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 
+#include "calls/attempt_session.h"
 #include "calls/forward_exchange.h"
 
 namespace cloverbank {
 
+/// Why a response is not one complete response to this call.
+enum class ResponseFault : std::uint8_t {
+  kNoResponse,     ///< The replica has responded to nobody here for too long.
+  kOtherCall,      ///< It responds to another call.
+  kTooLarge,       ///< A complete body beyond the limit.
+  kEventTooLarge,  ///< An event beyond the limit.
+  kGap,            ///< A resumed stream that does not go on after the last event.
+  kCutEvent,       ///< The body ended within an event, or without any.
+  kNotResumed,     ///< An error where a stream should have been resumed.
+};
+/// @return the stable snake_case name, for metrics, logs and messages.
+std::string_view ResponseFaultName(ResponseFault fault);
+
 class ForwardAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ForwardAttempt> {
  public:
@@ -32,7 +48,6 @@
   /// elsewhere.
   void ArmResponseTimer();
   void CheckResponseTimeout();
-  bool CanSend();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
@@ -41,10 +56,15 @@
   bool Step();
   void Forward(StreamEvent event);
   bool Follows(const StreamEvent& event) const;
+  /// The body ended, or the connection did.
   void Complete();
-  void CompleteSuccessfully();
-  void CompleteTimedOut();
-  void BreakOff(const std::string& fault);
+  void CompleteWithoutResponse();
+  void CompleteStream();
+  /// A response that is not a stream of events came in whole.
+  void CompleteResponse();
+  void FinishReplicaFailure(HttpResponse response);
+  void FinishSuccessfully();
+  void BreakOff(ResponseFault fault);
   void FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
                   CallEnd health);
   void Finish(AttemptResult result, CallEnd health);
@@ -54,10 +74,9 @@
   AttemptRequest request_;
   std::shared_ptr<ForwardExchange> exchange_;
   ExchangeEvents events_;
-  std::weak_ptr<const void> pool_lifetime_;
+  AttemptSession session_;
   EventSplitter splitter_;
   std::shared_ptr<HttpCall> call_;
-  TimePoint sent_at_;
   Reading reading_ = Reading::kNothing;
   int status_ = 0;  ///< 0 until the head came.
   HttpHeaders headers_;
@@ -66,14 +85,9 @@
   std::optional<HttpOutcome> outcome_;
   TimerId response_timer_ = 0;
   bool heard_ = false;    ///< Whether anything came in since the last look.
-  bool foreign_ = false;  ///< The answer is to another call.
   bool not_run_ = false;  ///< The replica says that it did not run the request.
-  bool asked_ = false;    ///< Whether `may_send` was asked: nothing was sent before.
-  bool withheld_ = false;
   bool event_under_way_ = false;
   bool advancing_ = false;
-  bool released_ = false;
-  bool done_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <utility>
 
+#include "gateway/admission_response.h"
 #include "gateway/live_forward.h"
 #include "net/http_status.h"
 #include "routing/route_match.h"
@@ -13,16 +14,28 @@
 constexpr Duration kBatchRetryAfter = milliseconds(100);
 constexpr Duration kRetryAfter = milliseconds(500);
 
+ForwardCall MakeForwardCall(IncomingCall call, const proto::Route& route) {
+  ForwardCall forward;
+  forward.call_id = std::move(call.call_id);
+  forward.prefix_key = std::move(call.prefix_key);
+  forward.prompt = call.prompt;
+  forward.request = std::move(call.request);
+  forward.streamed = route.streamed();
+  forward.resumable = route.resumable();
+  forward.target = milliseconds(route.target_ms());
+  forward.longest_pause = milliseconds(route.pause_target_ms());
+  return forward;
+}
+
 }  // namespace
 
 ForwardingService::ForwardingService(const CallContext& context, const GatewayOptions& options)
-    : context_(context), options_(options) {}
+    : context_(context),
+      options_(options),
+      waiting_(context.attempt.environment,
+               [this](HttpResponder& responder) { RefuseWithoutControl(responder); }) {}
 
-ForwardingService::~ForwardingService() {
-  for (const Waiting& waiting : waiting_) {
-    context_.attempt.environment.CancelTimer(waiting.timer);
-  }
-}
+ForwardingService::~ForwardingService() = default;
 
 const proto::Route* ForwardingService::FindRouteOf(std::string_view host,
                                                    std::string_view path) const {
@@ -44,51 +57,18 @@
 }
 
 void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  Environment& environment = context_.attempt.environment;
-  Duration wait = options_.calls.control_wait;
   const Duration patience = call.patience.value_or(options_.calls.default_deadline);
-  wait = std::min(wait, patience / 2);
-  const std::uint64_t number = next_call_++;
-  Waiting waiting;
-  waiting.number = number;
-  waiting.call = std::move(call);
-  waiting.responder = responder;
-  waiting.deadline = environment.Now() + patience;
-  waiting.timer =
-      environment.ScheduleAfter(wait, [this, number] { StopWaiting(number, /*answer=*/true); });
-  waiting_.push_back(std::move(waiting));
-  environment.metrics().Increment("gateway_calls_waited_for_control_total");
-  responder->OnDisconnect([this, number, alive = std::weak_ptr<bool>(alive_)] {
-    if (!alive.expired()) {
-      StopWaiting(number, /*answer=*/false);
-    }
-  });
-}
-
-void ForwardingService::StopWaiting(std::uint64_t number, bool answer) {
-  const auto waiting =
-      std::find_if(waiting_.begin(), waiting_.end(),
-                   [number](const Waiting& entry) { return entry.number == number; });
-  if (waiting == waiting_.end()) {
-    return;
-  }
-  const Responder responder = waiting->responder;
-  context_.attempt.environment.CancelTimer(waiting->timer);
-  waiting_.erase(waiting);
-  if (answer) {
-    RefuseWithoutControl(*responder);
-  }
+  const Duration wait = std::min(options_.calls.control_wait, patience / 2);
+  waiting_.Add(std::move(call), responder, wait, patience);
 }
 
 void ForwardingService::OnConfiguration() {
   if (!CanServe()) {
     return;
   }
-  Environment& environment = context_.attempt.environment;
-  for (Waiting& waiting : std::exchange(waiting_, {})) {
-    environment.CancelTimer(waiting.timer);
-    waiting.call.patience = waiting.deadline - environment.Now();
-    Admit(std::move(waiting.call), waiting.responder);
+  for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
+    entry.call.patience = entry.deadline - context_.attempt.environment.Now();
+    Admit(std::move(entry.call), entry.responder);
   }
 }
 
@@ -117,27 +97,22 @@
   const auto refusal =
       context_.queue.admission().Admit(*route, nullptr, context_.attempt.environment.Now());
   if (refusal) {
-    Refuse(*responder,
-           refusal->refusal == Refusal::kTenantRate ? kHttpTooManyRequests : kHttpUnavailable,
+    Refuse(*responder, HttpStatusForRefusal(refusal->refusal),
            std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
            refusal->retry_after);
     return;
   }
-  CallSpec spec = MakeSpec(*route, call);
-  ForwardCall forward;
-  forward.call_id = std::move(call.call_id);
-  forward.prefix_key = std::move(call.prefix_key);
-  forward.prompt = call.prompt;
-  forward.request = std::move(call.request);
-  forward.streamed = route->streamed();
-  forward.resumable = route->resumable();
-  forward.target = milliseconds(route->target_ms());
-  forward.longest_pause = milliseconds(route->pause_target_ms());
+  StartCall(std::move(call), responder, *route);
+}
+
+void ForwardingService::StartCall(IncomingCall call, const Responder& responder,
+                                  const proto::Route& route) {
+  CallSpec spec = MakeSpec(route, call);
   const std::uint64_t number = next_call_++;
   auto live = std::make_shared<LiveForward>(
-      context_, responder, [this, number, name = route->name()] { OnCallOver(number, name); });
+      context_, responder, [this, number, name = route.name()] { OnCallOver(number, name); });
   calls_.emplace(number, live);
-  live->Start(std::move(spec), std::move(forward), options_.forward_headers);
+  live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
