--- a/src/control_state/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -22,7 +22,7 @@
   return "nothing";
 }
 
-ConfigurationObjectKey KeyOf(const proto::ConfigurationChange& change) {
+ConfigurationObjectKey ObjectKeyFor(const proto::ConfigurationChange& change) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
       return {ConfigurationObjectKind::kRoute, change.set_route().name()};
--- a/src/control_state/configuration_objects.h
+++ b/src/control_state/configuration_objects.h
@@ -32,7 +32,7 @@
   std::string ToString() const;
 };
 
-ConfigurationObjectKey KeyOf(const proto::ConfigurationChange& change);
+ConfigurationObjectKey ObjectKeyFor(const proto::ConfigurationChange& change);
 
 struct ConfigurationObjects {
   std::map<std::string, proto::Route> routes;
--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -13,7 +13,7 @@
 constexpr std::size_t kChangeFramingBytes = 4;
 /// Tag and length of a change within an update, at most.
 
-std::uint64_t ChecksumOf(const proto::ConfigurationTransaction& transaction) {
+std::uint64_t ComputeChecksum(const proto::ConfigurationTransaction& transaction) {
   if (transaction.label() != 0) {
     // Its id is drawn from the bytes of the operator's order: what a gateway made of them may
     // differ with the configuration that it held.
@@ -23,13 +23,13 @@
 }
 
 template <typename Map, typename Object>
-bool Holds(const Map& objects, const Object& object) {
+bool ContainsEqual(const Map& objects, const Object& object) {
   const auto found = objects.find(object.name());
   return found != objects.end() && found->second.SerializeAsString() == object.SerializeAsString();
 }
 
 /// History tells what was changed, not how the document read.
-void DropDocument(proto::ConfigurationTransaction* transaction) {
+void ClearDocumentSource(proto::ConfigurationTransaction* transaction) {
   for (proto::ConfigurationChange& change : *transaction->mutable_changes()) {
     if (change.has_set_document()) {
       change.mutable_set_document()->clear_source();
@@ -47,14 +47,14 @@
     return Validate(transaction);
   }
   if (std::vector<std::string> problems = CheckOperationId(transaction); !problems.empty()) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
+    return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
-  const std::uint64_t checksum = ChecksumOf(transaction);
+  const std::uint64_t checksum = ComputeChecksum(transaction);
   if (auto recorded = FindRecordedAnswer(transaction, checksum)) {
     return *std::move(recorded);
   }
   if (transaction.inquiry() && transaction.expected_label() == label_) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_MAY_BE_SENT, {});
+    return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_MAY_BE_SENT, {});
   }
   proto::TransactionResult result = Evaluate(transaction);
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
@@ -73,9 +73,9 @@
   if (recorded->request_checksum() == checksum) {
     return recorded->result();
   }
-  return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
-                 {"operation_id \"" + transaction.operation_id() +
-                  "\" was used for another transaction; choose a new one"});
+  return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
+                     {"operation_id \"" + transaction.operation_id() +
+                      "\" was used for another transaction; choose a new one"});
 }
 
 void ConfigurationStore::RecordAnswer(const proto::TransactionResult& result,
@@ -101,17 +101,18 @@
   const ConfigurationVersion expected(transaction.expected_version());
   const bool versioned = transaction.label() == 0 && !transaction.any_version();
   if (versioned && problems.empty() && expected != version_) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
-                   {"expected_version is " + expected.ToString() + ", the current version is " +
-                    version_.ToString() +
-                    "; read the configuration, redo the changes on it and send them under a new "
-                    "operation_id"});
+    return MakeRefusal(
+        transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
+        {"expected_version is " + expected.ToString() + ", the current version is " +
+         version_.ToString() +
+         "; read the configuration, redo the changes on it and send them under a new "
+         "operation_id"});
   }
   std::vector<std::string> wrong = CheckChanges(objects_, transaction);
   problems.insert(problems.end(), std::make_move_iterator(wrong.begin()),
                   std::make_move_iterator(wrong.end()));
   if (!problems.empty()) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
+    return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
   proto::TransactionResult result;
   result.set_outcome(proto::TRANSACTION_OUTCOME_APPLIED);
@@ -120,7 +121,7 @@
   return result;
 }
 
-proto::TransactionResult ConfigurationStore::Refusal(
+proto::TransactionResult ConfigurationStore::MakeRefusal(
     const proto::ConfigurationTransaction& transaction, proto::TransactionOutcome outcome,
     std::vector<std::string> problems) const {
   proto::TransactionResult result;
@@ -139,15 +140,15 @@
     return std::nullopt;
   }
   if (transaction.expected_label() != label_) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
-                   {"expected_label is " + std::to_string(transaction.expected_label()) +
-                    ", the current one is " + std::to_string(label_) +
-                    "; read the configuration and redo the changes on it"});
+    return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
+                       {"expected_label is " + std::to_string(transaction.expected_label()) +
+                        ", the current one is " + std::to_string(label_) +
+                        "; read the configuration and redo the changes on it"});
   }
   if (transaction.label() <= label_) {
-    return Refusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
-                   {"label " + std::to_string(transaction.label()) +
-                    " is not above the current one, " + std::to_string(label_)});
+    return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID,
+                       {"label " + std::to_string(transaction.label()) +
+                        " is not above the current one, " + std::to_string(label_)});
   }
   return std::nullopt;
 }
@@ -155,9 +156,9 @@
 bool ConfigurationStore::ChangesNothing(const proto::ConfigurationChange& change) const {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
-      return Holds(objects_.routes, change.set_route());
+      return ContainsEqual(objects_.routes, change.set_route());
     case proto::ConfigurationChange::kSetBackend:
-      return Holds(objects_.backends, change.set_backend());
+      return ContainsEqual(objects_.backends, change.set_backend());
     case proto::ConfigurationChange::kEnsureZone:
       return objects_.zones.contains(change.ensure_zone().name());
     default:
@@ -174,7 +175,7 @@
   normal.clear_changes();
   std::set<ConfigurationObjectKey> named;
   for (const proto::ConfigurationChange& change : transaction.changes()) {
-    named.insert(KeyOf(change));
+    named.insert(ObjectKeyFor(change));
     if (!ChangesNothing(change)) {
       *normal.add_changes() = change;
     }
@@ -197,21 +198,21 @@
   }
 }
 
-void ConfigurationStore::Commit(const proto::ConfigurationTransaction& given,
+void ConfigurationStore::Commit(const proto::ConfigurationTransaction& transaction,
                                 std::int64_t wall_ms) {
-  const proto::ConfigurationTransaction transaction = Normalize(given);
-  for (const proto::ConfigurationChange& change : transaction.changes()) {
+  const proto::ConfigurationTransaction normalized = Normalize(transaction);
+  for (const proto::ConfigurationChange& change : normalized.changes()) {
     objects_.Apply(change);
   }
-  label_ = transaction.label() != 0 ? transaction.label() : label_;
+  label_ = normalized.label() != 0 ? normalized.label() : label_;
   version_ = version_.Next();
   full_configuration_.reset();
   full_update_.reset();
   deltas_.clear();
   proto::HistoryRecord record;
   record.set_version(version_.value());
-  *record.mutable_transaction() = transaction;
-  DropDocument(record.mutable_transaction());
+  *record.mutable_transaction() = normalized;
+  ClearDocumentSource(record.mutable_transaction());
   record.set_applied_at_ms(wall_ms);
   AddHistory(std::move(record));
 }
@@ -219,7 +220,7 @@
 void ConfigurationStore::AddHistory(proto::HistoryRecord record) {
   history_bytes_ += record.ByteSizeLong();
   history_.push_back(std::move(record));
-  while (history_.size() > kHistoryKept || history_bytes_ > kHistoryBytesKept) {
+  while (history_.size() > kMaximumHistoryRecords || history_bytes_ > kMaximumHistoryBytes) {
     history_bytes_ -= history_.front().ByteSizeLong();
     history_.pop_front();
   }
@@ -257,7 +258,7 @@
 const proto::ConfigurationUpdate& ConfigurationStore::UpdateFrom(ConfigurationVersion known) const {
   auto entry = deltas_.find(known);
   if (entry == deltas_.end()) {
-    if (deltas_.size() >= kDeltasCached) {
+    if (deltas_.size() >= kMaximumCachedDeltas) {
       deltas_.clear();
     }
     entry = deltas_.emplace(known, MakeDelta(known)).first;
@@ -306,7 +307,7 @@
       break;
     }
     for (const proto::ConfigurationChange& change : record->transaction().changes()) {
-      if (!seen.insert(KeyOf(change)).second) {
+      if (!seen.insert(ObjectKeyFor(change)).second) {
         continue;
       }
       proto::ConfigurationChange* added = update->add_changes();
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -4,8 +4,8 @@
 /// updates that bring a node from one version to the current one. Part of `ControlState`;
 /// deterministic. The configuration starts empty at version 1; 0 is "none held".
 ///
-/// History and deltas are bounded by `kHistoryKept` records and `kHistoryBytesKept` bytes; a node
-/// further behind is sent the whole configuration.
+/// History and deltas are bounded by `kMaximumHistoryRecords` records and `kMaximumHistoryBytes`
+/// bytes; a node further behind is sent the whole configuration.
 
 #include <cstdint>
 #include <deque>
@@ -26,10 +26,10 @@
 
 class ConfigurationStore {
  public:
-  static constexpr std::size_t kHistoryKept = 1'000;
-  static constexpr std::size_t kHistoryBytesKept = 16U << 20U;
+  static constexpr std::size_t kMaximumHistoryRecords = 1'000;
+  static constexpr std::size_t kMaximumHistoryBytes = 16U << 20U;
   /// Versions whose deltas are kept ready at a time.
-  static constexpr std::size_t kDeltasCached = 64;
+  static constexpr std::size_t kMaximumCachedDeltas = 64;
 
   ConfigurationStore();
 
@@ -70,9 +70,9 @@
       const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const;
   void RecordAnswer(const proto::TransactionResult& result, std::uint64_t checksum);
   proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
-  proto::TransactionResult Refusal(const proto::ConfigurationTransaction& transaction,
-                                   proto::TransactionOutcome outcome,
-                                   std::vector<std::string> problems) const;
+  proto::TransactionResult MakeRefusal(const proto::ConfigurationTransaction& transaction,
+                                       proto::TransactionOutcome outcome,
+                                       std::vector<std::string> problems) const;
   /// @return what is wrong with the operator's own numbers, if anything.
   std::optional<proto::TransactionResult> EvaluateLabels(
       const proto::ConfigurationTransaction& transaction) const;
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-std::vector<PartitionId> ToPartitions(const google::protobuf::RepeatedField<std::uint64_t>& ids) {
+std::vector<PartitionId> ToPartitionIds(const google::protobuf::RepeatedField<std::uint64_t>& ids) {
   std::vector<PartitionId> partitions;
   partitions.reserve(static_cast<std::size_t>(ids.size()));
   for (const std::uint64_t id : ids) {
@@ -31,7 +31,7 @@
   proto::ControlCommandResult result;
   if (command.ParseFromString(bytes)) {
     result = ApplyCommand(command);
-    servers_.PruneDead(partitions_.NamedNodes());
+    servers_.PruneDead(partitions_.FindReferencedServers());
     RecordFleetChanges();
   } else {
     SetStatus({StatusCode::kCorrupt, "malformed control command"}, &result);
@@ -47,12 +47,12 @@
     *result.mutable_transaction() = configuration_.Apply(command.apply_transaction().transaction(),
                                                          command.apply_transaction().wall_ms());
   } else {
-    SetStatus(ApplyPlain(command), &result);
+    SetStatus(ApplyWithStatus(command), &result);
   }
   return result;
 }
 
-Status ControlState::ApplyPlain(const proto::ControlCommand& command) {
+Status ControlState::ApplyWithStatus(const proto::ControlCommand& command) {
   switch (command.command_case()) {
     case proto::ControlCommand::kDeclareServerDead:
       return DeclareDead(NodeId(command.declare_server_dead().node_id()));
@@ -117,7 +117,7 @@
 Status ControlState::Assign(const proto::AssignPartitionsCommand& command) {
   const NodeId node(command.queue_node_id());
   const Status live = RequireLiveQueueNode(node);
-  return live.ok() ? partitions_.Assign(node, ToPartitions(command.partition_ids())) : live;
+  return live.ok() ? partitions_.Assign(node, ToPartitionIds(command.partition_ids())) : live;
 }
 
 Status ControlState::StartReplay(const proto::StartReplayCommand& command) {
@@ -137,7 +137,7 @@
     return live;
   }
   return partitions_.FinishAssignment(NodeId(command.dead_node_id()), node,
-                                      ToPartitions(command.partition_ids()));
+                                      ToPartitionIds(command.partition_ids()));
 }
 
 void ControlState::RecordFleetChanges() {
@@ -153,10 +153,10 @@
   for (const PartitionId partition : partitions) {
     partition_changed_[partition] = fleet_version_;
   }
-  DropPrunedServers();
+  ForgetPrunedServers();
 }
 
-void ControlState::DropPrunedServers() {
+void ControlState::ForgetPrunedServers() {
   for (auto entry = server_changed_.begin(); entry != server_changed_.end();) {
     if (servers_.Find(entry->first) != nullptr) {
       ++entry;
--- a/src/control_state/control_state.h
+++ b/src/control_state/control_state.h
@@ -43,7 +43,7 @@
  private:
   proto::ControlCommandResult ApplyCommand(const proto::ControlCommand& command);
   /// Applies a command whose result is only whether it was taken.
-  Status ApplyPlain(const proto::ControlCommand& command);
+  Status ApplyWithStatus(const proto::ControlCommand& command);
   void ApplyRegister(const proto::RegisterServerCommand& command,
                      proto::ControlCommandResult* result);
   Status DeclareDead(NodeId node);
@@ -55,7 +55,7 @@
   Status FinishAssignment(const proto::FinishAssignmentCommand& command);
   /// Raises the fleet version if the command changed what nodes see, and stamps what changed.
   void RecordFleetChanges();
-  void DropPrunedServers();
+  void ForgetPrunedServers();
   void AddFullFleet(proto::FleetUpdate* update) const;
   void AddChangesSince(FleetVersion known, proto::FleetUpdate* update) const;
 
--- a/src/control_state/operation_records.cc
+++ b/src/control_state/operation_records.cc
@@ -13,7 +13,7 @@
   const std::string id = record.operation_id();
   const proto::TransactionResult& result = record.result();
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED && result.in_force_at_ms() == 0) {
-    awaited_.push_back({ConfigurationVersion(result.version()), id});
+    pending_in_force_.push_back({ConfigurationVersion(result.version()), id});
   }
   bytes_ += record.ByteSizeLong();
   records_[id] = std::move(record);
@@ -22,7 +22,7 @@
 }
 
 void OperationRecords::Trim() {
-  while (order_.size() > kRecordsKept || (bytes_ > kRecordBytesKept && order_.size() > 1)) {
+  while (order_.size() > kMaximumRecords || (bytes_ > kMaximumRecordBytes && order_.size() > 1)) {
     const auto oldest = records_.find(order_.front());
     bytes_ -= oldest->second.ByteSizeLong();
     records_.erase(oldest);
@@ -31,9 +31,9 @@
 }
 
 void OperationRecords::RecordInForce(ConfigurationVersion version, std::int64_t wall_ms) {
-  while (!awaited_.empty() && awaited_.front().version <= version) {
-    const auto entry = records_.find(awaited_.front().operation_id);
-    awaited_.pop_front();
+  while (!pending_in_force_.empty() && pending_in_force_.front().version <= version) {
+    const auto entry = records_.find(pending_in_force_.front().operation_id);
+    pending_in_force_.pop_front();
     if (entry == records_.end()) {
       continue;
     }
--- a/src/control_state/operation_records.h
+++ b/src/control_state/operation_records.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// The answers given to operations, kept so that a resent transaction gets its first answer again.
-/// Part of `ControlState`; deterministic. Bounded: beyond `kRecordsKept` records, or
-/// `kRecordBytesKept` bytes of them, the oldest are forgotten; a resend after that is a new
+/// Part of `ControlState`; deterministic. Bounded: beyond `kMaximumRecords` records, or
+/// `kMaximumRecordBytes` bytes of them, the oldest are forgotten; a resend after that is a new
 /// transaction, which its expected version refuses if the first one was applied.
 
 #include <cstdint>
@@ -17,8 +17,8 @@
 
 class OperationRecords {
  public:
-  static constexpr std::size_t kRecordsKept = 10'000;
-  static constexpr std::size_t kRecordBytesKept = 32U << 20U;
+  static constexpr std::size_t kMaximumRecords = 10'000;
+  static constexpr std::size_t kMaximumRecordBytes = 32U << 20U;
 
   /// @return the record of the operation, or nullptr.
   const proto::OperationRecord* Find(const std::string& operation_id) const;
@@ -32,7 +32,7 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
-  struct Awaited {
+  struct PendingInForce {
     ConfigurationVersion version;
     std::string operation_id;
   };
@@ -40,8 +40,8 @@
   void Trim();
 
   std::unordered_map<std::string, proto::OperationRecord> records_;
-  std::deque<std::string> order_;  // Oldest first.
-  std::deque<Awaited> awaited_;    // Applied, not yet in force; by rising version.
+  std::deque<std::string> order_;                // Oldest first.
+  std::deque<PendingInForce> pending_in_force_;  // Applied, not yet in force; by rising version.
   std::size_t bytes_ = 0;
 };
 
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-bool Names(const proto::RecoveryAssignment& assignment, PartitionId partition) {
+bool Includes(const proto::RecoveryAssignment& assignment, PartitionId partition) {
   const auto& ids = assignment.partition_ids();
   return std::find(ids.begin(), ids.end(), partition.value()) != ids.end();
 }
@@ -23,12 +23,12 @@
   HeadEpoch epoch;
 };
 
-bool SameBackups(const proto::LogHead& left, const proto::LogHead& right,
-                 const ServerRegistry& servers) {
+bool HaveSameBackups(const proto::LogHead& left, const proto::LogHead& right,
+                     const ServerRegistry& servers) {
   return std::is_permutation(left.backups().begin(), left.backups().end(), right.backups().begin(),
                              right.backups().end(),
                              [&servers](std::uint64_t one, std::uint64_t other) {
-                               return servers.SameDisk(NodeId(one), NodeId(other));
+                               return servers.HaveSameDisk(NodeId(one), NodeId(other));
                              });
 }
 
@@ -56,7 +56,7 @@
 void PartitionTable::OnQueueNodeDead(NodeId node) {
   RevokeReplays(node);
   const bool has_log = heads_.contains(node);
-  const std::vector<PartitionId> owned = OwnedBy(node);
+  const std::vector<PartitionId> owned = FindOwnedBy(node);
   for (const PartitionId id : owned) {
     SetOwner(id, NodeId(), has_log ? node : NodeId());
   }
@@ -92,7 +92,7 @@
   LogHeads& heads = entry->second;
   const HeadPosition position(head);
   const HeadPosition committed(heads.current);
-  if (position == committed && SameBackups(head, heads.current, servers)) {
+  if (position == committed && HaveSameBackups(head, heads.current, servers)) {
     return Status::Ok();
   }
   if (position <= committed) {
@@ -143,7 +143,7 @@
 
 Status PartitionTable::CheckOpenForReplay(
     NodeId dead, const std::vector<proto::RecoveryAssignment>& assignments) const {
-  const std::vector<PartitionId> unassigned = UnassignedOf(dead);
+  const std::vector<PartitionId> unassigned = FindUnassigned(dead);
   std::set<PartitionId> open(unassigned.begin(), unassigned.end());
   for (const proto::RecoveryAssignment& assignment : assignments) {
     for (const std::uint64_t id : assignment.partition_ids()) {
@@ -169,7 +169,7 @@
   }
   const auto recovery = recoveries_.find(dead);
   if (recovery != recoveries_.end()) {
-    SetDoneAssignments(dead, &recovery->second);
+    MarkDoneAssignments(dead, &recovery->second);
   }
   return Status::Ok();
 }
@@ -192,20 +192,20 @@
   return Status::Ok();
 }
 
-void PartitionTable::SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const {
+void PartitionTable::MarkDoneAssignments(NodeId dead, proto::Recovery* recovery) const {
   for (proto::RecoveryAssignment& assignment : *recovery->mutable_assignments()) {
     const auto& ids = assignment.partition_ids();
     assignment.set_done(std::none_of(ids.begin(), ids.end(), [this, dead](std::uint64_t id) {
       return NodeId(partitions_.at(PartitionId(id)).recovering_from()) == dead;
     }));
   }
-  if (!AnyRecoveringFrom(dead)) {
+  if (!HasPartitionsRecoveringFrom(dead)) {
     recovery->set_phase(proto::RECOVERY_PHASE_RELEASING);
   }
 }
 
 Status PartitionTable::FinishRecovery(NodeId dead) {
-  if (AnyRecoveringFrom(dead)) {
+  if (HasPartitionsRecoveringFrom(dead)) {
     return Conflict("partitions are still being recovered from node " + dead.ToString());
   }
   if (recoveries_.erase(dead) > 0) {
@@ -214,7 +214,7 @@
   return Status::Ok();
 }
 
-std::vector<PartitionId> PartitionTable::OwnedBy(NodeId node) const {
+std::vector<PartitionId> PartitionTable::FindOwnedBy(NodeId node) const {
   std::vector<PartitionId> owned;
   for (const auto& [id, partition] : partitions_) {
     if (NodeId(partition.owner()) == node) {
@@ -224,7 +224,7 @@
   return owned;
 }
 
-std::vector<PartitionId> PartitionTable::UnassignedOf(NodeId dead) const {
+std::vector<PartitionId> PartitionTable::FindUnassigned(NodeId dead) const {
   std::vector<PartitionId> unassigned;
   const auto recovery = recoveries_.find(dead);
   if (recovery == recoveries_.end()) {
@@ -235,9 +235,10 @@
     if (NodeId(partition.recovering_from()) != dead) {
       continue;
     }
-    const bool assigned = std::any_of(
-        assignments.begin(), assignments.end(),
-        [id = id](const auto& assignment) { return !assignment.done() && Names(assignment, id); });
+    const bool assigned =
+        std::any_of(assignments.begin(), assignments.end(), [id = id](const auto& assignment) {
+          return !assignment.done() && Includes(assignment, id);
+        });
     if (!assigned) {
       unassigned.push_back(id);
     }
@@ -245,7 +246,7 @@
   return unassigned;
 }
 
-std::vector<PartitionId> PartitionTable::Free() const {
+std::vector<PartitionId> PartitionTable::FindFree() const {
   std::vector<PartitionId> free;
   for (const auto& [id, partition] : partitions_) {
     if (partition.owner() == 0 && partition.recovering_from() == 0) {
@@ -255,8 +256,8 @@
   return free;
 }
 
-std::size_t PartitionTable::LoadOf(NodeId node) const {
-  std::size_t load = OwnedBy(node).size();
+std::size_t PartitionTable::CountAssigned(NodeId node) const {
+  std::size_t load = FindOwnedBy(node).size();
   for (const auto& [dead, recovery] : recoveries_) {
     for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
       if (NodeId(assignment.queue_node_id()) == node && !assignment.done()) {
@@ -267,7 +268,7 @@
   return load;
 }
 
-std::set<NodeId> PartitionTable::NamedNodes() const {
+std::set<NodeId> PartitionTable::FindReferencedServers() const {
   std::set<NodeId> named;
   const auto add_backups = [&named](const proto::LogHead& head) {
     for (const std::uint64_t backup : head.backups()) {
@@ -289,11 +290,11 @@
   return std::any_of(recovery.assignments().begin(), recovery.assignments().end(),
                      [partition, node](const proto::RecoveryAssignment& assignment) {
                        return !assignment.done() && NodeId(assignment.queue_node_id()) == node &&
-                              Names(assignment, partition);
+                              Includes(assignment, partition);
                      });
 }
 
-bool PartitionTable::AnyRecoveringFrom(NodeId dead) const {
+bool PartitionTable::HasPartitionsRecoveringFrom(NodeId dead) const {
   return std::any_of(partitions_.begin(), partitions_.end(), [dead](const auto& entry) {
     return NodeId(entry.second.recovering_from()) == dead;
   });
--- a/src/control_state/partition_table.h
+++ b/src/control_state/partition_table.h
@@ -67,15 +67,15 @@
   const std::map<NodeId, proto::Recovery>& recoveries() const { return recoveries_; }
 
   /// @return partitions owned by `node`.
-  std::vector<PartitionId> OwnedBy(NodeId node) const;
+  std::vector<PartitionId> FindOwnedBy(NodeId node) const;
   /// @return partitions in the log of `dead` that no unfinished assignment covers.
-  std::vector<PartitionId> UnassignedOf(NodeId dead) const;
+  std::vector<PartitionId> FindUnassigned(NodeId dead) const;
   /// @return partitions without owner and without a log to be recovered from.
-  std::vector<PartitionId> Free() const;
+  std::vector<PartitionId> FindFree() const;
   /// @return partitions `node` owns or is replaying.
-  std::size_t LoadOf(NodeId node) const;
+  std::size_t CountAssigned(NodeId node) const;
   /// @return servers that heads and recoveries name.
-  std::set<NodeId> NamedNodes() const;
+  std::set<NodeId> FindReferencedServers() const;
 
   /// @return the partitions changed since the last call, and forgets them.
   std::set<PartitionId> TakeChanged() { return std::exchange(changed_, {}); }
@@ -87,15 +87,15 @@
   void SetOwner(PartitionId partition, NodeId owner, NodeId recovering_from);
   /// Removes the unfinished assignments of `node` from all recoveries.
   void RevokeReplays(NodeId node);
-  /// @return kConflict if any partition of the assignments is not `UnassignedOf(dead)`, or is named
-  /// twice.
+  /// @return kConflict if any partition of the assignments is not `FindUnassigned(dead)`, or is
+  /// named twice.
   Status CheckOpenForReplay(NodeId dead,
                             const std::vector<proto::RecoveryAssignment>& assignments) const;
   /// @return OK if `node` owns the partition already or is assigned its replay.
   Status CheckReplayedBy(NodeId dead, NodeId node, PartitionId partition) const;
   bool IsAssigned(const proto::Recovery& recovery, PartitionId partition, NodeId node) const;
-  void SetDoneAssignments(NodeId dead, proto::Recovery* recovery) const;
-  bool AnyRecoveringFrom(NodeId dead) const;
+  void MarkDoneAssignments(NodeId dead, proto::Recovery* recovery) const;
+  bool HasPartitionsRecoveringFrom(NodeId dead) const;
 
   std::map<PartitionId, proto::Partition> partitions_;
   std::map<NodeId, LogHeads> heads_;
--- a/src/control_state/server_registry.cc
+++ b/src/control_state/server_registry.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-bool SameEndpoint(const proto::Endpoint& left, const proto::Endpoint& right) {
+bool HaveSameEndpoint(const proto::Endpoint& left, const proto::Endpoint& right) {
   return left.host() == right.host() && left.port() == right.port();
 }
 
@@ -15,7 +15,7 @@
     return false;
   }
   const bool same_disk = !later.disk_id().empty() && later.disk_id() == earlier.disk_id();
-  return same_disk || SameEndpoint(later.peer_endpoint(), earlier.peer_endpoint());
+  return same_disk || HaveSameEndpoint(later.peer_endpoint(), earlier.peer_endpoint());
 }
 
 }  // namespace
@@ -50,7 +50,7 @@
   for (const auto& [id, entry] : servers_) {
     const bool same = IsLive(entry) && id != previous && entry.role() == server.role() &&
                       entry.incarnation() == server.incarnation() &&
-                      SameEndpoint(entry.peer_endpoint(), server.peer_endpoint());
+                      HaveSameEndpoint(entry.peer_endpoint(), server.peer_endpoint());
     if (same) {
       return id;
     }
@@ -106,7 +106,7 @@
       dead.push_back(id);
     }
   }
-  for (std::size_t at = 0; at + kDeadServersKept < dead.size(); ++at) {
+  for (std::size_t at = 0; at + kMaximumDeadServers < dead.size(); ++at) {
     if (!needed.contains(dead[at])) {
       servers_.erase(dead[at]);
     }
@@ -124,7 +124,7 @@
   return wanted ? server : nullptr;
 }
 
-std::vector<const proto::Server*> ServerRegistry::Live(proto::Role role) const {
+std::vector<const proto::Server*> ServerRegistry::FindLiveServers(proto::Role role) const {
   std::vector<const proto::Server*> live;
   for (const auto& [id, server] : servers_) {
     if (server.role() == role && IsLive(server)) {
@@ -151,7 +151,7 @@
   return {};
 }
 
-bool ServerRegistry::SameDisk(NodeId left, NodeId right) const {
+bool ServerRegistry::HaveSameDisk(NodeId left, NodeId right) const {
   if (left == right) {
     return true;
   }
@@ -161,7 +161,7 @@
          first->disk_id() == second->disk_id();
 }
 
-bool ServerRegistry::KnowsStoreMachine(const std::string& machine) const {
+bool ServerRegistry::HasStoreMachine(const std::string& machine) const {
   return retired_machines_.contains(machine) ||
          std::any_of(servers_.begin(), servers_.end(), [&machine](const auto& entry) {
            return entry.second.machine() == machine && entry.second.role() != proto::ROLE_GATEWAY;
--- a/src/control_state/server_registry.h
+++ b/src/control_state/server_registry.h
@@ -36,7 +36,7 @@
  public:
   /// Dead servers kept, so that a node that lags gets them in a delta and a log's head can name the
   /// disks of backups that have restarted since.
-  static constexpr std::size_t kDeadServersKept = 256;
+  static constexpr std::size_t kMaximumDeadServers = 256;
 
   /// What a registration did.
   struct Registration {
@@ -53,7 +53,7 @@
   bool DeclareDead(NodeId node);
   /// Empties the machine's servers, present and future, or takes that back.
   void RetireMachine(const std::string& machine, bool cancel);
-  /// Forgets the oldest dead servers beyond `kDeadServersKept`, except `needed` ones.
+  /// Forgets the oldest dead servers beyond `kMaximumDeadServers`, except `needed` ones.
   void PruneDead(const std::set<NodeId>& needed);
 
   /// @return the server, dead or live, or nullptr.
@@ -62,14 +62,14 @@
   const proto::Server* FindLive(NodeId node, proto::Role role) const;
   const std::map<NodeId, proto::Server>& servers() const { return servers_; }
   /// @return live servers of `role`, by node id.
-  std::vector<const proto::Server*> Live(proto::Role role) const;
+  std::vector<const proto::Server*> FindLiveServers(proto::Role role) const;
   /// @return the live queue node that holds the same machine name with a higher id, if any: the
   /// sign that `node` is an earlier life whose machine came back at another address.
   NodeId FindLaterIncarnation(const proto::Server& server) const;
   /// Whether `left` and `right` are backups that keep, or kept, their replicas on the same disk.
-  bool SameDisk(NodeId left, NodeId right) const;
+  bool HaveSameDisk(NodeId left, NodeId right) const;
   /// Whether a queue or backup node, dead or live, of that machine is kept, or it is retired.
-  bool KnowsStoreMachine(const std::string& machine) const;
+  bool HasStoreMachine(const std::string& machine) const;
   const std::set<std::string>& retired_machines() const { return retired_machines_; }
   NodeId next_node_id() const { return next_node_id_; }
 
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -42,17 +42,17 @@
 };
 
 /// One check of one transaction: collects the problems.
-class ChangeCheck {
+class ChangeValidator {
  public:
-  ChangeCheck(const ConfigurationObjects& current,
-              const proto::ConfigurationTransaction& transaction)
+  ChangeValidator(const ConfigurationObjects& current,
+                  const proto::ConfigurationTransaction& transaction)
       : current_(current), transaction_(transaction) {}
 
   std::vector<std::string> Run();
 
  private:
-  void Add(const ConfigurationObjectKey& key, const std::string& problem);
-  void GatherResult();
+  void AddProblem(const ConfigurationObjectKey& key, const std::string& problem);
+  void BuildResult();
   void ApplyToResult(const proto::ConfigurationChange& change);
   void CheckChange(int index, const proto::ConfigurationChange& change);
   /// Requires that no earlier change is about the object of `key`.
@@ -62,7 +62,7 @@
   void CheckRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckRouteZones(const proto::Route& route, const ConfigurationObjectKey& key);
-  void CheckPlaces();
+  void CheckHttpLocations();
   void CheckZone(const proto::Zone& zone, const ConfigurationObjectKey& key);
   void CheckBatch(const proto::BatchSettings& batch, const ConfigurationObjectKey& key);
   void CheckRemovedZones();
@@ -72,38 +72,38 @@
 
   const ConfigurationObjects& current_;
   const proto::ConfigurationTransaction& transaction_;
-  /// Zones and routes as they would be; tenants need no look at each other.
+  /// Zones and routes as they would be; tenants do not refer to other objects.
   std::map<std::string, proto::Zone> zones_;
   std::map<std::string, proto::Route> routes_;
   std::set<std::string> backends_;
   std::map<ConfigurationObjectKey, int> seen_;
   std::vector<std::string> problems_;
-  std::size_t unlisted_ = 0;
+  std::size_t omitted_problems_ = 0;
 };
 
-std::vector<std::string> ChangeCheck::Run() {
-  GatherResult();
+std::vector<std::string> ChangeValidator::Run() {
+  BuildResult();
   for (int index = 0; index < transaction_.changes_size(); ++index) {
     CheckChange(index, transaction_.changes(index));
   }
-  CheckPlaces();
+  CheckHttpLocations();
   CheckRemovedZones();
   CheckOpenZones();
-  if (unlisted_ > 0) {
-    problems_.push_back("and " + std::to_string(unlisted_) + " more problems");
+  if (omitted_problems_ > 0) {
+    problems_.push_back("and " + std::to_string(omitted_problems_) + " more problems");
   }
   return std::move(problems_);
 }
 
-void ChangeCheck::Add(const ConfigurationObjectKey& key, const std::string& problem) {
+void ChangeValidator::AddProblem(const ConfigurationObjectKey& key, const std::string& problem) {
   if (problems_.size() >= kMaximumProblems) {
-    ++unlisted_;
+    ++omitted_problems_;
     return;
   }
   problems_.push_back(key.ToString() + ": " + problem);
 }
 
-void ChangeCheck::GatherResult() {
+void ChangeValidator::BuildResult() {
   zones_ = current_.zones;
   if (!transaction_.replaces_traffic()) {
     routes_ = current_.routes;
@@ -116,7 +116,7 @@
   }
 }
 
-void ChangeCheck::ApplyToResult(const proto::ConfigurationChange& change) {
+void ChangeValidator::ApplyToResult(const proto::ConfigurationChange& change) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetZone:
       zones_[change.set_zone().name()] = change.set_zone();
@@ -144,10 +144,11 @@
   }
 }
 
-void ChangeCheck::CheckChange(int index, const proto::ConfigurationChange& change) {
-  const ConfigurationObjectKey key = KeyOf(change);
+void ChangeValidator::CheckChange(int index, const proto::ConfigurationChange& change) {
+  const ConfigurationObjectKey key = ObjectKeyFor(change);
   if (key.kind == ConfigurationObjectKind::kNone) {
-    Add(key, "change " + std::to_string(index + 1) + " sets and removes nothing; leave it out");
+    AddProblem(key,
+               "change " + std::to_string(index + 1) + " sets and removes nothing; leave it out");
     return;
   }
   CheckUnique(index, key);
@@ -155,24 +156,24 @@
   CheckObject(change, key);
 }
 
-void ChangeCheck::CheckUnique(int index, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckUnique(int index, const ConfigurationObjectKey& key) {
   const auto [first, fresh] = seen_.emplace(key, index);
   if (!fresh) {
-    Add(key, "changed twice, by changes " + std::to_string(first->second + 1) + " and " +
-                 std::to_string(index + 1) + "; keep one");
+    AddProblem(key, "changed twice, by changes " + std::to_string(first->second + 1) + " and " +
+                        std::to_string(index + 1) + "; keep one");
   }
 }
 
-void ChangeCheck::CheckName(const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckName(const ConfigurationObjectKey& key) {
   const bool named =
       key.kind != ConfigurationObjectKind::kBatch && key.kind != ConfigurationObjectKind::kDocument;
   if (const auto problem = NameProblem(key.name); named && problem.has_value()) {
-    Add(key, *problem);
+    AddProblem(key, *problem);
   }
 }
 
-void ChangeCheck::CheckObject(const proto::ConfigurationChange& change,
-                              const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckObject(const proto::ConfigurationChange& change,
+                                  const ConfigurationObjectKey& key) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
       return CheckRoute(change.set_route(), key);
@@ -199,98 +200,104 @@
 }
 
 template <typename Map>
-void ChangeCheck::CheckRemoval(const Map& objects, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckRemoval(const Map& objects, const ConfigurationObjectKey& key) {
   if (!key.name.empty() && !objects.contains(key.name)) {
-    Add(key, "can not be removed, there is none of this name");
+    AddProblem(key, "can not be removed, there is none of this name");
   }
 }
 
 /// Routes that are found by host and path, and whose back ends are configured.
-void ChangeCheck::CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
   if (route.host().empty() || route.path_prefix().empty()) {
-    Add(key, "host or path_prefix is empty; give both, so that requests find the route");
+    AddProblem(key, "host or path_prefix is empty; give both, so that requests find the route");
   }
   std::uint64_t weights = 0;
   for (const proto::WeightedBackend& share : route.split()) {
     weights += share.weight();
     if (!backends_.contains(share.backend())) {
-      Add(key, "names the unknown backend \"" + share.backend() + "\"");
+      AddProblem(key, "names the unknown backend \"" + share.backend() + "\"");
     }
   }
   if (route.split_size() > 0 && weights == 0) {
-    Add(key, "the weights of split sum to 0; give at least one back end a share");
+    AddProblem(key, "the weights of split sum to 0; give at least one back end a share");
   }
   if (route.split_size() == 0 && !backends_.contains(route.backend())) {
-    Add(key, "names the unknown backend \"" + route.backend() + "\"");
+    AddProblem(key, "names the unknown backend \"" + route.backend() + "\"");
   }
 }
 
-void ChangeCheck::CheckPlaces() {
+void ChangeValidator::CheckHttpLocations() {
   std::map<HttpLocation, std::string> taken;
   for (const auto& [name, route] : routes_) {
     if (route.backend_kind() != proto::BACKEND_KIND_HTTP) {
       continue;
     }
-    const auto [first, fresh] = taken.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
+    const auto [first, fresh] =
+        taken.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
     if (!fresh) {
-      Add({ConfigurationObjectKind::kRoute, name},
-          "has the same host and path_prefix as route \"" + first->second + "\"");
+      AddProblem({ConfigurationObjectKind::kRoute, name},
+                 "has the same host and path_prefix as route \"" + first->second + "\"");
     }
   }
 }
 
-void ChangeCheck::CheckRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
   const bool http = route.backend_kind() == proto::BACKEND_KIND_HTTP;
   if (!http && route.backend_kind() != proto::BACKEND_KIND_MODEL &&
       route.backend_kind() != proto::BACKEND_KIND_SERVICE) {
-    Add(key,
-        "unknown backend_kind; use BACKEND_KIND_MODEL, BACKEND_KIND_SERVICE or "
-        "BACKEND_KIND_HTTP");
+    AddProblem(key,
+               "unknown backend_kind; use BACKEND_KIND_MODEL, BACKEND_KIND_SERVICE or "
+               "BACKEND_KIND_HTTP");
   }
   if (http) {
     CheckHttpRoute(route, key);
   } else if (route.backend().empty()) {
-    Add(key, "backend is empty; name the model or service that serves it");
+    AddProblem(key, "backend is empty; name the model or service that serves it");
   } else if (route.backend().size() > kMaximumNameBytes) {
-    Add(key, "backend is longer than " + std::to_string(kMaximumNameBytes) + " bytes; shorten it");
+    AddProblem(
+        key, "backend is longer than " + std::to_string(kMaximumNameBytes) + " bytes; shorten it");
   }
   if (!proto::Priority_IsValid(route.priority())) {
-    Add(key, "unknown priority; use PRIORITY_INTERACTIVE, PRIORITY_STANDARD or PRIORITY_BATCH");
+    AddProblem(key,
+               "unknown priority; use PRIORITY_INTERACTIVE, PRIORITY_STANDARD or PRIORITY_BATCH");
   }
   if (route.deadline_ms() == 0) {
-    Add(key, "deadline_ms is 0; give the longest time a call may take, in milliseconds");
+    AddProblem(key, "deadline_ms is 0; give the longest time a call may take, in milliseconds");
   } else if (route.deadline_ms() > kMaximumDeadlineMs) {
-    Add(key, "deadline_ms is over a day; at most " + std::to_string(kMaximumDeadlineMs));
+    AddProblem(key, "deadline_ms is over a day; at most " + std::to_string(kMaximumDeadlineMs));
   }
   CheckRouteZones(route, key);
 }
 
-void ChangeCheck::CheckRouteZones(const proto::Route& route, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckRouteZones(const proto::Route& route,
+                                      const ConfigurationObjectKey& key) {
   std::set<std::string> named;
   for (const std::string& zone : route.zones()) {
     if (!named.insert(zone).second) {
-      Add(key, "names zone \"" + zone + "\" twice; keep one");
+      AddProblem(key, "names zone \"" + zone + "\" twice; keep one");
     } else if (!zones_.contains(zone) && !current_.zones.contains(zone)) {
       // A zone that this transaction removes is reported once, with the removal.
-      Add(key, "names the unknown zone \"" + zone + "\"; set the zone in the same transaction");
+      AddProblem(key,
+                 "names the unknown zone \"" + zone + "\"; set the zone in the same transaction");
     }
   }
 }
 
-void ChangeCheck::CheckZone(const proto::Zone& zone, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckZone(const proto::Zone& zone, const ConfigurationObjectKey& key) {
   if (zone.state() != proto::ZONE_STATE_OPEN && zone.state() != proto::ZONE_STATE_DRAINED) {
-    Add(key, "unknown state; use ZONE_STATE_OPEN or ZONE_STATE_DRAINED");
+    AddProblem(key, "unknown state; use ZONE_STATE_OPEN or ZONE_STATE_DRAINED");
   }
 }
 
-void ChangeCheck::CheckBatch(const proto::BatchSettings& batch, const ConfigurationObjectKey& key) {
+void ChangeValidator::CheckBatch(const proto::BatchSettings& batch,
+                                 const ConfigurationObjectKey& key) {
   if (batch.live_headroom_percent() > kMaximumPercent) {
-    Add(key, "live_headroom_percent is " + std::to_string(batch.live_headroom_percent()) +
-                 "; use 1 to 100, or 0 for the default");
+    AddProblem(key, "live_headroom_percent is " + std::to_string(batch.live_headroom_percent()) +
+                        "; use 1 to 100, or 0 for the default");
   }
 }
 
-void ChangeCheck::CheckRemovedZones() {
+void ChangeValidator::CheckRemovedZones() {
   for (const auto& [key, index] : seen_) {
     const bool removed = key.kind == ConfigurationObjectKind::kZone &&
                          current_.zones.contains(key.name) && !zones_.contains(key.name);
@@ -300,14 +307,14 @@
     for (const auto& [name, route] : routes_) {
       const auto& named = route.zones();
       if (std::find(named.begin(), named.end(), key.name) != named.end()) {
-        Add(key, "can not be removed while route \"" + name +
-                     "\" names it; take it out of the route in the same transaction");
+        AddProblem(key, "can not be removed while route \"" + name +
+                            "\" names it; take it out of the route in the same transaction");
       }
     }
   }
 }
 
-void ChangeCheck::CheckOpenZones() {
+void ChangeValidator::CheckOpenZones() {
   const auto is_open = [](const auto& entry) {
     return entry.second.state() == proto::ZONE_STATE_OPEN;
   };
@@ -315,7 +322,8 @@
   const bool are_open = std::any_of(zones_.begin(), zones_.end(), is_open);
   if (were_open && !are_open && !routes_.empty()) {
     const auto last = std::find_if(current_.zones.begin(), current_.zones.end(), is_open);
-    Add({ConfigurationObjectKind::kZone, last->first},
+    AddProblem(
+        {ConfigurationObjectKind::kZone, last->first},
         "no open zone would be left to serve the routes; open another in the same transaction");
   }
 }
@@ -360,7 +368,7 @@
 
 std::vector<std::string> CheckChanges(const ConfigurationObjects& current,
                                       const proto::ConfigurationTransaction& transaction) {
-  return ChangeCheck(current, transaction).Run();
+  return ChangeValidator(current, transaction).Run();
 }
 
 }  // namespace cloverbank
--- a/src/coordinator/coordinator_methods.cc
+++ b/src/coordinator/coordinator_methods.cc
@@ -52,16 +52,15 @@
 void CoordinatorMethods::ServeAsLeader(std::string_view method, Requests& handlers,
                                        void (Requests::*handler)(const Request& request,
                                                                  const Reply<Response>& reply)) {
-  ServeWhileAlive<Request, Response>(
-      method, [this, &handlers, handler, name = std::string(method)](const Request& request,
-                                                                     Reply<Response> reply) {
-        const Reply<Response> counted = CountRefusals(name, std::move(reply));
-        if (session_.EnsureReady()) {
-          (handlers.*handler)(request, counted);
-        } else {
-          counted(context_.NotLeader());
-        }
-      });
+  ServeWhileAlive<Request, Response>(method, [this, &handlers, handler, name = std::string(method)](
+                                                 const Request& request, Reply<Response> reply) {
+    const Reply<Response> counted = CountRefusals(name, std::move(reply));
+    if (session_.EnsureReady()) {
+      (handlers.*handler)(request, counted);
+    } else {
+      counted(context_.NotLeader());
+    }
+  });
 }
 
 template <typename Request, typename Response>
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -13,7 +13,7 @@
 /// Below this much free disk a backup is called nearly full.
 constexpr std::uint64_t kNearlyFullBytes = 64ULL << 20U;
 
-std::string Name(const proto::Server& server) {
+std::string DescribeServer(const proto::Server& server) {
   return server.machine() + " (node " + std::to_string(server.node_id()) + ")";
 }
 
@@ -29,11 +29,11 @@
   auto operator<=>(const MachineRole&) const = default;
 };
 
-class Description {
+class ProblemList {
  public:
-  explicit Description(const FleetFacts& facts) : facts_(facts) {}
+  explicit ProblemList(const FleetSnapshot& facts) : snapshot_(facts) {}
 
-  std::vector<std::string> Run() {
+  std::vector<std::string> Build() {
     DescribeCoordinators();
     DescribeLostServers();
     DescribeBackups();
@@ -57,22 +57,22 @@
   void DescribeRetirement(const std::string& machine);
   void DescribeConfiguration();
   void Add(std::string problem) { problems_.push_back(std::move(problem)); }
-  const NodeLoad* LoadOf(const proto::Server& server) const;
+  const NodeLoad* FindLoad(const proto::Server& server) const;
 
-  const FleetFacts& facts_;
+  const FleetSnapshot& snapshot_;
   std::vector<std::string> problems_;
 };
 
-void Description::DescribeCoordinators() {
+void ProblemList::DescribeCoordinators() {
   const auto voters = static_cast<std::uint32_t>(
-      std::count_if(facts_.members.begin(), facts_.members.end(),
+      std::count_if(snapshot_.members.begin(), snapshot_.members.end(),
                     [](const LogMember& member) { return !member.learner; }));
-  if (voters < facts_.options.wanted_coordinators) {
+  if (voters < snapshot_.options.wanted_coordinators) {
     Add("the coordinator group has " + std::to_string(voters) + " of " +
-        std::to_string(facts_.options.wanted_coordinators) +
+        std::to_string(snapshot_.options.wanted_coordinators) +
         " voting members; start the missing ones");
   }
-  for (const LogMember& member : facts_.members) {
+  for (const LogMember& member : snapshot_.members) {
     if (member.learner) {
       Add("coordinator " + member.endpoint.ToString() +
           " is catching up and does not count for the majority yet; wait");
@@ -80,8 +80,8 @@
   }
 }
 
-void Description::DescribeLostServers() {
-  const ServerRegistry& servers = facts_.state.servers();
+void ProblemList::DescribeLostServers() {
+  const ServerRegistry& servers = snapshot_.state.servers();
   std::set<MachineRole> live;
   std::map<MachineRole, const proto::Server*> lost;
   for (const auto& [id, server] : servers.servers()) {
@@ -94,43 +94,44 @@
   }
   for (const auto& [key, server] : lost) {
     if (!live.contains(key) && !servers.retired_machines().contains(key.machine)) {
-      Add("the " + RoleName(key.role) + " on " + Name(*server) +
+      Add("the " + RoleName(key.role) + " on " + DescribeServer(*server) +
           " is gone; restart the machine, replace it, or retire it for good");
     }
   }
 }
 
-void Description::DescribeBackups() {
+void ProblemList::DescribeBackups() {
   std::uint32_t stores = 0;
-  for (const proto::Server* backup : facts_.state.servers().Live(proto::ROLE_BACKUP)) {
+  for (const proto::Server* backup :
+       snapshot_.state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     stores += IsActiveStoreBackup(*backup) ? 1 : 0;
     DescribeFreeDisk(*backup);
   }
-  if (stores < facts_.options.wanted_store_backups) {
+  if (stores < snapshot_.options.wanted_store_backups) {
     Add("only " + std::to_string(stores) + " of " +
-        std::to_string(facts_.options.wanted_store_backups) +
+        std::to_string(snapshot_.options.wanted_store_backups) +
         " store backups are up: spare backups take the missing copies, or new work has fewer; "
         "start or add a store machine");
   }
 }
 
-void Description::DescribeFreeDisk(const proto::Server& backup) {
-  const NodeLoad* load = LoadOf(backup);
+void ProblemList::DescribeFreeDisk(const proto::Server& backup) {
+  const NodeLoad* load = FindLoad(backup);
   // 0 is what a backup reports that has not looked yet.
   if (load != nullptr && load->free_bytes != 0 && load->free_bytes < kNearlyFullBytes) {
-    Add("the backup on " + Name(backup) + " has only " + std::to_string(load->free_bytes >> 20U) +
-        " MiB of disk left; free or add disk");
+    Add("the backup on " + DescribeServer(backup) + " has only " +
+        std::to_string(load->free_bytes >> 20U) + " MiB of disk left; free or add disk");
   }
 }
 
-void Description::DescribeQueueNodes() {
-  for (const proto::Server* node : facts_.state.servers().Live(proto::ROLE_QUEUE)) {
-    const NodeLoad* load = LoadOf(*node);
+void ProblemList::DescribeQueueNodes() {
+  for (const proto::Server* node : snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE)) {
+    const NodeLoad* load = FindLoad(*node);
     if (load != nullptr && load->degraded) {
-      Add("queue node " + Name(*node) +
+      Add("queue node " + DescribeServer(*node) +
           " has fewer copies of its log than wanted; start or add backups");
     }
-    const NodeId later = facts_.state.servers().FindLaterIncarnation(*node);
+    const NodeId later = snapshot_.state.servers().FindLaterIncarnation(*node);
     if (later.valid()) {
       Add("two queue nodes, " + std::to_string(node->node_id()) + " and " + later.ToString() +
           ", call their machine " + node->machine() + "; give each machine its own name");
@@ -138,34 +139,35 @@
   }
 }
 
-void Description::DescribePartitions() {
-  const std::size_t free = facts_.state.partitions().Free().size();
+void ProblemList::DescribePartitions() {
+  const std::size_t free = snapshot_.state.partitions().FindFree().size();
   if (free > 0) {
-    const bool none = facts_.state.servers().Live(proto::ROLE_QUEUE).empty();
+    const bool none = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
     Add(std::to_string(free) + " partitions have no owner" +
         (none ? " because no queue node is up; start a store machine"
               : " yet; they are being given out"));
   }
 }
 
-void Description::DescribeRecoveries() {
-  for (const auto& [dead, recovery] : facts_.state.partitions().recoveries()) {
-    const proto::Server* server = facts_.state.servers().Find(dead);
-    const std::string waiting = facts_.recoveries.WaitingFor(facts_.state, dead);
-    Add("the batches of queue node " + (server == nullptr ? dead.ToString() : Name(*server)) +
-        " are being recovered" + (waiting.empty() ? "" : "; waiting for " + waiting));
+void ProblemList::DescribeRecoveries() {
+  for (const auto& [dead, recovery] : snapshot_.state.partitions().recoveries()) {
+    const proto::Server* server = snapshot_.state.servers().Find(dead);
+    const std::string waiting = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
+    Add("the batches of queue node " +
+        (server == nullptr ? dead.ToString() : DescribeServer(*server)) + " are being recovered" +
+        (waiting.empty() ? "" : "; waiting for " + waiting));
   }
 }
 
-void Description::DescribeRetirements() {
-  for (const std::string& machine : facts_.state.servers().retired_machines()) {
+void ProblemList::DescribeRetirements() {
+  for (const std::string& machine : snapshot_.state.servers().retired_machines()) {
     DescribeRetirement(machine);
   }
 }
 
-void Description::DescribeRetirement(const std::string& machine) {
+void ProblemList::DescribeRetirement(const std::string& machine) {
   const RemainingDrainWork rest =
-      ComputeRemainingDrainWork(facts_.state, facts_.sweeper, machine);
+      ComputeRemainingDrainWork(snapshot_.state, snapshot_.sweeper, machine);
   if (!rest.IsDone()) {
     Add("machine " + machine + " is being emptied: " + std::to_string(rest.partitions) +
         " partitions and " + std::to_string(rest.replicas) +
@@ -175,31 +177,31 @@
   }
 }
 
-void Description::DescribeConfiguration() {
-  const ConfigurationStore& configuration = facts_.state.configuration();
+void ProblemList::DescribeConfiguration() {
+  const ConfigurationStore& configuration = snapshot_.state.configuration();
   if (configuration.in_force_version() >= configuration.version()) {
     return;
   }
   std::string waited_for;
-  for (const NodeId node : facts_.gateways_behind) {
-    const proto::Server* gateway = facts_.state.servers().Find(node);
+  for (const NodeId node : snapshot_.gateways_behind) {
+    const proto::Server* gateway = snapshot_.state.servers().Find(node);
     waited_for += waited_for.empty() ? "" : ", ";
-    waited_for += gateway == nullptr ? node.ToString() : Name(*gateway);
+    waited_for += gateway == nullptr ? node.ToString() : DescribeServer(*gateway);
   }
   Add("configuration version " + configuration.version().ToString() + " is not in force yet" +
       (waited_for.empty() ? ""
                           : "; waiting for gateway " + waited_for + " or the end of its lease"));
 }
 
-const NodeLoad* Description::LoadOf(const proto::Server& server) const {
-  const auto load = facts_.loads.find(NodeId(server.node_id()));
-  return load == facts_.loads.end() ? nullptr : &load->second;
+const NodeLoad* ProblemList::FindLoad(const proto::Server& server) const {
+  const auto load = snapshot_.loads.find(NodeId(server.node_id()));
+  return load == snapshot_.loads.end() ? nullptr : &load->second;
 }
 
 }  // namespace
 
-std::vector<std::string> DescribeProblems(const FleetFacts& facts) {
-  return Description(facts).Run();
+std::vector<std::string> DescribeProblems(const FleetSnapshot& facts) {
+  return ProblemList(facts).Build();
 }
 
 }  // namespace cloverbank
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -14,7 +14,7 @@
 namespace cloverbank {
 
 /// What the leader knows when it is asked for the state of the fleet.
-struct FleetFacts {
+struct FleetSnapshot {
   const ControlState& state;
   const CoordinatorOptions& options;
   const RecoveryManager& recoveries;
@@ -25,6 +25,6 @@
 };
 
 /// @return one sentence a problem; empty if all is well.
-std::vector<std::string> DescribeProblems(const FleetFacts& facts);
+std::vector<std::string> DescribeProblems(const FleetSnapshot& facts);
 
 }  // namespace cloverbank
--- a/src/coordinator/gateway_neighbours.cc
+++ b/src/coordinator/gateway_neighbours.cc
@@ -21,8 +21,8 @@
   return in_zone;
 }
 
-/// Adds those that follow in the ring of ids: with many gateways each knows a few, and each is known
-/// to a few.
+/// Adds those that follow in the ring of ids: with many gateways each knows a few, and each is
+/// known to a few.
 void AddNeighbours(const Gateways& zone, std::size_t rank, proto::HeartbeatResponse* response) {
   const std::size_t neighbours = std::min(kMaximumNeighbours, zone.size() - 1);
   for (std::size_t step = 1; step <= neighbours; ++step) {
@@ -60,7 +60,7 @@
   if (self == nullptr) {
     return;
   }
-  const Gateways all = state.servers().Live(proto::ROLE_GATEWAY);
+  const Gateways all = state.servers().FindLiveServers(proto::ROLE_GATEWAY);
   const Gateways zone = InZone(all, self->zone());
   const auto rank =
       static_cast<std::size_t>(std::find(zone.begin(), zone.end(), self) - zone.begin());
--- a/src/coordinator/gateway_neighbours.h
+++ b/src/coordinator/gateway_neighbours.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Tells a gateway which other gateways to exchange state with and from which to request the list of
-/// replicas. Pure.
+/// Tells a gateway which other gateways to exchange state with and from which to request the list
+/// of replicas. Pure.
 
 #include "base/ids.h"
 #include "control_state/control_state.h"
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -59,7 +59,7 @@
     Fence(request, *refusal, reply);
     return;
   }
-  HandleReport(request);
+  RecordReport(request);
   const TimePoint now = context_.environment.Now();
   const Duration hold =
       std::min<Duration>(milliseconds(request.hold_ms()), context_.options.heartbeat_hold);
@@ -84,7 +84,7 @@
   if (context_.state.servers().FindLaterIncarnation(*server).valid()) {
     return HeartbeatRefusal::kSuperseded;
   }
-  if (MustHandOver(context_.state, *server, context_.doubtful)) {
+  if (MustHandOver(context_.state, *server, context_.unresponsive)) {
     return HeartbeatRefusal::kRetiring;
   }
   return std::nullopt;
@@ -103,15 +103,15 @@
                                            {{"reason", HeartbeatRefusalName(refusal)}});
 }
 
-void HeartbeatHandler::HandleReport(const proto::HeartbeatRequest& request) {
+void HeartbeatHandler::RecordReport(const proto::HeartbeatRequest& request) {
   const NodeId node(request.node_id());
   const TimePoint now = context_.environment.Now();
-  context_.detector.Heard(node, now);
-  context_.doubtful.erase(node);
-  context_.leases.Confirm(node, ConfigurationVersion(request.configuration_version()));
+  context_.detector.RecordHeartbeat(node, now);
+  context_.unresponsive.erase(node);
+  context_.leases.RecordConfirmation(node, ConfigurationVersion(request.configuration_version()));
   context_.loads[node] = {request.free_bytes(), request.open_items(), request.degraded()};
   for (const std::uint64_t suspect : request.suspected_node_ids()) {
-    context_.detector.Suspect(NodeId(suspect), now);
+    context_.detector.RecordSuspicion(NodeId(suspect), now);
   }
 }
 
@@ -121,16 +121,16 @@
     Fence(pending.request, *refusal, pending.reply);
     return true;
   }
-  if (context_.condemned.contains(node)) {
+  if (context_.pending_deaths.contains(node)) {
     return false;  // Its death is being decided: no lease may be granted meanwhile.
   }
   const bool update =
       NeedsConfiguration(pending.request) ||
       FleetVersion(pending.request.fleet_version()) < context_.state.fleet_version();
-  if (!update && context_.environment.Now() < pending.release) {
+  if (!update && context_.environment.Now() < pending.deadline) {
     return false;
   }
-  pending.reply(Grant(pending));
+  pending.reply(GrantLease(pending));
   return true;
 }
 
@@ -141,7 +141,7 @@
                            context_.state.configuration().version();
 }
 
-proto::HeartbeatResponse HeartbeatHandler::Grant(const PendingHeartbeat& pending) {
+proto::HeartbeatResponse HeartbeatHandler::GrantLease(const PendingHeartbeat& pending) {
   const ConfigurationStore& configuration = context_.state.configuration();
   proto::HeartbeatResponse response;
   response.set_lease_ms(static_cast<std::uint32_t>(
@@ -158,8 +158,8 @@
     *response.add_coordinators() = ToProto(member.endpoint);
   }
   AddGatewayNeighbours(context_.state, NodeId(pending.request.node_id()), &response);
-  context_.leases.Grant(NodeId(pending.request.node_id()), configuration.version(),
-                        pending.arrival);
+  context_.leases.RecordGrant(NodeId(pending.request.node_id()), configuration.version(),
+                              pending.arrival);
   return response;
 }
 
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -44,7 +44,7 @@
   struct PendingHeartbeat {
     proto::HeartbeatRequest request;
     TimePoint arrival;
-    TimePoint release;  ///< Answered then at the latest.
+    TimePoint deadline;  ///< Answered then at the latest.
     Reply reply;
   };
 
@@ -53,12 +53,12 @@
   /// Refuses with kFenced.
   void Fence(const proto::HeartbeatRequest& request, HeartbeatRefusal refusal, const Reply& reply);
   void CountRefusal(HeartbeatRefusal refusal);
-  void HandleReport(const proto::HeartbeatRequest& request);
+  void RecordReport(const proto::HeartbeatRequest& request);
   /// @return whether it was answered.
   bool AnswerIfDue(PendingHeartbeat& pending);
   /// Whether the sender acts by a configuration and has told an older one than the current.
   bool NeedsConfiguration(const proto::HeartbeatRequest& request) const;
-  proto::HeartbeatResponse Grant(const PendingHeartbeat& pending);
+  proto::HeartbeatResponse GrantLease(const PendingHeartbeat& pending);
 
   LeaderContext& context_;
   std::list<PendingHeartbeat> pending_;
--- a/src/coordinator/leader_session.cc
+++ b/src/coordinator/leader_session.cc
@@ -24,11 +24,11 @@
   Log(LogLevel::kInfo, "coordinator_became_leader", {{"term", context_.log.term()}});
   leading_ = true;
   term_ = context_.log.term();
-  last_able_ = now;
+  last_ready_tick_ = now;
   context_.leases.Start(now, context_.state.servers().next_node_id());
   context_.detector.Start(now);
-  context_.condemned.clear();
-  context_.doubtful.clear();
+  context_.pending_deaths.clear();
+  context_.unresponsive.clear();
   context_.loads.clear();
   proposer_.Reset();
   leader_controller_.Begin();
@@ -50,11 +50,11 @@
     return;
   }
   const TimePoint now = context_.environment.Now();
-  const Duration gap = now - last_able_ - context_.options.tick;
+  const Duration gap = now - last_ready_tick_ - context_.options.tick;
   if (leading_ && gap > kTickGapLimit) {
-    context_.detector.SkipPause(gap, now);
+    context_.detector.ExcludePause(gap, now);
   }
-  last_able_ = now;
+  last_ready_tick_ = now;
 }
 
 }  // namespace cloverbank
--- a/src/coordinator/leader_session.h
+++ b/src/coordinator/leader_session.h
@@ -36,7 +36,7 @@
   std::function<void()> on_begin_;
   bool leading_ = false;
   std::uint64_t term_ = 0;
-  TimePoint last_able_;  ///< Last tick at which this member could hear and answer nodes.
+  TimePoint last_ready_tick_;  ///< Last tick at which this member could hear and answer nodes.
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/node_requests.cc
+++ b/src/coordinator/node_requests.cc
@@ -12,7 +12,7 @@
   command.mutable_register_server()->set_previous_node_id(request.previous_node_id());
   ProposeAndAnswer<proto::RegisterServerResponse>(
       proposer_, command, reply, [this](const proto::ControlCommandResult& result) {
-        context_.detector.Heard(NodeId(result.node_id()), context_.environment.Now());
+        context_.detector.RecordHeartbeat(NodeId(result.node_id()), context_.environment.Now());
         proto::RegisterServerResponse response;
         response.set_node_id(result.node_id());
         response.set_partition_count(context_.state.partitions().partition_count());
@@ -31,9 +31,8 @@
 
 void NodeRequests::FinishAssignment(const proto::FinishAssignmentRequest& request,
                                     const Reply<proto::FinishAssignmentResponse>& reply) {
-  const proto::ControlCommand command =
-      MakeFinishAssignment(NodeId(request.dead_node_id()), NodeId(request.queue_node_id()),
-                           request.partition_ids());
+  const proto::ControlCommand command = MakeFinishAssignment(
+      NodeId(request.dead_node_id()), NodeId(request.queue_node_id()), request.partition_ids());
   ProposeAndAnswer<proto::FinishAssignmentResponse>(
       proposer_, command, reply,
       [](const proto::ControlCommandResult&) { return proto::FinishAssignmentResponse(); });
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -10,9 +10,9 @@
 
 namespace cloverbank {
 
-bool OperatorRequests::EnoughWithout(const std::string& machine) const {
+bool OperatorRequests::HasEnoughStoresWithout(const std::string& machine) const {
   std::set<std::string> remaining;
-  for (const proto::Server* backup : context_.state.servers().Live(proto::ROLE_BACKUP)) {
+  for (const proto::Server* backup : context_.state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     if (IsActiveStoreBackup(*backup) && backup->machine() != machine) {
       remaining.insert(backup->machine());
     }
@@ -20,7 +20,7 @@
   return remaining.size() >= context_.options.fewest_stores;
 }
 
-std::vector<NodeId> OperatorRequests::StoreNodesOf(const std::string& machine) const {
+std::vector<NodeId> OperatorRequests::FindStoreNodes(const std::string& machine) const {
   std::vector<NodeId> nodes;
   for (const auto& [id, server] : context_.state.servers().servers()) {
     if (server.machine() == machine && IsLive(server) && server.role() != proto::ROLE_GATEWAY) {
@@ -32,12 +32,12 @@
 
 void OperatorRequests::RetireServer(const proto::RetireServerRequest& request,
                                     const Reply<proto::RetireServerResponse>& reply) {
-  if (!context_.state.servers().KnowsStoreMachine(request.machine())) {
+  if (!context_.state.servers().HasStoreMachine(request.machine())) {
     reply(Status(StatusCode::kNotFound, "there is no store machine called \"" + request.machine() +
                                             "\"; see the fleet status for the names"));
     return;
   }
-  if (!request.cancel() && !EnoughWithout(request.machine())) {
+  if (!request.cancel() && !HasEnoughStoresWithout(request.machine())) {
     reply(Status(StatusCode::kConflict,
                  "too few store machines would be left; add one before this one is emptied"));
     return;
@@ -49,7 +49,7 @@
       proposer_, command, reply,
       [this, machine = request.machine()](const proto::ControlCommandResult&) {
         proto::RetireServerResponse response;
-        for (const NodeId node : StoreNodesOf(machine)) {
+        for (const NodeId node : FindStoreNodes(machine)) {
           response.add_node_ids(node.value());
         }
         return response;
@@ -58,17 +58,17 @@
 
 void OperatorRequests::GetRetirement(const proto::GetRetirementRequest& request,
                                      const Reply<proto::GetRetirementResponse>& reply) {
-  if (!context_.state.servers().KnowsStoreMachine(request.machine())) {
+  if (!context_.state.servers().HasStoreMachine(request.machine())) {
     reply(Status(StatusCode::kNotFound,
                  "there is no store machine called \"" + request.machine() + "\""));
     return;
   }
   proto::GetRetirementResponse response;
   response.set_ordered(context_.state.servers().retired_machines().contains(request.machine()));
-  response.set_empty(response.ordered() &&
-                     ComputeRemainingDrainWork(context_.state, leader_controller_.sweeper(),
-                                               request.machine())
-                         .IsDone());
+  response.set_empty(
+      response.ordered() &&
+      ComputeRemainingDrainWork(context_.state, leader_controller_.sweeper(), request.machine())
+          .IsDone());
   reply(std::move(response));
 }
 
@@ -90,7 +90,7 @@
   FillFleet(&response);
   const std::vector<LogMember> members = context_.log.members();
   FillCoordinators(members, &response);
-  for (std::string& problem : DescribeProblems(Facts(members))) {
+  for (std::string& problem : DescribeProblems(MakeSnapshot(members))) {
     response.add_problems(std::move(problem));
   }
   reply(std::move(response));
@@ -107,14 +107,14 @@
   }
 }
 
-FleetFacts OperatorRequests::Facts(const std::vector<LogMember>& members) const {
+FleetSnapshot OperatorRequests::MakeSnapshot(const std::vector<LogMember>& members) const {
   return {context_.state,
           context_.options,
           leader_controller_.recoveries(),
           leader_controller_.sweeper(),
           context_.loads,
           members,
-          GatewaysBehind(context_.state, context_.leases, context_.environment.Now())};
+          FindGatewaysBehind(context_.state, context_.leases, context_.environment.Now())};
 }
 
 void OperatorRequests::FillFleet(proto::GetFleetStatusResponse* response) const {
@@ -130,7 +130,7 @@
   for (const auto& [dead, recovery] : context_.state.partitions().recoveries()) {
     proto::Recovery* entry = response->add_recoveries();
     *entry = recovery;
-    entry->set_waiting_for(leader_controller_.recoveries().WaitingFor(context_.state, dead));
+    entry->set_waiting_for(leader_controller_.recoveries().DescribeAwaited(context_.state, dead));
   }
   response->set_configuration_version(context_.state.configuration().version().value());
   response->set_in_force_version(context_.state.configuration().in_force_version().value());
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -34,11 +34,11 @@
   void FillFleet(proto::GetFleetStatusResponse* response) const;
   void FillCoordinators(const std::vector<LogMember>& members,
                         proto::GetFleetStatusResponse* response) const;
-  FleetFacts Facts(const std::vector<LogMember>& members) const;
+  FleetSnapshot MakeSnapshot(const std::vector<LogMember>& members) const;
   /// Whether enough store machines that are not being emptied would be left without `machine`.
-  bool EnoughWithout(const std::string& machine) const;
+  bool HasEnoughStoresWithout(const std::string& machine) const;
   /// @return node ids of the live queue nodes and backups on `machine`.
-  std::vector<NodeId> StoreNodesOf(const std::string& machine) const;
+  std::vector<NodeId> FindStoreNodes(const std::string& machine) const;
 
   LeaderContext& context_;
   CommandProposer& proposer_;
--- a/src/coordinator/remaining_drain_work.cc
+++ b/src/coordinator/remaining_drain_work.cc
@@ -17,9 +17,9 @@
       continue;
     }
     work.live = true;
-    work.partitions += state.partitions().LoadOf(id);
+    work.partitions += state.partitions().CountAssigned(id);
     if (server.role() == proto::ROLE_BACKUP) {
-      const std::optional<std::size_t> replicas = sweeper.ReplicasOn(id);
+      const std::optional<std::size_t> replicas = sweeper.FindReplicaCount(id);
       work.unknown = work.unknown || !replicas.has_value();
       work.replicas += replicas.value_or(0);
     }
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -21,29 +21,29 @@
 ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
                                            TimePoint now) {
   ConfigurationVersion lowest = state.configuration().version();
-  for (const proto::Server* gateway : state.servers().Live(proto::ROLE_GATEWAY)) {
+  for (const proto::Server* gateway : state.servers().FindLiveServers(proto::ROLE_GATEWAY)) {
     const auto used = leases.LowestVersionInUse(NodeId(gateway->node_id()), now);
     lowest = std::min(lowest, used.value_or(lowest));
   }
   return lowest;
 }
 
-std::vector<NodeId> GatewaysWithoutConfirmation(const ControlState& state, const LeaseTable& leases,
-                                                ConfigurationVersion version) {
+std::vector<NodeId> FindUnconfirmedGateways(const ControlState& state, const LeaseTable& leases,
+                                            ConfigurationVersion version) {
   std::vector<NodeId> unconfirmed;
-  for (const proto::Server* gateway : state.servers().Live(proto::ROLE_GATEWAY)) {
+  for (const proto::Server* gateway : state.servers().FindLiveServers(proto::ROLE_GATEWAY)) {
     const NodeId node(gateway->node_id());
-    if (leases.Confirmed(node) < version) {
+    if (leases.FindConfirmedVersion(node) < version) {
       unconfirmed.push_back(node);
     }
   }
   return unconfirmed;
 }
 
-std::vector<NodeId> GatewaysBehind(const ControlState& state, const LeaseTable& leases,
-                                   TimePoint now) {
+std::vector<NodeId> FindGatewaysBehind(const ControlState& state, const LeaseTable& leases,
+                                       TimePoint now) {
   std::vector<NodeId> behind;
-  for (const proto::Server* gateway : state.servers().Live(proto::ROLE_GATEWAY)) {
+  for (const proto::Server* gateway : state.servers().FindLiveServers(proto::ROLE_GATEWAY)) {
     const NodeId node(gateway->node_id());
     const auto used = leases.LowestVersionInUse(node, now);
     if (used.has_value() && *used < state.configuration().version()) {
@@ -117,12 +117,12 @@
 }
 
 void TransactionHandler::RecordUnconfirmed(ConfigurationVersion version) {
-  if (version <= last_noted_) {
+  if (version <= last_unconfirmed_version_) {
     return;
   }
-  last_noted_ = version;
+  last_unconfirmed_version_ = version;
   const std::vector<NodeId> unconfirmed =
-      GatewaysWithoutConfirmation(context_.state, context_.leases, version);
+      FindUnconfirmedGateways(context_.state, context_.leases, version);
   if (unconfirmed.empty()) {
     return;
   }
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -21,12 +21,12 @@
 ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
                                            TimePoint now);
 /// @return live gateways that may still act by a version below the current one.
-std::vector<NodeId> GatewaysBehind(const ControlState& state, const LeaseTable& leases,
-                                   TimePoint now);
+std::vector<NodeId> FindGatewaysBehind(const ControlState& state, const LeaseTable& leases,
+                                       TimePoint now);
 /// @return live gateways that have not confirmed `version`: where it is in force, their leases have
 /// run out.
-std::vector<NodeId> GatewaysWithoutConfirmation(const ControlState& state, const LeaseTable& leases,
-                                                ConfigurationVersion version);
+std::vector<NodeId> FindUnconfirmedGateways(const ControlState& state, const LeaseTable& leases,
+                                            ConfigurationVersion version);
 
 class TransactionHandler {
  public:
@@ -63,7 +63,7 @@
   LeaderContext& context_;
   CommandProposer& proposer_;
   std::list<Waiting> waiting_;
-  ConfigurationVersion last_noted_;
+  ConfigurationVersion last_unconfirmed_version_;
 };
 
 }  // namespace cloverbank
--- a/src/leader/arrival_gate.h
+++ b/src/leader/arrival_gate.h
@@ -18,21 +18,21 @@
  public:
   /// @param quiet how long no queue node must have come.
   /// @param longest the longest time the gate stays shut after it was first asked.
-  ArrivalGate(Duration quiet, Duration longest) : quiet_(quiet), longest_(longest) {}
+  ArrivalGate(Duration quiet, Duration longest) : quiet_period_(quiet), maximum_wait_(longest) {}
 
   /// Forgets everything: this member became leader.
   void Reset();
   /// Records the queue nodes that are eligible at `now`. `waiting`: whether partitions wait to be
   /// assigned. @return whether they may be assigned now.
-  bool Update(const ControlState& state, const std::set<NodeId>& doubtful, bool waiting,
+  bool Update(const ControlState& state, const std::set<NodeId>& unresponsive, bool waiting,
               TimePoint now);
 
  private:
   void RecordArrivals(std::vector<NodeId> eligible, TimePoint now);
 
-  Duration quiet_;
-  Duration longest_;
-  std::vector<NodeId> known_;
+  Duration quiet_period_;
+  Duration maximum_wait_;
+  std::vector<NodeId> eligible_;
   TimePoint last_arrival_;
   std::optional<TimePoint> waiting_since_;
 };
--- a/src/leader/backup_sweep_executor.cc
+++ b/src/leader/backup_sweep_executor.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 
 void BackupSweepExecutor::Step() {
-  for (const NodeId backup : sweeper_.Due(context_.state, context_.environment.Now())) {
+  for (const NodeId backup : sweeper_.StartDueSweeps(context_.state, context_.environment.Now())) {
     RequestReplicaList(backup);
   }
 }
@@ -28,14 +28,14 @@
 void BackupSweepExecutor::HandleReplicaList(NodeId backup, const Endpoint& endpoint,
                                             const Result<proto::ListSegmentsResponse>& replicas) {
   if (!replicas.ok()) {
-    sweeper_.OnFailed(backup);
+    sweeper_.HandleFailure(backup);
     return;
   }
-  sweeper_.OnListed(backup, *replicas);
+  sweeper_.HandleReplicaList(backup, *replicas);
   if (!context_.CanAnswer()) {
     return;
   }
-  for (const NodeId owner : FindLeftovers(*replicas, context_.state)) {
+  for (const NodeId owner : FindLeftoverOwners(*replicas, context_.state)) {
     ReleaseLeftovers(owner, backup, endpoint);
   }
 }
--- a/src/leader/backup_sweeper.cc
+++ b/src/leader/backup_sweeper.cc
@@ -2,8 +2,8 @@
 
 namespace cloverbank {
 
-std::set<NodeId> FindLeftovers(const proto::ListSegmentsResponse& replicas,
-                               const ControlState& state) {
+std::set<NodeId> FindLeftoverOwners(const proto::ListSegmentsResponse& replicas,
+                                    const ControlState& state) {
   std::set<NodeId> leftovers;
   for (const proto::SegmentReplicaKey& key : replicas.replicas()) {
     const NodeId owner(key.node_id());
@@ -18,55 +18,55 @@
   return leftovers;
 }
 
-std::vector<NodeId> BackupSweeper::Due(const ControlState& state, TimePoint now) {
-  std::erase_if(looks_, [&state](const auto& entry) {
+std::vector<NodeId> BackupSweeper::StartDueSweeps(const ControlState& state, TimePoint now) {
+  std::erase_if(sweeps_, [&state](const auto& entry) {
     return state.servers().FindLive(entry.first, proto::ROLE_BACKUP) == nullptr;
   });
   std::vector<NodeId> due;
-  for (const proto::Server* backup : state.servers().Live(proto::ROLE_BACKUP)) {
+  for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
-    Look& look = looks_[id];
-    if (!look.in_flight && now >= look.next) {
-      Start(backup->state() == proto::SERVER_STATE_RETIRING, now, &look);
+    Sweep& sweep = sweeps_[id];
+    if (!sweep.in_flight && now >= sweep.next) {
+      Start(backup->state() == proto::SERVER_STATE_RETIRING, now, &sweep);
       due.push_back(id);
     }
   }
   return due;
 }
 
-void BackupSweeper::Start(bool retiring, TimePoint now, Look* look) const {
+void BackupSweeper::Start(bool retiring, TimePoint now, Sweep* sweep) const {
   if (retiring) {
-    look->retiring_since = look->retiring_since.value_or(now);
-    look->counts = now - *look->retiring_since >= settling_time_;
+    sweep->retiring_since = sweep->retiring_since.value_or(now);
+    sweep->is_settled = now - *sweep->retiring_since >= settling_time_;
   } else {
-    look->retiring_since.reset();
-    look->counts = true;
+    sweep->retiring_since.reset();
+    sweep->is_settled = true;
   }
-  look->in_flight = true;
-  look->next = now + (retiring ? retiring_interval_ : interval_);
+  sweep->in_flight = true;
+  sweep->next = now + (retiring ? retiring_interval_ : interval_);
 }
 
-void BackupSweeper::OnListed(NodeId backup, const proto::ListSegmentsResponse& replicas) {
-  const auto look = looks_.find(backup);
-  if (look != looks_.end()) {
-    look->second.in_flight = false;
-    look->second.replicas.reset();
-    if (look->second.counts) {
-      look->second.replicas = static_cast<std::size_t>(replicas.replicas_size());
+void BackupSweeper::HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas) {
+  const auto sweep = sweeps_.find(backup);
+  if (sweep != sweeps_.end()) {
+    sweep->second.in_flight = false;
+    sweep->second.replicas.reset();
+    if (sweep->second.is_settled) {
+      sweep->second.replicas = static_cast<std::size_t>(replicas.replicas_size());
     }
   }
 }
 
-void BackupSweeper::OnFailed(NodeId backup) {
-  const auto look = looks_.find(backup);
-  if (look != looks_.end()) {
-    look->second.in_flight = false;
+void BackupSweeper::HandleFailure(NodeId backup) {
+  const auto sweep = sweeps_.find(backup);
+  if (sweep != sweeps_.end()) {
+    sweep->second.in_flight = false;
   }
 }
 
-std::optional<std::size_t> BackupSweeper::ReplicasOn(NodeId backup) const {
-  const auto look = looks_.find(backup);
-  return look == looks_.end() ? std::nullopt : look->second.replicas;
+std::optional<std::size_t> BackupSweeper::FindReplicaCount(NodeId backup) const {
+  const auto sweep = sweeps_.find(backup);
+  return sweep == sweeps_.end() ? std::nullopt : sweep->second.replicas;
 }
 
 }  // namespace cloverbank
--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -19,8 +19,8 @@
 
 /// @return the dead nodes among the owners of `replicas` whose segments nobody needs: not live, not
 /// being recovered, and registered by this group (ids are given out once).
-std::set<NodeId> FindLeftovers(const proto::ListSegmentsResponse& replicas,
-                               const ControlState& state);
+std::set<NodeId> FindLeftoverOwners(const proto::ListSegmentsResponse& replicas,
+                                    const ControlState& state);
 
 class BackupSweeper {
  public:
@@ -29,31 +29,32 @@
   BackupSweeper(Duration interval, Duration retiring_interval, Duration settling_time)
       : interval_(interval), retiring_interval_(retiring_interval), settling_time_(settling_time) {}
 
-  void Reset() { looks_.clear(); }
-  /// @return backups whose list is to be fetched now; report each with `OnListed` or `OnFailed`.
-  std::vector<NodeId> Due(const ControlState& state, TimePoint now);
-  void OnListed(NodeId backup, const proto::ListSegmentsResponse& replicas);
-  void OnFailed(NodeId backup);
+  void Reset() { sweeps_.clear(); }
+  /// @return backups whose list is to be fetched now; report each with `HandleReplicaList` or
+  /// `HandleFailure`.
+  std::vector<NodeId> StartDueSweeps(const ControlState& state, TimePoint now);
+  void HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas);
+  void HandleFailure(NodeId backup);
   /// @return replicas on the backup when last looked at; nothing if that is not known yet, or does
   /// not count yet because the backup has only just been retired.
-  std::optional<std::size_t> ReplicasOn(NodeId backup) const;
+  std::optional<std::size_t> FindReplicaCount(NodeId backup) const;
 
  private:
-  struct Look {
+  struct Sweep {
     bool in_flight = false;
     TimePoint next;
     std::optional<TimePoint> retiring_since;  ///< As far as this leader saw it.
-    bool counts = true;                       ///< Whether the look under way began late enough.
+    bool is_settled = true;                   ///< Whether the sweep under way began late enough.
     std::optional<std::size_t> replicas;
   };
 
-  /// Marks `look` as in flight from `now` and sets when the next is due.
-  void Start(bool retiring, TimePoint now, Look* look) const;
+  /// Marks `sweep` as in flight from `now` and sets when the next is due.
+  void Start(bool retiring, TimePoint now, Sweep* sweep) const;
 
   Duration interval_;
   Duration retiring_interval_;
   Duration settling_time_;
-  std::map<NodeId, Look> looks_;
+  std::map<NodeId, Sweep> sweeps_;
 };
 
 }  // namespace cloverbank
--- a/src/leader/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -51,7 +51,7 @@
 
 void CommandProposer::ProposeOnce(const std::string& key, const proto::ControlCommand& command,
                                   Done done) {
-  if (!under_way_.insert(key).second) {
+  if (!in_flight_.insert(key).second) {
     return;
   }
   Propose(command, [this, key, generation = generation_,
@@ -65,12 +65,12 @@
 
 void CommandProposer::Release(const std::string& key, std::uint64_t generation) {
   if (generation == generation_) {
-    under_way_.erase(key);
+    in_flight_.erase(key);
   }
 }
 
 void CommandProposer::Reset() {
-  under_way_.clear();
+  in_flight_.clear();
   ++generation_;
 }
 
--- a/src/leader/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -43,7 +43,7 @@
   void Release(const std::string& key, std::uint64_t generation);
 
   LeaderContext& context_;
-  std::set<std::string> under_way_;
+  std::set<std::string> in_flight_;
   std::uint64_t generation_ = 0;
 };
 
--- a/src/leader/death_declarer.cc
+++ b/src/leader/death_declarer.cc
@@ -22,7 +22,7 @@
   UpdateUnresponsive(live);
   // Collected before the first proposal, which may change the state.
   const std::vector<DueDeath> due = FindDueDeaths(live);
-  context_.detector.RetainOnly(live);
+  context_.detector.ForgetAllBut(live);
   std::erase_if(context_.loads, [&live](const auto& entry) { return !live.contains(entry.first); });
   for (const DueDeath& death : due) {
     ProposeDeath(death);
@@ -41,10 +41,10 @@
 
 void DeathDeclarer::UpdateUnresponsive(const std::set<NodeId>& live) {
   const TimePoint now = context_.environment.Now();
-  context_.doubtful.clear();
+  context_.unresponsive.clear();
   for (const NodeId node : live) {
     if (now - context_.detector.LastHeardFrom(node) >= kUnresponsiveAfter) {
-      context_.doubtful.insert(node);
+      context_.unresponsive.insert(node);
     }
   }
 }
@@ -55,7 +55,7 @@
   for (const NodeId node : live) {
     const proto::Server& server = *context_.state.servers().Find(node);
     const std::optional<DeathReason> reason = FindDeathReason(server);
-    if (reason.has_value() && !context_.condemned.contains(node)) {
+    if (reason.has_value() && !context_.pending_deaths.contains(node)) {
       due.push_back({server, *reason});
     }
   }
@@ -69,7 +69,7 @@
     return DeathReason::kUnresponsive;
   }
   const bool superseded = context_.state.servers().FindLaterIncarnation(server).valid();
-  if (superseded && now >= context_.leases.LeaseEnd(node)) {
+  if (superseded && now >= context_.leases.FindLeaseEnd(node)) {
     return DeathReason::kSuperseded;
   }
   return std::nullopt;
@@ -82,7 +82,7 @@
       {{"node_id", node.value()}, {"machine", death.server.machine()}, {"reason", reason}});
   context_.environment.metrics().Increment("coordinator_node_declared_dead_total",
                                            {{"reason", reason}});
-  context_.condemned.insert(node);
+  context_.pending_deaths.insert(node);
   proto::ControlCommand command;
   command.mutable_declare_server_dead()->set_node_id(node.value());
   command.mutable_declare_server_dead()->set_reason(reason);
@@ -95,7 +95,7 @@
 void DeathDeclarer::HandleDecision(NodeId node, const Result<proto::ControlCommandResult>& result) {
   // A failure means that leadership was lost: the next term begins without pending deaths.
   if (result.ok()) {
-    context_.condemned.erase(node);
+    context_.pending_deaths.erase(node);
   }
 }
 
--- a/src/leader/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -12,41 +12,42 @@
 
 void FailureDetector::Start(TimePoint now) {
   started_ = now;
-  heard_.clear();
+  last_heartbeats_.clear();
   suspected_.clear();
 }
 
-void FailureDetector::SkipPause(Duration length, TimePoint now) {
+void FailureDetector::ExcludePause(Duration length, TimePoint now) {
   started_ = std::min(started_ + length, now);
-  for (auto& [node, last] : heard_) {
+  for (auto& [node, last] : last_heartbeats_) {
     last = std::min(last + length, now);
   }
 }
 
-void FailureDetector::Heard(NodeId node, TimePoint now) {
-  TimePoint& last = heard_[node];
+void FailureDetector::RecordHeartbeat(NodeId node, TimePoint now) {
+  TimePoint& last = last_heartbeats_[node];
   last = std::max(last, now);
   suspected_.erase(node);
 }
 
-void FailureDetector::Suspect(NodeId node, TimePoint now) {
+void FailureDetector::RecordSuspicion(NodeId node, TimePoint now) {
   if (now - LastHeardFrom(node) >= kSuspicionAfter) {
     suspected_.insert(node);
   }
 }
 
-void FailureDetector::RetainOnly(const std::set<NodeId>& live) {
-  std::erase_if(heard_, [&live](const auto& entry) { return !live.contains(entry.first); });
+void FailureDetector::ForgetAllBut(const std::set<NodeId>& live) {
+  std::erase_if(last_heartbeats_,
+                [&live](const auto& entry) { return !live.contains(entry.first); });
   std::erase_if(suspected_, [&live](NodeId node) { return !live.contains(node); });
 }
 
 TimePoint FailureDetector::LastHeardFrom(NodeId node) const {
-  const auto entry = heard_.find(node);
-  return entry == heard_.end() ? started_ : std::max(started_, entry->second);
+  const auto entry = last_heartbeats_.find(node);
+  return entry == last_heartbeats_.end() ? started_ : std::max(started_, entry->second);
 }
 
 bool FailureDetector::IsDead(NodeId node, const LeaseTable& leases, TimePoint now) const {
-  if (now < leases.LeaseEnd(node)) {
+  if (now < leases.FindLeaseEnd(node)) {
     return false;
   }
   const Duration needed =
--- a/src/leader/failure_detector.h
+++ b/src/leader/failure_detector.h
@@ -23,14 +23,14 @@
   /// Begins to count everybody's silence at `now`.
   void Start(TimePoint now);
   /// The leader could hear nobody for `length` before `now`: it does not count as silence.
-  void SkipPause(Duration length, TimePoint now);
+  void ExcludePause(Duration length, TimePoint now);
   /// A heartbeat of `node` arrived.
-  void Heard(NodeId node, TimePoint now);
+  void RecordHeartbeat(NodeId node, TimePoint now);
   /// A peer reports that calls to `node` fail: it is dead as soon as its lease has run out, unless
   /// it is heard of.
-  void Suspect(NodeId node, TimePoint now);
+  void RecordSuspicion(NodeId node, TimePoint now);
   /// Forgets the nodes that are not among the `live`.
-  void RetainOnly(const std::set<NodeId>& live);
+  void ForgetAllBut(const std::set<NodeId>& live);
 
   /// @return when `node` was last heard of, or the start of the count.
   TimePoint LastHeardFrom(NodeId node) const;
@@ -40,7 +40,7 @@
  private:
   Duration death_after_;
   TimePoint started_;
-  std::map<NodeId, TimePoint> heard_;
+  std::map<NodeId, TimePoint> last_heartbeats_;
   std::set<NodeId> suspected_;
 };
 
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -52,9 +52,9 @@
   LeaseTable leases;
   FailureDetector detector;
   /// Nodes whose death is proposed and not yet decided: they get no lease meanwhile.
-  std::set<NodeId> condemned;
+  std::set<NodeId> pending_deaths;
   /// Silent for longer than a heartbeat may be held, not yet dead.
-  std::set<NodeId> doubtful;
+  std::set<NodeId> unresponsive;
   std::map<NodeId, NodeLoad> loads;
   /// Callbacks of timers and calls do nothing once it is gone.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
--- a/src/leader/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -22,7 +22,7 @@
 void LeaderController::Step() {
   partition_assigner_.InitializePartitions();
   death_declarer_.Step();
-  const bool may_assign = MayAssign();
+  const bool may_assign = UpdateArrivalGate();
   if (may_assign) {
     partition_assigner_.AssignFreePartitions();
   }
@@ -31,10 +31,11 @@
   unreachable_node_notifier_.Step();
 }
 
-bool LeaderController::MayAssign() {
-  const bool waiting = !context_.state.partitions().Free().empty() ||
-                       recovery_executor_.manager().WaitsForQueueNodes(context_.state);
-  return arrivals_.Update(context_.state, context_.doubtful, waiting, context_.environment.Now());
+bool LeaderController::UpdateArrivalGate() {
+  const bool waiting = !context_.state.partitions().FindFree().empty() ||
+                       recovery_executor_.manager().IsWaitingForQueueNodes(context_.state);
+  return arrivals_.Update(context_.state, context_.unresponsive, waiting,
+                          context_.environment.Now());
 }
 
 }  // namespace cloverbank
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -31,7 +31,7 @@
 
  private:
   /// @return whether partitions may be assigned now.
-  bool MayAssign();
+  bool UpdateArrivalGate();
 
   LeaderContext& context_;
   DeathDeclarer death_declarer_;
--- a/src/leader/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -11,26 +11,26 @@
 }  // namespace
 
 LeaseTable::LeaseTable(Duration lease)
-    : lease_(lease), counted_(lease + lease / kClockDriftDivisor) {}
+    : lease_(lease), lease_with_drift_(lease + lease / kClockDriftDivisor) {}
 
 void LeaseTable::Start(TimePoint now, NodeId next_node_id) {
   holders_.clear();
-  unknown_until_ = now + counted_;
-  first_known_ = next_node_id;
+  predecessor_leases_end_ = now + lease_with_drift_;
+  first_own_node_id_ = next_node_id;
 }
 
-void LeaseTable::Grant(NodeId node, ConfigurationVersion version, TimePoint arrival) {
+void LeaseTable::RecordGrant(NodeId node, ConfigurationVersion version, TimePoint arrival) {
   TimePoint& end = holders_[node].ends[version];
-  end = std::max(end, arrival + counted_);
+  end = std::max(end, arrival + lease_with_drift_);
 }
 
-void LeaseTable::Confirm(NodeId node, ConfigurationVersion version) {
+void LeaseTable::RecordConfirmation(NodeId node, ConfigurationVersion version) {
   Holder& holder = holders_[node];
   holder.confirmed = std::max(holder.confirmed, version);
 }
 
-TimePoint LeaseTable::LeaseEnd(NodeId node) const {
-  TimePoint end = node < first_known_ ? unknown_until_ : TimePoint();
+TimePoint LeaseTable::FindLeaseEnd(NodeId node) const {
+  TimePoint end = node < first_own_node_id_ ? predecessor_leases_end_ : TimePoint();
   const auto holder = holders_.find(node);
   if (holder != holders_.end()) {
     for (const auto& [version, granted] : holder->second.ends) {
@@ -40,7 +40,7 @@
   return end;
 }
 
-ConfigurationVersion LeaseTable::Confirmed(NodeId node) const {
+ConfigurationVersion LeaseTable::FindConfirmedVersion(NodeId node) const {
   const auto entry = holders_.find(node);
   return entry == holders_.end() ? ConfigurationVersion() : entry->second.confirmed;
 }
@@ -48,8 +48,8 @@
 std::optional<ConfigurationVersion> LeaseTable::LowestVersionInUse(NodeId node,
                                                                    TimePoint now) const {
   const auto entry = holders_.find(node);
-  const ConfigurationVersion confirmed = Confirmed(node);
-  if (node < first_known_ && now < unknown_until_) {
+  const ConfigurationVersion confirmed = FindConfirmedVersion(node);
+  if (node < first_own_node_id_ && now < predecessor_leases_end_) {
     return confirmed;
   }
   if (entry == holders_.end()) {
@@ -67,7 +67,7 @@
   for (auto& [node, holder] : holders_) {
     std::erase_if(holder.ends, [now](const auto& entry) { return entry.second <= now; });
   }
-  if (now >= unknown_until_) {
+  if (now >= predecessor_leases_end_) {
     std::erase_if(holders_, [](const auto& entry) { return entry.second.ends.empty(); });
   }
 }
--- a/src/leader/lease_table.h
+++ b/src/leader/lease_table.h
@@ -27,16 +27,16 @@
 
   /// Notes that a request of `node` that arrived at `arrival` is answered with a lease and the
   /// configuration `version`.
-  void Grant(NodeId node, ConfigurationVersion version, TimePoint arrival);
+  void RecordGrant(NodeId node, ConfigurationVersion version, TimePoint arrival);
   /// Notes that `node` holds `version`. Nodes never go back, so a lower one changes nothing.
-  void Confirm(NodeId node, ConfigurationVersion version);
+  void RecordConfirmation(NodeId node, ConfigurationVersion version);
   /// @return when the last lease that `node` may hold has run out; a past time if it holds none.
-  TimePoint LeaseEnd(NodeId node) const;
+  TimePoint FindLeaseEnd(NodeId node) const;
   /// @return the lowest configuration version by which `node` may act at `now`; none if it holds no
   /// lease. 0: unknown, a predecessor may have granted it one.
   std::optional<ConfigurationVersion> LowestVersionInUse(NodeId node, TimePoint now) const;
   /// @return the newest version that `node` confirmed; 0 if none is remembered.
-  ConfigurationVersion Confirmed(NodeId node) const;
+  ConfigurationVersion FindConfirmedVersion(NodeId node) const;
   /// Forgets leases that have run out.
   void Expire(TimePoint now);
 
@@ -50,9 +50,9 @@
   };
 
   Duration lease_;
-  Duration counted_;  // The lease and the allowance for drift.
-  TimePoint unknown_until_;
-  NodeId first_known_;
+  Duration lease_with_drift_;  // The lease and the allowance for drift.
+  TimePoint predecessor_leases_end_;
+  NodeId first_own_node_id_;
   std::map<NodeId, Holder> holders_;
 };
 
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -42,7 +42,7 @@
     return replica.stored->epoch() > head.epoch();
   }
   return std::any_of(head.backups().begin(), head.backups().end(), [&](std::uint64_t backup) {
-    return servers.SameDisk(NodeId(backup), replica.backup);
+    return servers.HaveSameDisk(NodeId(backup), replica.backup);
   });
 }
 
--- a/src/leader/partition_assigner.cc
+++ b/src/leader/partition_assigner.cc
@@ -14,8 +14,8 @@
 }
 
 void PartitionAssigner::AssignFreePartitions() {
-  const auto spread =
-      SpreadPartitions(context_.state.partitions().Free(), context_.state, context_.doubtful);
+  const auto spread = PlacePartitions(context_.state.partitions().FindFree(), context_.state,
+                                      context_.unresponsive);
   for (const auto& [node, partitions] : spread) {
     proto::ControlCommand command;
     proto::AssignPartitionsCommand& assign = *command.mutable_assign_partitions();
--- a/src/leader/partition_placement.cc
+++ b/src/leader/partition_placement.cc
@@ -4,15 +4,15 @@
 
 namespace cloverbank {
 
-std::vector<NodeId> EligibleQueueNodes(const ControlState& state,
-                                       const std::set<NodeId>& doubtful) {
+std::vector<NodeId> FindEligibleQueueNodes(const ControlState& state,
+                                           const std::set<NodeId>& unresponsive) {
   std::vector<NodeId> eligible;
   std::vector<NodeId> retiring;
-  std::vector<NodeId> unresponsive;
-  for (const proto::Server* server : state.servers().Live(proto::ROLE_QUEUE)) {
+  std::vector<NodeId> last_resort;
+  for (const proto::Server* server : state.servers().FindLiveServers(proto::ROLE_QUEUE)) {
     const NodeId id(server->node_id());
-    if (doubtful.contains(id) || state.servers().FindLaterIncarnation(*server).valid()) {
-      unresponsive.push_back(id);
+    if (unresponsive.contains(id) || state.servers().FindLaterIncarnation(*server).valid()) {
+      last_resort.push_back(id);
     } else if (server->state() == proto::SERVER_STATE_RETIRING) {
       retiring.push_back(id);
     } else {
@@ -22,16 +22,17 @@
   if (!eligible.empty()) {
     return eligible;
   }
-  return retiring.empty() ? unresponsive : retiring;
+  return retiring.empty() ? last_resort : retiring;
 }
 
-std::map<NodeId, std::vector<PartitionId>> SpreadPartitions(
+std::map<NodeId, std::vector<PartitionId>> PlacePartitions(
     const std::vector<PartitionId>& partitions, const ControlState& state,
-    const std::set<NodeId>& doubtful, const PlannedLoads& planned) {
+    const std::set<NodeId>& unresponsive, const PlannedLoads& planned) {
   std::map<NodeId, std::size_t> load;
-  for (const NodeId node : EligibleQueueNodes(state, doubtful)) {
+  for (const NodeId node : FindEligibleQueueNodes(state, unresponsive)) {
     const auto more = planned.find(node);
-    load[node] = state.partitions().LoadOf(node) + (more == planned.end() ? 0 : more->second);
+    load[node] =
+        state.partitions().CountAssigned(node) + (more == planned.end() ? 0 : more->second);
   }
   std::map<NodeId, std::vector<PartitionId>> spread;
   if (load.empty()) {
@@ -48,13 +49,13 @@
 }
 
 bool MustHandOver(const ControlState& state, const proto::Server& server,
-                  const std::set<NodeId>& doubtful) {
+                  const std::set<NodeId>& unresponsive) {
   const bool retiring =
       server.role() == proto::ROLE_QUEUE && server.state() == proto::SERVER_STATE_RETIRING;
-  if (!retiring || state.partitions().LoadOf(NodeId(server.node_id())) == 0) {
+  if (!retiring || state.partitions().CountAssigned(NodeId(server.node_id())) == 0) {
     return false;
   }
-  const std::vector<NodeId> others = EligibleQueueNodes(state, doubtful);
+  const std::vector<NodeId> others = FindEligibleQueueNodes(state, unresponsive);
   return std::any_of(others.begin(), others.end(), [&state](NodeId other) {
     return state.servers().Find(other)->state() == proto::SERVER_STATE_UP;
   });
--- a/src/leader/recovery_executor.cc
+++ b/src/leader/recovery_executor.cc
@@ -9,11 +9,11 @@
 namespace cloverbank {
 
 void RecoveryExecutor::Step(bool may_assign) {
-  RecoveryFacts facts;
-  facts.now = context_.environment.Now();
-  facts.may_assign = may_assign;
-  facts.doubtful = context_.doubtful;
-  for (const RecoveryAction& action : manager_.Step(context_.state, facts)) {
+  RecoveryInput input;
+  input.now = context_.environment.Now();
+  input.may_assign = may_assign;
+  input.unresponsive = context_.unresponsive;
+  for (const RecoveryAction& action : manager_.Step(context_.state, input)) {
     std::visit([this](const auto& one) { Execute(one); }, action);
   }
 }
@@ -27,7 +27,7 @@
       [this, action, alive = std::weak_ptr<bool>(context_.alive)](
           Result<proto::StartReadingDataResponse> answer) {
         if (!alive.expired()) {
-          manager_.OnReadingData(action.dead, action.backup, std::move(answer));
+          manager_.HandleReadingData(action.dead, action.backup, std::move(answer));
         }
       });
 }
@@ -70,7 +70,7 @@
       [this, action, alive = std::weak_ptr<bool>(context_.alive)](
           const Result<proto::ReleaseRecoveryDataResponse>& answer) {
         if (!alive.expired()) {
-          manager_.OnReleased(action.dead, action.backup, answer.status());
+          manager_.HandleReleased(action.dead, action.backup, answer.status());
         }
       });
 }
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -24,15 +24,15 @@
 }  // namespace
 
 std::vector<RecoveryAction> RecoveryManager::Step(const ControlState& state,
-                                                  const RecoveryFacts& facts) {
+                                                  const RecoveryInput& input) {
   ForgetFinished(state);
   available_reading_calls_ =
-      RemainingCalls(options_.most_readings, CountUnderWay(&Progress::readings));
+      RemainingCalls(options_.maximum_reading_calls, CountInFlight(&Progress::readings));
   available_release_calls_ =
-      RemainingCalls(options_.most_releases, CountUnderWay(&Progress::releases));
+      RemainingCalls(options_.maximum_release_calls, CountInFlight(&Progress::releases));
   std::vector<RecoveryAction> actions;
   for (const auto& [dead, recovery] : state.partitions().recoveries()) {
-    StepOne(state, recovery, facts, &actions);
+    AdvanceRecovery(state, recovery, input, &actions);
   }
   return actions;
 }
@@ -42,30 +42,31 @@
   std::erase_if(progress_,
                 [&recoveries](const auto& entry) { return !recoveries.contains(entry.first); });
   std::erase_if(proposed_, [&state](const auto& entry) {
-    return state.partitions().UnassignedOf(entry.first).empty();
+    return state.partitions().FindUnassigned(entry.first).empty();
   });
 }
 
-void RecoveryManager::StepOne(const ControlState& state, const proto::Recovery& recovery,
-                              const RecoveryFacts& facts, std::vector<RecoveryAction>* actions) {
+void RecoveryManager::AdvanceRecovery(const ControlState& state, const proto::Recovery& recovery,
+                                      const RecoveryInput& input,
+                                      std::vector<RecoveryAction>* actions) {
   const NodeId dead(recovery.dead_node_id());
   Progress& progress = progress_[dead];
   if (recovery.phase() == proto::RECOVERY_PHASE_RELEASING) {
-    Release(state, dead, facts.now, &progress, actions);
+    ReleaseBackups(state, dead, input.now, &progress, actions);
     return;
   }
-  Read(state, dead, facts.now, &progress, actions);
-  Assemble(state, dead, &progress);
+  ReadBackups(state, dead, input.now, &progress, actions);
+  AssembleChangedLog(state, dead, &progress);
   if (!progress.log.complete()) {
     return;
   }
-  if (facts.may_assign) {
-    ProposeReplay(state, dead, facts, actions);
+  if (input.may_assign) {
+    ProposeReplay(state, dead, input, actions);
   }
-  SendReplays(state, recovery, facts.now, &progress, actions);
+  SendReplays(state, recovery, input.now, &progress, actions);
 }
 
-std::size_t RecoveryManager::CountUnderWay(Calls Progress::*kind) const {
+std::size_t RecoveryManager::CountInFlight(Calls Progress::*kind) const {
   std::size_t count = 0;
   for (const auto& [dead, progress] : progress_) {
     const Calls& calls = progress.*kind;
@@ -75,18 +76,18 @@
   return count;
 }
 
-bool RecoveryManager::Begin(TimePoint now, Call* call, std::size_t* room) const {
-  if (call->in_flight || call->done || now < call->next || *room == 0) {
+bool RecoveryManager::TryBegin(TimePoint now, Call* call, std::size_t* available) const {
+  if (call->in_flight || call->done || now < call->next || *available == 0) {
     return false;
   }
-  --*room;
+  --*available;
   call->in_flight = true;
-  call->next = now + options_.collect_interval;
+  call->next = now + options_.retry_interval;
   return true;
 }
 
-void RecoveryManager::Read(const ControlState& state, NodeId dead, TimePoint now,
-                           Progress* progress, std::vector<RecoveryAction>* actions) {
+void RecoveryManager::ReadBackups(const ControlState& state, NodeId dead, TimePoint now,
+                                  Progress* progress, std::vector<RecoveryAction>* actions) {
   // A backup that restarted has another node id and is asked again; one that died is not counted
   // on.
   const auto gone = [&state](const auto& entry) {
@@ -95,15 +96,16 @@
   if (std::erase_if(progress->answers, gone) > 0) {
     progress->log_changed = true;
   }
-  for (const proto::Server* backup : state.servers().Live(proto::ROLE_BACKUP)) {
+  for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
-    if (Begin(now, &progress->readings[id], &available_reading_calls_)) {
+    if (TryBegin(now, &progress->readings[id], &available_reading_calls_)) {
       actions->push_back(StartReadingAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
 }
 
-void RecoveryManager::Assemble(const ControlState& state, NodeId dead, Progress* progress) const {
+void RecoveryManager::AssembleChangedLog(const ControlState& state, NodeId dead,
+                                         Progress* progress) const {
   if (!progress->log_changed) {
     return;
   }
@@ -113,14 +115,14 @@
 }
 
 void RecoveryManager::ProposeReplay(const ControlState& state, NodeId dead,
-                                    const RecoveryFacts& facts,
+                                    const RecoveryInput& input,
                                     std::vector<RecoveryAction>* actions) {
-  const std::vector<PartitionId> unassigned = state.partitions().UnassignedOf(dead);
+  const std::vector<PartitionId> unassigned = state.partitions().FindUnassigned(dead);
   ProposeReplayAction action;
   action.command.set_dead_node_id(dead.value());
   PlannedLoads loads;
   for (const auto& [node, partitions] :
-       SpreadPartitions(unassigned, state, facts.doubtful, PlannedBeside(dead))) {
+       PlacePartitions(unassigned, state, input.unresponsive, SumOtherPlacements(dead))) {
     loads[node] = partitions.size();
     proto::RecoveryAssignment* assignment = action.command.add_assignments();
     assignment->set_queue_node_id(node.value());
@@ -134,7 +136,7 @@
   }
 }
 
-PlannedLoads RecoveryManager::PlannedBeside(NodeId dead) const {
+PlannedLoads RecoveryManager::SumOtherPlacements(NodeId dead) const {
   PlannedLoads planned;
   for (const auto& [other, loads] : proposed_) {
     for (const auto& [node, count] : loads) {
@@ -184,14 +186,14 @@
   }
 }
 
-void RecoveryManager::Release(const ControlState& state, NodeId dead, TimePoint now,
-                              Progress* progress, std::vector<RecoveryAction>* actions) {
+void RecoveryManager::ReleaseBackups(const ControlState& state, NodeId dead, TimePoint now,
+                                     Progress* progress, std::vector<RecoveryAction>* actions) {
   bool all_done = true;
-  for (const proto::Server* backup : state.servers().Live(proto::ROLE_BACKUP)) {
+  for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
     Call& call = progress->releases[id];
     all_done = all_done && call.done;
-    if (Begin(now, &call, &available_release_calls_)) {
+    if (TryBegin(now, &call, &available_release_calls_)) {
       actions->push_back(ReleaseAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
@@ -200,8 +202,8 @@
   }
 }
 
-void RecoveryManager::OnReadingData(NodeId dead, NodeId backup,
-                                    Result<proto::StartReadingDataResponse> answer) {
+void RecoveryManager::HandleReadingData(NodeId dead, NodeId backup,
+                                        Result<proto::StartReadingDataResponse> answer) {
   const auto entry = progress_.find(dead);
   if (entry == progress_.end()) {
     return;
@@ -217,7 +219,7 @@
   entry->second.log_changed = true;
 }
 
-void RecoveryManager::OnReleased(NodeId dead, NodeId backup, const Status& status) {
+void RecoveryManager::HandleReleased(NodeId dead, NodeId backup, const Status& status) {
   const auto entry = progress_.find(dead);
   if (entry == progress_.end()) {
     return;
@@ -228,14 +230,14 @@
   call.failure = status.ok() ? std::string() : status.ToString();
 }
 
-bool RecoveryManager::WaitsForQueueNodes(const ControlState& state) const {
+bool RecoveryManager::IsWaitingForQueueNodes(const ControlState& state) const {
   return std::any_of(progress_.begin(), progress_.end(), [&state](const auto& entry) {
     return entry.second.log.complete() && !entry.second.log_changed &&
-           !state.partitions().UnassignedOf(entry.first).empty();
+           !state.partitions().FindUnassigned(entry.first).empty();
   });
 }
 
-std::string RecoveryManager::WaitingFor(const ControlState& state, NodeId dead) const {
+std::string RecoveryManager::DescribeAwaited(const ControlState& state, NodeId dead) const {
   const auto entry = progress_.find(dead);
   const auto recovery = state.partitions().recoveries().find(dead);
   if (entry == progress_.end() || recovery == state.partitions().recoveries().end()) {
@@ -268,7 +270,7 @@
 void RecoveryManager::DescribeAwaitedReplays(const ControlState& state,
                                              const proto::Recovery& recovery,
                                              std::vector<std::string>* awaited) {
-  if (EligibleQueueNodes(state, {}).empty()) {
+  if (FindEligibleQueueNodes(state, {}).empty()) {
     awaited->emplace_back("a queue node to replay the log");
   }
   for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -22,7 +22,7 @@
 
 namespace cloverbank {
 
-/// Call backup.StartReadingData; report with `OnReadingData`.
+/// Call backup.StartReadingData; report with `HandleReadingData`.
 struct StartReadingAction {
   NodeId dead;
   NodeId backup;
@@ -37,7 +37,7 @@
   Endpoint endpoint;
   proto::RecoverPartitionsRequest request;
 };
-/// Call backup.ReleaseRecoveryData; report with `OnReleased`.
+/// Call backup.ReleaseRecoveryData; report with `HandleReleased`.
 struct ReleaseAction {
   NodeId dead;
   NodeId backup;
@@ -51,19 +51,19 @@
                                     RecoverPartitionsAction, ReleaseAction, ProposeFinishAction>;
 
 struct RecoveryOptions {
-  Duration collect_interval = milliseconds(300);  ///< Between tries at a backup.
-  Duration replay_interval = milliseconds(500);   ///< Between repeats of RecoverPartitions.
+  Duration retry_interval = milliseconds(300);   ///< Between tries at a backup.
+  Duration replay_interval = milliseconds(500);  ///< Between repeats of RecoverPartitions.
   /// Calls of each kind under way at a time. After a loss of everything each queue node's earlier
   /// life is released at each backup, and recoveries must not wait behind that.
-  std::size_t most_readings = 256;
-  std::size_t most_releases = 64;
+  std::size_t maximum_reading_calls = 256;
+  std::size_t maximum_release_calls = 64;
 };
 
 /// What `Step` needs to know besides the replicated state.
-struct RecoveryFacts {
+struct RecoveryInput {
   TimePoint now;
-  bool may_assign = true;     ///< `ArrivalGate` is open.
-  std::set<NodeId> doubtful;  ///< Silent nodes; given partitions only if there are no others.
+  bool may_assign = true;         ///< `ArrivalGate` is open.
+  std::set<NodeId> unresponsive;  ///< Silent nodes; given partitions only if there are no others.
 };
 
 class RecoveryManager {
@@ -77,17 +77,18 @@
   }
 
   /// @return what to do now. Proposals are returned at each step until the state has changed.
-  std::vector<RecoveryAction> Step(const ControlState& state, const RecoveryFacts& facts);
+  std::vector<RecoveryAction> Step(const ControlState& state, const RecoveryInput& input);
 
   /// A backup answered StartReadingData, or failed to.
-  void OnReadingData(NodeId dead, NodeId backup, Result<proto::StartReadingDataResponse> answer);
+  void HandleReadingData(NodeId dead, NodeId backup,
+                         Result<proto::StartReadingDataResponse> answer);
   /// A backup answered ReleaseRecoveryData, or failed to.
-  void OnReleased(NodeId dead, NodeId backup, const Status& status);
+  void HandleReleased(NodeId dead, NodeId backup, const Status& status);
 
   /// @return whether a recovery has its whole log and only waits to be given to queue nodes.
-  bool WaitsForQueueNodes(const ControlState& state) const;
+  bool IsWaitingForQueueNodes(const ControlState& state) const;
   /// @return for people: what the recovery of `dead` waits for; empty if nothing.
-  std::string WaitingFor(const ControlState& state, NodeId dead) const;
+  std::string DescribeAwaited(const ControlState& state, NodeId dead) const;
 
  private:
   /// A call at one backup.
@@ -110,19 +111,19 @@
 
   /// Drops the progress of recoveries that are over and placements that the state shows.
   void ForgetFinished(const ControlState& state);
-  void StepOne(const ControlState& state, const proto::Recovery& recovery,
-               const RecoveryFacts& facts, std::vector<RecoveryAction>* actions);
-  void Read(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
-            std::vector<RecoveryAction>* actions);
-  void Assemble(const ControlState& state, NodeId dead, Progress* progress) const;
-  void ProposeReplay(const ControlState& state, NodeId dead, const RecoveryFacts& facts,
+  void AdvanceRecovery(const ControlState& state, const proto::Recovery& recovery,
+                       const RecoveryInput& input, std::vector<RecoveryAction>* actions);
+  void ReadBackups(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
+                   std::vector<RecoveryAction>* actions);
+  void AssembleChangedLog(const ControlState& state, NodeId dead, Progress* progress) const;
+  void ProposeReplay(const ControlState& state, NodeId dead, const RecoveryInput& input,
                      std::vector<RecoveryAction>* actions);
   /// @return what was proposed for other recoveries and is not in the state yet.
-  PlannedLoads PlannedBeside(NodeId dead) const;
+  PlannedLoads SumOtherPlacements(NodeId dead) const;
   void SendReplays(const ControlState& state, const proto::Recovery& recovery, TimePoint now,
                    Progress* progress, std::vector<RecoveryAction>* actions) const;
-  void Release(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
-               std::vector<RecoveryAction>* actions);
+  void ReleaseBackups(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
+                      std::vector<RecoveryAction>* actions);
   /// @return by queue node, the requests for its unfinished assignments, without segments.
   static std::map<NodeId, proto::RecoverPartitionsRequest> UnfinishedReplays(
       const proto::Recovery& recovery);
@@ -133,9 +134,9 @@
   static void DescribeAwaitedReplays(const ControlState& state, const proto::Recovery& recovery,
                                      std::vector<std::string>* awaited);
   /// @return how many calls of a kind are under way.
-  std::size_t CountUnderWay(Calls Progress::*kind) const;
-  /// @return whether the call is due now and `room` is left; marks it as under way.
-  bool Begin(TimePoint now, Call* call, std::size_t* room) const;
+  std::size_t CountInFlight(Calls Progress::*kind) const;
+  /// @return whether the call is due now and `available` is left; marks it as under way.
+  bool TryBegin(TimePoint now, Call* call, std::size_t* available) const;
 
   RecoveryOptions options_;
   std::size_t available_reading_calls_ = 0;  // In the present step.
--- a/src/leader/unreachable_node_notifier.cc
+++ b/src/leader/unreachable_node_notifier.cc
@@ -11,8 +11,8 @@
   for (const LogMember& member : context_.log.members()) {
     *request.add_coordinators() = ToProto(member.endpoint);
   }
-  for (const UnreachableNodes::NodeLocation& location :
-       nodes_.Due(context_.state, context_.doubtful, context_.environment.Now())) {
+  for (const UnreachableNodes::NodeLocation& location : nodes_.StartDueNotifications(
+           context_.state, context_.unresponsive, context_.environment.Now())) {
     CallPeer<proto::UpdateCoordinatorsResponse>(
         context_.environment, location.endpoint, UpdateCoordinatorsMethod(location.role), request,
         context_.options.call_deadline, [](const Result<proto::UpdateCoordinatorsResponse>&) {});
--- a/src/leader/unreachable_nodes.cc
+++ b/src/leader/unreachable_nodes.cc
@@ -6,13 +6,13 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kInterval = milliseconds(500);
+constexpr Duration kNotificationInterval = milliseconds(500);
 /// A node that stays away for longer has to find the coordinators by its seeds.
-constexpr Duration kLongest = seconds(60);
+constexpr Duration kNotificationLimit = seconds(60);
 
 }  // namespace
 
-std::vector<UnreachableNodes::NodeLocation> UnreachableNodes::Due(
+std::vector<UnreachableNodes::NodeLocation> UnreachableNodes::StartDueNotifications(
     const ControlState& state, const std::set<NodeId>& unresponsive, TimePoint now) {
   const std::set<NodeLocation> present = RecordLive(state, unresponsive, now);
   ForgetLongAbsent(now);
@@ -21,7 +21,7 @@
     if (now >= entry.next && (!entry.notified || !present.contains(location))) {
       due.push_back(location);
       entry.notified = true;
-      entry.next = now + kInterval;
+      entry.next = now + kNotificationInterval;
     }
   }
   return due;
@@ -45,8 +45,9 @@
 }
 
 void UnreachableNodes::ForgetLongAbsent(TimePoint now) {
-  std::erase_if(entries_,
-                [now](const auto& entry) { return now - entry.second.last_present > kLongest; });
+  std::erase_if(entries_, [now](const auto& entry) {
+    return now - entry.second.last_present > kNotificationLimit;
+  });
 }
 
 }  // namespace cloverbank
--- a/src/leader/unreachable_nodes.h
+++ b/src/leader/unreachable_nodes.h
@@ -30,8 +30,9 @@
   void Reset() { entries_.clear(); }
   /// @param silent live nodes that were not heard of lately.
   /// @return those to be told now.
-  std::vector<NodeLocation> Due(const ControlState& state, const std::set<NodeId>& unresponsive,
-                                TimePoint now);
+  std::vector<NodeLocation> StartDueNotifications(const ControlState& state,
+                                                  const std::set<NodeId>& unresponsive,
+                                                  TimePoint now);
 
  private:
   struct Entry {
@@ -41,8 +42,8 @@
   };
 
   /// @return the locations of live nodes that respond.
-  std::set<NodeLocation> RecordLive(const ControlState& state,
-                                    const std::set<NodeId>& unresponsive, TimePoint now);
+  std::set<NodeLocation> RecordLive(const ControlState& state, const std::set<NodeId>& unresponsive,
+                                    TimePoint now);
   void ForgetLongAbsent(TimePoint now);
 
   std::map<NodeLocation, Entry> entries_;
--- a/tests/control_state/configuration_store_test.cc
+++ b/tests/control_state/configuration_store_test.cc
@@ -136,13 +136,13 @@
 TEST(ConfigurationStore, RecordsAndHistoryAreBounded) {
   ConfigurationStore store;
   std::uint64_t version = 1;
-  constexpr std::uint64_t kTransactions = OperationRecords::kRecordsKept + 5;
+  constexpr std::uint64_t kTransactions = OperationRecords::kMaximumRecords + 5;
   for (std::uint64_t at = 0; at < kTransactions; ++at, ++version) {
     store.Apply(TenantTransaction(std::to_string(at), version, "t"), 0);
   }
   EXPECT_EQ(store.FindOperation("4"), nullptr);
   EXPECT_NE(store.FindOperation("5"), nullptr);
-  EXPECT_EQ(store.History(kTransactions).size(), ConfigurationStore::kHistoryKept);
+  EXPECT_EQ(store.History(kTransactions).size(), ConfigurationStore::kMaximumHistoryRecords);
   EXPECT_TRUE(store.UpdateFrom(ConfigurationVersion(3)).has_full());
 }
 
--- a/tests/control_state/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -42,7 +42,7 @@
   const NodeId new_incarnation =
       control.Register(proto::ROLE_BACKUP, "store-1", 12, {}, "10.0.0.9");
   EXPECT_FALSE(IsLive(*control.state.servers().Find(old_incarnation)));
-  EXPECT_TRUE(control.state.servers().SameDisk(old_incarnation, new_incarnation));
+  EXPECT_TRUE(control.state.servers().HaveSameDisk(old_incarnation, new_incarnation));
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
 }
 
@@ -79,7 +79,7 @@
   EXPECT_EQ(control.Assign(node, {0, 1}), StatusCode::kOk);
   EXPECT_EQ(control.Assign(node, {1, 2}), StatusCode::kConflict);
   control.DeclareDead(node);
-  EXPECT_EQ(control.state.partitions().Free().size(), 4U);
+  EXPECT_EQ(control.state.partitions().FindFree().size(), 4U);
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
   EXPECT_EQ(control.Assign(node, {0}), StatusCode::kFenced);
 }
@@ -103,7 +103,7 @@
   EXPECT_EQ(NodeId(control.partition(1).recovering_from()), b);
   EXPECT_EQ(NodeId(control.partition(2).recovering_from()), b);
   EXPECT_EQ(control.FinishAssignment(a, b, {0}), StatusCode::kFenced);
-  EXPECT_EQ(control.state.partitions().UnassignedOf(a), std::vector<PartitionId>{PartitionId(0)});
+  EXPECT_EQ(control.state.partitions().FindUnassigned(a), std::vector<PartitionId>{PartitionId(0)});
   EXPECT_EQ(control.StartReplay(a, c, {0}), StatusCode::kOk);
   EXPECT_EQ(control.FinishRecovery(a), StatusCode::kConflict);
   EXPECT_EQ(control.FinishAssignment(a, c, {0}), StatusCode::kOk);
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -165,7 +165,7 @@
 
 TEST(LabelledConfiguration, AChangeCostsANodeWhatItChangesHoweverLongTheDocument) {
   constexpr std::size_t kDocumentBytes = 100'000;
-  constexpr std::size_t kMostBytes = 200;
+  constexpr std::size_t kMaximumBytes = 200;
   ControlDriver control;
   constexpr int kPrefixes = 300;
   std::vector<std::string> prefixes;
@@ -190,7 +190,7 @@
   prefixes.back() = "/other/";
   control.Submit(with_document(FullConfiguration("b", 3, 9, prefixes)));
   const auto& update = control.state.configuration().UpdateFrom(watch.version());
-  EXPECT_LT(update.ByteSizeLong(), kMostBytes);
+  EXPECT_LT(update.ByteSizeLong(), kMaximumBytes);
   watch.Apply(update);
   EXPECT_EQ(watch.configuration().document().limits().header_bytes(), 99U);
   EXPECT_EQ(watch.configuration().routes_size(), kPrefixes);
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -202,7 +202,7 @@
   void CheckEnd() {
     const ControlState& state = *Committed();
     EXPECT_TRUE(state.partitions().recoveries().empty());
-    EXPECT_TRUE(state.partitions().Free().empty());
+    EXPECT_TRUE(state.partitions().FindFree().empty());
     EXPECT_EQ(state.configuration().in_force_version(), state.configuration().version());
     for (const auto& [id, partition] : state.partitions().partitions()) {
       EXPECT_NE(state.servers().FindLive(NodeId(partition.owner()), proto::ROLE_QUEUE), nullptr);
--- a/tests/coordinator/coordinator_fixture.h
+++ b/tests/coordinator/coordinator_fixture.h
@@ -116,7 +116,7 @@
     return server == nullptr || !IsLive(*server);
   }
   std::size_t Owned(const std::string& node) {
-    return state().partitions().OwnedBy(NodeId(nodes[node]->node_id)).size();
+    return state().partitions().FindOwnedBy(NodeId(nodes[node]->node_id)).size();
   }
   void CommitHead(const std::string& queue, const std::string& backup) {
     proto::CommitHeadRequest request;
--- a/tests/coordinator/lease_test.cc
+++ b/tests/coordinator/lease_test.cc
@@ -24,9 +24,9 @@
 };
 
 TEST_F(LeaseTest, UnknownLeasesLastOneFullLeaseFromTheStart) {
-  EXPECT_GE(leases.LeaseEnd(kNode), kStart + seconds(3));
+  EXPECT_GE(leases.FindLeaseEnd(kNode), kStart + seconds(3));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
-  leases.Confirm(kNode, ConfigurationVersion(4));
+  leases.RecordConfirmation(kNode, ConfigurationVersion(4));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(4));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart + seconds(4)), std::nullopt);
   EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt) << "registered since";
@@ -34,31 +34,31 @@
 
 TEST_F(LeaseTest, GiverCountsNoLessThanTheHolder) {
   const TimePoint arrival = kStart + seconds(10);
-  leases.Grant(kNode, ConfigurationVersion(1), arrival);
-  EXPECT_GE(leases.LeaseEnd(kNode), arrival + leases.lease());
-  leases.Grant(kNode, ConfigurationVersion(1), arrival - seconds(1));
-  EXPECT_GE(leases.LeaseEnd(kNode), arrival + leases.lease());
+  leases.RecordGrant(kNode, ConfigurationVersion(1), arrival);
+  EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
+  leases.RecordGrant(kNode, ConfigurationVersion(1), arrival - seconds(1));
+  EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
 }
 
 // A gateway that goes on asking but whose answers are lost must not hold up a version for ever.
 TEST_F(LeaseTest, RenewalsWithTheNewVersionDoNotProlongTheOldOne) {
   const TimePoint first = kStart + seconds(10);
-  leases.Grant(kNode, ConfigurationVersion(1), first);
+  leases.RecordGrant(kNode, ConfigurationVersion(1), first);
   for (int second = 1; second <= 5; ++second) {
-    leases.Grant(kNode, ConfigurationVersion(2), first + seconds(second));
+    leases.RecordGrant(kNode, ConfigurationVersion(2), first + seconds(second));
   }
   EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(1));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(4)), ConfigurationVersion(2));
-  leases.Confirm(kNode, ConfigurationVersion(2));
+  leases.RecordConfirmation(kNode, ConfigurationVersion(2));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(2));
 }
 
 TEST_F(LeaseTest, SilenceKillsOnlyAfterTheLease) {
   const TimePoint heard = kStart + seconds(10);
-  detector.Heard(kNode, heard);
+  detector.RecordHeartbeat(kNode, heard);
   EXPECT_FALSE(detector.IsDead(kNode, leases, heard + seconds(2)));
   EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(3)));
-  leases.Grant(kNode, ConfigurationVersion(1), heard + milliseconds(500));
+  leases.RecordGrant(kNode, ConfigurationVersion(1), heard + milliseconds(500));
   EXPECT_FALSE(detector.IsDead(kNode, leases, heard + milliseconds(3400)));
   EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(4)));
 }
@@ -67,18 +67,18 @@
   FailureDetector patient{seconds(9)};
   patient.Start(kStart);
   const TimePoint heard = kStart + seconds(10);
-  patient.Heard(kNode, heard);
-  patient.Suspect(kNode, heard + seconds(1));
+  patient.RecordHeartbeat(kNode, heard);
+  patient.RecordSuspicion(kNode, heard + seconds(1));
   EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(5))) << "it was heard of just before";
-  patient.Suspect(kNode, heard + seconds(2));
+  patient.RecordSuspicion(kNode, heard + seconds(2));
   EXPECT_TRUE(patient.IsDead(kNode, leases, heard + seconds(5)));
-  patient.Heard(kNode, heard + seconds(5));
+  patient.RecordHeartbeat(kNode, heard + seconds(5));
   EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(7)));
 }
 
 TEST_F(LeaseTest, OwnPauseIsNotSilence) {
   const TimePoint woken = kStart + seconds(30);
-  detector.SkipPause(seconds(29), woken);
+  detector.ExcludePause(seconds(29), woken);
   EXPECT_FALSE(detector.IsDead(kNode, leases, woken + seconds(1)));
   EXPECT_TRUE(detector.IsDead(kNode, leases, woken + seconds(2)));
 }
@@ -92,15 +92,15 @@
   AddTenant(&transaction, "x");
   control.Submit(transaction);
   leases.Start(kStart, NodeId(1));
-  leases.Grant(first, ConfigurationVersion(1), kStart);
-  leases.Grant(second, ConfigurationVersion(1), kStart + seconds(1));
+  leases.RecordGrant(first, ConfigurationVersion(1), kStart);
+  leases.RecordGrant(second, ConfigurationVersion(1), kStart + seconds(1));
   const auto in_force = [&](Duration after) {
     return VersionConfirmedByAll(control.state, leases, kStart + after).value();
   };
   EXPECT_EQ(in_force(seconds(1)), 1U);
-  leases.Confirm(first, ConfigurationVersion(2));
+  leases.RecordConfirmation(first, ConfigurationVersion(2));
   EXPECT_EQ(in_force(seconds(1)), 1U);
-  EXPECT_EQ(GatewaysBehind(control.state, leases, kStart + seconds(1)), std::vector{second});
+  EXPECT_EQ(FindGatewaysBehind(control.state, leases, kStart + seconds(1)), std::vector{second});
   EXPECT_EQ(in_force(seconds(5)), 2U) << "the lease has run out";
 }
 
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -48,10 +48,10 @@
   }
   void AnswerAll() {
     for (const StartReadingAction& action : std::exchange(readings_, {})) {
-      manager_.OnReadingData(action.dead, action.backup, proto::StartReadingDataResponse());
+      manager_.HandleReadingData(action.dead, action.backup, proto::StartReadingDataResponse());
     }
     for (const ReleaseAction& action : std::exchange(releases_, {})) {
-      manager_.OnReleased(action.dead, action.backup, Status::Ok());
+      manager_.HandleReleased(action.dead, action.backup, Status::Ok());
     }
   }
 
@@ -64,9 +64,9 @@
 
 TEST_F(LargeRecoveryTest, CallsUnderWayAreBoundedAndReadingsDoNotWaitForReleases) {
   const RecoveryOptions options;
-  EXPECT_EQ(Step(0), std::pair(options.most_readings, options.most_releases));
+  EXPECT_EQ(Step(0), std::pair(options.maximum_reading_calls, options.maximum_release_calls));
   EXPECT_EQ(Step(1), std::pair(std::size_t{0}, std::size_t{0})) << "none has been answered";
-  std::size_t readings = options.most_readings;
+  std::size_t readings = options.maximum_reading_calls;
   int steps = 1;
   for (; readings < kOwners * kNodes && steps < 10; ++steps) {
     AnswerAll();
--- a/tests/leader/recovery_test.cc
+++ b/tests/leader/recovery_test.cc
@@ -116,11 +116,11 @@
 
   void Execute(const StartReadingAction& action) {
     if (unreachable.contains(action.backup)) {
-      manager.OnReadingData(action.dead, action.backup,
-                            Status(StatusCode::kUnavailable, "no route"));
+      manager.HandleReadingData(action.dead, action.backup,
+                                Status(StatusCode::kUnavailable, "no route"));
       return;
     }
-    manager.OnReadingData(action.dead, action.backup, disks[action.backup][action.dead]);
+    manager.HandleReadingData(action.dead, action.backup, disks[action.backup][action.dead]);
   }
   void Execute(const ProposeReplayAction& action) {
     proto::ControlCommand command;
@@ -139,10 +139,10 @@
   }
   void Execute(const ReleaseAction& action) {
     disks[action.backup].erase(action.dead);
-    manager.OnReleased(action.dead, action.backup,
-                       unreachable.contains(action.backup)
-                           ? Status(StatusCode::kUnavailable, "no route")
-                           : Status::Ok());
+    manager.HandleReleased(action.dead, action.backup,
+                           unreachable.contains(action.backup)
+                               ? Status(StatusCode::kUnavailable, "no route")
+                               : Status::Ok());
   }
   void Execute(const ProposeFinishAction& action) { control.FinishRecovery(action.dead); }
 
@@ -154,12 +154,14 @@
       }
     }
   }
-  bool Over() const { return control.state.partitions().recoveries().empty(); }
-  std::size_t Owned(NodeId node) const { return control.state.partitions().OwnedBy(node).size(); }
+  bool IsOver() const { return control.state.partitions().recoveries().empty(); }
+  std::size_t Owned(NodeId node) const {
+    return control.state.partitions().FindOwnedBy(node).size();
+  }
 
   ControlDriver control;
   RecoveryManager manager{RecoveryOptions{}};
-  RecoveryFacts facts;
+  RecoveryInput facts;
   NodeId dead, first, second, backup, spare;
   std::map<NodeId, std::map<NodeId, proto::StartReadingDataResponse>> disks;
   std::set<NodeId> unreachable;
@@ -170,7 +172,7 @@
 TEST_F(RecoveryTest, SpreadsOverTheLiveAndReleases) {
   control.DeclareDead(dead);
   Step(6);
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
   EXPECT_EQ(Owned(first), 2U);
   EXPECT_EQ(Owned(second), 2U);
   EXPECT_THAT(disks[backup], IsEmpty());
@@ -182,13 +184,13 @@
   Step(20);
   EXPECT_THAT(replays, IsEmpty());
   EXPECT_THAT(
-      manager.WaitingFor(control.state, dead),
+      manager.DescribeAwaited(control.state, dead),
       AllOf(HasSubstr("head segment 1"), HasSubstr("the backup on s1"), HasSubstr("no route")));
   // The backup restarts: another node id, the same disk.
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 40);
   Store(restarted, dead);
   Step(6);
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
 }
 
 TEST_F(RecoveryTest, DeadAssigneeIsReplaced) {
@@ -200,7 +202,7 @@
   control.DeclareDead(first);
   stuck.clear();
   Step(8);
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
   EXPECT_EQ(Owned(second), 4U);
 }
 
@@ -209,7 +211,7 @@
   control.DeclareDead(first);
   control.DeclareDead(second);
   Step(5);
-  EXPECT_THAT(manager.WaitingFor(control.state, dead), HasSubstr("a queue node"));
+  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("a queue node"));
   const NodeId third = control.Register(proto::ROLE_QUEUE, "q3", 9);
   Step(5);
   EXPECT_EQ(Owned(third), 4U);
@@ -221,10 +223,10 @@
   Step(8);
   EXPECT_EQ(control.state.partitions().recoveries().at(dead).phase(),
             proto::RECOVERY_PHASE_RELEASING);
-  EXPECT_THAT(manager.WaitingFor(control.state, dead), HasSubstr("the backup on s2"));
+  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("the backup on s2"));
   control.DeclareDead(spare);
   Step(2);
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
 }
 
 // A new leader knows only what is replicated, whichever phase it finds.
@@ -242,7 +244,7 @@
     }
     Step();
   }
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
   EXPECT_EQ(Owned(first) + Owned(second), 4U);
 }
 
@@ -260,7 +262,7 @@
   EXPECT_EQ(control.state.partitions().recoveries().size(), 2U);
   stuck.clear();
   Step(8);
-  EXPECT_TRUE(Over());
+  EXPECT_TRUE(IsOver());
   EXPECT_EQ(Owned(second), 4U);
 }
 
@@ -285,7 +287,7 @@
   for (const NodeId owner : owners) {
     proto::StartReadingDataResponse answer;
     *answer.add_segments() = Stored(1, 10, 1, true, {1});
-    recoveries.OnReadingData(owner, keeper, answer);
+    recoveries.HandleReadingData(owner, keeper, answer);
   }
   std::set<std::uint64_t> assigned;
   for (const RecoveryAction& action :
@@ -320,7 +322,7 @@
   for (const NodeId owner : {over, dead, first, NodeId(9999)}) {
     replicas.add_replicas()->set_node_id(owner.value());
   }
-  EXPECT_THAT(FindLeftovers(replicas, control.state), ElementsAre(over));
+  EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(over));
 }
 
 TEST_F(RecoveryTest, BackupCountsAsEmptiedOnlyALeaseAfterTheOrder) {
@@ -329,24 +331,24 @@
   retire.mutable_retire_machine()->set_machine("s1");
   control.Apply(retire);
   for (int elapsed = 0; elapsed <= 3; ++elapsed) {
-    EXPECT_EQ(sweeper.ReplicasOn(backup), std::nullopt) << elapsed;
-    EXPECT_THAT(sweeper.Due(control.state, TimePoint(seconds(100 + elapsed))),
+    EXPECT_EQ(sweeper.FindReplicaCount(backup), std::nullopt) << elapsed;
+    EXPECT_THAT(sweeper.StartDueSweeps(control.state, TimePoint(seconds(100 + elapsed))),
                 testing::Contains(backup));
-    sweeper.OnListed(backup, proto::ListSegmentsResponse());
-    sweeper.OnFailed(spare);
+    sweeper.HandleReplicaList(backup, proto::ListSegmentsResponse());
+    sweeper.HandleFailure(spare);
   }
-  EXPECT_EQ(sweeper.ReplicasOn(backup), 0U);
+  EXPECT_EQ(sweeper.FindReplicaCount(backup), 0U);
 }
 
 TEST_F(RecoveryTest, DoubtfulAndRetiringNodesGetPartitionsOnlyIfThereIsNoOther) {
   const std::vector<PartitionId> two{PartitionId(0), PartitionId(1)};
   const NodeId silent = dead;
-  EXPECT_FALSE(SpreadPartitions(two, control.state, {silent}).contains(silent));
+  EXPECT_FALSE(PlacePartitions(two, control.state, {silent}).contains(silent));
   proto::ControlCommand retire;
   retire.mutable_retire_machine()->set_machine("q1");
   control.Apply(retire);
-  EXPECT_THAT(EligibleQueueNodes(control.state, {silent}), ElementsAre(second));
-  EXPECT_THAT(EligibleQueueNodes(control.state, {silent, second}), ElementsAre(first));
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent}), ElementsAre(second));
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent, second}), ElementsAre(first));
 }
 
 }  // namespace
--- a/tests/leader/unreachable_nodes_test.cc
+++ b/tests/leader/unreachable_nodes_test.cc
@@ -19,11 +19,11 @@
     queue_ = control_.Register(proto::ROLE_QUEUE, "q1", 1);
   }
   auto Due(const std::set<NodeId>& unresponsive = {}) {
-    return absent_.Due(control_.state, unresponsive, now_);
+    return unreachable_nodes_.StartDueNotifications(control_.state, unresponsive, now_);
   }
 
   ControlDriver control_;
-  UnreachableNodes absent_;
+  UnreachableNodes unreachable_nodes_;
   NodeId gateway_;
   NodeId queue_;
   TimePoint now_{seconds(100)};
@@ -33,7 +33,7 @@
   EXPECT_THAT(Due(), SizeIs(2));
   now_ += seconds(2);
   EXPECT_THAT(Due(), IsEmpty());
-  absent_.Reset();
+  unreachable_nodes_.Reset();
   EXPECT_THAT(Due(), SizeIs(2));
 }
 
