--- a/src/control_state/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -54,7 +54,7 @@
 
 namespace {
 
-/// Tag and length of an object inside the whole; a longer length only makes the whole longer.
+/// Tag and length of an object in the serialized configuration, at least.
 constexpr std::size_t kFramingBytes = 2;
 
 }  // namespace
--- a/src/control_state/configuration_objects.h
+++ b/src/control_state/configuration_objects.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The objects of the routing configuration by name, and the application of one change to them.
-/// Maps, so that tens of thousands of tenants cost a logarithm a change.
+/// The objects of the routing configuration by name, and the application of changes to them. Part
+/// of `ControlState`; deterministic. A change takes logarithmic time: there may be tens of
+/// thousands of tenants.
 
 #include <map>
 #include <string>
@@ -22,16 +23,17 @@
   kDocument,
 };
 
-/// Which object a change is about: two changes of the same key replace one another.
+/// Identifies the object that a change sets or removes. Of two changes of one key the later counts.
 struct ConfigurationObjectKey {
   ConfigurationObjectKind kind = ConfigurationObjectKind::kNone;
   std::string name;
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the 0 in `a < b`.
   auto operator<=>(const ConfigurationObjectKey&) const = default;
-  /// "route \"x\"", for people.
+  /// @return for people: route "x".
   std::string ToString() const;
 };
 
+/// @return the key of the changed object; `kNone` for a change that names none.
 ConfigurationObjectKey ObjectKeyFor(const proto::ConfigurationChange& change);
 
 struct ConfigurationObjects {
@@ -41,17 +43,18 @@
   std::map<std::string, proto::Backend> backends;
   proto::BatchSettings batch;
   proto::Document document;
-  /// Serialized size of everything but the batch settings; kept by `Apply` and `Load`.
+  /// Serialized size of everything but the batch settings, kept up to date by `Apply` and `Load`.
   std::size_t bytes = 0;
 
   /// Sets or removes one object. The change must have been validated.
   void Apply(const proto::ConfigurationChange& change);
-  /// @return the whole configuration, sorted by name, without a version.
+  /// @return the full configuration, sorted by name, without version and label.
   proto::RoutingConfiguration ToProto() const;
+  /// Replaces all objects by those of `configuration`.
   void Load(const proto::RoutingConfiguration& configuration);
 
  private:
-  /// Adds `object` unless there is one of its name.
+  /// Adds `object` unless one of its name exists.
   template <typename Object>
   void Insert(const Object& object, std::map<std::string, Object>* objects);
   template <typename Object>
--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -10,13 +10,13 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kChangeFramingBytes = 4;
 /// Tag and length of a change within an update, at most.
+constexpr std::size_t kChangeFramingBytes = 4;
 
 std::uint64_t ComputeChecksum(const proto::ConfigurationTransaction& transaction) {
   if (transaction.label() != 0) {
-    // Its id is drawn from the bytes of the operator's order: what a gateway made of them may
-    // differ with the configuration that it held.
+    // The operation id is derived from the operator's document. The changes that a gateway derives
+    // from it depend on the configuration that the gateway had, so they may differ at a resend.
     return transaction.label();
   }
   return Checksum(transaction.SerializeAsString());
@@ -28,7 +28,7 @@
   return found != objects.end() && found->second.SerializeAsString() == object.SerializeAsString();
 }
 
-/// History tells what was changed, not how the document read.
+/// History records the changes, not the text of the document.
 void ClearDocumentSource(proto::ConfigurationTransaction* transaction) {
   for (proto::ConfigurationChange& change : *transaction->mutable_changes()) {
     if (change.has_set_document()) {
@@ -297,8 +297,8 @@
 
 bool ConfigurationStore::AddChangesSince(ConfigurationVersion known,
                                          proto::ConfigurationUpdate* update) const {
-  // The size is kept up to date object by object: printing the whole at every version would cost as
-  // much as there are tenants.
+  // `objects_.bytes` is incremental: serializing the full configuration for each version would cost
+  // time linear in the number of tenants.
   const std::size_t limit = objects_.bytes - objects_.document.source().size();
   std::size_t bytes = 0;
   std::set<ConfigurationObjectKey> seen;  // Only the last change of each object counts.
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// The replicated routing configuration: transactions on it, their answers, their history and the
+/// The replicated routing configuration: transactions on it, their results, their history and the
 /// updates that bring a node from one version to the current one. Part of `ControlState`;
-/// deterministic. The configuration starts empty at version 1; 0 is "none held".
+/// deterministic. The configuration starts empty at version 1; a node without one has version 0.
 ///
 /// History and deltas are bounded by `kMaximumHistoryRecords` records and `kMaximumHistoryBytes`
-/// bytes; a node further behind is sent the whole configuration.
+/// bytes; a node further behind is sent the full configuration.
 
 #include <cstdint>
 #include <deque>
@@ -28,35 +28,37 @@
  public:
   static constexpr std::size_t kMaximumHistoryRecords = 1'000;
   static constexpr std::size_t kMaximumHistoryBytes = 16U << 20U;
-  /// Versions whose deltas are kept ready at a time.
+  /// Versions whose deltas are cached.
   static constexpr std::size_t kMaximumCachedDeltas = 64;
 
   ConfigurationStore();
 
-  /// Takes the transaction whole or refuses it whole, and records the answer under its operation
-  /// id. An operation id met before gets its first answer; one reused for another content is
-  /// refused and the record stays. A dry run changes nothing; an inquiry never does.
+  /// Applies the transaction or refuses it as a unit, and records the result under its operation
+  /// id. A repeated operation id returns the first result; one reused for another content is
+  /// refused and the record stays. Dry runs and inquiries change nothing.
+  /// @param wall_ms time of application, milliseconds since 1970.
   proto::TransactionResult Apply(const proto::ConfigurationTransaction& transaction,
                                  std::int64_t wall_ms);
-  /// @return the answer the transaction would get now; changes nothing (dry run).
+  /// @return the result that `Apply` would return now (dry run).
   proto::TransactionResult Validate(const proto::ConfigurationTransaction& transaction) const;
-  /// Records that no gateway can serve by a version below `version` any more.
+  /// Records that no gateway can serve a version below `version` any more.
+  /// @return kInvalidArgument if the version is not applied yet.
   Status RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
 
   ConfigurationVersion version() const { return version_; }
   ConfigurationVersion in_force_version() const { return in_force_; }
-  /// The operator's own number of the current configuration; 0 if it has none.
+  /// The operator's own number of the current configuration; 0 if none was given.
   std::uint64_t label() const { return label_; }
   const proto::OperationRecord* FindOperation(const std::string& operation_id) const {
     return operations_.Find(operation_id);
   }
   const ConfigurationObjects& objects() const { return objects_; }
 
-  /// @return the whole configuration.
+  /// @return the full configuration, document included.
   const proto::RoutingConfiguration& FullConfiguration() const;
-  /// @return what a node that holds `held` needs: the changes since, or the whole configuration if
-  /// that is smaller or the history does not reach back. The operator's document stays here: nodes
-  /// act by what was read from it, and its size would be paid at every node for every change.
+  /// @return the update for a node at version `known`: the changes since, or the full configuration
+  /// if that is smaller or the history does not reach back. The source of the operator's document
+  /// is left out: nodes use only what was parsed from it.
   const proto::ConfigurationUpdate& UpdateFrom(ConfigurationVersion known) const;
   /// @return the newest `count` history records, oldest first.
   std::vector<proto::HistoryRecord> History(std::size_t count) const;
@@ -73,11 +75,12 @@
   proto::TransactionResult MakeRefusal(const proto::ConfigurationTransaction& transaction,
                                        proto::TransactionOutcome outcome,
                                        std::vector<std::string> problems) const;
-  /// @return what is wrong with the operator's own numbers, if anything.
+  /// @return the refusal if the operator's labels do not fit the current one; else none.
   std::optional<proto::TransactionResult> EvaluateLabels(
       const proto::ConfigurationTransaction& transaction) const;
   void Commit(const proto::ConfigurationTransaction& transaction, std::int64_t wall_ms);
-  /// @return the transaction with just the changes that make a difference.
+  /// @return the transaction with only the changes that have an effect; for one that replaces the
+  /// traffic configuration, with the removals that follow from it.
   proto::ConfigurationTransaction Normalize(
       const proto::ConfigurationTransaction& transaction) const;
   /// Adds to `transaction` the removal of each route and backend that is not `named`.
@@ -85,7 +88,7 @@
                             proto::ConfigurationTransaction* transaction) const;
   bool ChangesNothing(const proto::ConfigurationChange& change) const;
   void AddHistory(proto::HistoryRecord record);
-  /// @return nothing if the history does not reach back or the whole is no larger.
+  /// @return none if the history does not reach back or the full configuration is no larger.
   std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion known) const;
   bool HistoryReachesBackTo(ConfigurationVersion known) const;
   /// @return false if the changes are no smaller than the full configuration.
@@ -100,7 +103,7 @@
   std::deque<proto::HistoryRecord> history_;  // Oldest first, versions without gaps.
   std::size_t history_bytes_ = 0;
 
-  // Derived from the above, dropped at each change.
+  // Caches derived from the above, dropped at each change.
   mutable std::optional<proto::RoutingConfiguration> full_configuration_;
   mutable std::optional<proto::ConfigurationUpdate> full_update_;
   mutable std::map<ConfigurationVersion, std::optional<proto::ConfigurationUpdate>> deltas_;
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -162,7 +162,7 @@
       ++entry;
       continue;
     }
-    // A node that has not heard of this death can no longer be told by a delta.
+    // A delta can no longer include this death, so nodes that do not know it need full lists.
     deltas_from_ = std::max(deltas_from_, entry->second);
     entry = server_changed_.erase(entry);
   }
--- a/src/control_state/control_state.h
+++ b/src/control_state/control_state.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The state machine behind consensus: servers, partitions, heads of logs, recoveries, routing
-/// configuration, operation records, history. Deterministic: every member that applies the same
-/// commands holds the same state (see docs/DESIGN.md section 4).
+/// The replicated state machine: servers, partitions, log heads, recoveries, routing configuration,
+/// operation records and history. Deterministic: members that apply the same commands have the same
+/// state (docs/DESIGN.md section 4).
 ///
 /// Threads: the owner's event loop only.
 
@@ -21,8 +21,8 @@
 
 class ControlState : public StateMachine {
  public:
-  /// @param partition_count proposed by the first leader when the group is first formed; what
-  /// counts from then on is the count in the replicated state (`partitions().partition_count()`).
+  /// @param partition_count proposed by the first leader of a new group. From then on the
+  /// replicated count holds (`partitions().partition_count()`).
   explicit ControlState(std::uint32_t partition_count);
 
   /// Applies a serialized `proto::ControlCommand`. @return a serialized `ControlCommandResult`.
@@ -36,13 +36,13 @@
   const ConfigurationStore& configuration() const { return configuration_; }
 
   FleetVersion fleet_version() const { return fleet_version_; }
-  /// @return the queue and backup nodes and partitions that changed since `held` (dead servers with
-  /// their state), or whole lists of the live ones when `held` is too far back.
+  /// @return the queue nodes, backups (dead ones too) and partitions that changed since `known`; or
+  /// all live ones and all partitions if `known` is too old for a delta.
   proto::FleetUpdate FleetUpdateFrom(FleetVersion known) const;
 
  private:
   proto::ControlCommandResult ApplyCommand(const proto::ControlCommand& command);
-  /// Applies a command whose result is only whether it was taken.
+  /// Applies a command whose result is only a status.
   Status ApplyWithStatus(const proto::ControlCommand& command);
   void ApplyRegister(const proto::RegisterServerCommand& command,
                      proto::ControlCommandResult* result);
@@ -53,7 +53,8 @@
   Status Assign(const proto::AssignPartitionsCommand& command);
   Status StartReplay(const proto::StartReplayCommand& command);
   Status FinishAssignment(const proto::FinishAssignmentCommand& command);
-  /// Raises the fleet version if the command changed what nodes see, and stamps what changed.
+  /// Increments the fleet version if the command changed what nodes see, and records it for what
+  /// changed.
   void RecordFleetChanges();
   void ForgetPrunedServers();
   void AddFullFleet(proto::FleetUpdate* update) const;
@@ -65,7 +66,7 @@
   ConfigurationStore configuration_;
   FleetVersion fleet_version_{1};
 
-  // For deltas; not replicated: after a restore, nodes behind the snapshot get whole lists.
+  // For deltas. Not replicated: after a restore, nodes behind the snapshot receive full lists.
   FleetVersion deltas_from_{1};
   std::map<NodeId, FleetVersion> server_changed_;
   std::map<PartitionId, FleetVersion> partition_changed_;
--- a/src/control_state/operation_records.h
+++ b/src/control_state/operation_records.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The answers given to operations, kept so that a resent transaction gets its first answer again.
-/// Part of `ControlState`; deterministic. Bounded: beyond `kMaximumRecords` records, or
-/// `kMaximumRecordBytes` bytes of them, the oldest are forgotten; a resend after that is a new
-/// transaction, which its expected version refuses if the first one was applied.
+/// Results of operations, kept so that a resent transaction returns its first result (exactly-once
+/// semantics). Part of `ControlState`; deterministic. Bounded: beyond `kMaximumRecords` records or
+/// `kMaximumRecordBytes` bytes the oldest are dropped. A resend after that is a new transaction,
+/// which its expected version refuses if the first one was applied.
 
 #include <cstdint>
 #include <deque>
@@ -22,9 +22,9 @@
 
   /// @return the record of the operation, or nullptr.
   const proto::OperationRecord* Find(const std::string& operation_id) const;
-  /// Adds the answer to a new operation.
+  /// Adds the result of a new operation.
   void Add(proto::OperationRecord record);
-  /// Notes the time at which the versions up to `version` were in force in their records.
+  /// Sets the time at which versions up to `version` came into force in their records.
   void RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
   std::size_t size() const { return order_.size(); }
 
--- a/src/control_state/partition_table.h
+++ b/src/control_state/partition_table.h
@@ -1,13 +1,12 @@
 #pragma once
 /// @file
-/// The replicated record of who owns which batch partition, where each queue node's log has its
-/// head, and how far the recoveries of dead queue nodes have come. Part of `ControlState`;
-/// deterministic. See docs/DESIGN.md section 5 and the RAMCloud page, "Recovery".
+/// The replicated owners of batch partitions, heads of the queue nodes' logs, and phases of the
+/// recoveries of dead queue nodes. Part of `ControlState`; deterministic. See docs/DESIGN.md
+/// section 5 and the RAMCloud page, "Recovery".
 ///
 /// Invariant: a partition has an owner, or is being recovered from one dead node's log, or was
-/// never used. While a replay is unfinished the partition's data is still in the dead node's log,
-/// whatever the replaying node has written to its own; so when that node dies, the same log is read
-/// again.
+/// never used. Until a replay is finished, the dead node's log is the source of the partition's
+/// data, whatever the replaying node has written; if that node dies, the same log is read again.
 
 #include <cstdint>
 #include <map>
@@ -24,8 +23,8 @@
 
 namespace cloverbank {
 
-/// The last committed head of a log, and the one before: until the owner has closed the earlier
-/// segment everywhere, only its committed epoch tells a stale copy of it.
+/// The committed head of a log and the one before it. Until the owner has closed the earlier
+/// segment on all its backups, only its committed epoch distinguishes a stale replica.
 struct LogHeads {
   proto::LogHead current;
   std::optional<proto::LogHead> previous;
@@ -33,30 +32,33 @@
 
 class PartitionTable {
  public:
-  /// Creates `count` partitions without owner. Does nothing when there are some already.
+  /// Creates `count` partitions without owner, unless partitions exist.
   void Initialize(std::uint32_t count);
 
-  /// A queue node died: its partitions are recovered from its log if it ever committed a head (else
-  /// it had acknowledged nothing), and replays given to it are taken back.
+  /// A queue node died. If it had committed a head, its partitions are recovered from its log; else
+  /// it had acknowledged nothing and they become free. Replays assigned to it are revoked.
   void OnQueueNodeDead(NodeId node);
 
-  /// Accepts a head newer than the committed one (by segment, then epoch) or a repeat of it, in
-  /// which a backup that restarted since may have its new node id.
-  /// @return kStaleEpoch for any other.
+  /// Commits a head newer than the committed one (by segment, then epoch). A repeat is OK; in it a
+  /// restarted backup may have its new node id.
+  /// @return kStaleEpoch for any other head, kInvalidArgument for one without segment or backups.
   Status CommitHead(const proto::LogHead& head, const ServerRegistry& servers);
 
-  /// Gives partitions without owner and without log to be recovered to `node`.
-  /// @return kConflict, and nothing is changed, if any of them is not free.
+  /// Makes `node` the owner of free partitions.
+  /// @return kConflict, without any change, if one of them is not free; kNotFound for an unknown
+  /// one.
   Status Assign(NodeId node, const std::vector<PartitionId>& partitions);
 
-  /// Gives partitions of a dead node, not yet given to anyone, to replaying queue nodes.
+  /// Assigns the replay of unassigned partitions of `dead` to queue nodes.
+  /// @return kConflict, without any change, if one of them is not open for replay; kNotFound if
+  /// `dead` is not being recovered.
   Status StartReplay(NodeId dead, const std::vector<proto::RecoveryAssignment>& assignments);
 
   /// Makes `node` the owner of partitions it has replayed. A repeat is OK.
-  /// @return kConflict when the replay was not (or no longer) given to `node`.
+  /// @return kConflict if the replay is not, or no longer, assigned to `node`.
   Status FinishAssignment(NodeId dead, NodeId node, const std::vector<PartitionId>& partitions);
 
-  /// Forgets the recovery and the dead log. A repeat is OK.
+  /// Drops the recovery and the heads of the dead log. A repeat is OK.
   /// @return kConflict while partitions are still being recovered from it.
   Status FinishRecovery(NodeId dead);
 
@@ -68,18 +70,19 @@
 
   /// @return partitions owned by `node`.
   std::vector<PartitionId> FindOwnedBy(NodeId node) const;
-  /// @return partitions in the log of `dead` that no unfinished assignment covers.
+  /// @return partitions being recovered from `dead` without an unfinished assignment.
   std::vector<PartitionId> FindUnassigned(NodeId dead) const;
-  /// @return partitions without owner and without a log to be recovered from.
+  /// @return partitions without owner that are not being recovered.
   std::vector<PartitionId> FindFree() const;
-  /// @return partitions `node` owns or is replaying.
+  /// @return number of partitions that `node` owns or is assigned to replay.
   std::size_t CountAssigned(NodeId node) const;
-  /// @return servers that heads and recoveries name.
+  /// @return servers referred to by log heads: owners and backups.
   std::set<NodeId> FindReferencedServers() const;
 
-  /// @return the partitions changed since the last call, and forgets them.
+  /// @return the partitions changed since the last call.
   std::set<PartitionId> TakeChanged() { return std::exchange(changed_, {}); }
 
+  /// Adds partitions, heads and recoveries to `snapshot`.
   void Save(proto::ControlStateSnapshot* snapshot) const;
   void Load(const proto::ControlStateSnapshot& snapshot);
 
--- a/src/control_state/proto_endpoint.h
+++ b/src/control_state/proto_endpoint.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Endpoints between their schema and their type.
+/// Conversions between `Endpoint` and its protobuf message.
 
 #include "base/ids.h"
 #include "proto/common.pb.h"
--- a/src/control_state/server_registry.cc
+++ b/src/control_state/server_registry.cc
@@ -9,7 +9,7 @@
   return left.host() == right.host() && left.port() == right.port();
 }
 
-/// Whether `later` can only run if the process of `earlier` has ended, or keeps its disk.
+/// @return whether `later` has the endpoint or the disk of `earlier`, whose process has thus ended.
 bool Supersedes(const proto::Server& later, const proto::Server& earlier) {
   if (later.role() != earlier.role()) {
     return false;
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -19,7 +19,7 @@
          character == ':';
 }
 
-/// @return what is wrong with a name, or nothing.
+/// @return the problem of a name, if any.
 std::optional<std::string> NameProblem(const std::string& name) {
   if (name.empty()) {
     return "the name is empty; give it one";
@@ -41,7 +41,7 @@
   auto operator<=>(const HttpLocation&) const = default;
 };
 
-/// One check of one transaction: collects the problems.
+/// Validates one transaction and collects the problems.
 class ChangeValidator {
  public:
   ChangeValidator(const ConfigurationObjects& current,
@@ -72,7 +72,7 @@
 
   const ConfigurationObjects& current_;
   const proto::ConfigurationTransaction& transaction_;
-  /// Zones and routes as they would be; tenants do not refer to other objects.
+  /// Objects as the transaction would leave them; tenants refer to no other objects.
   std::map<std::string, proto::Zone> zones_;
   std::map<std::string, proto::Route> routes_;
   std::set<std::string> backends_;
@@ -206,7 +206,7 @@
   }
 }
 
-/// Routes that are found by host and path, and whose back ends are configured.
+/// HTTP routes are found by host and path, and their back ends are configured objects.
 void ChangeValidator::CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
   if (route.host().empty() || route.path_prefix().empty()) {
     AddProblem(key, "host or path_prefix is empty; give both, so that requests find the route");
--- a/src/control_state/transaction_validator.h
+++ b/src/control_state/transaction_validator.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Checks a transaction against the configuration it would change. Pure: every reason of a refusal
-/// is found in one go, each naming the object and how to mend it.
+/// Validates a transaction against the configuration it would change. Pure. All problems are found
+/// at once; each names the object and how to fix it.
 
 #include <string>
 #include <vector>
@@ -19,16 +19,16 @@
 inline constexpr int kMaximumChanges = 50'000;
 /// Longest deadline of a route: a day.
 inline constexpr std::uint32_t kMaximumDeadlineMs = 24U * 60 * 60 * 1000;
-/// Problems listed; further ones are counted.
+/// Problems listed in a result; further ones are only counted.
 inline constexpr std::size_t kMaximumProblems = 1'000;
 
-/// @return what is wrong with the operation id; without a usable one nothing can be recorded.
+/// @return problems of the operation id. Without a valid one no result can be recorded.
 std::vector<std::string> CheckOperationId(const proto::ConfigurationTransaction& transaction);
 
-/// @return what is wrong with the rest of the envelope (expected version, size, texts).
+/// @return problems of the other fields that are not changes: expected version, sizes, texts.
 std::vector<std::string> CheckEnvelope(const proto::ConfigurationTransaction& transaction);
 
-/// @return what is wrong with the changes, taken together, on top of `current`; empty if nothing.
+/// @return problems of all changes applied together to `current`; empty if valid.
 std::vector<std::string> CheckChanges(const ConfigurationObjects& current,
                                       const proto::ConfigurationTransaction& transaction);
 
--- a/src/coordinator/coordinator_service.h
+++ b/src/coordinator/coordinator_service.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Answers the coordinator.* peer methods and does the leader's duties, on top of the replicated
-/// log. Every member runs one; only the leader, under its leader lease, answers, the others refuse
-/// with kNotLeader and the leader's "ip:port" in the status detail. See docs/DESIGN.md sections 2,
-/// 4, 5.
+/// A coordinator: answers the coordinator.* peer methods and runs the leader's work, on top of the
+/// replicated log. Every member runs one. Only the leader answers, while it has its leader lease;
+/// the others refuse with kNotLeader and the leader's "ip:port" in the status detail. See
+/// docs/DESIGN.md sections 2, 4, 5.
 ///
 /// Threads: the owner's event loop only.
 
@@ -18,14 +18,14 @@
 
 class CoordinatorService {
  public:
-  /// All must outlive the service; `log` drives `state`.
+  /// All references must outlive the service. `log` applies its commands to `state`.
   CoordinatorService(Environment& environment, ReplicatedLog& log, ControlState& state,
                      CoordinatorOptions options = {});
   ~CoordinatorService();
   CoordinatorService(const CoordinatorService&) = delete;
   CoordinatorService& operator=(const CoordinatorService&) = delete;
 
-  /// Registers the peer methods and begins to watch for leadership. Call it once.
+  /// Registers the peer methods and observes leadership. Call it once.
   void Start();
 
  private:
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-/// Below this much free disk a backup is called nearly full.
+/// Free disk below which a backup is reported as nearly full.
 constexpr std::uint64_t kNearlyFullBytes = 64ULL << 20U;
 
 std::string DescribeServer(const proto::Server& server) {
@@ -21,7 +21,7 @@
   return role == proto::ROLE_QUEUE ? "queue node" : "backup";
 }
 
-/// A role on a machine: what an operator sees as one server over its restarts.
+/// A server over its restarts, as operators see it.
 struct MachineRole {
   std::string machine;
   proto::Role role = proto::ROLE_UNSPECIFIED;
@@ -31,7 +31,7 @@
 
 class ProblemList {
  public:
-  explicit ProblemList(const FleetSnapshot& facts) : snapshot_(facts) {}
+  explicit ProblemList(const FleetSnapshot& snapshot) : snapshot_(snapshot) {}
 
   std::vector<std::string> Build() {
     DescribeCoordinators();
@@ -117,7 +117,7 @@
 
 void ProblemList::DescribeFreeDisk(const proto::Server& backup) {
   const NodeLoad* load = FindLoad(backup);
-  // 0 is what a backup reports that has not looked yet.
+  // A backup that has not measured its disk yet reports 0.
   if (load != nullptr && load->free_bytes != 0 && load->free_bytes < kNearlyFullBytes) {
     Add("the backup on " + DescribeServer(backup) + " has only " +
         std::to_string(load->free_bytes >> 20U) + " MiB of disk left; free or add disk");
@@ -200,8 +200,8 @@
 
 }  // namespace
 
-std::vector<std::string> DescribeProblems(const FleetSnapshot& facts) {
-  return ProblemList(facts).Build();
+std::vector<std::string> DescribeProblems(const FleetSnapshot& snapshot) {
+  return ProblemList(snapshot).Build();
 }
 
 }  // namespace cloverbank
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Says in words what is degraded in the fleet, why, and what to do. Pure.
+/// Describes what is degraded in the fleet, why, and what to do. Pure.
 
 #include <map>
 #include <string>
@@ -13,7 +13,7 @@
 
 namespace cloverbank {
 
-/// What the leader knows when it is asked for the state of the fleet.
+/// What the leader knows of the fleet at one moment.
 struct FleetSnapshot {
   const ControlState& state;
   const CoordinatorOptions& options;
@@ -21,10 +21,10 @@
   const BackupSweeper& sweeper;
   const std::map<NodeId, NodeLoad>& loads;
   const std::vector<LogMember>& members;
-  std::vector<NodeId> gateways_behind;  ///< May act by an older configuration.
+  std::vector<NodeId> gateways_behind;  ///< May still use an older configuration.
 };
 
-/// @return one sentence a problem; empty if all is well.
-std::vector<std::string> DescribeProblems(const FleetSnapshot& facts);
+/// @return one sentence for each problem; empty if there is none.
+std::vector<std::string> DescribeProblems(const FleetSnapshot& snapshot);
 
 }  // namespace cloverbank
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -122,7 +122,7 @@
     return true;
   }
   if (context_.pending_deaths.contains(node)) {
-    return false;  // Its death is being decided: no lease may be granted meanwhile.
+    return false;  // No lease may be granted to a node whose death is proposed.
   }
   const bool update =
       NeedsConfiguration(pending.request) ||
@@ -168,7 +168,7 @@
     RefuseAll();
     return;
   }
-  // An answer may bring in the next heartbeat at once: walk over a list of our own.
+  // An answer may cause the next heartbeat at once, which changes `pending_`.
   std::list<PendingHeartbeat> reviewed = std::exchange(pending_, {});
   for (auto entry = reviewed.begin(); entry != reviewed.end();) {
     entry = AnswerIfDue(*entry) ? reviewed.erase(entry) : std::next(entry);
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Answers heartbeats: holds each until the configuration or the fleet changes or its time is over,
-/// then answers it with what is new and a lease. Leases are granted here and nowhere else.
+/// Answers heartbeats (long polls): each stays pending until the configuration or the fleet changes
+/// or its deadline passes, and is then answered with the update and a lease. Only this class grants
+/// node leases. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -34,17 +35,19 @@
 
   explicit HeartbeatHandler(LeaderContext& context) : context_(context) {}
 
+  /// Records what the heartbeat reports and answers now or later. kNotLeader: this member may not
+  /// answer; kFenced: the sender must stop using its node id.
   void Handle(const proto::HeartbeatRequest& request, Reply reply);
-  /// Answers every held heartbeat that is due: call it after each change and each tick.
+  /// Answers every pending heartbeat that is due. Call it after each applied command and each tick.
   void Review();
-  /// Leadership was lost: refuses all that are held.
+  /// Leadership was lost: refuses all pending heartbeats.
   void RefuseAll();
 
  private:
   struct PendingHeartbeat {
     proto::HeartbeatRequest request;
     TimePoint arrival;
-    TimePoint deadline;  ///< Answered then at the latest.
+    TimePoint deadline;  ///< When it is answered at the latest.
     Reply reply;
   };
 
@@ -54,9 +57,9 @@
   void Fence(const proto::HeartbeatRequest& request, HeartbeatRefusal refusal, const Reply& reply);
   void CountRefusal(HeartbeatRefusal refusal);
   void RecordReport(const proto::HeartbeatRequest& request);
-  /// @return whether it was answered.
+  /// @return whether `pending` was answered.
   bool AnswerIfDue(PendingHeartbeat& pending);
-  /// Whether the sender acts by a configuration and has told an older one than the current.
+  /// @return whether the sender uses the configuration and reports an older version.
   bool NeedsConfiguration(const proto::HeartbeatRequest& request) const;
   proto::HeartbeatResponse GrantLease(const PendingHeartbeat& pending);
 
--- a/src/coordinator/leader_reply.h
+++ b/src/coordinator/leader_reply.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Answers of the leader to typed peer calls.
+/// Replies of the leader to typed peer calls.
 
 #include <functional>
 #include <utility>
@@ -13,7 +13,7 @@
 template <typename Response>
 using Reply = std::function<void(Result<Response>)>;
 
-/// Proposes `command` and answers with `respond(result)`, or with the refusal.
+/// Proposes `command` and replies with `respond(result)`, or with the error.
 template <typename Response>
 void ProposeAndAnswer(CommandProposer& proposer, const proto::ControlCommand& command,
                       const Reply<Response>& reply,
--- a/src/coordinator/leader_session.h
+++ b/src/coordinator/leader_session.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The time during which this member leads, one session a term: resets what the leader keeps beside
-/// the replicated state at the start of each, and keeps pauses of this process out of failure
-/// detection. Threads: the owner's event loop only.
+/// Tracks the terms in which this member leads: resets the leader's state that is not replicated at
+/// the start of each, and excludes pauses of this process from failure detection. Threads: the
+/// owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -26,7 +26,7 @@
   /// @return whether this member may answer. Begins the session if it leads and the log has not
   /// called its observer yet.
   bool EnsureReady();
-  /// Call it at each tick: a long gap between ticks is a pause, in which no node could be heard.
+  /// Call it at each tick. A long gap between ticks is a pause, in which no heartbeat was received.
   void RecordTick();
 
  private:
@@ -36,7 +36,7 @@
   std::function<void()> on_begin_;
   bool leading_ = false;
   std::uint64_t term_ = 0;
-  TimePoint last_ready_tick_;  ///< Last tick at which this member could hear and answer nodes.
+  TimePoint last_ready_tick_;  ///< Last tick at which this member could answer.
 };
 
 }  // namespace cloverbank
--- a/src/coordinator/node_requests.h
+++ b/src/coordinator/node_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What nodes ask of the leader besides heartbeats: registration, heads of logs, finished replays.
-/// Each is one command; the answer says how applying it went.
+/// Requests of nodes other than heartbeats: registration, log heads and finished replays. Each
+/// proposes one command; the reply is its result. Threads: the owner's event loop only.
 
 #include "coordinator/leader_reply.h"
 #include "leader/command_proposer.h"
@@ -16,12 +16,13 @@
                LeaderController& leader_controller)
       : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
+  /// A repeated registration replies with the same node id.
   void RegisterServer(const proto::RegisterServerRequest& request,
                       const Reply<proto::RegisterServerResponse>& reply);
   /// kFenced: the node is dead; kStaleEpoch: a newer head is committed.
   void CommitHead(const proto::CommitHeadRequest& request,
                   const Reply<proto::CommitHeadResponse>& reply);
-  /// kFenced: the node is dead; kConflict: the replay was given to another.
+  /// kFenced: the node is dead; kConflict: the replay is not assigned to it.
   void FinishAssignment(const proto::FinishAssignmentRequest& request,
                         const Reply<proto::FinishAssignmentResponse>& reply);
 
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What operators ask of the leader besides transactions: the configuration, the state of the fleet
-/// and the retirement of store machines.
+/// Requests of operators other than transactions: the configuration, the state of the fleet and the
+/// retirement of store machines. Threads: the owner's event loop only.
 
 #include <string>
 #include <vector>
@@ -20,7 +20,7 @@
                    const LeaderController& leader_controller)
       : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
-  /// kNotFound: no store machine of that name was ever seen.
+  /// kNotFound: no store machine has that name; kConflict: too few store machines would remain.
   void RetireServer(const proto::RetireServerRequest& request,
                     const Reply<proto::RetireServerResponse>& reply);
   void GetRetirement(const proto::GetRetirementRequest& request,
@@ -35,7 +35,7 @@
   void FillCoordinators(const std::vector<LogMember>& members,
                         proto::GetFleetStatusResponse* response) const;
   FleetSnapshot MakeSnapshot(const std::vector<LogMember>& members) const;
-  /// Whether enough store machines that are not being emptied would be left without `machine`.
+  /// @return whether enough active store machines would remain without `machine`.
   bool HasEnoughStoresWithout(const std::string& machine) const;
   /// @return node ids of the live queue nodes and backups on `machine`.
   std::vector<NodeId> FindStoreNodes(const std::string& machine) const;
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Takes transactions on the routing configuration and acknowledges each when it is in force: when
-/// no gateway can act by an older version any more, because each has confirmed a newer one or its
-/// lease has run out (docs/DESIGN.md section 4).
+/// Proposes transactions on the routing configuration and acknowledges each once it is in force:
+/// when no gateway can use an older version any more, because each has confirmed a newer one or its
+/// lease has expired (docs/DESIGN.md section 4). Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <list>
@@ -17,14 +17,14 @@
 
 namespace cloverbank {
 
-/// @return the highest version that every gateway that may act holds: the version in force. Pure.
+/// @return the highest version that every gateway with a lease has confirmed: the version in force.
 ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
                                            TimePoint now);
-/// @return live gateways that may still act by a version below the current one.
+/// @return live gateways that may still use a version below the current one.
 std::vector<NodeId> FindGatewaysBehind(const ControlState& state, const LeaseTable& leases,
                                        TimePoint now);
-/// @return live gateways that have not confirmed `version`: where it is in force, their leases have
-/// run out.
+/// @return live gateways that have not confirmed `version`. If it is in force, their leases have
+/// expired.
 std::vector<NodeId> FindUnconfirmedGateways(const ControlState& state, const LeaseTable& leases,
                                             ConfigurationVersion version);
 
@@ -33,13 +33,13 @@
   TransactionHandler(LeaderContext& context, CommandProposer& proposer)
       : context_(context), proposer_(proposer) {}
 
-  /// Answers once the transaction is in force, or refused. A resend waits in the same way.
+  /// Replies once the transaction is in force or refused. A resent one waits in the same way.
   void Submit(const proto::SubmitTransactionRequest& request,
               const Reply<proto::SubmitTransactionResponse>& reply);
-  /// Records versions that are in force by now and answers those that wait for them: call it after
-  /// each confirmation, change and tick.
+  /// Proposes to record the version in force and acknowledges the transactions that waited for it.
+  /// Call it after each confirmation, applied command and tick.
   void Review();
-  /// Leadership was lost: those that wait are sent on to the next leader, which waits anew.
+  /// Leadership was lost: refuses the waiting transactions; the next leader waits for them again.
   void RefuseAll();
 
  private:
@@ -56,7 +56,7 @@
   void AnswerInForce();
   std::list<Waiting> TakeInForce();
   void Answer(const Waiting& waiting);
-  /// Tells of gateways that a version in force does not wait for; once a version.
+  /// Logs and counts gateways whose leases expired before they confirmed `version`; once a version.
   void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
 
--- a/src/leader/arrival_gate.h
+++ b/src/leader/arrival_gate.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Delays the assignment of partitions until queue nodes have stopped arriving. Pure.
+/// Delays the assignment of partitions until queue nodes have stopped registering: when all store
+/// machines start together, the first to register should not be assigned every partition. Pure.
 
 #include <optional>
 #include <set>
@@ -12,15 +13,14 @@
 
 namespace cloverbank {
 
-/// Waits, before partitions are given out, until queue nodes have stopped arriving: when all store
-/// machines start together, the first to register should not get everything. Pure.
 class ArrivalGate {
  public:
-  /// @param quiet how long no queue node must have come.
-  /// @param longest the longest time the gate stays shut after it was first asked.
-  ArrivalGate(Duration quiet, Duration longest) : quiet_period_(quiet), maximum_wait_(longest) {}
+  /// @param quiet_period time without a new eligible queue node after which the gate opens.
+  /// @param maximum_wait time after the first partition waited at which it opens in any case.
+  ArrivalGate(Duration quiet_period, Duration maximum_wait)
+      : quiet_period_(quiet_period), maximum_wait_(maximum_wait) {}
 
-  /// Forgets everything: this member became leader.
+  /// Drops all state: this member became leader.
   void Reset();
   /// Records the queue nodes that are eligible at `now`. `waiting`: whether partitions wait to be
   /// assigned. @return whether they may be assigned now.
--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Looks from time to time at what each backup keeps. Segments of dead nodes whose recovery is
-/// over, left by a backup that was away when they were released, are released then; and the number
-/// of replicas on a backup that is being retired tells when it is empty. Pure.
+/// Schedules sweeps: periodic listings of the segment replicas on each backup. A sweep finds
+/// segments of dead nodes whose recovery has finished, which a backup keeps that was unreachable
+/// when they were released; and it counts the replicas left on a backup that is being retired.
+/// Pure.
 
 #include <cstdint>
 #include <map>
@@ -17,34 +18,36 @@
 
 namespace cloverbank {
 
-/// @return the dead nodes among the owners of `replicas` whose segments nobody needs: not live, not
-/// being recovered, and registered by this group (ids are given out once).
+/// @return the owners of `replicas` whose segments can be released: dead, not being recovered, and
+/// registered by this group. Node ids are never reused.
 std::set<NodeId> FindLeftoverOwners(const proto::ListSegmentsResponse& replicas,
                                     const ControlState& state);
 
 class BackupSweeper {
  public:
-  /// @param settle how long after the order to retire a backup its list says that it stays empty:
-  /// a node lease, since by then no queue node that may act can still choose it.
+  /// @param interval between sweeps of a backup.
+  /// @param retiring_interval the same while the backup is being retired.
+  /// @param settling_time how long after the retirement began a sweep counts: one node lease, after
+  /// which no queue node with a valid lease can place new replicas on the backup.
   BackupSweeper(Duration interval, Duration retiring_interval, Duration settling_time)
       : interval_(interval), retiring_interval_(retiring_interval), settling_time_(settling_time) {}
 
   void Reset() { sweeps_.clear(); }
-  /// @return backups whose list is to be fetched now; report each with `HandleReplicaList` or
-  /// `HandleFailure`.
+  /// @return backups to be listed now. Each is in flight until `HandleReplicaList` or
+  /// `HandleFailure` reports its result.
   std::vector<NodeId> StartDueSweeps(const ControlState& state, TimePoint now);
   void HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas);
   void HandleFailure(NodeId backup);
-  /// @return replicas on the backup when last looked at; nothing if that is not known yet, or does
-  /// not count yet because the backup has only just been retired.
+  /// @return number of replicas on the backup at its last sweep; none before the first sweep, and
+  /// none for a retiring backup before the first sweep that began after the settling time.
   std::optional<std::size_t> FindReplicaCount(NodeId backup) const;
 
  private:
   struct Sweep {
     bool in_flight = false;
     TimePoint next;
-    std::optional<TimePoint> retiring_since;  ///< As far as this leader saw it.
-    bool is_settled = true;                   ///< Whether the sweep under way began late enough.
+    std::optional<TimePoint> retiring_since;  ///< When this leader saw it first.
+    bool is_settled = true;                   ///< Whether the sweep in flight counts.
     std::optional<std::size_t> replicas;
   };
 
--- a/src/leader/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Proposes control commands to the replicated log and decodes what applying them gave.
+/// Proposes control commands to the replicated log and decodes their results. Threads: the owner's
+/// event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -25,16 +26,16 @@
 
   explicit CommandProposer(LeaderContext& context) : context_(context) {}
 
-  /// Proposes `command`; `done` gets its result, or the refusal of the state machine, or kNotLeader
-  /// when leadership was lost: the command may then have been committed or not, and may be
-  /// repeated.
+  /// Proposes `command`. `done` receives the result of applying it, the error of the state machine,
+  /// or kNotLeader if leadership was lost: whether the command was committed is then unknown, and
+  /// it may be proposed again.
   void Propose(const proto::ControlCommand& command, Done done);
 
-  /// The same, unless a proposal under `key` is under way.
+  /// As `Propose`, but does nothing while a proposal with the same `key` is in flight.
   void ProposeOnce(const std::string& key, const proto::ControlCommand& command,
                    Done done = nullptr);
 
-  /// This member became leader: proposals of an earlier term no longer hold anything up.
+  /// This member became leader: proposals of earlier terms no longer count as in flight.
   void Reset();
 
  private:
--- a/src/leader/coordinator_options.h
+++ b/src/leader/coordinator_options.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Times and sizes of the leader's duties.
+/// Timing and limits of the leader.
 
 #include <cstdint>
 
@@ -10,30 +10,30 @@
 namespace cloverbank {
 
 struct CoordinatorOptions {
-  /// How long a node may act on one heartbeat, counted at the node from its sending.
+  /// Lease that a heartbeat renews. The node counts it from when it sent the heartbeat.
   Duration node_lease = seconds(3);
-  /// Silence after which a queue or backup node is dead and a gateway forgotten; never before its
-  /// lease has run out.
+  /// Time without a heartbeat after which a queue node or backup is declared dead and a gateway
+  /// forgotten, once its lease has expired.
   Duration death_after = seconds(3);
-  /// Longest time a heartbeat is held open. Keep well below the lease.
+  /// Longest time a heartbeat stays pending. Must be well below the lease.
   Duration heartbeat_hold = milliseconds(800);
-  /// How often silence, leases and recoveries are looked at besides every change.
+  /// Interval of the leader's periodic step; it also runs after each applied command.
   Duration tick = milliseconds(50);
   /// Deadline of calls to backups and queue nodes.
   Duration call_deadline = seconds(2);
-  /// Partitions are given out once no queue node has come for this long ...
+  /// Partitions are assigned once no queue node has registered for this long ...
   Duration arrival_quiet = milliseconds(700);
-  /// ... or this long after the first was ready.
+  /// ... or this long after there were both a partition to assign and a node for it.
   Duration arrival_longest = seconds(2);
-  /// Between looks for leftover segments at a backup.
+  /// Interval between sweeps of a backup for leftover segments.
   Duration sweep_interval = seconds(5);
-  /// The same at a backup that is being retired, whose emptying is shown.
+  /// The same for a backup that is being retired.
   Duration retiring_sweep_interval = seconds(1);
-  /// Store backups below which the fleet is called degraded.
+  /// Store backups below which the fleet is reported as degraded.
   std::uint32_t wanted_store_backups = 3;
-  /// Store machines that must remain when one is emptied.
+  /// Store machines that must remain for one to be retired.
   std::uint32_t fewest_stores = 1;
-  /// Members below which the coordinator group is called degraded.
+  /// Voting members below which the coordinator group is reported as degraded.
   std::uint32_t wanted_coordinators = 3;
   RecoveryOptions recovery;
 };
--- a/src/leader/death_declarer.cc
+++ b/src/leader/death_declarer.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Time without a heartbeat after which a node is given partitions only if there is no other.
+/// Time without a heartbeat after which partitions are assigned to a node only as a last resort.
 constexpr Duration kUnresponsiveAfter = milliseconds(1500);
 
 }  // namespace
--- a/src/leader/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Silence before a suspicion counts: longer than a heartbeat is held and sent again.
+/// Time without a heartbeat before a suspicion counts: longer than one stays pending and is resent.
 constexpr Duration kSuspicionAfter = milliseconds(1500);
 
 }  // namespace
--- a/src/leader/failure_detector.h
+++ b/src/leader/failure_detector.h
@@ -1,11 +1,9 @@
 #pragma once
 /// @file
-/// Concludes from silence that a node is dead. Pure: fed with heartbeats and the time, asked which
-/// nodes have been silent too long. Never before the node's lease has run out.
+/// Detects failed nodes by missing heartbeats, never before the node's lease has expired. Pure.
 ///
-/// Silence counts only while this leader could have heard: from its start, and not during a pause
-/// (lost leader lease, a frozen process), when every node seemed silent through no fault of its
-/// own.
+/// Time without a heartbeat counts only while this leader could have received one: from its start,
+/// and not during a pause of its own (lost leader lease, frozen process).
 
 #include <map>
 #include <set>
@@ -20,21 +18,23 @@
  public:
   explicit FailureDetector(Duration death_after) : death_after_(death_after) {}
 
-  /// Begins to count everybody's silence at `now`.
+  /// Begins to measure all nodes at `now`.
   void Start(TimePoint now);
-  /// The leader could hear nobody for `length` before `now`: it does not count as silence.
+  /// Excludes the `length` before `now`, in which the leader could receive no heartbeat.
   void ExcludePause(Duration length, TimePoint now);
   /// A heartbeat of `node` arrived.
   void RecordHeartbeat(NodeId node, TimePoint now);
-  /// A peer reports that calls to `node` fail: it is dead as soon as its lease has run out, unless
-  /// it is heard of.
+  /// A peer reports that calls to `node` fail. Unless a heartbeat arrives, the node then counts as
+  /// dead sooner, though not before its lease has expired.
   void RecordSuspicion(NodeId node, TimePoint now);
-  /// Forgets the nodes that are not among the `live`.
+  /// Forgets the nodes that are not in `live`.
   void ForgetAllBut(const std::set<NodeId>& live);
 
-  /// @return when `node` was last heard of, or the start of the count.
+  /// @return time of the last heartbeat of `node`, or the start of the measurement if that is
+  /// later.
   TimePoint LastHeardFrom(NodeId node) const;
-  /// @return whether `node` has been silent so long, without a lease, that it counts as dead.
+  /// @return whether `node` has no lease and has sent no heartbeat for long enough to count as
+  /// dead.
   bool IsDead(NodeId node, const LeaseTable& leases, TimePoint now) const;
 
  private:
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the parts of the leader share: the world, the log, the replicated state and what the leader
-/// knows beside it. Owned by `CoordinatorService`.
+/// State shared by the parts of the leader: the replicated state and what the leader of one term
+/// knows beside it. Owned by `CoordinatorService`. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <map>
@@ -17,7 +17,7 @@
 
 namespace cloverbank {
 
-/// What a node last said of itself with a heartbeat.
+/// Load that a node reported with its last heartbeat.
 struct NodeLoad {
   std::uint64_t free_bytes = 0;
   std::uint64_t open_items = 0;
@@ -34,10 +34,11 @@
         leases(settings.node_lease),
         detector(settings.death_after) {}
 
-  /// Whether this member may answer from its state now: it leads, holds every committed command and
-  /// no other member can lead. Check it immediately before each answer.
+  /// @return whether this member may answer from its state now: it leads, has applied every
+  /// committed command and no other member can lead. Check it immediately before each answer.
   bool CanAnswer() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
-  /// The refusal of a member that may not answer; names the leader where known.
+  /// @return the error of a member that may not answer; its detail is the leader's "ip:port" if
+  /// known.
   Status NotLeader() const {
     const Endpoint leader = log.leader_endpoint();
     return {StatusCode::kNotLeader, "this coordinator is not the leader",
@@ -51,12 +52,12 @@
 
   LeaseTable leases;
   FailureDetector detector;
-  /// Nodes whose death is proposed and not yet decided: they get no lease meanwhile.
+  /// Nodes whose death is proposed and not yet applied. They are granted no lease.
   std::set<NodeId> pending_deaths;
-  /// Silent for longer than a heartbeat may be held, not yet dead.
+  /// Live nodes without a heartbeat for longer than one stays pending.
   std::set<NodeId> unresponsive;
   std::map<NodeId, NodeLoad> loads;
-  /// Callbacks of timers and calls do nothing once it is gone.
+  /// Callbacks of timers and calls hold it weakly and do nothing once it has expired.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -19,9 +19,9 @@
  public:
   LeaderController(LeaderContext& context, CommandProposer& proposer);
 
-  /// This member became leader.
+  /// This member became leader: resets what is not replicated.
   void Begin();
-  /// Does what is due now. Requires `context.CanAnswer()`.
+  /// Runs one step of each concern. Requires `context.CanAnswer()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions() { partition_assigner_.InitializePartitions(); }
--- a/src/leader/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Share of a lease by which the holder's clock may run slower than the giver's.
+/// Clocks of holder and leader may differ in rate by one part in this many.
 constexpr int kClockDriftDivisor = 100;
 
 }  // namespace
--- a/src/leader/lease_table.h
+++ b/src/leader/lease_table.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// The leases the leader has granted, and by which configuration versions their holders may act.
-/// Pure; not replicated: a new leader knows none of its predecessor's grants and takes them all to
-/// last one full lease from its own start (docs/DESIGN.md section 2; leases after Gray and
-/// Cheriton).
+/// The node leases that the leader has granted, and the configuration versions that their holders
+/// may use. Pure. Not replicated: a new leader does not know its predecessor's grants and assumes
+/// that each lasts one full lease from its own start (docs/DESIGN.md section 2; leases after Gray
+/// and Cheriton).
 ///
-/// A holder counts a lease from when it *sent* the request; the giver counts the same duration from
-/// when the request *arrived*, plus an allowance for clock drift, hence always later.
+/// The holder counts a lease from when it *sent* the request, the leader from when the request
+/// *arrived*, with an allowance for clock drift. So a lease expires at its holder first.
 
 #include <cstdint>
 #include <map>
@@ -21,23 +21,23 @@
  public:
   explicit LeaseTable(Duration lease);
 
-  /// Forgets everything: this member became leader at `now`. Nodes with an id below `next_node_id`
+  /// Drops all leases: this member became leader at `now`. Nodes with an id below `next_node_id`
   /// may hold leases that its predecessor granted.
   void Start(TimePoint now, NodeId next_node_id);
 
-  /// Notes that a request of `node` that arrived at `arrival` is answered with a lease and the
+  /// Records that a request of `node` that arrived at `arrival` is answered with a lease and the
   /// configuration `version`.
   void RecordGrant(NodeId node, ConfigurationVersion version, TimePoint arrival);
-  /// Notes that `node` holds `version`. Nodes never go back, so a lower one changes nothing.
+  /// Records that `node` uses `version`. Nodes never go back, so a lower version has no effect.
   void RecordConfirmation(NodeId node, ConfigurationVersion version);
-  /// @return when the last lease that `node` may hold has run out; a past time if it holds none.
+  /// @return when the last lease that `node` may hold expires; a past time if it holds none.
   TimePoint FindLeaseEnd(NodeId node) const;
-  /// @return the lowest configuration version by which `node` may act at `now`; none if it holds no
-  /// lease. 0: unknown, a predecessor may have granted it one.
+  /// @return the lowest configuration version that `node` may use at `now`; none if it holds no
+  /// lease; 0 if a predecessor may have granted it one with an unknown version.
   std::optional<ConfigurationVersion> LowestVersionInUse(NodeId node, TimePoint now) const;
-  /// @return the newest version that `node` confirmed; 0 if none is remembered.
+  /// @return the newest version that `node` confirmed; 0 if none is recorded.
   ConfigurationVersion FindConfirmedVersion(NodeId node) const;
-  /// Forgets leases that have run out.
+  /// Drops expired leases.
   void Expire(TimePoint now);
 
   Duration lease() const { return lease_; }
@@ -50,7 +50,7 @@
   };
 
   Duration lease_;
-  Duration lease_with_drift_;  // The lease and the allowance for drift.
+  Duration lease_with_drift_;  // The lease and the allowance for clock drift.
   TimePoint predecessor_leases_end_;
   NodeId first_own_node_id_;
   std::map<NodeId, Holder> holders_;
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -14,7 +14,7 @@
 
 using ReplicaFilter = std::function<bool(const SegmentReplica&)>;
 
-/// @return the usable copies of `segment` that are as long as the longest usable one.
+/// @return the usable replicas of `segment` of the greatest length among them.
 std::vector<SegmentReplica> LongestReplicas(SegmentId segment, const StoredSegments& answers,
                                             const ReplicaFilter& usable) {
   std::vector<SegmentReplica> longest;
@@ -35,7 +35,7 @@
   return longest;
 }
 
-/// Whether the copy held everything acknowledged while `head` was committed.
+/// @return whether the replica contains everything acknowledged while `head` was committed.
 bool IsCurrent(const proto::LogHead& head, const SegmentReplica& replica,
                const ServerRegistry& servers) {
   if (replica.stored->epoch() != head.epoch()) {
@@ -69,7 +69,7 @@
  private:
   std::vector<SegmentReplica> HeadReplicas() const;
   std::vector<SegmentReplica> ClosedReplicas(SegmentId segment) const;
-  /// @return the digest of the head: the segments of the log, the head among them.
+  /// @return the segments in the digest of `head`, which includes the head itself.
   static std::set<SegmentId> LiveSegments(const proto::StoredSegment& head);
   void AddMissingHead();
   void AddClosed(SegmentId segment);
--- a/src/leader/log_assembly.h
+++ b/src/leader/log_assembly.h
@@ -1,15 +1,15 @@
 #pragma once
 /// @file
-/// Decides whether the backups that answered hold a dead node's whole log, and which copy of each
-/// segment may be read. Pure. RAMCloud page, "Recovery" step 3, with the committed head in place of
-/// "longest copy wins" alone (docs/DESIGN.md section 5).
+/// Decides whether the backups that answered have the complete log of a dead node, and which
+/// replicas of each segment may be read. Pure. RAMCloud page, "Recovery" step 3, with the committed
+/// head instead of the longest replica alone (docs/DESIGN.md section 5).
 ///
-/// The head counts only in copies of its committed epoch on the backups committed with it, or of a
-/// later epoch: that one was not committed, so nothing was acknowledged under it, but its copies
-/// hold everything that was before. A backup is known again after a restart by its disk id. Other
-/// segments of the digest count in copies their owner closed. The segment before the head may have
-/// lost its owner just before it was closed; it then counts by the epoch that was committed while
-/// it was the head.
+/// Replicas of the head are usable if they have its committed epoch and are on the backups
+/// committed with it, or if they have a later epoch: that one was not committed, so nothing was
+/// acknowledged in it, but its replicas contain everything written before. A restarted backup is
+/// recognised by its disk id. Replicas of other segments in the digest are usable once closed. If
+/// the owner died before it closed the segment before the head, that segment's replicas are judged
+/// by the epoch committed while it was the head.
 
 #include <map>
 #include <string>
@@ -22,22 +22,23 @@
 
 namespace cloverbank {
 
-/// What each backup (by node id) said it stores of the dead node.
+/// Segments of the dead node that each backup stores, by the backup's node id.
 using StoredSegments = std::map<NodeId, proto::StartReadingDataResponse>;
 
 struct AssembledSegment {
   SegmentId segment;
-  std::vector<NodeId> backups;  ///< Each holds a full copy.
+  std::vector<NodeId> backups;  ///< Each has a replica of full length.
 };
 
 struct AssembledLog {
   /// Segments in log order; meaningful only when nothing is missing.
   std::vector<AssembledSegment> segments;
-  /// In words, one entry a segment that has no usable copy yet.
+  /// Descriptions, for people, of the segments without a usable replica.
   std::vector<std::string> missing;
   bool complete() const { return missing.empty(); }
 };
 
+/// @param answers of the backups so far.
 AssembledLog AssembleLog(const LogHeads& heads, const StoredSegments& answers,
                          const ServerRegistry& servers);
 
--- a/src/leader/partition_placement.h
+++ b/src/leader/partition_placement.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Chooses which queue node gets which partition. Pure.
+/// Places partitions on queue nodes. Pure.
 
 #include <map>
 #include <set>
@@ -11,24 +11,23 @@
 
 namespace cloverbank {
 
-/// @return live queue nodes that may be given partitions: those that are neither being retired nor
-/// `unresponsive` (silent, not yet dead); if there is none, the retiring ones; else the
-/// unresponsive ones.
+/// @return live queue nodes to which partitions may be assigned: those that are neither retiring
+/// nor `unresponsive` nor superseded; if there are none, the retiring ones; else the others.
 std::vector<NodeId> FindEligibleQueueNodes(const ControlState& state,
                                            const std::set<NodeId>& unresponsive);
 
-/// Partitions that queue nodes are to get and that the state does not show yet.
+/// Number of partitions placed on each queue node that the replicated state does not show yet.
 using PlannedLoads = std::map<NodeId, std::size_t>;
 
-/// Spreads `partitions` over the eligible queue nodes, each to the one that owns, replays and is to
-/// get the fewest then. @return empty if no queue node is live.
+/// Places each of `partitions` on the eligible queue node with the fewest partitions: owned, being
+/// replayed or `planned`. @return partitions by node; empty if no queue node is live.
 std::map<NodeId, std::vector<PartitionId>> PlacePartitions(
     const std::vector<PartitionId>& partitions, const ControlState& state,
     const std::set<NodeId>& unresponsive, const PlannedLoads& planned = {});
 
-/// @return whether `server` is a queue node being retired that still has partitions, while another
-/// queue node can take them. It is then told to give up its id, as after a restart: its partitions
-/// move by the ordinary recovery, without waiting for its lease to run out.
+/// @return whether `server` is a retiring queue node that still has partitions while another queue
+/// node is up. Its heartbeats are then refused, so that it registers again as after a restart: its
+/// partitions move by the ordinary recovery without waiting for its lease to expire.
 bool MustHandOver(const ControlState& state, const proto::Server& server,
                   const std::set<NodeId>& unresponsive);
 
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -88,8 +88,7 @@
 
 void RecoveryManager::ReadBackups(const ControlState& state, NodeId dead, TimePoint now,
                                   Progress* progress, std::vector<RecoveryAction>* actions) {
-  // A backup that restarted has another node id and is asked again; one that died is not counted
-  // on.
+  // A restarted backup has a new node id and is asked again; answers of dead ones are void.
   const auto gone = [&state](const auto& entry) {
     return state.servers().FindLive(entry.first, proto::ROLE_BACKUP) == nullptr;
   };
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// Steers the recoveries of dead queue nodes through their replicated phases (docs/DESIGN.md
-/// section 5; RAMCloud page, "Recovery"). Pure: `Step` looks at the replicated state and at what
-/// the backups answered and returns what to do now. Everything it asks for may be repeated; what it
-/// remembers may be lost: a new leader starts from the replicated phase and reads the backups'
-/// lists again.
+/// Advances the recoveries of dead queue nodes through their replicated phases (docs/DESIGN.md
+/// section 5; RAMCloud page, "Recovery"). Pure: `Step` returns the actions due, given the
+/// replicated state and the answers of backups. Every action may be repeated, and the progress may
+/// be lost: a new leader continues from the replicated phase and lists the backups' segments again.
 
 #include <map>
 #include <set>
@@ -51,32 +50,32 @@
                                     RecoverPartitionsAction, ReleaseAction, ProposeFinishAction>;
 
 struct RecoveryOptions {
-  Duration retry_interval = milliseconds(300);   ///< Between tries at a backup.
+  Duration retry_interval = milliseconds(300);   ///< Between attempts at one backup.
   Duration replay_interval = milliseconds(500);  ///< Between repeats of RecoverPartitions.
-  /// Calls of each kind under way at a time. After a loss of everything each queue node's earlier
-  /// life is released at each backup, and recoveries must not wait behind that.
+  /// Calls of each kind in flight. Bounded apart: after a restart of the fleet the log of every
+  /// earlier incarnation is released at every backup, and readings must not wait for that.
   std::size_t maximum_reading_calls = 256;
   std::size_t maximum_release_calls = 64;
 };
 
-/// What `Step` needs to know besides the replicated state.
+/// Input of `Step` besides the replicated state.
 struct RecoveryInput {
   TimePoint now;
-  bool may_assign = true;         ///< `ArrivalGate` is open.
-  std::set<NodeId> unresponsive;  ///< Silent nodes; given partitions only if there are no others.
+  bool may_assign = true;         ///< As `ArrivalGate` says.
+  std::set<NodeId> unresponsive;  ///< See `FindEligibleQueueNodes`.
 };
 
 class RecoveryManager {
  public:
   explicit RecoveryManager(RecoveryOptions options) : options_(options) {}
 
-  /// Forgets what is not replicated: this member became leader.
+  /// Drops all progress: this member became leader.
   void Reset() {
     progress_.clear();
     proposed_.clear();
   }
 
-  /// @return what to do now. Proposals are returned at each step until the state has changed.
+  /// @return the actions due now. Proposals are returned at each step until they are applied.
   std::vector<RecoveryAction> Step(const ControlState& state, const RecoveryInput& input);
 
   /// A backup answered StartReadingData, or failed to.
@@ -85,9 +84,9 @@
   /// A backup answered ReleaseRecoveryData, or failed to.
   void HandleReleased(NodeId dead, NodeId backup, const Status& status);
 
-  /// @return whether a recovery has its whole log and only waits to be given to queue nodes.
+  /// @return whether a recovery has a complete log and partitions not yet assigned for replay.
   bool IsWaitingForQueueNodes(const ControlState& state) const;
-  /// @return for people: what the recovery of `dead` waits for; empty if nothing.
+  /// @return a description, for people, of what the recovery of `dead` waits for; empty if nothing.
   std::string DescribeAwaited(const ControlState& state, NodeId dead) const;
 
  private:
@@ -102,7 +101,7 @@
     std::map<NodeId, Call> readings;  // By backup.
     std::map<NodeId, Call> releases;
     StoredSegments answers;
-    bool log_changed = true;  // `log` must be assembled anew.
+    bool log_changed = true;  // `log` must be assembled again.
     AssembledLog log;
     std::map<NodeId, TimePoint> next_replay;  // By queue node.
   };
@@ -118,7 +117,7 @@
   void AssembleChangedLog(const ControlState& state, NodeId dead, Progress* progress) const;
   void ProposeReplay(const ControlState& state, NodeId dead, const RecoveryInput& input,
                      std::vector<RecoveryAction>* actions);
-  /// @return what was proposed for other recoveries and is not in the state yet.
+  /// @return placements proposed for other recoveries that the state does not show yet.
   PlannedLoads SumOtherPlacements(NodeId dead) const;
   void SendReplays(const ControlState& state, const proto::Recovery& recovery, TimePoint now,
                    Progress* progress, std::vector<RecoveryAction>* actions) const;
@@ -133,16 +132,16 @@
                                      std::vector<std::string>* awaited);
   static void DescribeAwaitedReplays(const ControlState& state, const proto::Recovery& recovery,
                                      std::vector<std::string>* awaited);
-  /// @return how many calls of a kind are under way.
+  /// @return number of calls of a kind in flight.
   std::size_t CountInFlight(Calls Progress::*kind) const;
-  /// @return whether the call is due now and `available` is left; marks it as under way.
+  /// Marks the call as in flight if it is due and `available` is not 0. @return whether it did.
   bool TryBegin(TimePoint now, Call* call, std::size_t* available) const;
 
   RecoveryOptions options_;
-  std::size_t available_reading_calls_ = 0;  // In the present step.
+  std::size_t available_reading_calls_ = 0;  // In the current step.
   std::size_t available_release_calls_ = 0;
   std::map<NodeId, Progress> progress_;      // By dead node.
-  std::map<NodeId, PlannedLoads> proposed_;  // Replays not in the state yet, by dead node.
+  std::map<NodeId, PlannedLoads> proposed_;  // Not in the state yet, by dead node.
 };
 
 }  // namespace cloverbank
--- a/src/leader/unreachable_nodes.cc
+++ b/src/leader/unreachable_nodes.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kNotificationInterval = milliseconds(500);
-/// A node that stays away for longer has to find the coordinators by its seeds.
+/// A node that is absent for longer must find the coordinators by its seeds.
 constexpr Duration kNotificationLimit = seconds(60);
 
 }  // namespace
--- a/src/leader/unreachable_nodes.h
+++ b/src/leader/unreachable_nodes.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Pure core: which nodes the leader has to tell where the coordinators are. A machine that has
-/// lost power knows only its seeds, which may name no coordinator by then; the leader knows where
-/// each node was. Threads: the owner's event loop only.
+/// Decides which nodes to notify of the coordinators' endpoints. A node that restarts knows only
+/// its seeds, which may name no present coordinator; the leader knows the node's last endpoint.
+/// Pure.
 
 #include <compare>
 #include <map>
@@ -18,7 +18,7 @@
 
 class UnreachableNodes {
  public:
-  /// Where a node of a role is, or was.
+  /// Last known endpoint of a node, and the role that serves there.
   struct NodeLocation {
     Endpoint endpoint;
     proto::Role role = proto::ROLE_UNSPECIFIED;
@@ -26,10 +26,11 @@
     auto operator<=>(const NodeLocation&) const = default;
   };
 
-  /// This member became leader: nodes may have lost the coordinators at any time before.
+  /// This member became leader: all nodes are notified once.
   void Reset() { entries_.clear(); }
-  /// @param silent live nodes that were not heard of lately.
-  /// @return those to be told now.
+  /// @param unresponsive live nodes without a recent heartbeat.
+  /// @return locations to be notified now. Those of nodes that respond are returned once, those of
+  /// unresponsive and dead ones repeatedly for a limited time.
   std::vector<NodeLocation> StartDueNotifications(const ControlState& state,
                                                   const std::set<NodeId>& unresponsive,
                                                   TimePoint now);
@@ -38,7 +39,7 @@
   struct Entry {
     TimePoint last_present{};
     TimePoint next{};
-    bool notified = false;  ///< Also nodes that seem to be present are told once.
+    bool notified = false;
   };
 
   /// @return the locations of live nodes that respond.
