--- /dev/null
+++ b/tests/leader/backup_sweeper_test.cc
@@ -0,0 +1,56 @@
+#include "leader/backup_sweeper.h"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "control_state/control_commands.h"
+
+namespace cloverbank {
+namespace {
+
+using ::testing::ElementsAre;
+
+/// Two backups and a dead queue node, whose log is on the first.
+class BackupSweeperTest : public testing::Test {
+ protected:
+  BackupSweeperTest() {
+    dead = control.Register(proto::ROLE_QUEUE, "dead", 1);
+    first = control.Register(proto::ROLE_QUEUE, "q1", 2);
+    backup = control.Register(proto::ROLE_BACKUP, "s1", 4);
+    spare = control.Register(proto::ROLE_BACKUP, "s2", 5);
+    control.Assign(dead, {0, 1, 2, 3});
+    control.CommitHead(dead, 1, 1, {backup});
+  }
+
+  ControlDriver control;
+  NodeId dead, first, backup, spare;
+};
+
+TEST_F(BackupSweeperTest, LeftoversAreThoseOfTheDeadThatNobodyNeeds) {
+  const NodeId over = control.Register(proto::ROLE_QUEUE, "over", 1);
+  control.DeclareDead(over);
+  control.DeclareDead(dead);  // Its recovery needs them.
+  proto::ListSegmentsResponse replicas;
+  for (const NodeId owner : {over, dead, first, NodeId(9999)}) {
+    replicas.add_replicas()->set_node_id(owner.value());
+  }
+  EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(over));
+}
+
+TEST_F(BackupSweeperTest, BackupCountsAsEmptiedOnlyALeaseAfterTheOrder) {
+  BackupSweeper sweeper(seconds(5), seconds(1), seconds(3));
+  proto::ControlCommand retire;
+  retire.mutable_retire_machine()->set_machine("s1");
+  control.Apply(retire);
+  for (int elapsed = 0; elapsed <= 3; ++elapsed) {
+    EXPECT_EQ(sweeper.FindReplicaCount(backup), std::nullopt) << elapsed;
+    EXPECT_THAT(sweeper.StartDueSweeps(control.state, TimePoint(seconds(100 + elapsed))),
+                testing::Contains(backup));
+    sweeper.HandleReplicaList(backup, proto::ListSegmentsResponse());
+    sweeper.HandleFailure(spare);
+  }
+  EXPECT_EQ(sweeper.FindReplicaCount(backup), 0U);
+}
+
+}  // namespace
+}  // namespace cloverbank
--- /dev/null
+++ b/tests/leader/lease_table_test.cc
@@ -0,0 +1,50 @@
+#include "leader/lease_table.h"
+
+#include <gtest/gtest.h>
+
+namespace cloverbank {
+namespace {
+
+constexpr NodeId kNode(1);
+constexpr NodeId kNextId(5);
+constexpr TimePoint kStart{seconds(100)};
+
+class LeaseTableTest : public testing::Test {
+ protected:
+  LeaseTableTest() { leases.Start(kStart, kNextId); }
+
+  LeaseTable leases{seconds(3)};
+};
+
+TEST_F(LeaseTableTest, UnknownLeasesLastOneFullLeaseFromTheStart) {
+  EXPECT_GE(leases.FindLeaseEnd(kNode), kStart + seconds(3));
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
+  leases.RecordConfirmation(kNode, ConfigurationVersion(4));
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(4));
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart + seconds(4)), std::nullopt);
+  EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt) << "registered since";
+}
+
+TEST_F(LeaseTableTest, GiverCountsNoLessThanTheHolder) {
+  const TimePoint arrival = kStart + seconds(10);
+  leases.RecordGrant(kNode, ConfigurationVersion(1), arrival);
+  EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
+  leases.RecordGrant(kNode, ConfigurationVersion(1), arrival - seconds(1));
+  EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
+}
+
+// A gateway that goes on asking but whose answers are lost must not hold up a version for ever.
+TEST_F(LeaseTableTest, RenewalsWithTheNewVersionDoNotProlongTheOldOne) {
+  const TimePoint first = kStart + seconds(10);
+  leases.RecordGrant(kNode, ConfigurationVersion(1), first);
+  for (int second = 1; second <= 5; ++second) {
+    leases.RecordGrant(kNode, ConfigurationVersion(2), first + seconds(second));
+  }
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(1));
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(4)), ConfigurationVersion(2));
+  leases.RecordConfirmation(kNode, ConfigurationVersion(2));
+  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(2));
+}
+
+}  // namespace
+}  // namespace cloverbank
--- /dev/null
+++ b/tests/leader/log_assembly_test.cc
@@ -0,0 +1,86 @@
+#include "leader/log_assembly.h"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "control_state/control_commands.h"
+#include "stored_segment.h"
+
+namespace cloverbank {
+namespace {
+
+using ::testing::ElementsAre;
+using ::testing::HasSubstr;
+
+/// A dead queue node whose head is segment 3 of the log {2, 3}, epoch 2, on three backups.
+class AssemblyTest : public testing::Test {
+ protected:
+  AssemblyTest() {
+    node = control.Register(proto::ROLE_QUEUE, "dead", 1);
+    for (const char* machine : {"s1", "s2", "s3", "s4"}) {
+      backups.push_back(control.Register(proto::ROLE_BACKUP, machine, 2));
+    }
+    control.CommitHead(node, 2, 5, {backups[0], backups[1], backups[2]});
+    control.CommitHead(node, 3, 2, {backups[0], backups[1], backups[2]});
+  }
+  void Put(std::size_t backup, const proto::StoredSegment& stored) {
+    *answers[backups[backup]].add_segments() = stored;
+  }
+  AssembledLog Assemble() {
+    return AssembleLog(control.state.partitions().heads().at(node), answers,
+                       control.state.servers());
+  }
+
+  ControlDriver control;
+  NodeId node;
+  std::vector<NodeId> backups;
+  StoredSegments answers;
+};
+
+TEST_F(AssemblyTest, WaitsForTheCommittedHeadAndNamesItsBackups) {
+  Put(0, Stored(2, 10, 5, true, {2}));
+  Put(1, Stored(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
+  Put(3, Stored(3, 99, 2, false, {2, 3}));  // Not in the committed set.
+  const AssembledLog log = Assemble();
+  EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 under epoch 2, kept by s1")));
+}
+
+TEST_F(AssemblyTest, LongestCurrentCopyOfTheHeadAndAnyClosedCopyOfTheRest) {
+  Put(0, Stored(3, 40, 2, false, {2, 3}));
+  Put(1, Stored(3, 50, 2, false, {2, 3}));
+  Put(2, Stored(3, 99, 1, false, {2, 3}));
+  Put(3, Stored(3, 50, 3, false, {2, 3}));  // A later epoch, never committed: holds everything.
+  Put(2, Stored(2, 10, 5, true, {2}));
+  Put(3, Stored(2, 70, 4, false, {2}));
+  const AssembledLog log = Assemble();
+  ASSERT_TRUE(log.complete());
+  ASSERT_EQ(log.segments.size(), 2U);
+  EXPECT_EQ(log.segments[0].segment, SegmentId(2));
+  EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[2]));
+  EXPECT_THAT(log.segments[1].backups, ElementsAre(backups[1], backups[3]));
+}
+
+TEST_F(AssemblyTest, SegmentsOfTheDigestAreNotMissedSilently) {
+  Put(0, Stored(3, 40, 2, false, {1, 2, 3}));
+  Put(1, Stored(1, 10, 1, false, {1}));  // Neither closed nor the segment before the head.
+  Put(3, Stored(2, 10, 5, false, {2}));  // Never in the committed set.
+  EXPECT_THAT(Assemble().missing, ElementsAre(HasSubstr("segment 1"), HasSubstr("segment 2")));
+}
+
+TEST_F(AssemblyTest, SegmentBeforeTheHeadCountsUnclosedUnderItsCommittedEpoch) {
+  Put(0, Stored(3, 40, 2, false, {2, 3}));
+  Put(1, Stored(2, 10, 5, false, {2}));
+  Put(2, Stored(2, 12, 4, false, {2}));
+  const AssembledLog log = Assemble();
+  ASSERT_TRUE(log.complete());
+  EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[1]));
+}
+
+TEST_F(AssemblyTest, RestartedBackupIsKnownByItsDisk) {
+  const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 77);
+  *answers[restarted].add_segments() = Stored(3, 40, 2, false, {3});
+  EXPECT_TRUE(Assemble().complete());
+}
+
+}  // namespace
+}  // namespace cloverbank
--- /dev/null
+++ b/tests/leader/partition_placement_test.cc
@@ -0,0 +1,37 @@
+#include "leader/partition_placement.h"
+
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include "control_state/control_commands.h"
+
+namespace cloverbank {
+namespace {
+
+using ::testing::ElementsAre;
+
+class PartitionPlacementTest : public testing::Test {
+ protected:
+  PartitionPlacementTest() {
+    dead = control.Register(proto::ROLE_QUEUE, "dead", 1);
+    first = control.Register(proto::ROLE_QUEUE, "q1", 2);
+    second = control.Register(proto::ROLE_QUEUE, "q2", 3);
+  }
+
+  ControlDriver control;
+  NodeId dead, first, second;
+};
+
+TEST_F(PartitionPlacementTest, DoubtfulAndRetiringNodesGetPartitionsOnlyIfThereIsNoOther) {
+  const std::vector<PartitionId> two{PartitionId(0), PartitionId(1)};
+  const NodeId silent = dead;
+  EXPECT_FALSE(PlacePartitions(two, control.state, {silent}).contains(silent));
+  proto::ControlCommand retire;
+  retire.mutable_retire_machine()->set_machine("q1");
+  control.Apply(retire);
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent}), ElementsAre(second));
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent, second}), ElementsAre(first));
+}
+
+}  // namespace
+}  // namespace cloverbank
--- a/tests/leader/recovery_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -1,102 +1,17 @@
-// Recoveries, with backups and queue nodes that answer at once.
+#include "leader/recovery_manager.h"
+
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include "control_state/control_commands.h"
-#include "leader/arrival_gate.h"
-#include "leader/backup_sweeper.h"
-#include "leader/log_assembly.h"
-#include "leader/partition_placement.h"
-#include "leader/recovery_manager.h"
+#include "stored_segment.h"
 
 namespace cloverbank {
 namespace {
 
-using ::testing::ElementsAre;
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-proto::StoredSegment Stored(std::uint64_t segment, std::uint64_t length, std::uint64_t epoch,
-                            bool closed, const std::vector<std::uint64_t>& digest) {
-  proto::StoredSegment stored;
-  stored.set_segment_id(segment);
-  stored.set_length(length);
-  stored.set_epoch(epoch);
-  stored.set_closed(closed);
-  stored.mutable_digest()->Add(digest.begin(), digest.end());
-  return stored;
-}
-
-/// A dead queue node whose head is segment 3 of the log {2, 3}, epoch 2, on three backups.
-class AssemblyTest : public testing::Test {
- protected:
-  AssemblyTest() {
-    node = control.Register(proto::ROLE_QUEUE, "dead", 1);
-    for (const char* machine : {"s1", "s2", "s3", "s4"}) {
-      backups.push_back(control.Register(proto::ROLE_BACKUP, machine, 2));
-    }
-    control.CommitHead(node, 2, 5, {backups[0], backups[1], backups[2]});
-    control.CommitHead(node, 3, 2, {backups[0], backups[1], backups[2]});
-  }
-  void Put(std::size_t backup, const proto::StoredSegment& stored) {
-    *answers[backups[backup]].add_segments() = stored;
-  }
-  AssembledLog Assemble() {
-    return AssembleLog(control.state.partitions().heads().at(node), answers,
-                       control.state.servers());
-  }
-
-  ControlDriver control;
-  NodeId node;
-  std::vector<NodeId> backups;
-  StoredSegments answers;
-};
-
-TEST_F(AssemblyTest, WaitsForTheCommittedHeadAndNamesItsBackups) {
-  Put(0, Stored(2, 10, 5, true, {2}));
-  Put(1, Stored(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
-  Put(3, Stored(3, 99, 2, false, {2, 3}));  // Not in the committed set.
-  const AssembledLog log = Assemble();
-  EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 under epoch 2, kept by s1")));
-}
-
-TEST_F(AssemblyTest, LongestCurrentCopyOfTheHeadAndAnyClosedCopyOfTheRest) {
-  Put(0, Stored(3, 40, 2, false, {2, 3}));
-  Put(1, Stored(3, 50, 2, false, {2, 3}));
-  Put(2, Stored(3, 99, 1, false, {2, 3}));
-  Put(3, Stored(3, 50, 3, false, {2, 3}));  // A later epoch, never committed: holds everything.
-  Put(2, Stored(2, 10, 5, true, {2}));
-  Put(3, Stored(2, 70, 4, false, {2}));
-  const AssembledLog log = Assemble();
-  ASSERT_TRUE(log.complete());
-  ASSERT_EQ(log.segments.size(), 2U);
-  EXPECT_EQ(log.segments[0].segment, SegmentId(2));
-  EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[2]));
-  EXPECT_THAT(log.segments[1].backups, ElementsAre(backups[1], backups[3]));
-}
-
-TEST_F(AssemblyTest, SegmentsOfTheDigestAreNotMissedSilently) {
-  Put(0, Stored(3, 40, 2, false, {1, 2, 3}));
-  Put(1, Stored(1, 10, 1, false, {1}));  // Neither closed nor the segment before the head.
-  Put(3, Stored(2, 10, 5, false, {2}));  // Never in the committed set.
-  EXPECT_THAT(Assemble().missing, ElementsAre(HasSubstr("segment 1"), HasSubstr("segment 2")));
-}
-
-TEST_F(AssemblyTest, SegmentBeforeTheHeadCountsUnclosedUnderItsCommittedEpoch) {
-  Put(0, Stored(3, 40, 2, false, {2, 3}));
-  Put(1, Stored(2, 10, 5, false, {2}));
-  Put(2, Stored(2, 12, 4, false, {2}));
-  const AssembledLog log = Assemble();
-  ASSERT_TRUE(log.complete());
-  EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[1]));
-}
-
-TEST_F(AssemblyTest, RestartedBackupIsKnownByItsDisk) {
-  const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 77);
-  *answers[restarted].add_segments() = Stored(3, 40, 2, false, {3});
-  EXPECT_TRUE(Assemble().complete());
-}
-
 /// Backups and queue nodes that answer at once; what is proposed is applied at once.
 class RecoveryTest : public testing::Test {
  protected:
@@ -300,56 +215,5 @@
   EXPECT_EQ(assigned.size(), 4U);
 }
 
-TEST_F(RecoveryTest, GateWaitsForArrivalsButNotForEver) {
-  ArrivalGate gate(milliseconds(700), seconds(2));
-  TimePoint now{seconds(50)};
-  EXPECT_FALSE(gate.Update(control.state, {}, true, now));
-  EXPECT_TRUE(gate.Update(control.state, {}, true, now + milliseconds(700)));
-  gate.Reset();
-  for (int arrival = 0; arrival < 3; ++arrival) {
-    control.Register(proto::ROLE_QUEUE, "new" + std::to_string(arrival), 1);
-    EXPECT_FALSE(gate.Update(control.state, {}, true, now + milliseconds(600) * arrival));
-  }
-  control.Register(proto::ROLE_QUEUE, "last", 1);
-  EXPECT_TRUE(gate.Update(control.state, {}, true, now + seconds(2)));
-}
-
-TEST_F(RecoveryTest, LeftoversAreThoseOfTheDeadThatNobodyNeeds) {
-  const NodeId over = control.Register(proto::ROLE_QUEUE, "over", 1);
-  control.DeclareDead(over);
-  control.DeclareDead(dead);  // Its recovery needs them.
-  proto::ListSegmentsResponse replicas;
-  for (const NodeId owner : {over, dead, first, NodeId(9999)}) {
-    replicas.add_replicas()->set_node_id(owner.value());
-  }
-  EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(over));
-}
-
-TEST_F(RecoveryTest, BackupCountsAsEmptiedOnlyALeaseAfterTheOrder) {
-  BackupSweeper sweeper(seconds(5), seconds(1), seconds(3));
-  proto::ControlCommand retire;
-  retire.mutable_retire_machine()->set_machine("s1");
-  control.Apply(retire);
-  for (int elapsed = 0; elapsed <= 3; ++elapsed) {
-    EXPECT_EQ(sweeper.FindReplicaCount(backup), std::nullopt) << elapsed;
-    EXPECT_THAT(sweeper.StartDueSweeps(control.state, TimePoint(seconds(100 + elapsed))),
-                testing::Contains(backup));
-    sweeper.HandleReplicaList(backup, proto::ListSegmentsResponse());
-    sweeper.HandleFailure(spare);
-  }
-  EXPECT_EQ(sweeper.FindReplicaCount(backup), 0U);
-}
-
-TEST_F(RecoveryTest, DoubtfulAndRetiringNodesGetPartitionsOnlyIfThereIsNoOther) {
-  const std::vector<PartitionId> two{PartitionId(0), PartitionId(1)};
-  const NodeId silent = dead;
-  EXPECT_FALSE(PlacePartitions(two, control.state, {silent}).contains(silent));
-  proto::ControlCommand retire;
-  retire.mutable_retire_machine()->set_machine("q1");
-  control.Apply(retire);
-  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent}), ElementsAre(second));
-  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent, second}), ElementsAre(first));
-}
-
 }  // namespace
 }  // namespace cloverbank
