--- a/tests/control_state/configuration_store_test.cc
+++ b/tests/control_state/configuration_store_test.cc
@@ -22,7 +22,7 @@
   return transaction;
 }
 
-TEST(ConfigurationStore, OneOfTwoUnderTheSameVersionWins) {
+TEST(ConfigurationStoreTest, SecondWriterOfAVersionGetsConflict) {
   ControlDriver control;
   EXPECT_EQ(control.Submit(TenantTransaction("a", 1, "x")).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
@@ -33,7 +33,7 @@
   EXPECT_FALSE(control.state.configuration().objects().tenants.contains("y"));
 }
 
-TEST(ConfigurationStore, ResendsGetTheFirstAnswerEvenAfterASnapshot) {
+TEST(ConfigurationStoreTest, ResendReturnsFirstResultAfterSnapshot) {
   ControlDriver control;
   const auto winner = TenantTransaction("a", 1, "x");
   const auto loser = TenantTransaction("b", 1, "y");
@@ -54,7 +54,7 @@
   }
 }
 
-TEST(ConfigurationStore, ReusedOperationIdIsRefusedAndItsRecordStays) {
+TEST(ConfigurationStoreTest, RefusesReusedOperationId) {
   ControlDriver control;
   const auto original = TenantTransaction("a", 1, "x");
   control.Submit(original);
@@ -65,7 +65,7 @@
   EXPECT_EQ(control.state.configuration().version(), ConfigurationVersion(2));
 }
 
-TEST(ConfigurationStore, EveryProblemIsListedAndNothingTakesEffect) {
+TEST(ConfigurationStoreTest, ListsAllProblemsAndChangesNothing) {
   ControlDriver control;
   auto setup = MakeTransaction("setup", 1);
   AddZone(&setup, "north");
@@ -102,7 +102,7 @@
   EXPECT_FALSE(control.state.configuration().objects().tenants.contains("twice"));
 }
 
-TEST(ConfigurationStore, EnvelopeIsChecked) {
+TEST(ConfigurationStoreTest, RefusesInvalidEnvelope) {
   ControlDriver control;
   const proto::TransactionResult nameless = control.Submit(MakeTransaction("", 0));
   EXPECT_THAT(nameless.problems(0), HasSubstr("operation_id is empty"));
@@ -111,7 +111,7 @@
                                                     HasSubstr("changes is empty")));
 }
 
-TEST(ConfigurationStore, DryRunChangesNothingAndUsesUpNoOperationId) {
+TEST(ConfigurationStoreTest, DryRunChangesNothing) {
   ControlDriver control;
   auto transaction = TenantTransaction("a", 1, "x");
   transaction.set_dry_run(true);
@@ -121,7 +121,7 @@
             proto::TRANSACTION_OUTCOME_APPLIED);
 }
 
-TEST(ConfigurationStore, MarkInForceReachesRecordAndHistory) {
+TEST(ConfigurationStoreTest, RecordsInForceTime) {
   ControlDriver control;
   const auto transaction = TenantTransaction("a", 1, "x");
   EXPECT_EQ(control.Submit(transaction).in_force_at_ms(), 0);
@@ -133,7 +133,7 @@
   EXPECT_EQ(control.state.configuration().History(1).at(0).in_force_at_ms(), 77);
 }
 
-TEST(ConfigurationStore, RecordsAndHistoryAreBounded) {
+TEST(ConfigurationStoreTest, BoundsRecordsAndHistory) {
   ConfigurationStore store;
   std::uint64_t version = 1;
   constexpr std::uint64_t kTransactions = OperationRecords::kMaximumRecords + 5;
@@ -147,7 +147,7 @@
 }
 
 // Whatever version a node holds, the update brings it to the current configuration.
-TEST(ConfigurationStore, UpdatesFromAnyVersionEqualTheWhole) {
+TEST(ConfigurationStoreTest, UpdateFromAnyVersionMatchesFull) {
   std::mt19937_64 random(7);
   ConfigurationStore store;
   std::map<std::uint64_t, proto::RoutingConfiguration> full_at{{1, store.FullConfiguration()}};
@@ -188,7 +188,7 @@
   EXPECT_GT(store.version(), ConfigurationVersion(100));
 }
 
-TEST(ConfigurationStore, HoldsTwentyTwoThousandTenants) {
+TEST(ConfigurationStoreTest, HandlesManyTenants) {
   ConfigurationStore store;
   auto all = MakeTransaction("all", 1);
   for (int tenant = 0; tenant < 22'000; ++tenant) {
--- a/tests/control_state/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-TEST(ControlState, RegistrationIsRepeatableAndSupersedesTheEarlierLife) {
+TEST(ControlStateTest, RestartSupersedesEarlierIncarnation) {
   ControlDriver control;
   const NodeId first = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11), first);
@@ -26,7 +26,7 @@
   EXPECT_TRUE(IsLive(*servers.Find(other_role)));
 }
 
-TEST(ControlState, SameMachineAtAnotherAddressIsNotDeadBeforeItsLeaseIs) {
+TEST(ControlStateTest, NewAddressKeepsEarlierIncarnationLive) {
   ControlDriver control;
   const NodeId old_incarnation = control.Register(proto::ROLE_QUEUE, "store-1", 11, {}, "10.0.0.1");
   const NodeId new_incarnation = control.Register(proto::ROLE_QUEUE, "store-1", 12, {}, "10.0.0.9");
@@ -35,7 +35,7 @@
   EXPECT_EQ(control.state.servers().FindLaterIncarnation(old_server), new_incarnation);
 }
 
-TEST(ControlState, BackupWithTheSameDiskSupersedesWithoutRecovery) {
+TEST(ControlStateTest, BackupWithSameDiskSupersedesEarlierOne) {
   ControlDriver control;
   const NodeId old_incarnation =
       control.Register(proto::ROLE_BACKUP, "store-1", 11, {}, "10.0.0.1");
@@ -46,7 +46,7 @@
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
 }
 
-TEST(ControlState, GatewaysAreNotInTheFleetAndAreForgotten) {
+TEST(ControlStateTest, GatewaysAreOutsideTheFleet) {
   ControlDriver control;
   const FleetVersion before = control.state.fleet_version();
   const NodeId gateway = control.Register(proto::ROLE_GATEWAY, "front-1", 11);
@@ -55,7 +55,7 @@
   EXPECT_EQ(control.state.servers().Find(gateway), nullptr);
 }
 
-TEST(ControlState, HeadsAreCommittedInOrderAndOnlyByTheLiving) {
+TEST(ControlStateTest, CommitsHeadsInOrder) {
   ControlDriver control;
   const NodeId node = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   const NodeId backup = control.Register(proto::ROLE_BACKUP, "store-1", 12);
@@ -73,7 +73,7 @@
   EXPECT_EQ(control.CommitHead(node, 3, 1, {backup}), StatusCode::kFenced);
 }
 
-TEST(ControlState, NodeWithoutHeadLeavesItsPartitionsFree) {
+TEST(ControlStateTest, DeadNodeWithoutHeadFreesPartitions) {
   ControlDriver control;
   const NodeId node = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   EXPECT_EQ(control.Assign(node, {0, 1}), StatusCode::kOk);
@@ -85,7 +85,7 @@
 }
 
 // B dies while it replays partition 0 of A: the partition still is in A's log, B's own one in B's.
-TEST(ControlState, RecoveriesChain) {
+TEST(ControlStateTest, ReplayingNodeDiesDuringRecovery) {
   ControlDriver control;
   const NodeId a = control.Register(proto::ROLE_QUEUE, "a", 1);
   const NodeId b = control.Register(proto::ROLE_QUEUE, "b", 2);
@@ -114,7 +114,7 @@
   EXPECT_EQ(control.state.partitions().recoveries().count(b), 1U);
 }
 
-TEST(ControlState, RetiredMachineStaysRetiringOverRestarts) {
+TEST(ControlStateTest, RetiredMachineStaysRetiringAfterRestart) {
   ControlDriver control;
   const NodeId node = control.Register(proto::ROLE_QUEUE, "store-1", 1);
   proto::ControlCommand retire;
@@ -266,7 +266,7 @@
   Follower follower_;
 };
 
-TEST(ControlState, RandomCommandsKeepMembersEqualAndInvariants) {
+TEST(ControlStateTest, RandomCommandsKeepInvariants) {
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     SCOPED_TRACE(seed);
     RandomCommands(seed).Run();
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -32,7 +32,7 @@
   return transaction;
 }
 
-TEST(LabelledConfiguration, RisesInUnevenStepsAndReadsBackAsItWasSent) {
+TEST(LabelledConfigurationTest, LabelsMayRiseInUnevenSteps) {
   ControlDriver control;
   EXPECT_EQ(control.Submit(FullConfiguration("a", 0, 3, {"/x/", "/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
@@ -44,7 +44,7 @@
   EXPECT_EQ(whole.routes_size(), 1);  // What the document does not name is gone.
 }
 
-TEST(LabelledConfiguration, OneOfTwoOnTheSameBaseWinsAndAResendIsAcknowledgedAgain) {
+TEST(LabelledConfigurationTest, ResendOfWinnerIsAcknowledgedAgain) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const auto winner = FullConfiguration("w", 3, 5, {"/x/", "/y/"});
@@ -72,7 +72,7 @@
   return inquiry;
 }
 
-TEST(LabelledConfiguration, AnInquiryThatItsBaseOvertookRefusesNothing) {
+TEST(LabelledConfigurationTest, InquiryOnCurrentBaseMayBeSent) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
@@ -85,7 +85,7 @@
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
 }
 
-TEST(LabelledConfiguration, AnInquiryThatIsRefusedIsNeverTakenLater) {
+TEST(LabelledConfigurationTest, RefusedInquiryStaysRefused) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
@@ -96,7 +96,7 @@
   EXPECT_EQ(control.state.configuration().label(), 5U);
 }
 
-TEST(LabelledConfiguration, InvalidOnesChangeNothing) {
+TEST(LabelledConfigurationTest, InvalidTransactionsChangeNothing) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   std::vector<proto::ConfigurationTransaction> invalid;
@@ -116,7 +116,7 @@
   EXPECT_EQ(control.state.configuration().label(), 3U);
 }
 
-TEST(LabelledConfiguration, ADrainedZoneStaysDrainedUnderNewConfigurations) {
+TEST(LabelledConfigurationTest, DrainedZoneStaysDrained) {
   ControlDriver control;
   auto first = FullConfiguration("a", 0, 3, {"/x/"});
   proto::Zone& zone = *first.add_changes()->mutable_ensure_zone();
@@ -140,7 +140,7 @@
             proto::ZONE_STATE_DRAINED);
 }
 
-TEST(LabelledConfiguration, ADeltaBringsANodeToWhatTheWholeIs) {
+TEST(LabelledConfigurationTest, DeltaMatchesFullConfiguration) {
   ControlDriver control;
   constexpr int kPrefixes = 30;
   std::vector<std::string> prefixes;
@@ -163,7 +163,7 @@
   EXPECT_EQ(watch.configuration().SerializeAsString(), whole.SerializeAsString());
 }
 
-TEST(LabelledConfiguration, AChangeCostsANodeWhatItChangesHoweverLongTheDocument) {
+TEST(LabelledConfigurationTest, DeltaSizeIsIndependentOfDocument) {
   constexpr std::size_t kDocumentBytes = 100'000;
   constexpr std::size_t kMaximumBytes = 200;
   ControlDriver control;
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -225,7 +225,7 @@
   int operations_ = 0;
 };
 
-TEST(CoordinatorFaults, RandomFaultsBreakNoPromise) {
+TEST(CoordinatorFaultsTest, RandomFaultsKeepInvariants) {
   int acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/coordinator/coordinator_service_test.cc
+++ b/tests/coordinator/coordinator_service_test.cc
@@ -15,7 +15,7 @@
 
 using CoordinatorServiceTest = CoordinatorFixture;
 
-TEST_F(CoordinatorServiceTest, OthersNameTheLeader) {
+TEST_F(CoordinatorServiceTest, FollowerNamesTheLeader) {
   const auto refused = Submit(Change("a"), 1);
   EXPECT_EQ(refused.status().code(), StatusCode::kNotLeader);
   EXPECT_EQ(refused.status().detail(), coordinators[0].ToString());
@@ -23,7 +23,7 @@
   EXPECT_EQ(Submit(Change("a")).status().code(), StatusCode::kNotLeader);
 }
 
-TEST_F(CoordinatorServiceTest, GatewaysOfAZoneAreToldInOneOrderWhomToAskForTheList) {
+TEST_F(CoordinatorServiceTest, ListSourcesAreEarlierGatewaysOfZone) {
   for (const char* name : {"g1", "g2", "g3", "g4", "g5"}) {
     Add(proto::ROLE_GATEWAY, name);
   }
@@ -44,7 +44,7 @@
   }
 }
 
-TEST_F(CoordinatorServiceTest, FirstGatewaysOfZonesAreToldOfThoseOfOtherZonesBeforeThem) {
+TEST_F(CoordinatorServiceTest, FirstGatewayOfZoneGetsRemoteListSources) {
   int number = 0;
   for (const char* zone : {"a", "b", "a", "c", "d", "b", "e"}) {
     Add(proto::ROLE_GATEWAY, "g" + std::to_string(++number), zone);
@@ -67,7 +67,7 @@
   EXPECT_EQ(remote("g7"), firsts) << "a bounded number";
 }
 
-TEST_F(CoordinatorServiceTest, AcknowledgedWithinARoundTripWhenAllConfirm) {
+TEST_F(CoordinatorServiceTest, AcknowledgesOnceAllGatewaysConfirm) {
   Add(proto::ROLE_GATEWAY, "g1");
   Add(proto::ROLE_GATEWAY, "g2");
   world.RunFor(seconds(5));
@@ -83,7 +83,7 @@
   EXPECT_EQ(again->result().outcome(), proto::TRANSACTION_OUTCOME_INVALID);
 }
 
-TEST_F(CoordinatorServiceTest, CutOffGatewayDelaysTheAcknowledgementToTheEndOfItsLease) {
+TEST_F(CoordinatorServiceTest, AcknowledgesAfterLeaseOfIsolatedGateway) {
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
   world.Isolate("g1");
@@ -94,7 +94,7 @@
   EXPECT_EQ(Submit(transaction)->SerializeAsString(), answer->SerializeAsString());
 }
 
-TEST_F(CoordinatorServiceTest, GatewayThatNeverConfirmsDoesNotBlockLongerThanALease) {
+TEST_F(CoordinatorServiceTest, UnconfirmingGatewayDelaysAtMostALease) {
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
   nodes["g1"]->confirms = false;
@@ -104,7 +104,7 @@
   EXPECT_LT(Elapsed(sent), milliseconds(3100));
 }
 
-TEST_F(CoordinatorServiceTest, ResendToTheNextLeaderWaitsForUnknownLeases) {
+TEST_F(CoordinatorServiceTest, ResendToNewLeaderWaitsForUnknownLeases) {
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
   world.Isolate("g1");
@@ -128,7 +128,7 @@
   EXPECT_FALSE(nodes["g1"]->LeaseValid());
 }
 
-TEST_F(CoordinatorServiceTest, HeartbeatsOfUnknownAndEarlierLivesAreFenced) {
+TEST_F(CoordinatorServiceTest, FencesUnknownIdsAndOtherIncarnations) {
   Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(1));
   proto::HeartbeatRequest heartbeat;
@@ -143,7 +143,7 @@
   EXPECT_EQ(beat(), StatusCode::kFenced) << "another incarnation";
 }
 
-TEST_F(CoordinatorServiceTest, SilentNodeIsDeadAfterItsLeaseAndFencedWhenItWakes) {
+TEST_F(CoordinatorServiceTest, FrozenNodeDiesAfterLeaseAndIsFenced) {
   SimulatedMachine& machine = Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
   const std::uint64_t id = nodes["q1"]->node_id;
@@ -161,7 +161,7 @@
 }
 
 // Its heartbeat comes between the proposal of its death and the commit.
-TEST_F(CoordinatorServiceTest, CondemnedNodeGetsNoLease) {
+TEST_F(CoordinatorServiceTest, NodeWithPendingDeathGetsNoLease) {
   SimulatedMachine& machine = Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
   const std::uint64_t id = nodes["q1"]->node_id;
@@ -177,7 +177,7 @@
   }
 }
 
-TEST_F(CoordinatorServiceTest, NobodyDiesOfTheLeadersOwnPause) {
+TEST_F(CoordinatorServiceTest, LeaderPauseDeclaresNobodyDead) {
   Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
   const std::uint64_t id = nodes["q1"]->node_id;
@@ -194,7 +194,7 @@
   EXPECT_TRUE(nodes["q1"]->LeaseValid());
 }
 
-TEST_F(CoordinatorServiceTest, StoresThatStartTogetherShareThePartitions) {
+TEST_F(CoordinatorServiceTest, SimultaneousStoresSharePartitions) {
   for (const char* name : {"q1", "q2"}) {
     Add(proto::ROLE_QUEUE, name);
     world.RunFor(milliseconds(300));
@@ -204,7 +204,7 @@
   EXPECT_EQ(Owned("q2"), 2U);
 }
 
-TEST_F(CoordinatorServiceTest, RecoveryOutlivesALeaderChange) {
+TEST_F(CoordinatorServiceTest, RecoverySurvivesLeaderChange) {
   SimulatedMachine& store = Add(proto::ROLE_QUEUE, "q1");
   Add(proto::ROLE_BACKUP, "b1");
   world.RunFor(seconds(3));
@@ -227,7 +227,7 @@
   EXPECT_FALSE(disks["b1"].segments.contains(dead));
 }
 
-TEST_F(CoordinatorServiceTest, BackupThatMissedTheReleaseIsSweptWhenItReturns) {
+TEST_F(CoordinatorServiceTest, SweepsBackupThatMissedRelease) {
   SimulatedMachine& store = Add(proto::ROLE_QUEUE, "q1");
   Add(proto::ROLE_BACKUP, "b1");
   SimulatedMachine& away = Add(proto::ROLE_BACKUP, "b2");
@@ -247,7 +247,7 @@
   EXPECT_FALSE(disks["b2"].segments.contains(dead));
 }
 
-TEST_F(CoordinatorServiceTest, RetiredStoreHandsItsPartitionsOverAndIsReportedEmpty) {
+TEST_F(CoordinatorServiceTest, RetiredStoreHandsOverPartitions) {
   Add(proto::ROLE_QUEUE, "q1");
   Add(proto::ROLE_BACKUP, "b1");
   world.RunFor(seconds(3));
--- a/tests/coordinator/transaction_handler_test.cc
+++ b/tests/coordinator/transaction_handler_test.cc
@@ -9,7 +9,7 @@
 
 constexpr TimePoint kStart{seconds(100)};
 
-TEST(TransactionHandlerTest, VersionInForceIsTheLowestAnyGatewayMayUse) {
+TEST(TransactionHandlerTest, VersionInForceIsLowestInUse) {
   ControlDriver control;
   LeaseTable leases{seconds(3)};
   const NodeId first = control.Register(proto::ROLE_GATEWAY, "front-1", 1);
--- a/tests/leader/arrival_gate_test.cc
+++ b/tests/leader/arrival_gate_test.cc
@@ -16,7 +16,7 @@
   TimePoint now{seconds(50)};
 };
 
-TEST_F(ArrivalGateTest, GateWaitsForArrivalsButNotForEver) {
+TEST_F(ArrivalGateTest, OpensAtMaximumWaitDespiteArrivals) {
   EXPECT_FALSE(gate.Update(control.state, {}, true, now));
   EXPECT_TRUE(gate.Update(control.state, {}, true, now + milliseconds(700)));
   gate.Reset();
--- a/tests/leader/backup_sweeper_test.cc
+++ b/tests/leader/backup_sweeper_test.cc
@@ -26,7 +26,7 @@
   NodeId dead, first, backup, spare;
 };
 
-TEST_F(BackupSweeperTest, LeftoversAreThoseOfTheDeadThatNobodyNeeds) {
+TEST_F(BackupSweeperTest, FindsSegmentsOfRecoveredNodes) {
   const NodeId over = control.Register(proto::ROLE_QUEUE, "over", 1);
   control.DeclareDead(over);
   control.DeclareDead(dead);  // Its recovery needs them.
@@ -37,7 +37,7 @@
   EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(over));
 }
 
-TEST_F(BackupSweeperTest, BackupCountsAsEmptiedOnlyALeaseAfterTheOrder) {
+TEST_F(BackupSweeperTest, CountsReplicasAfterSettlingTime) {
   BackupSweeper sweeper(seconds(5), seconds(1), seconds(3));
   proto::ControlCommand retire;
   retire.mutable_retire_machine()->set_machine("s1");
--- a/tests/leader/failure_detector_test.cc
+++ b/tests/leader/failure_detector_test.cc
@@ -20,7 +20,7 @@
   FailureDetector detector{seconds(3)};
 };
 
-TEST_F(FailureDetectorTest, SilenceKillsOnlyAfterTheLease) {
+TEST_F(FailureDetectorTest, DeadOnlyAfterLeaseExpires) {
   const TimePoint heard = kStart + seconds(10);
   detector.RecordHeartbeat(kNode, heard);
   EXPECT_FALSE(detector.IsDead(kNode, leases, heard + seconds(2)));
@@ -30,7 +30,7 @@
   EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(4)));
 }
 
-TEST_F(FailureDetectorTest, SuspicionOnlyHastensAndAHeartbeatClearsIt) {
+TEST_F(FailureDetectorTest, HeartbeatClearsSuspicion) {
   FailureDetector patient{seconds(9)};
   patient.Start(kStart);
   const TimePoint heard = kStart + seconds(10);
@@ -43,7 +43,7 @@
   EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(7)));
 }
 
-TEST_F(FailureDetectorTest, OwnPauseIsNotSilence) {
+TEST_F(FailureDetectorTest, OwnPauseDoesNotCount) {
   const TimePoint woken = kStart + seconds(30);
   detector.ExcludePause(seconds(29), woken);
   EXPECT_FALSE(detector.IsDead(kNode, leases, woken + seconds(1)));
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -62,7 +62,7 @@
   std::vector<ReleaseAction> releases_;
 };
 
-TEST_F(LargeRecoveryTest, CallsUnderWayAreBoundedAndReadingsDoNotWaitForReleases) {
+TEST_F(LargeRecoveryTest, BoundsCallsInFlight) {
   const RecoveryOptions options;
   EXPECT_EQ(Step(0), std::pair(options.maximum_reading_calls, options.maximum_release_calls));
   EXPECT_EQ(Step(1), std::pair(std::size_t{0}, std::size_t{0})) << "none has been answered";
@@ -76,7 +76,7 @@
   EXPECT_LE(steps, 2);
 }
 
-TEST_F(LargeRecoveryTest, AllIsReleasedInTheEnd) {
+TEST_F(LargeRecoveryTest, ReleasesEveryLog) {
   std::size_t released = 0;
   for (int step = 0; step < 200; ++step) {
     released += Step(step).second;
--- a/tests/leader/lease_table_test.cc
+++ b/tests/leader/lease_table_test.cc
@@ -16,7 +16,7 @@
   LeaseTable leases{seconds(3)};
 };
 
-TEST_F(LeaseTableTest, UnknownLeasesLastOneFullLeaseFromTheStart) {
+TEST_F(LeaseTableTest, UnknownLeasesLastOneFullLease) {
   EXPECT_GE(leases.FindLeaseEnd(kNode), kStart + seconds(3));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
   leases.RecordConfirmation(kNode, ConfigurationVersion(4));
@@ -25,7 +25,7 @@
   EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt) << "registered since";
 }
 
-TEST_F(LeaseTableTest, GiverCountsNoLessThanTheHolder) {
+TEST_F(LeaseTableTest, LeaseEndsNoEarlierThanAtHolder) {
   const TimePoint arrival = kStart + seconds(10);
   leases.RecordGrant(kNode, ConfigurationVersion(1), arrival);
   EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
@@ -34,7 +34,7 @@
 }
 
 // A gateway that goes on asking but whose answers are lost must not hold up a version for ever.
-TEST_F(LeaseTableTest, RenewalsWithTheNewVersionDoNotProlongTheOldOne) {
+TEST_F(LeaseTableTest, RenewalDoesNotProlongOldVersion) {
   const TimePoint first = kStart + seconds(10);
   leases.RecordGrant(kNode, ConfigurationVersion(1), first);
   for (int second = 1; second <= 5; ++second) {
--- a/tests/leader/log_assembly_test.cc
+++ b/tests/leader/log_assembly_test.cc
@@ -13,9 +13,9 @@
 using ::testing::HasSubstr;
 
 /// A dead queue node whose head is segment 3 of the log {2, 3}, epoch 2, on three backups.
-class AssemblyTest : public testing::Test {
+class LogAssemblyTest : public testing::Test {
  protected:
-  AssemblyTest() {
+  LogAssemblyTest() {
     node = control.Register(proto::ROLE_QUEUE, "dead", 1);
     for (const char* machine : {"s1", "s2", "s3", "s4"}) {
       backups.push_back(control.Register(proto::ROLE_BACKUP, machine, 2));
@@ -37,7 +37,7 @@
   StoredSegments answers;
 };
 
-TEST_F(AssemblyTest, WaitsForTheCommittedHeadAndNamesItsBackups) {
+TEST_F(LogAssemblyTest, MissingHeadNamesItsBackups) {
   Put(0, Stored(2, 10, 5, true, {2}));
   Put(1, Stored(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
   Put(3, Stored(3, 99, 2, false, {2, 3}));  // Not in the committed set.
@@ -45,7 +45,7 @@
   EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 under epoch 2, kept by s1")));
 }
 
-TEST_F(AssemblyTest, LongestCurrentCopyOfTheHeadAndAnyClosedCopyOfTheRest) {
+TEST_F(LogAssemblyTest, UsesLongestCurrentHeadAndClosedReplicas) {
   Put(0, Stored(3, 40, 2, false, {2, 3}));
   Put(1, Stored(3, 50, 2, false, {2, 3}));
   Put(2, Stored(3, 99, 1, false, {2, 3}));
@@ -60,14 +60,14 @@
   EXPECT_THAT(log.segments[1].backups, ElementsAre(backups[1], backups[3]));
 }
 
-TEST_F(AssemblyTest, SegmentsOfTheDigestAreNotMissedSilently) {
+TEST_F(LogAssemblyTest, ReportsMissingSegmentsOfDigest) {
   Put(0, Stored(3, 40, 2, false, {1, 2, 3}));
   Put(1, Stored(1, 10, 1, false, {1}));  // Neither closed nor the segment before the head.
   Put(3, Stored(2, 10, 5, false, {2}));  // Never in the committed set.
   EXPECT_THAT(Assemble().missing, ElementsAre(HasSubstr("segment 1"), HasSubstr("segment 2")));
 }
 
-TEST_F(AssemblyTest, SegmentBeforeTheHeadCountsUnclosedUnderItsCommittedEpoch) {
+TEST_F(LogAssemblyTest, UsesUnclosedSegmentBeforeTheHead) {
   Put(0, Stored(3, 40, 2, false, {2, 3}));
   Put(1, Stored(2, 10, 5, false, {2}));
   Put(2, Stored(2, 12, 4, false, {2}));
@@ -76,7 +76,7 @@
   EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[1]));
 }
 
-TEST_F(AssemblyTest, RestartedBackupIsKnownByItsDisk) {
+TEST_F(LogAssemblyTest, RecognisesRestartedBackupByDisk) {
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 77);
   *answers[restarted].add_segments() = Stored(3, 40, 2, false, {3});
   EXPECT_TRUE(Assemble().complete());
--- a/tests/leader/partition_placement_test.cc
+++ b/tests/leader/partition_placement_test.cc
@@ -22,7 +22,7 @@
   NodeId dead, first, second;
 };
 
-TEST_F(PartitionPlacementTest, DoubtfulAndRetiringNodesGetPartitionsOnlyIfThereIsNoOther) {
+TEST_F(PartitionPlacementTest, AvoidsUnresponsiveAndRetiringNodes) {
   const std::vector<PartitionId> two{PartitionId(0), PartitionId(1)};
   const NodeId silent = dead;
   EXPECT_FALSE(PlacePartitions(two, control.state, {silent}).contains(silent));
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -13,9 +13,9 @@
 using ::testing::IsEmpty;
 
 /// Backups and queue nodes that answer at once; what is proposed is applied at once.
-class RecoveryTest : public testing::Test {
+class RecoveryManagerTest : public testing::Test {
  protected:
-  RecoveryTest() {
+  RecoveryManagerTest() {
     dead = control.Register(proto::ROLE_QUEUE, "dead", 1);
     first = control.Register(proto::ROLE_QUEUE, "q1", 2);
     second = control.Register(proto::ROLE_QUEUE, "q2", 3);
@@ -84,7 +84,7 @@
   std::vector<proto::RecoverPartitionsRequest> replays;
 };
 
-TEST_F(RecoveryTest, SpreadsOverTheLiveAndReleases) {
+TEST_F(RecoveryManagerTest, SpreadsReplaysAndReleasesLog) {
   control.DeclareDead(dead);
   Step(6);
   EXPECT_TRUE(IsOver());
@@ -93,7 +93,7 @@
   EXPECT_THAT(disks[backup], IsEmpty());
 }
 
-TEST_F(RecoveryTest, WaitsInWordsUntilTheHeadIsFound) {
+TEST_F(RecoveryManagerTest, DescribesMissingHeadUntilItsBackupReturns) {
   unreachable.insert(backup);
   control.DeclareDead(dead);
   Step(20);
@@ -108,7 +108,7 @@
   EXPECT_TRUE(IsOver());
 }
 
-TEST_F(RecoveryTest, DeadAssigneeIsReplaced) {
+TEST_F(RecoveryManagerTest, ReassignsReplayOfDeadNode) {
   stuck = {first, second};
   control.DeclareDead(dead);
   Step(3);
@@ -121,7 +121,7 @@
   EXPECT_EQ(Owned(second), 4U);
 }
 
-TEST_F(RecoveryTest, GoesOnWithoutQueueNodesOnceOneComes) {
+TEST_F(RecoveryManagerTest, ResumesOnceAQueueNodeRegisters) {
   control.DeclareDead(dead);
   control.DeclareDead(first);
   control.DeclareDead(second);
@@ -132,7 +132,7 @@
   EXPECT_EQ(Owned(third), 4U);
 }
 
-TEST_F(RecoveryTest, ReleaseWaitsForEveryLiveBackup) {
+TEST_F(RecoveryManagerTest, ReleaseWaitsForEveryLiveBackup) {
   unreachable.insert(spare);
   control.DeclareDead(dead);
   Step(8);
@@ -145,9 +145,9 @@
 }
 
 // A new leader knows only what is replicated, whichever phase it finds.
-class LeaderChangeTest : public RecoveryTest, public testing::WithParamInterface<int> {};
+class LeaderChangeTest : public RecoveryManagerTest, public testing::WithParamInterface<int> {};
 
-TEST_P(LeaderChangeTest, RecoveryGoesOn) {
+TEST_P(LeaderChangeTest, RecoveryContinues) {
   stuck = {first, second};
   control.DeclareDead(dead);
   for (int step = 0; step < 10; ++step) {
@@ -166,7 +166,7 @@
 INSTANTIATE_TEST_SUITE_P(AtAnyStep, LeaderChangeTest, testing::Range(0, 7));
 
 // The replaying node dies too, owning one of the dead node's partitions by then.
-TEST_F(RecoveryTest, SeveralRecoveriesAtOnce) {
+TEST_F(RecoveryManagerTest, RecoversReplayingNodeThatDies) {
   control.CommitHead(first, 1, 1, {spare});
   Store(spare, first);
   stuck = {first, second};
@@ -182,7 +182,7 @@
 }
 
 // Each dead node had one partition: the first to be told would have replayed them all.
-TEST_F(RecoveryTest, LogsThatAreCompleteAtTheSameTimeGoToDifferentNodes) {
+TEST_F(RecoveryManagerTest, SimultaneousReplaysGoToDifferentNodes) {
   ControlDriver fleet;
   std::vector<NodeId> owners;
   const NodeId keeper = fleet.Register(proto::ROLE_BACKUP, "s1", 1);
--- a/tests/leader/unreachable_nodes_test.cc
+++ b/tests/leader/unreachable_nodes_test.cc
@@ -29,7 +29,7 @@
   TimePoint now_{seconds(100)};
 };
 
-TEST_F(UnreachableNodesTest, EveryNodeIsToldOnceWhenAMemberBeginsToLead) {
+TEST_F(UnreachableNodesTest, NotifiesEveryNodeOnceAfterReset) {
   EXPECT_THAT(Due(), SizeIs(2));
   now_ += seconds(2);
   EXPECT_THAT(Due(), IsEmpty());
@@ -37,7 +37,7 @@
   EXPECT_THAT(Due(), SizeIs(2));
 }
 
-TEST_F(UnreachableNodesTest, ASilentNodeIsToldAgainAndAgainAlsoOnceItIsDead) {
+TEST_F(UnreachableNodesTest, RepeatsForUnresponsiveAndDeadNodes) {
   Due();
   now_ += seconds(2);
   EXPECT_THAT(Due({gateway_}), SizeIs(1));
@@ -47,7 +47,7 @@
   EXPECT_THAT(Due(), SizeIs(1));
 }
 
-TEST_F(UnreachableNodesTest, OneThatStaysAwayIsGivenUp) {
+TEST_F(UnreachableNodesTest, GivesUpOnLongAbsentNodes) {
   Due();
   control_.DeclareDead(gateway_);
   now_ += seconds(61);
