--- a/tests/control_state/configuration_store_test.cc
+++ b/tests/control_state/configuration_store_test.cc
@@ -146,7 +146,6 @@
   EXPECT_TRUE(store.UpdateFrom(ConfigurationVersion(3)).has_full());
 }
 
-// Whatever version a node holds, the update brings it to the current configuration.
 TEST(ConfigurationStoreTest, UpdateFromAnyVersionMatchesFull) {
   std::mt19937_64 random(7);
   ConfigurationStore store;
--- a/tests/control_state/control_commands.h
+++ b/tests/control_state/control_commands.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Short ways to apply control commands in tests.
+/// Helpers to build and apply control commands in tests.
 
 #include <string>
 #include <vector>
@@ -26,7 +26,8 @@
     return static_cast<StatusCode>(result.error_code());
   }
 
-  /// Registers a life of `role` on `machine`; host and disk are the machine's.
+  /// Registers an incarnation of `role` on `machine`; endpoint and disk are named after the
+  /// machine.
   NodeId Register(proto::Role role, const std::string& machine, std::uint64_t incarnation,
                   NodeId previous = {}, const std::string& host = "") {
     proto::ControlCommand command;
--- a/tests/control_state/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -10,14 +10,20 @@
 namespace cloverbank {
 namespace {
 
-TEST(ControlStateTest, RestartSupersedesEarlierIncarnation) {
+TEST(ControlStateTest, RepeatedRegistrationKeepsNodeId) {
   ControlDriver control;
   const NodeId first = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11), first);
+  const NodeId second = control.Register(proto::ROLE_QUEUE, "store-1", 11, first);
+  EXPECT_NE(second, first) << "the node gave its first id up";
+  EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11, first), second);
+}
+
+TEST(ControlStateTest, RestartSupersedesEarlierIncarnation) {
+  ControlDriver control;
+  const NodeId first = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   const NodeId other_role = control.Register(proto::ROLE_BACKUP, "store-1", 12);
   const NodeId abandoned = control.Register(proto::ROLE_QUEUE, "store-1", 11, first);
-  EXPECT_NE(abandoned, first);
-  EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11, first), abandoned);
   const NodeId restarted = control.Register(proto::ROLE_QUEUE, "store-1", 13);
   const ServerRegistry& servers = control.state.servers();
   EXPECT_FALSE(IsLive(*servers.Find(first)));
@@ -69,8 +75,15 @@
   EXPECT_EQ(control.CommitHead(node, 2, 1, {backup}), StatusCode::kOk);
   EXPECT_EQ(control.CommitHead(node, 1, 4, {backup}), StatusCode::kStaleEpoch);
   EXPECT_EQ(control.state.partitions().heads().at(node).previous->epoch(), 3U);
+}
+
+TEST(ControlStateTest, FencesHeadOfDeadNode) {
+  ControlDriver control;
+  const NodeId node = control.Register(proto::ROLE_QUEUE, "store-1", 11);
+  const NodeId backup = control.Register(proto::ROLE_BACKUP, "store-1", 12);
+  EXPECT_EQ(control.CommitHead(node, 1, 1, {backup}), StatusCode::kOk);
   control.DeclareDead(node);
-  EXPECT_EQ(control.CommitHead(node, 3, 1, {backup}), StatusCode::kFenced);
+  EXPECT_EQ(control.CommitHead(node, 2, 1, {backup}), StatusCode::kFenced);
 }
 
 TEST(ControlStateTest, DeadNodeWithoutHeadFreesPartitions) {
@@ -84,7 +97,8 @@
   EXPECT_EQ(control.Assign(node, {0}), StatusCode::kFenced);
 }
 
-// B dies while it replays partition 0 of A: the partition still is in A's log, B's own one in B's.
+// B dies while it replays partition 0 of A, which is still recovered from A's log; partitions that
+// B owned are recovered from B's.
 TEST(ControlStateTest, ReplayingNodeDiesDuringRecovery) {
   ControlDriver control;
   const NodeId a = control.Register(proto::ROLE_QUEUE, "a", 1);
@@ -130,7 +144,7 @@
   EXPECT_EQ(restored.state.servers().Find(next)->state(), proto::SERVER_STATE_UP);
 }
 
-/// What a node that follows fleet updates holds.
+/// A node that applies fleet updates.
 struct Follower {
   std::uint64_t version = 0;
   std::map<std::uint64_t, std::string> servers;
@@ -154,14 +168,14 @@
   }
 };
 
-/// Random commands on two members, one of which is rebuilt from a snapshot now and then.
+/// Random commands on two members, one of which is restored from a snapshot periodically.
 class RandomCommands {
  public:
   explicit RandomCommands(std::uint64_t seed) : random_(seed) {}
 
   void Run() {
     for (int step = 0; step < 400; ++step) {
-      const proto::ControlCommand command = Draw();
+      const proto::ControlCommand command = RandomCommand();
       const auto before = Ownership();
       const std::string result = control_.Apply(command).SerializeAsString();
       ASSERT_EQ(twin_.Apply(command).SerializeAsString(), result);
@@ -180,7 +194,7 @@
   std::uint64_t Below(std::uint64_t bound) { return random_() % bound; }
   NodeId AnyNode() { return NodeId(1 + Below(control_.state.servers().next_node_id().value())); }
 
-  proto::ControlCommand Draw() {
+  proto::ControlCommand RandomCommand() {
     proto::ControlCommand command;
     const std::uint64_t partition = Below(4);
     const std::uint64_t kind = Below(10);
@@ -221,16 +235,20 @@
     return recoveries.empty() ? AnyNode() : recoveries.begin()->first;
   }
 
-  /// Owner and log of each partition.
-  std::vector<std::pair<NodeId, NodeId>> Ownership() const {
-    std::vector<std::pair<NodeId, NodeId>> ownership;
+  struct PartitionSource {
+    NodeId owner;
+    NodeId log;  ///< The dead node whose log it is being recovered from.
+    bool operator==(const PartitionSource&) const = default;
+  };
+  std::vector<PartitionSource> Ownership() const {
+    std::vector<PartitionSource> ownership;
     for (const auto& [id, partition] : control_.state.partitions().partitions()) {
-      ownership.emplace_back(partition.owner(), partition.recovering_from());
+      ownership.push_back({NodeId(partition.owner()), NodeId(partition.recovering_from())});
     }
     return ownership;
   }
 
-  void CheckInvariants(const std::vector<std::pair<NodeId, NodeId>>& before,
+  void CheckInvariants(const std::vector<PartitionSource>& before,
                        const proto::ControlCommand& command) {
     const PartitionTable& table = control_.state.partitions();
     const auto after = Ownership();
@@ -243,7 +261,7 @@
       if (log.valid()) {
         ASSERT_TRUE(table.recoveries().contains(log) && table.heads().contains(log));
       }
-      if (before[id].second.valid() && before[id] != after[id]) {
+      if (before[id].log.valid() && before[id] != after[id]) {
         ASSERT_TRUE(command.has_finish_assignment()) << "data left in a dead node's log";
       }
     }
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -1,4 +1,4 @@
-// Configurations that operators number themselves, with HTTP routes and documents.
+// Configurations with operators' labels, HTTP routes and documents.
 #include <gtest/gtest.h>
 
 #include "control_client/configuration_watch.h"
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// A whole configuration: one back end and a route for each prefix.
+/// A transaction that replaces the configuration by one back end and a route for each prefix.
 proto::ConfigurationTransaction FullConfiguration(const std::string& operation_id,
                                                   std::uint64_t base, std::uint64_t label,
                                                   const std::vector<std::string>& prefixes) {
@@ -62,7 +62,7 @@
   EXPECT_EQ(restored.state.configuration().label(), 8U);
 }
 
-/// Asks after the order "patch", which brings label 9 on top of 5.
+/// Asks for the outcome of operation "patch", which sets label 9 on top of 5.
 proto::ConfigurationTransaction InquiryAfterPatch() {
   proto::ConfigurationTransaction inquiry;
   inquiry.set_operation_id("patch");
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -1,7 +1,7 @@
-// Random faults: nodes and coordinators freeze, die, are cut off, the leader changes, operators
-// race. Checked throughout: nobody holds a valid lease under a dead id, and when a transaction is
-// acknowledged no gateway with a valid lease is behind it. Checked at the end: everything
-// recovered.
+// Random faults: nodes and coordinators freeze, lose power or are partitioned, the leader changes,
+// operators race. Safety, checked throughout: no node has a valid lease under a dead id, and when a
+// transaction is acknowledged no gateway with a valid lease uses an older version. Liveness,
+// checked at the end: everything has recovered.
 #include <gtest/gtest.h>
 
 #include <set>
--- a/tests/coordinator/coordinator_fixture.h
+++ b/tests/coordinator/coordinator_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Three coordinators over a log that the test steers, and nodes, in the simulated world.
+/// Three coordinators over a log that the test controls, and nodes, in the simulated world.
 
 #include <gtest/gtest.h>
 
@@ -63,7 +63,7 @@
     return machine;
   }
 
-  /// Takes the process out of `running` when it ends.
+  /// Removes the process from `running` when it ends.
   template <typename Program>
   static std::shared_ptr<void> Watch(std::shared_ptr<Program> program,
                                      std::map<std::string, Program*>* running, std::string name) {
--- a/tests/coordinator/coordinator_service_test.cc
+++ b/tests/coordinator/coordinator_service_test.cc
@@ -1,4 +1,4 @@
-// The coordinator service in the simulated world, over a log that a test steers.
+// The coordinator service in the simulated world, over a log that the test controls.
 #include "coordinator/coordinator_service.h"
 
 #include <gmock/gmock.h>
@@ -19,6 +19,9 @@
   const auto refused = Submit(Change("a"), 1);
   EXPECT_EQ(refused.status().code(), StatusCode::kNotLeader);
   EXPECT_EQ(refused.status().detail(), coordinators[0].ToString());
+}
+
+TEST_F(CoordinatorServiceTest, LeaderWithoutLeaseRefuses) {
   group.lease = false;
   EXPECT_EQ(Submit(Change("a")).status().code(), StatusCode::kNotLeader);
 }
@@ -133,14 +136,14 @@
   world.RunFor(seconds(1));
   proto::HeartbeatRequest heartbeat;
   heartbeat.set_node_id(999);
-  const auto beat = [&] {
+  const auto send_heartbeat = [&] {
     return Call<proto::HeartbeatResponse>(coordinators[0], "coordinator.Heartbeat", heartbeat)
         .status()
         .code();
   };
-  EXPECT_EQ(beat(), StatusCode::kFenced);
+  EXPECT_EQ(send_heartbeat(), StatusCode::kFenced);
   heartbeat.set_node_id(nodes["q1"]->node_id);
-  EXPECT_EQ(beat(), StatusCode::kFenced) << "another incarnation";
+  EXPECT_EQ(send_heartbeat(), StatusCode::kFenced) << "another incarnation";
 }
 
 TEST_F(CoordinatorServiceTest, FrozenNodeDiesAfterLeaseAndIsFenced) {
@@ -160,7 +163,7 @@
   EXPECT_NE(nodes["q1"]->node_id, id);
 }
 
-// Its heartbeat comes between the proposal of its death and the commit.
+// Its heartbeat arrives between the proposal of its death and the commit.
 TEST_F(CoordinatorServiceTest, NodeWithPendingDeathGetsNoLease) {
   SimulatedMachine& machine = Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
@@ -247,19 +250,25 @@
   EXPECT_FALSE(disks["b2"].segments.contains(dead));
 }
 
-TEST_F(CoordinatorServiceTest, RetiredStoreHandsOverPartitions) {
-  Add(proto::ROLE_QUEUE, "q1");
+TEST_F(CoordinatorServiceTest, RetiringUnknownMachineIsNotFound) {
   Add(proto::ROLE_BACKUP, "b1");
   world.RunFor(seconds(3));
-  CommitHead("q1", "b1");
-  Add(proto::ROLE_QUEUE, "q2");
-  world.RunFor(seconds(1));
   proto::RetireServerRequest request;
   request.set_machine("nobody");
   EXPECT_EQ(Call<proto::RetireServerResponse>(coordinators[0], "coordinator.RetireServer", request)
                 .status()
                 .code(),
             StatusCode::kNotFound);
+}
+
+TEST_F(CoordinatorServiceTest, RetiredStoreHandsOverPartitions) {
+  Add(proto::ROLE_QUEUE, "q1");
+  Add(proto::ROLE_BACKUP, "b1");
+  world.RunFor(seconds(3));
+  CommitHead("q1", "b1");
+  Add(proto::ROLE_QUEUE, "q2");
+  world.RunFor(seconds(1));
+  proto::RetireServerRequest request;
   request.set_machine("q1");
   const auto retired =
       Call<proto::RetireServerResponse>(coordinators[0], "coordinator.RetireServer", request);
--- a/tests/coordinator/fake_group.h
+++ b/tests/coordinator/fake_group.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A replicated log without consensus: the test names the leader, and a command is committed, and
-/// applied at every member, a moment after it was proposed to the leader.
+/// A replicated log without consensus: the test names the leader, and a command is committed and
+/// applied at every member `commit_delay` after it was proposed to the leader.
 
 #include <algorithm>
 #include <string>
@@ -20,7 +20,7 @@
   std::vector<FakeLog*> logs;
   FakeLog* leader = nullptr;
   std::uint64_t term = 1;
-  bool lease = true;  ///< Whether the leader has heard a majority of late.
+  bool lease = true;  ///< Whether the leader has its leader lease.
   Duration commit_delay = milliseconds(3);
 };
 
--- a/tests/coordinator/test_node.h
+++ b/tests/coordinator/test_node.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A node as the coordinators see one: registers, heartbeats, keeps its lease and confirms
-/// versions; and the answers of a backup and of a queue node.
+/// A node as the coordinators see it: registers, sends heartbeats, has a lease and confirms
+/// versions. Answers the coordinators' calls to backups and queue nodes.
 
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace cloverbank {
 
-/// What outlives a process: the backup's disk.
+/// A backup's disk, which outlives its process.
 struct TestDisk {
   std::string id;
   std::map<std::uint64_t, std::vector<proto::StoredSegment>> segments;  // By owner.
@@ -48,9 +48,9 @@
   TimePoint old_lease_end;  ///< Of the last lease taken under an earlier configuration.
   std::uint64_t configuration_version = 0;
   std::uint64_t fleet_version = 0;
-  std::vector<proto::Endpoint> list_sources;  ///< Of a gateway, as last told.
+  std::vector<proto::Endpoint> list_sources;  ///< Of a gateway, from the last heartbeat.
   std::vector<proto::Endpoint> remote_list_sources;
-  bool confirms = true;  ///< Whether heartbeats tell the newest version held.
+  bool confirms = true;  ///< Whether heartbeats report the newest version.
   bool finishes = true;  ///< Queue nodes: whether replays get done.
   int fenced = 0;        ///< How often the id was refused as dead.
 
--- a/tests/leader/failure_detector_test.cc
+++ b/tests/leader/failure_detector_test.cc
@@ -30,13 +30,22 @@
   EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(4)));
 }
 
-TEST_F(FailureDetectorTest, HeartbeatClearsSuspicion) {
+TEST_F(FailureDetectorTest, SuspicionShortensTheTimeout) {
   FailureDetector patient{seconds(9)};
   patient.Start(kStart);
   const TimePoint heard = kStart + seconds(10);
   patient.RecordHeartbeat(kNode, heard);
   patient.RecordSuspicion(kNode, heard + seconds(1));
-  EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(5))) << "it was heard of just before";
+  EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(5))) << "too soon after a heartbeat";
+  patient.RecordSuspicion(kNode, heard + seconds(2));
+  EXPECT_TRUE(patient.IsDead(kNode, leases, heard + seconds(5)));
+}
+
+TEST_F(FailureDetectorTest, HeartbeatClearsSuspicion) {
+  FailureDetector patient{seconds(9)};
+  patient.Start(kStart);
+  const TimePoint heard = kStart + seconds(10);
+  patient.RecordHeartbeat(kNode, heard);
   patient.RecordSuspicion(kNode, heard + seconds(2));
   EXPECT_TRUE(patient.IsDead(kNode, leases, heard + seconds(5)));
   patient.RecordHeartbeat(kNode, heard + seconds(5));
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -1,4 +1,4 @@
-// Recoveries after a loss of every queue node of a large fleet.
+// Recoveries after every queue node of a large fleet has failed.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -31,16 +31,20 @@
       fleet_.DeclareDead(node);
     }
   }
-  /// @return the readings and releases to be called now.
-  std::pair<std::size_t, std::size_t> Step(int step) {
-    std::pair<std::size_t, std::size_t> counts;
+  /// Calls to backups that a step asks for.
+  struct CallCounts {
+    std::size_t readings = 0;
+    std::size_t releases = 0;
+  };
+  CallCounts Step(int step) {
+    CallCounts counts;
     const TimePoint now = TimePoint(seconds(100)) + step * milliseconds(50);
     for (const RecoveryAction& action : manager_.Step(fleet_.state, {now, false, {}})) {
       if (const auto* reading = std::get_if<StartReadingAction>(&action)) {
-        ++counts.first;
+        ++counts.readings;
         readings_.push_back(*reading);
       } else if (const auto* release = std::get_if<ReleaseAction>(&action)) {
-        ++counts.second;
+        ++counts.releases;
         releases_.push_back(*release);
       }
     }
@@ -64,13 +68,20 @@
 
 TEST_F(LargeRecoveryTest, BoundsCallsInFlight) {
   const RecoveryOptions options;
-  EXPECT_EQ(Step(0), std::pair(options.maximum_reading_calls, options.maximum_release_calls));
-  EXPECT_EQ(Step(1), std::pair(std::size_t{0}, std::size_t{0})) << "none has been answered";
-  std::size_t readings = options.maximum_reading_calls;
+  const CallCounts first = Step(0);
+  EXPECT_EQ(first.readings, options.maximum_reading_calls);
+  EXPECT_EQ(first.releases, options.maximum_release_calls);
+  const CallCounts second = Step(1);
+  EXPECT_EQ(second.readings, 0U) << "none has been answered";
+  EXPECT_EQ(second.releases, 0U) << "none has been answered";
+}
+
+TEST_F(LargeRecoveryTest, ReadingsDoNotWaitForReleases) {
+  std::size_t readings = Step(0).readings;
   int steps = 1;
   for (; readings < kOwners * kNodes && steps < 10; ++steps) {
     AnswerAll();
-    readings += Step(steps + 1).first;
+    readings += Step(steps).readings;
   }
   EXPECT_EQ(readings, kOwners * kNodes);
   EXPECT_LE(steps, 2);
@@ -79,7 +90,7 @@
 TEST_F(LargeRecoveryTest, ReleasesEveryLog) {
   std::size_t released = 0;
   for (int step = 0; step < 200; ++step) {
-    released += Step(step).second;
+    released += Step(step).releases;
     AnswerAll();
   }
   EXPECT_EQ(released, (kNodes - kOwners) * kNodes);
--- a/tests/leader/lease_table_test.cc
+++ b/tests/leader/lease_table_test.cc
@@ -33,7 +33,7 @@
   EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
 }
 
-// A gateway that goes on asking but whose answers are lost must not hold up a version for ever.
+// A gateway that sends requests but receives no replies must not block a version forever.
 TEST_F(LeaseTableTest, RenewalDoesNotProlongOldVersion) {
   const TimePoint first = kStart + seconds(10);
   leases.RecordGrant(kNode, ConfigurationVersion(1), first);
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -12,7 +12,7 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-/// Backups and queue nodes that answer at once; what is proposed is applied at once.
+/// Backups and queue nodes that answer at once, and proposals that are applied at once.
 class RecoveryManagerTest : public testing::Test {
  protected:
   RecoveryManagerTest() {
@@ -144,7 +144,7 @@
   EXPECT_TRUE(IsOver());
 }
 
-// A new leader knows only what is replicated, whichever phase it finds.
+// A new leader knows only the replicated state, in any phase.
 class LeaderChangeTest : public RecoveryManagerTest, public testing::WithParamInterface<int> {};
 
 TEST_P(LeaderChangeTest, RecoveryContinues) {
@@ -181,7 +181,7 @@
   EXPECT_EQ(Owned(second), 4U);
 }
 
-// Each dead node had one partition: the first to be told would have replayed them all.
+// Each dead node had one partition, and no replay shows in the state when the others are placed.
 TEST_F(RecoveryManagerTest, SimultaneousReplaysGoToDifferentNodes) {
   ControlDriver fleet;
   std::vector<NodeId> owners;
--- a/tests/leader/unreachable_nodes_test.cc
+++ b/tests/leader/unreachable_nodes_test.cc
@@ -1,4 +1,3 @@
-// Which nodes the leader tells where the coordinators are.
 #include "leader/unreachable_nodes.h"
 
 #include <gmock/gmock.h>
