--- a/src/control_state/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -22,7 +22,7 @@
   return "nothing";
 }
 
-ConfigurationObjectKey KeyOf(const proto::ConfigurationChange& change) {
+ConfigurationObjectKey ObjectKeyFor(const proto::ConfigurationChange& change) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
       return {ConfigurationObjectKind::kRoute, change.set_route().name()};
@@ -54,7 +54,7 @@
 
 namespace {
 
-/// Tag and length of an object inside the whole; a longer length only makes the whole longer.
+/// Tag and length of an object in the serialized configuration, at least.
 constexpr std::size_t kFramingBytes = 2;
 
 }  // namespace
--- a/src/control_state/operation_records.h
+++ b/src/control_state/operation_records.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The answers given to operations, kept so that a resent transaction gets its first answer again.
-/// Part of `ControlState`; deterministic. Bounded: beyond `kRecordsKept` records, or
-/// `kRecordBytesKept` bytes of them, the oldest are forgotten; a resend after that is a new
-/// transaction, which its expected version refuses if the first one was applied.
+/// Results of operations, kept so that a resent transaction returns its first result (exactly-once
+/// semantics). Part of `ControlState`; deterministic. Bounded: beyond `kMaximumRecords` records or
+/// `kMaximumRecordBytes` bytes the oldest are dropped. A resend after that is a new transaction,
+/// which its expected version refuses if the first one was applied.
 
 #include <cstdint>
 #include <deque>
@@ -17,14 +17,14 @@
 
 class OperationRecords {
  public:
-  static constexpr std::size_t kRecordsKept = 10'000;
-  static constexpr std::size_t kRecordBytesKept = 32U << 20U;
+  static constexpr std::size_t kMaximumRecords = 10'000;
+  static constexpr std::size_t kMaximumRecordBytes = 32U << 20U;
 
   /// @return the record of the operation, or nullptr.
   const proto::OperationRecord* Find(const std::string& operation_id) const;
-  /// Adds the answer to a new operation.
+  /// Adds the result of a new operation.
   void Add(proto::OperationRecord record);
-  /// Notes the time at which the versions up to `version` were in force in their records.
+  /// Sets the time at which versions up to `version` came into force in their records.
   void RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
   std::size_t size() const { return order_.size(); }
 
@@ -32,7 +32,7 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
-  struct Awaited {
+  struct PendingInForce {
     ConfigurationVersion version;
     std::string operation_id;
   };
@@ -40,8 +40,8 @@
   void Trim();
 
   std::unordered_map<std::string, proto::OperationRecord> records_;
-  std::deque<std::string> order_;  // Oldest first.
-  std::deque<Awaited> awaited_;    // Applied, not yet in force; by rising version.
+  std::deque<std::string> order_;                // Oldest first.
+  std::deque<PendingInForce> pending_in_force_;  // Applied, not yet in force; by rising version.
   std::size_t bytes_ = 0;
 };
 
--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Looks from time to time at what each backup keeps. Segments of dead nodes whose recovery is
-/// over, left by a backup that was away when they were released, are released then; and the number
-/// of replicas on a backup that is being retired tells when it is empty. Pure.
+/// Schedules sweeps: periodic listings of the segment replicas on each backup. A sweep finds
+/// segments of dead nodes whose recovery has finished, which a backup keeps that was unreachable
+/// when they were released; and it counts the replicas left on a backup that is being retired.
+/// Pure.
 
 #include <cstdint>
 #include <map>
@@ -17,43 +18,46 @@
 
 namespace cloverbank {
 
-/// @return the dead nodes among the owners of `replicas` whose segments nobody needs: not live, not
-/// being recovered, and registered by this group (ids are given out once).
-std::set<NodeId> FindLeftovers(const proto::ListSegmentsResponse& replicas,
-                               const ControlState& state);
+/// @return the owners of `replicas` whose segments can be released: dead, not being recovered, and
+/// registered by this group. Node ids are never reused.
+std::set<NodeId> FindLeftoverOwners(const proto::ListSegmentsResponse& replicas,
+                                    const ControlState& state);
 
 class BackupSweeper {
  public:
-  /// @param settle how long after the order to retire a backup its list says that it stays empty:
-  /// a node lease, since by then no queue node that may act can still choose it.
+  /// @param interval between sweeps of a backup.
+  /// @param retiring_interval the same while the backup is being retired.
+  /// @param settling_time how long after the retirement began a sweep counts: one node lease, after
+  /// which no queue node with a valid lease can place new replicas on the backup.
   BackupSweeper(Duration interval, Duration retiring_interval, Duration settling_time)
       : interval_(interval), retiring_interval_(retiring_interval), settling_time_(settling_time) {}
 
-  void Reset() { looks_.clear(); }
-  /// @return backups whose list is to be fetched now; report each with `OnListed` or `OnFailed`.
-  std::vector<NodeId> Due(const ControlState& state, TimePoint now);
-  void OnListed(NodeId backup, const proto::ListSegmentsResponse& replicas);
-  void OnFailed(NodeId backup);
-  /// @return replicas on the backup when last looked at; nothing if that is not known yet, or does
-  /// not count yet because the backup has only just been retired.
-  std::optional<std::size_t> ReplicasOn(NodeId backup) const;
+  void Reset() { sweeps_.clear(); }
+  /// @return backups to be listed now. Each is in flight until `HandleReplicaList` or
+  /// `HandleFailure` reports its result.
+  std::vector<NodeId> StartDueSweeps(const ControlState& state, TimePoint now);
+  void HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas);
+  void HandleFailure(NodeId backup);
+  /// @return number of replicas on the backup at its last sweep; none before the first sweep, and
+  /// none for a retiring backup before the first sweep that began after the settling time.
+  std::optional<std::size_t> FindReplicaCount(NodeId backup) const;
 
  private:
-  struct Look {
+  struct Sweep {
     bool in_flight = false;
     TimePoint next;
-    std::optional<TimePoint> retiring_since;  ///< As far as this leader saw it.
-    bool counts = true;                       ///< Whether the look under way began late enough.
+    std::optional<TimePoint> retiring_since;  ///< When this leader saw it first.
+    bool is_settled = true;                   ///< Whether the sweep in flight counts.
     std::optional<std::size_t> replicas;
   };
 
-  /// Marks `look` as in flight from `now` and sets when the next is due.
-  void Start(bool retiring, TimePoint now, Look* look) const;
+  /// Marks `sweep` as in flight from `now` and sets when the next is due.
+  void Start(bool retiring, TimePoint now, Sweep* sweep) const;
 
   Duration interval_;
   Duration retiring_interval_;
   Duration settling_time_;
-  std::map<NodeId, Look> looks_;
+  std::map<NodeId, Sweep> sweeps_;
 };
 
 }  // namespace cloverbank
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -1,4 +1,4 @@
-// Configurations that operators number themselves, with HTTP routes and documents.
+// Configurations with operators' labels, HTTP routes and documents.
 #include <gtest/gtest.h>
 
 #include "control_client/configuration_watch.h"
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// A whole configuration: one back end and a route for each prefix.
+/// A transaction that replaces the configuration by one back end and a route for each prefix.
 proto::ConfigurationTransaction FullConfiguration(const std::string& operation_id,
                                                   std::uint64_t base, std::uint64_t label,
                                                   const std::vector<std::string>& prefixes) {
@@ -32,7 +32,7 @@
   return transaction;
 }
 
-TEST(LabelledConfiguration, RisesInUnevenStepsAndReadsBackAsItWasSent) {
+TEST(LabelledConfigurationTest, LabelsMayRiseInUnevenSteps) {
   ControlDriver control;
   EXPECT_EQ(control.Submit(FullConfiguration("a", 0, 3, {"/x/", "/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
@@ -44,7 +44,7 @@
   EXPECT_EQ(whole.routes_size(), 1);  // What the document does not name is gone.
 }
 
-TEST(LabelledConfiguration, OneOfTwoOnTheSameBaseWinsAndAResendIsAcknowledgedAgain) {
+TEST(LabelledConfigurationTest, ResendOfWinnerIsAcknowledgedAgain) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const auto winner = FullConfiguration("w", 3, 5, {"/x/", "/y/"});
@@ -62,7 +62,7 @@
   EXPECT_EQ(restored.state.configuration().label(), 8U);
 }
 
-/// Asks after the order "patch", which brings label 9 on top of 5.
+/// Asks for the outcome of operation "patch", which sets label 9 on top of 5.
 proto::ConfigurationTransaction InquiryAfterPatch() {
   proto::ConfigurationTransaction inquiry;
   inquiry.set_operation_id("patch");
@@ -72,7 +72,7 @@
   return inquiry;
 }
 
-TEST(LabelledConfiguration, AnInquiryThatItsBaseOvertookRefusesNothing) {
+TEST(LabelledConfigurationTest, InquiryOnCurrentBaseMayBeSent) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
@@ -85,7 +85,7 @@
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
 }
 
-TEST(LabelledConfiguration, AnInquiryThatIsRefusedIsNeverTakenLater) {
+TEST(LabelledConfigurationTest, RefusedInquiryStaysRefused) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
@@ -96,7 +96,7 @@
   EXPECT_EQ(control.state.configuration().label(), 5U);
 }
 
-TEST(LabelledConfiguration, InvalidOnesChangeNothing) {
+TEST(LabelledConfigurationTest, InvalidTransactionsChangeNothing) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   std::vector<proto::ConfigurationTransaction> invalid;
@@ -116,7 +116,7 @@
   EXPECT_EQ(control.state.configuration().label(), 3U);
 }
 
-TEST(LabelledConfiguration, ADrainedZoneStaysDrainedUnderNewConfigurations) {
+TEST(LabelledConfigurationTest, DrainedZoneStaysDrained) {
   ControlDriver control;
   auto first = FullConfiguration("a", 0, 3, {"/x/"});
   proto::Zone& zone = *first.add_changes()->mutable_ensure_zone();
@@ -140,7 +140,7 @@
             proto::ZONE_STATE_DRAINED);
 }
 
-TEST(LabelledConfiguration, ADeltaBringsANodeToWhatTheWholeIs) {
+TEST(LabelledConfigurationTest, DeltaMatchesFullConfiguration) {
   ControlDriver control;
   constexpr int kPrefixes = 30;
   std::vector<std::string> prefixes;
@@ -163,9 +163,9 @@
   EXPECT_EQ(watch.configuration().SerializeAsString(), whole.SerializeAsString());
 }
 
-TEST(LabelledConfiguration, AChangeCostsANodeWhatItChangesHoweverLongTheDocument) {
+TEST(LabelledConfigurationTest, DeltaSizeIsIndependentOfDocument) {
   constexpr std::size_t kDocumentBytes = 100'000;
-  constexpr std::size_t kMostBytes = 200;
+  constexpr std::size_t kMaximumBytes = 200;
   ControlDriver control;
   constexpr int kPrefixes = 300;
   std::vector<std::string> prefixes;
@@ -190,7 +190,7 @@
   prefixes.back() = "/other/";
   control.Submit(with_document(FullConfiguration("b", 3, 9, prefixes)));
   const auto& update = control.state.configuration().UpdateFrom(watch.version());
-  EXPECT_LT(update.ByteSizeLong(), kMostBytes);
+  EXPECT_LT(update.ByteSizeLong(), kMaximumBytes);
   watch.Apply(update);
   EXPECT_EQ(watch.configuration().document().limits().header_bytes(), 99U);
   EXPECT_EQ(watch.configuration().routes_size(), kPrefixes);
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -1,7 +1,7 @@
-// Random faults: nodes and coordinators freeze, die, are cut off, the leader changes, operators
-// race. Checked throughout: nobody holds a valid lease under a dead id, and when a transaction is
-// acknowledged no gateway with a valid lease is behind it. Checked at the end: everything
-// recovered.
+// Random faults: nodes and coordinators freeze, lose power or are partitioned, the leader changes,
+// operators race. Safety, checked throughout: no node has a valid lease under a dead id, and when a
+// transaction is acknowledged no gateway with a valid lease uses an older version. Liveness,
+// checked at the end: everything has recovered.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -202,7 +202,7 @@
   void CheckEnd() {
     const ControlState& state = *Committed();
     EXPECT_TRUE(state.partitions().recoveries().empty());
-    EXPECT_TRUE(state.partitions().Free().empty());
+    EXPECT_TRUE(state.partitions().FindFree().empty());
     EXPECT_EQ(state.configuration().in_force_version(), state.configuration().version());
     for (const auto& [id, partition] : state.partitions().partitions()) {
       EXPECT_NE(state.servers().FindLive(NodeId(partition.owner()), proto::ROLE_QUEUE), nullptr);
@@ -225,7 +225,7 @@
   int operations_ = 0;
 };
 
-TEST(CoordinatorFaults, RandomFaultsBreakNoPromise) {
+TEST(CoordinatorFaultsTest, RandomFaultsKeepInvariants) {
   int acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= 12; ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/leader/unreachable_nodes_test.cc
+++ b/tests/leader/unreachable_nodes_test.cc
@@ -1,4 +1,3 @@
-// Which nodes the leader tells where the coordinators are.
 #include "leader/unreachable_nodes.h"
 
 #include <gmock/gmock.h>
@@ -19,25 +18,25 @@
     queue_ = control_.Register(proto::ROLE_QUEUE, "q1", 1);
   }
   auto Due(const std::set<NodeId>& unresponsive = {}) {
-    return absent_.Due(control_.state, unresponsive, now_);
+    return unreachable_nodes_.StartDueNotifications(control_.state, unresponsive, now_);
   }
 
   ControlDriver control_;
-  UnreachableNodes absent_;
+  UnreachableNodes unreachable_nodes_;
   NodeId gateway_;
   NodeId queue_;
   TimePoint now_{seconds(100)};
 };
 
-TEST_F(UnreachableNodesTest, EveryNodeIsToldOnceWhenAMemberBeginsToLead) {
+TEST_F(UnreachableNodesTest, NotifiesEveryNodeOnceAfterReset) {
   EXPECT_THAT(Due(), SizeIs(2));
   now_ += seconds(2);
   EXPECT_THAT(Due(), IsEmpty());
-  absent_.Reset();
+  unreachable_nodes_.Reset();
   EXPECT_THAT(Due(), SizeIs(2));
 }
 
-TEST_F(UnreachableNodesTest, ASilentNodeIsToldAgainAndAgainAlsoOnceItIsDead) {
+TEST_F(UnreachableNodesTest, RepeatsForUnresponsiveAndDeadNodes) {
   Due();
   now_ += seconds(2);
   EXPECT_THAT(Due({gateway_}), SizeIs(1));
@@ -47,7 +46,7 @@
   EXPECT_THAT(Due(), SizeIs(1));
 }
 
-TEST_F(UnreachableNodesTest, OneThatStaysAwayIsGivenUp) {
+TEST_F(UnreachableNodesTest, GivesUpOnLongAbsentNodes) {
   Due();
   control_.DeclareDead(gateway_);
   now_ += seconds(61);
