--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-proto::RaftConfiguration ConfigurationOf(const RaftDurableState& state) {
+proto::RaftConfiguration SnapshotConfiguration(const RaftDurableState& state) {
   return state.snapshot ? state.snapshot->configuration() : proto::RaftConfiguration();
 }
 
@@ -15,7 +15,7 @@
     : options_(options),
       random_state_(options.random_seed),
       metadata_(std::move(state.metadata)),
-      log_(state.base_index, state.base_term, ConfigurationOf(state)),
+      log_(state.base_index, state.base_term, SnapshotConfiguration(state)),
       snapshot_(std::move(state.snapshot)) {
   for (proto::RaftEntry& entry : state.entries) {
     log_.Append(std::move(entry));
@@ -31,9 +31,9 @@
     return;
   }
   if (!writable_) {
-    WaitUntilWritable(now);
+    TickUnwritable(now);
   } else if (role_ == RaftRole::kLeader) {
-    LeaderTick(now);
+    TickLeader(now);
   } else {
     StartPreVote(now);
   }
@@ -47,9 +47,9 @@
   }
 }
 
-void RaftCore::WaitUntilWritable(TimePoint now) {
+void RaftCore::TickUnwritable(TimePoint now) {
   if (role_ == RaftRole::kLeader && transfer_target_ != 0) {
-    LeaderTick(now);
+    TickLeader(now);
     return;
   }
   BecomeFollower(now, term(), 0);
@@ -62,9 +62,9 @@
     synced_index_ = unsynced_writes_.front().last_index;
     unsynced_writes_.pop_front();
   }
-  while (!waiting_replies_.empty() && waiting_replies_.begin()->first <= persisted_write_) {
-    effects_.replies.push_back(std::move(waiting_replies_.begin()->second));
-    waiting_replies_.erase(waiting_replies_.begin());
+  while (!pending_replies_.empty() && pending_replies_.begin()->first <= persisted_write_) {
+    effects_.replies.push_back(std::move(pending_replies_.begin()->second));
+    pending_replies_.erase(pending_replies_.begin());
   }
   if (snapshot_write_ != 0 && snapshot_write_ <= persisted_write_) {
     snapshot_write_ = 0;
@@ -81,7 +81,7 @@
 
 Result<RaftPosition> RaftCore::Propose(TimePoint now, std::string command) {
   if (role_ == RaftRole::kLeader && now >= next_wakeup_) {
-    LeaderTick(now);  // A leader that was frozen finds out here that it is none any more.
+    TickLeader(now);  // A leader that was frozen finds out here that it is none any more.
   }
   if (role_ != RaftRole::kLeader) {
     Refuse(RaftRefusal::kNotLeader);
@@ -100,7 +100,7 @@
   entry.set_term(term());
   entry.set_command(std::move(command));
   AppendToLog(std::move(entry));
-  SendNewEntries(now);
+  ReplicateToAll(now);
   return RaftPosition{log_.last_index(), term()};
 }
 
@@ -115,7 +115,7 @@
   *snapshot->mutable_configuration() = log_.ConfigurationAt(index);
   snapshot->set_state(std::move(state));
   snapshot_ = std::move(snapshot);
-  RaftWrite& write = NewWrite();
+  RaftWrite& write = AddWrite();
   write.snapshot = snapshot_;
   snapshot_write_ = write.id;
 }
@@ -170,7 +170,7 @@
 }
 
 void RaftCore::RecordLeaderContact(TimePoint now) {
-  promised_until_ = now + options_.minimum_election_timeout;
+  withhold_votes_until_ = now + options_.minimum_election_timeout;
   ResetElectionTimer(now, options_.minimum_election_timeout, options_.maximum_election_timeout);
 }
 
@@ -178,20 +178,20 @@
   next_wakeup_ = now + RandomBetween(minimum, maximum);
 }
 
-RaftWrite& RaftCore::NewWrite() {
+RaftWrite& RaftCore::AddWrite() {
   RaftWrite& write = effects_.writes.emplace_back();
   write.id = ++last_write_;
   return write;
 }
 
 void RaftCore::WriteMetadata() {
-  RaftWrite& write = effects_.writes.empty() ? NewWrite() : effects_.writes.back();
+  RaftWrite& write = effects_.writes.empty() ? AddWrite() : effects_.writes.back();
   write.metadata = metadata_;
   last_metadata_write_ = write.id;
 }
 
 void RaftCore::AppendToLog(proto::RaftEntry entry) {
-  RaftWrite& write = effects_.writes.empty() ? NewWrite() : effects_.writes.back();
+  RaftWrite& write = effects_.writes.empty() ? AddWrite() : effects_.writes.back();
   write.entries.push_back(entry);
   log_.Append(std::move(entry));
   if (unsynced_writes_.empty() || unsynced_writes_.back().id != write.id) {
@@ -204,7 +204,7 @@
   if (after <= persisted_write_) {
     effects_.replies.push_back(std::move(reply));
   } else {
-    waiting_replies_.emplace(after, std::move(reply));
+    pending_replies_.emplace(after, std::move(reply));
   }
 }
 
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -124,13 +124,13 @@
   };
 
   // raft_core.cc: terms, timers, writes.
-  void WaitUntilWritable(TimePoint now);
+  void TickUnwritable(TimePoint now);
   void BecomeFollower(TimePoint now, std::uint64_t new_term, std::uint64_t leader_id);
   void RecordLeaderContact(TimePoint now);
   void ResetElectionTimer(TimePoint now, Duration minimum, Duration maximum);
   void WriteMetadata();
   void AppendToLog(proto::RaftEntry entry);
-  RaftWrite& NewWrite();
+  RaftWrite& AddWrite();
   void Reply(RaftReply reply, RaftWriteId after);
   void Refuse(RaftRefusal reason) { effects_.refusals.push_back(reason); }
   void Fail(std::string_view reason);
@@ -146,7 +146,7 @@
   void CountVote(TimePoint now, std::uint64_t voter_id);
   void SendVoteRequests();
   void BecomeLeader(TimePoint now);
-  bool PromisedToLeader(TimePoint now) const;
+  bool MustWithholdVote(TimePoint now) const;
   bool IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request);
   bool IsUpToDate(const proto::RequestVoteRequest& request) const;
 
@@ -157,7 +157,7 @@
   bool AcceptEntries(const proto::AppendEntriesRequest& request,
                      proto::AppendEntriesResponse& response);
   bool MatchesPrevious(const proto::AppendEntriesRequest& request) const;
-  std::uint64_t RetryHint(const proto::AppendEntriesRequest& request) const;
+  std::uint64_t FindConflictHint(const proto::AppendEntriesRequest& request) const;
   bool StoreEntries(const proto::AppendEntriesRequest& request);
   void TruncateLog(std::uint64_t index);
   /// @return the offset from which the leader should go on.
@@ -167,19 +167,19 @@
   void RewriteLog();
 
   // raft_core_replication.cc
-  void LeaderTick(TimePoint now);
-  void SendTo(TimePoint now, RaftPeer& peer, bool heartbeat);
+  void TickLeader(TimePoint now);
+  void ReplicateTo(TimePoint now, RaftPeer& peer, bool heartbeat);
   void SendEntries(TimePoint now, RaftPeer& peer, bool with_entries);
   void SendSnapshotChunk(TimePoint now, RaftPeer& peer);
-  std::uint64_t NextSequence(TimePoint now, RaftPeer& peer);
-  void SendNewEntries(TimePoint now);
+  std::uint64_t AllocateSequence(TimePoint now, RaftPeer& peer);
+  void ReplicateToAll(TimePoint now);
   /// Goes on with what `member` still lacks; a learner waits for the next heartbeat.
-  void SendMore(TimePoint now, std::uint64_t member);
-  RaftPeer* AnsweringPeer(TimePoint now, std::uint64_t response_term, std::uint64_t follower_id,
-                          std::uint64_t sequence);
-  void BackUp(TimePoint now, RaftPeer& peer, std::uint64_t hint);
+  void ContinueReplication(TimePoint now, std::uint64_t member);
+  RaftPeer* RecordResponse(TimePoint now, std::uint64_t response_term, std::uint64_t follower_id,
+                           std::uint64_t sequence);
+  void DecrementNextIndex(TimePoint now, RaftPeer& peer, std::uint64_t hint);
   void AdvanceCommit(TimePoint now);
-  TimePoint QuorumHeardSince(TimePoint now, bool count_start_of_term) const;
+  TimePoint LastQuorumContact(TimePoint now, bool count_start_of_term) const;
 
   // raft_core_transfer.cc
   void AdvanceTransfer(TimePoint now);
@@ -187,26 +187,26 @@
   // raft_core_membership.cc
   /// @return the voter that was not heard for the longest time, if long enough to give its place to
   /// a member at another address; else 0.
-  std::uint64_t LongestUnresponsive(TimePoint now) const;
+  std::uint64_t FindLongestUnresponsiveVoter(TimePoint now) const;
   /// @return when `peer` was last heard; the start of the term or of its membership if never.
-  TimePoint LastHeardFrom(const RaftPeer& peer) const;
+  TimePoint LastContact(const RaftPeer& peer) const;
   /// Whether `member` is a learner that may be left out: it was silent for as long as a voter may.
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
   /// Whether a learner already takes the place of `voter`: a second one would make the group grow.
-  bool HasLiveSuccessor(TimePoint now, std::uint64_t voter) const;
+  bool HasResponsiveSuccessor(TimePoint now, std::uint64_t voter) const;
   /// @return the configuration without learners that `joining` displaces or that are unresponsive.
-  proto::RaftConfiguration WithoutDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
-                                                    std::uint64_t replaces) const;
+  proto::RaftConfiguration RemoveDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
+                                                   std::uint64_t replaces) const;
   /// @return the member that `joining` is to replace; 0 if none.
   std::uint64_t FindReplacedMember(TimePoint now, const proto::RaftConfiguration& remaining,
                                    const proto::RaftMember& joining, std::uint64_t replaces) const;
   Status CheckReplacement(const proto::RaftConfiguration& remaining, std::uint64_t replaced);
   bool IsFull(const proto::RaftConfiguration& configuration) const;
-  Status MoveMember(TimePoint now, const proto::RaftMember& member);
+  Status UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member);
   void ProposeConfiguration(TimePoint now, const proto::RaftConfiguration& configuration);
   void RebuildPeers(TimePoint now);
   void AdvanceMembership(TimePoint now);
-  std::optional<proto::RaftConfiguration> NextConfiguration(TimePoint now) const;
+  std::optional<proto::RaftConfiguration> ComputeNextConfiguration(TimePoint now) const;
   bool HasActiveMajority(TimePoint now, const proto::RaftConfiguration& configuration) const;
   bool IsActive(TimePoint now, std::uint64_t member_id) const;
   bool IsCaughtUp(TimePoint now, std::uint64_t member_id) const;
@@ -226,7 +226,7 @@
   std::uint64_t synced_index_ = 0;
   /// Writes of the log that are under way, in order.
   std::deque<UnsyncedWrite> unsynced_writes_;
-  std::multimap<RaftWriteId, RaftReply> waiting_replies_;
+  std::multimap<RaftWriteId, RaftReply> pending_replies_;
   /// The own snapshot that is being written, and by which write.
   RaftWriteId snapshot_write_ = 0;
 
@@ -234,7 +234,7 @@
   std::uint64_t leader_id_ = 0;
   std::uint64_t commit_index_ = 0;
   TimePoint next_wakeup_;
-  TimePoint promised_until_;
+  TimePoint withhold_votes_until_;
   bool writable_ = true;
 
   // Candidates.
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -84,14 +84,14 @@
   AppendToLog(std::move(entry));
   term_start_index_ = log_.last_index();
   next_wakeup_ = now;
-  LeaderTick(now);
+  TickLeader(now);
 }
 
-bool RaftCore::PromisedToLeader(TimePoint now) const {
+bool RaftCore::MustWithholdVote(TimePoint now) const {
   if (role_ == RaftRole::kLeader) {
-    return now < QuorumHeardSince(now, true) + options_.minimum_election_timeout;
+    return now < LastQuorumContact(now, true) + options_.minimum_election_timeout;
   }
-  return now < promised_until_;
+  return now < withhold_votes_until_;
 }
 
 bool RaftCore::IsUpToDate(const proto::RequestVoteRequest& request) const {
@@ -106,7 +106,7 @@
     Refuse(RaftRefusal::kVoteStaleTerm);
     return false;
   }
-  if (!request.leadership_transfer() && PromisedToLeader(now)) {
+  if (!request.leadership_transfer() && MustWithholdVote(now)) {
     Refuse(RaftRefusal::kVoteLeaderAlive);
     return false;
   }
@@ -148,9 +148,9 @@
     return;
   }
   const bool counts = response.granted() && response.voter_id() == request.recipient_id();
-  const bool pre_vote_wanted = role_ == RaftRole::kPreCandidate && request.term() == term() + 1;
-  const bool vote_wanted = role_ == RaftRole::kCandidate && request.term() == term();
-  if (counts && (request.pre_vote() ? pre_vote_wanted : vote_wanted)) {
+  const bool pre_vote_pending = role_ == RaftRole::kPreCandidate && request.term() == term() + 1;
+  const bool vote_pending = role_ == RaftRole::kCandidate && request.term() == term();
+  if (counts && (request.pre_vote() ? pre_vote_pending : vote_pending)) {
     CountVote(now, response.voter_id());
   }
 }
@@ -161,7 +161,7 @@
   }
   const Duration lease =
       options_.minimum_election_timeout * (100 - options_.lease_margin_percent) / 100;
-  return now < QuorumHeardSince(now, false) + lease;
+  return now < LastQuorumContact(now, false) + lease;
 }
 
 bool RaftCore::IsReadyLeader() const {
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -35,7 +35,7 @@
 bool RaftCore::AcceptEntries(const proto::AppendEntriesRequest& request,
                              proto::AppendEntriesResponse& response) {
   if (!MatchesPrevious(request)) {
-    response.set_match_index(RetryHint(request));
+    response.set_match_index(FindConflictHint(request));
     return false;
   }
   if (!StoreEntries(request)) {
@@ -59,7 +59,7 @@
   return log_.TermAt(previous) == request.previous_log_term();
 }
 
-std::uint64_t RaftCore::RetryHint(const proto::AppendEntriesRequest& request) const {
+std::uint64_t RaftCore::FindConflictHint(const proto::AppendEntriesRequest& request) const {
   const std::uint64_t previous = request.previous_log_index();
   if (previous > log_.last_index()) {
     return log_.last_index();
@@ -98,10 +98,10 @@
 void RaftCore::TruncateLog(std::uint64_t index) {
   // No write of its own: the entry that follows replaces this one and all after it on the disk too.
   log_.TruncateFrom(index);
-  const std::uint64_t last_kept = index - 1;
-  synced_index_ = std::min(synced_index_, last_kept);
+  const std::uint64_t last_remaining = index - 1;
+  synced_index_ = std::min(synced_index_, last_remaining);
   for (UnsyncedWrite& write : unsynced_writes_) {
-    write.last_index = std::min(write.last_index, last_kept);
+    write.last_index = std::min(write.last_index, last_remaining);
   }
 }
 
@@ -165,7 +165,7 @@
   // Entries committed in the same round lie before the snapshot.
   effects_.committed.clear();
   effects_.restore = snapshot_;
-  NewWrite().snapshot = snapshot_;
+  AddWrite().snapshot = snapshot_;
   RewriteLog();
 }
 
@@ -187,7 +187,7 @@
 }
 
 void RaftCore::RewriteLog() {
-  RaftWrite& write = NewWrite();
+  RaftWrite& write = AddWrite();
   write.replaces_log = true;
   write.base_index = log_.base_index();
   write.base_term = log_.base_term();
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -33,24 +33,24 @@
   return nullptr;
 }
 
-proto::RaftConfiguration Without(const proto::RaftConfiguration& configuration,
-                                 std::uint64_t member_id) {
+proto::RaftConfiguration RemoveMember(const proto::RaftConfiguration& configuration,
+                                      std::uint64_t member_id) {
   proto::RaftConfiguration rest;
   for (const proto::RaftMember& member : configuration.members()) {
     if (member.member_id() == member_id) {
       continue;
     }
-    proto::RaftMember* kept = rest.add_members();
-    *kept = member;
-    if (kept->replaces() == member_id) {
-      kept->clear_replaces();
+    proto::RaftMember* remaining = rest.add_members();
+    *remaining = member;
+    if (remaining->replaces() == member_id) {
+      remaining->clear_replaces();
     }
   }
   return rest;
 }
 
-proto::RaftConfiguration WithPromoted(const proto::RaftConfiguration& configuration,
-                                      std::uint64_t member_id) {
+proto::RaftConfiguration PromoteMember(const proto::RaftConfiguration& configuration,
+                                       std::uint64_t member_id) {
   proto::RaftConfiguration promoted = configuration;
   for (proto::RaftMember& member : *promoted.mutable_members()) {
     if (member.member_id() == member_id) {
@@ -82,9 +82,9 @@
     return {StatusCode::kUnavailable, "another membership change is under way"};
   }
   if (known != nullptr) {
-    return MoveMember(now, member);
+    return UpdateMemberEndpoint(now, member);
   }
-  proto::RaftConfiguration next = WithoutDisplacedLearners(now, member, replaces);
+  proto::RaftConfiguration next = RemoveDisplacedLearners(now, member, replaces);
   const std::uint64_t replaced = FindReplacedMember(now, next, member, replaces);
   if (Status status = CheckReplacement(next, replaced); !status.ok()) {
     return status;
@@ -97,9 +97,9 @@
   return Status::Ok();
 }
 
-proto::RaftConfiguration RaftCore::WithoutDisplacedLearners(TimePoint now,
-                                                            const proto::RaftMember& joining,
-                                                            std::uint64_t replaces) const {
+proto::RaftConfiguration RaftCore::RemoveDisplacedLearners(TimePoint now,
+                                                           const proto::RaftMember& joining,
+                                                           std::uint64_t replaces) const {
   // Learners do not count for a majority: they may come and go along with another change.
   proto::RaftConfiguration remaining;
   for (const proto::RaftMember& present : configuration().members()) {
@@ -121,7 +121,7 @@
       replaced = present.member_id();
     }
   }
-  return replaced == 0 && IsFull(remaining) ? LongestUnresponsive(now) : replaced;
+  return replaced == 0 && IsFull(remaining) ? FindLongestUnresponsiveVoter(now) : replaced;
 }
 
 Status RaftCore::CheckReplacement(const proto::RaftConfiguration& remaining,
@@ -141,34 +141,34 @@
   return static_cast<std::size_t>(configuration.members_size()) >= options_.maximum_members;
 }
 
-TimePoint RaftCore::LastHeardFrom(const RaftPeer& peer) const {
-  const TimePoint begin = std::max(term_started_, peer.known_since);
-  return std::max(begin, peer.heard_since.value_or(begin));
+TimePoint RaftCore::LastContact(const RaftPeer& peer) const {
+  const TimePoint begin = std::max(term_started_, peer.member_since);
+  return std::max(begin, peer.last_contact.value_or(begin));
 }
 
 bool RaftCore::IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const {
   const auto peer = peers_.find(member.member_id());
   return member.learner() && peer != peers_.end() &&
          options_.replace_unresponsive_after > Duration::zero() &&
-         now - LastHeardFrom(peer->second) >= options_.replace_unresponsive_after;
+         now - LastContact(peer->second) >= options_.replace_unresponsive_after;
 }
 
-bool RaftCore::HasLiveSuccessor(TimePoint now, std::uint64_t voter) const {
+bool RaftCore::HasResponsiveSuccessor(TimePoint now, std::uint64_t voter) const {
   return std::any_of(peers_.begin(), peers_.end(), [this, now, voter](const auto& entry) {
     const proto::RaftMember& member = entry.second.member;
     return member.replaces() == voter && !IsUnresponsiveLearner(now, member);
   });
 }
 
-std::uint64_t RaftCore::LongestUnresponsive(TimePoint now) const {
+std::uint64_t RaftCore::FindLongestUnresponsiveVoter(TimePoint now) const {
   if (options_.replace_unresponsive_after <= Duration::zero()) {
     return 0;
   }
   std::uint64_t longest = 0;
   TimePoint longest_since = now - options_.replace_unresponsive_after;
   for (const auto& [id, peer] : peers_) {
-    const TimePoint since = LastHeardFrom(peer);
-    if (!peer.member.learner() && since <= longest_since && !HasLiveSuccessor(now, id)) {
+    const TimePoint since = LastContact(peer);
+    if (!peer.member.learner() && since <= longest_since && !HasResponsiveSuccessor(now, id)) {
       longest = id;
       longest_since = since;
     }
@@ -176,7 +176,7 @@
   return longest;
 }
 
-Status RaftCore::MoveMember(TimePoint now, const proto::RaftMember& member) {
+Status RaftCore::UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member) {
   // The same disk at another address: who votes does not change, so this is safe at any time.
   proto::RaftConfiguration next = configuration();
   for (proto::RaftMember& present : *next.mutable_members()) {
@@ -195,7 +195,7 @@
   *entry.mutable_configuration() = configuration;
   AppendToLog(std::move(entry));
   RebuildPeers(now);
-  SendNewEntries(now);
+  ReplicateToAll(now);
 }
 
 void RaftCore::RebuildPeers(TimePoint now) {
@@ -211,7 +211,7 @@
     peer->second.member = member;
     if (added) {
       peer->second.next_index = log_.last_index() + 1;
-      peer->second.known_since = now;
+      peer->second.member_since = now;
     }
   }
 }
@@ -221,8 +221,8 @@
     return true;
   }
   const auto peer = peers_.find(id);
-  return peer != peers_.end() && peer->second.heard_since &&
-         now - *peer->second.heard_since < options_.maximum_election_timeout;
+  return peer != peers_.end() && peer->second.last_contact &&
+         now - *peer->second.last_contact < options_.maximum_election_timeout;
 }
 
 bool RaftCore::IsCaughtUp(TimePoint now, std::uint64_t id) const {
@@ -243,17 +243,17 @@
   return active > voters / 2;
 }
 
-std::optional<proto::RaftConfiguration> RaftCore::NextConfiguration(TimePoint now) const {
+std::optional<proto::RaftConfiguration> RaftCore::ComputeNextConfiguration(TimePoint now) const {
   for (const proto::RaftMember& member : configuration().members()) {
     const proto::RaftMember* replaced = FindMember(configuration(), member.replaces());
     const bool promotable = member.learner() && IsCaughtUp(now, member.member_id());
     const bool old_is_unresponsive = replaced != nullptr && !IsActive(now, replaced->member_id());
     if (replaced != nullptr && replaced->member_id() != member_id() &&
         (!member.learner() || (promotable && old_is_unresponsive))) {
-      return Without(configuration(), replaced->member_id());
+      return RemoveMember(configuration(), replaced->member_id());
     }
     if (promotable && (member.replaces() != 0 || VoterCount() < options_.maximum_members)) {
-      return WithPromoted(configuration(), member.member_id());
+      return PromoteMember(configuration(), member.member_id());
     }
   }
   return std::nullopt;
@@ -263,7 +263,7 @@
   if (!CanChangeMembership()) {
     return;
   }
-  const std::optional<proto::RaftConfiguration> next = NextConfiguration(now);
+  const std::optional<proto::RaftConfiguration> next = ComputeNextConfiguration(now);
   if (next && HasActiveMajority(now, *next)) {
     ProposeConfiguration(now, *next);
   }
--- a/src/consensus/raft_core_replication.cc
+++ b/src/consensus/raft_core_replication.cc
@@ -24,21 +24,21 @@
 
 }  // namespace
 
-void RaftCore::LeaderTick(TimePoint now) {
-  if (now >= QuorumHeardSince(now, true) + options_.maximum_election_timeout) {
+void RaftCore::TickLeader(TimePoint now) {
+  if (now >= LastQuorumContact(now, true) + options_.maximum_election_timeout) {
     Refuse(RaftRefusal::kQuorumLost);
     BecomeFollower(now, term(), 0);
     return;
   }
   for (auto& [id, peer] : peers_) {
-    SendTo(now, peer, true);
+    ReplicateTo(now, peer, true);
   }
   AdvanceMembership(now);
   next_wakeup_ = now + options_.heartbeat_interval;
   AdvanceTransfer(now);
 }
 
-void RaftCore::SendTo(TimePoint now, RaftPeer& peer, bool heartbeat) {
+void RaftCore::ReplicateTo(TimePoint now, RaftPeer& peer, bool heartbeat) {
   const Duration resend_after = kResendAfterHeartbeats * options_.heartbeat_interval;
   if (peer.in_flight != 0 && now - peer.in_flight_since >= resend_after) {
     peer.in_flight = 0;
@@ -53,7 +53,7 @@
   }
 }
 
-std::uint64_t RaftCore::NextSequence(TimePoint now, RaftPeer& peer) {
+std::uint64_t RaftCore::AllocateSequence(TimePoint now, RaftPeer& peer) {
   ++last_sequence_;
   peer.sent_at[last_sequence_] = now;
   return last_sequence_;
@@ -66,7 +66,7 @@
   request.set_leader_commit(commit_index_);
   request.set_cluster_id(cluster_id());
   request.set_recipient_id(peer.member.member_id());
-  request.set_sequence(NextSequence(now, peer));
+  request.set_sequence(AllocateSequence(now, peer));
   // While entries are under way a heartbeat may overtake them, so it rests on what is known to
   // match.
   const std::uint64_t previous = peer.in_flight != 0 ? peer.match_index : peer.next_index - 1;
@@ -99,7 +99,7 @@
   request.set_leader_id(member_id());
   request.set_cluster_id(cluster_id());
   request.set_recipient_id(peer.member.member_id());
-  request.set_sequence(NextSequence(now, peer));
+  request.set_sequence(AllocateSequence(now, peer));
   request.set_last_included_index(peer.snapshot->last_included_index());
   request.set_last_included_term(peer.snapshot->last_included_term());
   *request.mutable_configuration() = peer.snapshot->configuration();
@@ -115,14 +115,14 @@
       {peer.member.member_id(), ToEndpoint(peer.member.endpoint()), std::move(request)});
 }
 
-void RaftCore::SendNewEntries(TimePoint now) {
+void RaftCore::ReplicateToAll(TimePoint now) {
   for (auto& [id, peer] : peers_) {
-    SendTo(now, peer, false);
+    ReplicateTo(now, peer, false);
   }
 }
 
-RaftPeer* RaftCore::AnsweringPeer(TimePoint now, std::uint64_t response_term,
-                                  std::uint64_t follower_id, std::uint64_t sequence) {
+RaftPeer* RaftCore::RecordResponse(TimePoint now, std::uint64_t response_term,
+                                   std::uint64_t follower_id, std::uint64_t sequence) {
   if (response_term > term()) {
     BecomeFollower(now, response_term, 0);
     return nullptr;
@@ -136,8 +136,8 @@
   if (sent == peer.sent_at.end()) {
     return nullptr;  // Sent before this leadership, or answered before.
   }
-  if (!peer.heard_since || *peer.heard_since < sent->second) {
-    peer.heard_since = sent->second;
+  if (!peer.last_contact || *peer.last_contact < sent->second) {
+    peer.last_contact = sent->second;
   }
   peer.sent_at.erase(sent);
   peer.probing = false;
@@ -146,7 +146,8 @@
 
 void RaftCore::HandleAppendEntriesResponse(TimePoint now,
                                            const proto::AppendEntriesResponse& response) {
-  RaftPeer* peer = AnsweringPeer(now, response.term(), response.follower_id(), response.sequence());
+  RaftPeer* peer =
+      RecordResponse(now, response.term(), response.follower_id(), response.sequence());
   if (peer == nullptr) {
     return;
   }
@@ -154,35 +155,36 @@
     peer->in_flight = 0;
   }
   if (!response.success()) {
-    BackUp(now, *peer, response.match_index());
+    DecrementNextIndex(now, *peer, response.match_index());
     return;
   }
   peer->match_index = std::max(peer->match_index, response.match_index());
   peer->next_index = std::max(peer->next_index, peer->match_index + 1);
   AdvanceCommit(now);
-  SendMore(now, response.follower_id());
+  ContinueReplication(now, response.follower_id());
 }
 
-void RaftCore::SendMore(TimePoint now, std::uint64_t member) {
+void RaftCore::ContinueReplication(TimePoint now, std::uint64_t member) {
   // A changed configuration may have removed the peer.
   const auto found = peers_.find(member);
   if (found != peers_.end() && !found->second.member.learner()) {
-    SendTo(now, found->second, false);
+    ReplicateTo(now, found->second, false);
   }
 }
 
-void RaftCore::BackUp(TimePoint now, RaftPeer& peer, std::uint64_t hint) {
+void RaftCore::DecrementNextIndex(TimePoint now, RaftPeer& peer, std::uint64_t hint) {
   const std::uint64_t next_index = std::max(peer.match_index + 1, hint + 1);
   if (next_index >= peer.next_index) {
     return;  // An answer that a later one has overtaken.
   }
   peer.next_index = next_index;
-  SendTo(now, peer, false);
+  ReplicateTo(now, peer, false);
 }
 
 void RaftCore::HandleInstallSnapshotResponse(TimePoint now,
                                              const proto::InstallSnapshotResponse& response) {
-  RaftPeer* peer = AnsweringPeer(now, response.term(), response.follower_id(), response.sequence());
+  RaftPeer* peer =
+      RecordResponse(now, response.term(), response.follower_id(), response.sequence());
   // Only the latest chunk's answer counts: an earlier one may speak of another snapshot.
   if (peer == nullptr || peer->in_flight != response.sequence() || !peer->snapshot) {
     return;
@@ -196,7 +198,7 @@
     peer->next_index = peer->match_index + 1;
     AdvanceCommit(now);
   }
-  SendMore(now, response.follower_id());
+  ContinueReplication(now, response.follower_id());
 }
 
 void RaftCore::HandleCallFailed(std::uint64_t member, std::uint64_t sequence) {
@@ -211,7 +213,7 @@
   }
 }
 
-TimePoint RaftCore::QuorumHeardSince(TimePoint now, bool count_start_of_term) const {
+TimePoint RaftCore::LastQuorumContact(TimePoint now, bool count_start_of_term) const {
   const TimePoint never = count_start_of_term ? term_started_ : TimePoint::min();
   std::vector<TimePoint> times;
   for (const proto::RaftMember& member : configuration().members()) {
@@ -222,8 +224,8 @@
     if (member.member_id() == member_id()) {
       times.push_back(now);
     } else {
-      const bool heard = peer != peers_.end() && peer->second.heard_since;
-      times.push_back(heard ? std::max(never, *peer->second.heard_since) : never);
+      const bool heard = peer != peers_.end() && peer->second.last_contact;
+      times.push_back(heard ? std::max(never, *peer->second.last_contact) : never);
     }
   }
   return ReachedByMajority(std::move(times));
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -28,14 +28,14 @@
   return KeepWaiting{};
 }
 
-FormationDecision DecideFounding(const FormationRound& round) {
+FormationDecision DecideBootstrap(const FormationRound& round) {
   std::vector<Endpoint> seeds = round.seeds;
   std::sort(seeds.begin(), seeds.end());
   seeds.erase(std::unique(seeds.begin(), seeds.end()), seeds.end());
   if (seeds.empty() || seeds.front() != round.endpoint) {
     return KeepWaiting{};
   }
-  FoundGroup founding;
+  BootstrapGroup bootstrap;
   for (const Endpoint& seed : seeds) {
     proto::RaftMember member;
     *member.mutable_endpoint() = ToProto(seed);
@@ -49,9 +49,9 @@
       }
       member.set_member_id(answer->second.member_id());
     }
-    *founding.configuration.add_members() = std::move(member);
+    *bootstrap.configuration.add_members() = std::move(member);
   }
-  return founding;
+  return bootstrap;
 }
 
 }  // namespace
@@ -63,7 +63,7 @@
   if (group_exists) {
     return DecideJoin(round);
   }
-  return round.may_found ? DecideFounding(round) : KeepWaiting{};
+  return round.may_found ? DecideBootstrap(round) : KeepWaiting{};
 }
 
 void MemberDirectory::RecordMember(const Endpoint& endpoint, std::uint64_t member_id) {
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -54,13 +54,13 @@
 };
 
 struct KeepWaiting {};
-struct FoundGroup {
+struct BootstrapGroup {
   proto::RaftConfiguration configuration;
 };
 struct JoinGroup {
   Endpoint leader;
 };
-using FormationDecision = std::variant<KeepWaiting, FoundGroup, JoinGroup>;
+using FormationDecision = std::variant<KeepWaiting, BootstrapGroup, JoinGroup>;
 
 FormationDecision DecideFormation(const FormationRound& round);
 
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -23,7 +23,7 @@
 /// Answers of one round of questions.
 struct RaftFormationDriver::Round {
   FormationRound answers;
-  std::size_t missing = 0;
+  std::size_t pending_responses = 0;
 };
 
 void RaftFormationDriver::Serve() {
@@ -74,7 +74,8 @@
   }
   // The request may be a late one of a life whose disk is gone: ask who is there now.
   CallPeer<proto::DiscoverResponse>(context_.environment, ToEndpoint(request.member().endpoint()),
-                                    kDiscover, OwnIdentity(), context_.options.election_timeout,
+                                    kDiscover, MakeDiscoverRequest(),
+                                    context_.options.election_timeout,
                                     [this, alive = std::weak_ptr<bool>(alive_), request,
                                      reply](const Result<proto::DiscoverResponse>& present) {
                                       if (!alive.expired()) {
@@ -98,10 +99,10 @@
     return Status(StatusCode::kNotLeader, "this member has stopped");
   }
   const Endpoint endpoint = ToEndpoint(member.endpoint());
-  const bool seeds_tell = context_.options.replace_unresponsive_after <= Duration::zero();
-  const std::uint64_t outside = seeds_tell ? MemberOutsideSeeds(endpoint) : 0;
+  const bool replaces_outsiders = context_.options.replace_unresponsive_after <= Duration::zero();
+  const std::uint64_t outsider = replaces_outsiders ? FindMemberOutsideSeeds(endpoint) : 0;
   Status status = context_.core->AdmitMember(context_.environment.Now(), member,
-                                             replaces != 0 ? replaces : outside);
+                                             replaces != 0 ? replaces : outsider);
   context_.execute_effects();
   if (!status.ok()) {
     return status;
@@ -114,7 +115,7 @@
   return response;
 }
 
-std::uint64_t RaftFormationDriver::MemberOutsideSeeds(const Endpoint& joining) const {
+std::uint64_t RaftFormationDriver::FindMemberOutsideSeeds(const Endpoint& joining) const {
   const std::set<Endpoint> seeds(context_.options.seeds.begin(), context_.options.seeds.end());
   if (!seeds.contains(joining)) {
     return 0;
@@ -127,7 +128,7 @@
   return 0;
 }
 
-void RaftFormationDriver::CorrectOwnEndpoint() {
+void RaftFormationDriver::UpdateOwnEndpoint() {
   // A leader that came back at another address is not reached by anyone who asks for the leader.
   const Endpoint own_endpoint = context_.environment.peer_endpoint();
   if (!context_.IsReadyLeader() || context_.LeaderEndpoint() == own_endpoint) {
@@ -143,7 +144,7 @@
   context_.execute_effects();
 }
 
-proto::DiscoverRequest RaftFormationDriver::OwnIdentity() const {
+proto::DiscoverRequest RaftFormationDriver::MakeDiscoverRequest() const {
   proto::DiscoverRequest request;
   request.set_member_id(context_.core->member_id());
   *request.mutable_endpoint() = ToProto(context_.environment.peer_endpoint());
@@ -156,7 +157,7 @@
 }
 
 void RaftFormationDriver::ScheduleRound() {
-  const bool urgent = !context_.core->IsMember() && !join_refused_;
+  const bool urgent = !context_.core->IsMember() && !group_full_;
   const Duration timeout = context_.options.election_timeout;
   const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
   // Spread, so that members do not ask in step.
@@ -166,7 +167,7 @@
                                           static_cast<std::uint64_t>(interval.count())));
   round_timer_ = context_.environment.ScheduleAfter(delay, [this] {
     round_timer_ = 0;
-    CorrectOwnEndpoint();
+    UpdateOwnEndpoint();
     if (context_.identity_durable && NeedsGroup()) {
       StartRound();
     }
@@ -174,9 +175,9 @@
   });
 }
 
-std::set<Endpoint> RaftFormationDriver::EndpointsToAsk() const {
+std::set<Endpoint> RaftFormationDriver::FindDiscoverTargets() const {
   std::set<Endpoint> others(context_.options.seeds.begin(), context_.options.seeds.end());
-  others.insert(notified_members_.begin(), notified_members_.end());
+  others.insert(reported_members_.begin(), reported_members_.end());
   for (const LogMember& member : context_.Members()) {
     others.insert(member.endpoint);
   }
@@ -185,50 +186,50 @@
 }
 
 void RaftFormationDriver::StartRound() {
-  const std::set<Endpoint> others = EndpointsToAsk();
+  const std::set<Endpoint> others = FindDiscoverTargets();
   const auto round = std::make_shared<Round>();
-  round->missing = others.size();
+  round->pending_responses = others.size();
   if (others.empty()) {
     FinishRound(round->answers);
   }
   for (const Endpoint& other : others) {
-    CallPeer<proto::DiscoverResponse>(context_.environment, other, kDiscover, OwnIdentity(),
+    CallPeer<proto::DiscoverResponse>(context_.environment, other, kDiscover, MakeDiscoverRequest(),
                                       context_.options.election_timeout,
                                       [this, alive = std::weak_ptr<bool>(alive_), round,
                                        other](const Result<proto::DiscoverResponse>& answer) {
                                         if (!alive.expired() && !context_.stopped) {
-                                          HandleAnswer(*round, other, answer);
+                                          HandleDiscoverResponse(*round, other, answer);
                                         }
                                       });
   }
 }
 
-void RaftFormationDriver::HandleAnswer(Round& round, const Endpoint& from,
-                                       const Result<proto::DiscoverResponse>& answer) {
+void RaftFormationDriver::HandleDiscoverResponse(Round& round, const Endpoint& from,
+                                                 const Result<proto::DiscoverResponse>& answer) {
   if (answer.ok()) {
     directory_.RecordMember(from, answer->member_id());
     round.answers.answers[from] = *answer;
   }
-  --round.missing;
-  if (round.missing == 0) {
+  --round.pending_responses;
+  if (round.pending_responses == 0) {
     FinishRound(round.answers);
   }
 }
 
-void RaftFormationDriver::RecordNotifiedMembers(const FormationRound& answers) {
-  std::set<Endpoint> notified;
+void RaftFormationDriver::RecordReportedMembers(const FormationRound& answers) {
+  std::set<Endpoint> reported;
   for (const auto& [endpoint, answer] : answers.answers) {
     for (const proto::RaftMember& member : answer.configuration().members()) {
-      notified.insert(ToEndpoint(member.endpoint()));
+      reported.insert(ToEndpoint(member.endpoint()));
     }
   }
-  if (!notified.empty()) {
-    notified_members_ = std::move(notified);
+  if (!reported.empty()) {
+    reported_members_ = std::move(reported);
   }
 }
 
 void RaftFormationDriver::FinishRound(const FormationRound& answers) {
-  RecordNotifiedMembers(answers);
+  RecordReportedMembers(answers);
   RaftCore& core = *context_.core;
   FormationRound round = answers;
   round.member_id = core.member_id();
@@ -238,10 +239,10 @@
   round.seeds = context_.options.seeds;
   round.may_found = context_.options.may_found;
   const FormationDecision decision = DecideFormation(round);
-  if (const auto* founding = std::get_if<FoundGroup>(&decision)) {
+  if (const auto* bootstrap = std::get_if<BootstrapGroup>(&decision)) {
     Log(LogLevel::kInfo, "raft_group_formed", {{"member_id", core.member_id()}});
     core.Bootstrap(std::max<std::uint64_t>(1, context_.environment.Random()),
-                   founding->configuration);
+                   bootstrap->configuration);
     context_.execute_effects();
   } else if (const auto* joining = std::get_if<JoinGroup>(&decision)) {
     RequestJoin(joining->leader);
@@ -262,7 +263,7 @@
 }
 
 void RaftFormationDriver::HandleJoinResponse(const Result<proto::JoinResponse>& response) {
-  join_refused_ = response.status().code() == StatusCode::kConflict;
+  group_full_ = response.status().code() == StatusCode::kConflict;
   if (!response.ok()) {
     Log(LogLevel::kInfo, "raft_join_refused", {{"reason", response.status().ToString()}});
   }
--- a/src/consensus/raft_formation_driver.h
+++ b/src/consensus/raft_formation_driver.h
@@ -41,18 +41,18 @@
   Result<proto::JoinResponse> CompleteJoin(const proto::JoinRequest& request,
                                            const Result<proto::DiscoverResponse>& present);
   Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
-  std::uint64_t MemberOutsideSeeds(const Endpoint& joining) const;
-  void CorrectOwnEndpoint();
-  proto::DiscoverRequest OwnIdentity() const;
+  std::uint64_t FindMemberOutsideSeeds(const Endpoint& joining) const;
+  void UpdateOwnEndpoint();
+  proto::DiscoverRequest MakeDiscoverRequest() const;
   bool NeedsGroup() const;
 
   void ScheduleRound();
   void StartRound();
-  std::set<Endpoint> EndpointsToAsk() const;
-  void HandleAnswer(Round& round, const Endpoint& from,
-                    const Result<proto::DiscoverResponse>& answer);
+  std::set<Endpoint> FindDiscoverTargets() const;
+  void HandleDiscoverResponse(Round& round, const Endpoint& from,
+                              const Result<proto::DiscoverResponse>& answer);
   void FinishRound(const FormationRound& answers);
-  void RecordNotifiedMembers(const FormationRound& answers);
+  void RecordReportedMembers(const FormationRound& answers);
   void RequestJoin(const Endpoint& leader);
   void HandleJoinResponse(const Result<proto::JoinResponse>& response);
 
@@ -60,9 +60,9 @@
   TimerId round_timer_ = 0;
   MemberDirectory directory_;
   /// Members that answers of others named last: seeds may all be gone by the time they are needed.
-  std::set<Endpoint> notified_members_;
+  std::set<Endpoint> reported_members_;
   /// The group was complete when this member last asked to join: it asks less often.
-  bool join_refused_ = false;
+  bool group_full_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -9,7 +9,7 @@
 
 RaftNode::RaftNode(Environment& environment, DataFolder& folder, StateMachine& state_machine,
                    RaftNodeOptions options)
-    : context_{environment, std::move(options), [this] { Drain(); }, /*core=*/nullptr},
+    : context_{environment, std::move(options), [this] { ExecuteEffects(); }, /*core=*/nullptr},
       storage_(
           folder, [this](RaftWriteId write) { OnPersisted(write); },
           [this](const Status& status) { Stop(status); },
@@ -68,7 +68,7 @@
   transport_.Serve();
   formation_.Serve();
   storage_.Start();
-  ArmTimer();
+  ScheduleWakeup();
   formation_.Start();
 }
 
@@ -80,14 +80,14 @@
   const Result<RaftPosition> position =
       context_.core->Propose(context_.environment.Now(), std::move(command));
   if (!position.ok()) {
-    Drain();
+    ExecuteEffects();
     const Endpoint leader = leader_endpoint();
     done(Status(position.status().code(), position.status().message(),
                 leader.valid() ? leader.ToString() : std::string()));
     return;
   }
   proposals_.Add(*position, std::move(done));
-  Drain();
+  ExecuteEffects();
 }
 
 Status RaftNode::TransferLeadership() {
@@ -95,7 +95,7 @@
     return {StatusCode::kNotLeader, "this member does not lead the group"};
   }
   Status status = context_.core->TransferLeadership(context_.environment.Now());
-  Drain();
+  ExecuteEffects();
   return status;
 }
 
@@ -126,27 +126,27 @@
   context_.identity_durable = true;
   disk_full_handler_.OnWritten();
   context_.core->HandlePersisted(context_.environment.Now(), write);
-  Drain();
+  ExecuteEffects();
 }
 
-void RaftNode::Drain() {
-  if (draining_ || context_.stopped) {
+void RaftNode::ExecuteEffects() {
+  if (executing_effects_ || context_.stopped) {
     return;  // Called from a callback below: the loop further up takes the effects.
   }
-  draining_ = true;
+  executing_effects_ = true;
   for (RaftEffects effects = context_.core->TakeEffects(); !effects.empty() && !context_.stopped;
        effects = context_.core->TakeEffects()) {
-    ExecuteEffects(effects);
+    Execute(effects);
     proposals_.FailLost();
     NotifyLeadership();
   }
-  draining_ = false;
+  executing_effects_ = false;
   if (!context_.stopped) {
-    ArmTimer();
+    ScheduleWakeup();
   }
 }
 
-void RaftNode::ExecuteEffects(RaftEffects& effects) {
+void RaftNode::Execute(RaftEffects& effects) {
   for (const RaftRefusal reason : effects.refusals) {
     context_.RecordRefusal(reason);
   }
@@ -188,29 +188,29 @@
 }
 
 void RaftNode::NotifyLeadership() {
-  const std::uint64_t leads_term = IsReadyLeader() ? context_.core->term() : 0;
-  if (leads_term == led_term_) {
+  const std::uint64_t leading_term = IsReadyLeader() ? context_.core->term() : 0;
+  if (leading_term == notified_term_) {
     return;
   }
-  const bool stopped_leading = led_term_ != 0;
-  led_term_ = leads_term;
+  const bool stopped_leading = notified_term_ != 0;
+  notified_term_ = leading_term;
   Log(LogLevel::kInfo, "raft_leadership_changed",
-      {{"leads", leads_term != 0},
+      {{"leads", leading_term != 0},
        {"term", context_.core->term()},
        {"applied", context_.applied_index}});
-  context_.environment.metrics().SetGauge("raft_is_leader", leads_term != 0 ? 1 : 0);
+  context_.environment.metrics().SetGauge("raft_is_leader", leading_term != 0 ? 1 : 0);
   context_.environment.metrics().SetGauge("raft_term", static_cast<double>(context_.core->term()));
   for (const auto& observer : leadership_observers_) {
     if (stopped_leading) {
       observer(false);
     }
-    if (leads_term != 0) {
+    if (leading_term != 0) {
       observer(true);
     }
   }
 }
 
-void RaftNode::ArmTimer() {
+void RaftNode::ScheduleWakeup() {
   const TimePoint due = context_.core->NextWakeup();
   if (wakeup_timer_ != 0 && wakeup_at_ <= due) {
     return;  // Fires early and is armed anew then: cheaper than once a heartbeat.
@@ -222,8 +222,8 @@
     wakeup_timer_ = 0;
     if (!context_.stopped) {
       context_.core->Tick(context_.environment.Now());
-      Drain();
-      ArmTimer();
+      ExecuteEffects();
+      ScheduleWakeup();
     }
   });
 }
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -65,12 +65,12 @@
  private:
   RaftCoreOptions CoreOptions();
   /// Executes what the core asks for, until it asks for nothing more.
-  void Drain();
-  void ExecuteEffects(RaftEffects& effects);
+  void ExecuteEffects();
+  void Execute(RaftEffects& effects);
   /// Restores, applies, and takes a snapshot if one is due.
   Status ApplyCommitted(const RaftEffects& effects);
   void NotifyLeadership();
-  void ArmTimer();
+  void ScheduleWakeup();
   void OnPersisted(RaftWriteId write);
   void Stop(const Status& status);
 
@@ -81,9 +81,9 @@
   DiskFullHandler disk_full_handler_;
   RaftFormationDriver formation_;
   RaftTransport transport_;
-  bool draining_ = false;
+  bool executing_effects_ = false;
 
-  std::uint64_t led_term_ = 0;  ///< Term reported to the observers as led; 0 if none.
+  std::uint64_t notified_term_ = 0;  ///< Term reported to the observers as led; 0 if none.
   std::vector<std::function<void(bool)>> leadership_observers_;
   std::vector<std::function<void(std::uint64_t)>> applied_observers_;
 
--- a/src/consensus/raft_peer.h
+++ b/src/consensus/raft_peer.h
@@ -26,9 +26,9 @@
   /// When each unanswered message was sent.
   std::map<std::uint64_t, TimePoint> sent_at;
   /// When this leader began to count it among the members.
-  TimePoint known_since;
+  TimePoint member_since;
   /// When the latest answered message was sent: the member heard this leader then or later.
-  std::optional<TimePoint> heard_since;
+  std::optional<TimePoint> last_contact;
   /// The snapshot being sent, and how much of it the member has.
   std::shared_ptr<const proto::RaftSnapshot> snapshot;
   std::uint64_t snapshot_offset = 0;
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -216,7 +216,7 @@
     return;
   }
   folder_.Replace(kMetadataFile, EncodeRecord(current_.metadata->SerializeAsString(), kRecordSeed),
-                  Then(&RaftStorage::WriteMetadata, &RaftStorage::WriteSnapshot));
+                  ContinueWith(&RaftStorage::WriteMetadata, &RaftStorage::WriteSnapshot));
 }
 
 void RaftStorage::WriteSnapshot() {
@@ -225,16 +225,16 @@
     return;
   }
   folder_.Replace(kSnapshotFile, EncodeRecord(current_.snapshot->SerializeAsString(), kRecordSeed),
-                  Then(&RaftStorage::WriteSnapshot, &RaftStorage::WriteLog));
+                  ContinueWith(&RaftStorage::WriteSnapshot, &RaftStorage::WriteLog));
 }
 
 void RaftStorage::WriteLog() {
   if (current_.replaces_log) {
     folder_.Replace(kLogFile, SerializeLogRecord(current_),
-                    Then(&RaftStorage::WriteLog, &RaftStorage::Finish));
+                    ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
   } else if (!current_.entries.empty()) {
     folder_.Append(kLogFile, SerializeLogRecord(current_),
-                   Then(&RaftStorage::WriteLog, &RaftStorage::Finish));
+                   ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
   } else {
     Finish();
   }
@@ -248,7 +248,7 @@
   on_persisted_(finished);
 }
 
-DataFolder::Done RaftStorage::Then(Step step, Step next) {
+DataFolder::Done RaftStorage::ContinueWith(Step step, Step next) {
   return [this, step, next, alive = std::weak_ptr<bool>(alive_)](Status status) {
     if (alive.expired() || failed_) {
       return;
@@ -263,7 +263,7 @@
 
 void RaftStorage::HandleFailure(Step step, Status status) {
   if (status.code() == StatusCode::kResourceExhausted) {
-    waiting_step_ = step;
+    pending_step_ = step;
     on_full_(std::move(status));
     return;
   }
@@ -272,7 +272,7 @@
 }
 
 void RaftStorage::Retry() {
-  if (const Step step = std::exchange(waiting_step_, nullptr)) {
+  if (const Step step = std::exchange(pending_step_, nullptr)) {
     (this->*step)();
   }
 }
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -65,7 +65,7 @@
   void Finish();
   /// @return a callback that goes on with `next` unless the write failed or this object is gone.
   /// @param step that of the write, which is repeated if the disk is full.
-  DataFolder::Done Then(Step step, Step next);
+  DataFolder::Done ContinueWith(Step step, Step next);
   void HandleFailure(Step step, Status status);
 
   DataFolder& folder_;
@@ -77,7 +77,7 @@
   bool started_ = false;
   bool busy_ = false;
   bool failed_ = false;
-  Step waiting_step_ = nullptr;  ///< For room on the disk.
+  Step pending_step_ = nullptr;  ///< For room on the disk.
   bool log_needs_rewrite_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/control_client/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -48,7 +48,7 @@
   switch (outcome) {
     case UpdateOutcome::kNothing:
       return "nothing";
-    case UpdateOutcome::kTaken:
+    case UpdateOutcome::kApplied:
       return "taken";
     case UpdateOutcome::kGap:
       return "gap";
@@ -117,7 +117,7 @@
     return UpdateOutcome::kNothing;
   }
   configuration_ = full;
-  return UpdateOutcome::kTaken;
+  return UpdateOutcome::kApplied;
 }
 
 UpdateOutcome ConfigurationWatch::ApplyDelta(const proto::ConfigurationUpdate& update) {
@@ -147,7 +147,7 @@
   configuration_.set_version(update.to_version());
   configuration_.set_label(update.label());
   full_update_needed_ = false;
-  return UpdateOutcome::kTaken;
+  return UpdateOutcome::kApplied;
 }
 
 }  // namespace cloverbank
--- a/src/control_client/configuration_watch.h
+++ b/src/control_client/configuration_watch.h
@@ -14,7 +14,7 @@
 /// What became of an offered update.
 enum class UpdateOutcome : std::uint8_t {
   kNothing,  ///< It holds nothing that is not held already.
-  kTaken,    ///< The copy is now newer.
+  kApplied,  ///< The copy is now newer.
   kGap,      ///< A delta from another version than the held one: the whole is asked for next.
   kOlder,    ///< It would go back; refused.
 };
@@ -36,7 +36,7 @@
 
   UpdateOutcome Apply(const proto::ConfigurationUpdate& update);
   /// The leader had nothing newer than what was reported to it.
-  void NothingOffered() { full_update_needed_ = false; }
+  void HandleNoUpdate() { full_update_needed_ = false; }
 
  private:
   UpdateOutcome ApplyFull(const proto::RoutingConfiguration& full);
--- a/src/control_client/coordinator_directory.cc
+++ b/src/control_client/coordinator_directory.cc
@@ -32,14 +32,14 @@
   }
 }
 
-void CoordinatorDirectory::Redirected(const Endpoint& from, const Endpoint& hint) {
-  Failed(from);
+void CoordinatorDirectory::RecordRedirect(const Endpoint& from, const Endpoint& hint) {
+  RecordFailure(from);
   if (hint.valid() && hint != from) {
     leader_ = hint;
   }
 }
 
-void CoordinatorDirectory::Failed(const Endpoint& endpoint) {
+void CoordinatorDirectory::RecordFailure(const Endpoint& endpoint) {
   if (leader_ == endpoint) {
     leader_.reset();
   }
@@ -48,7 +48,7 @@
   }
 }
 
-std::vector<Endpoint> CoordinatorDirectory::InOrder() const {
+std::vector<Endpoint> CoordinatorDirectory::ListCandidates() const {
   std::vector<Endpoint> order;
   if (leader_) {
     order.push_back(*leader_);
--- a/src/control_client/coordinator_directory.h
+++ b/src/control_client/coordinator_directory.h
@@ -20,14 +20,14 @@
   /// Takes the current member list. An empty one is ignored.
   void UpdateMembers(std::vector<Endpoint> members);
   /// `endpoint` answered as the leader.
-  void Answered(const Endpoint& endpoint) { leader_ = endpoint; }
+  void RecordAnswer(const Endpoint& endpoint) { leader_ = endpoint; }
   /// `from` is not the leader; `hint` may name the one it knows (else it is invalid).
-  void Redirected(const Endpoint& from, const Endpoint& hint);
+  void RecordRedirect(const Endpoint& from, const Endpoint& hint);
   /// `endpoint` did not answer.
-  void Failed(const Endpoint& endpoint);
+  void RecordFailure(const Endpoint& endpoint);
 
   /// @return all coordinators, best guess of the leader first.
-  std::vector<Endpoint> InOrder() const;
+  std::vector<Endpoint> ListCandidates() const;
 
  private:
   std::vector<Endpoint> seeds_;
--- a/src/control_client/coordinator_referral.cc
+++ b/src/control_client/coordinator_referral.cc
@@ -7,14 +7,14 @@
 namespace {
 
 /// What a node or an operator's gateway asks before it has heard from the coordinators.
-constexpr std::array<std::string_view, 5> kMethods = {
+constexpr std::array<std::string_view, 5> kCoordinatorMethods = {
     "coordinator.RegisterServer", "coordinator.GetConfiguration", "coordinator.SubmitTransaction",
     "coordinator.RetireServer", "coordinator.GetRetirement"};
 
-Status Refer(const NodeAgent& agent) {
-  const bool heard = agent.list_sources().has_value();
+Status MakeReferral(const NodeAgent& agent) {
+  const bool knows_coordinators = agent.list_sources().has_value();
   const std::vector<Endpoint> coordinators = agent.coordinators();
-  if (!heard || coordinators.empty()) {
+  if (!knows_coordinators || coordinators.empty()) {
     return {StatusCode::kUnavailable, "this process is no coordinator and knows none"};
   }
   return {StatusCode::kNotLeader, "this process is no coordinator",
@@ -24,13 +24,13 @@
 }  // namespace
 
 CoordinatorReferral::CoordinatorReferral(Environment& environment, const NodeAgent& agent) {
-  for (const std::string_view method : kMethods) {
+  for (const std::string_view method : kCoordinatorMethods) {
     environment.RegisterPeerMethod(method, [&agent, alive = std::weak_ptr<bool>(alive_)](
                                                const PeerRequest&, const PeerReplyCallback& reply) {
       if (alive.expired()) {
         reply({Status(StatusCode::kUnavailable, "the process is stopping"), {}});
       } else {
-        reply({Refer(agent), {}});
+        reply({MakeReferral(agent), {}});
       }
     });
   }
--- a/src/control_client/fleet_watch.cc
+++ b/src/control_client/fleet_watch.cc
@@ -37,7 +37,7 @@
   Merge(update);
   view_.version = to;
   full_update_needed_ = false;
-  return UpdateOutcome::kTaken;
+  return UpdateOutcome::kApplied;
 }
 
 void FleetWatch::Merge(const proto::FleetUpdate& update) {
--- a/src/control_client/heartbeat_sender.cc
+++ b/src/control_client/heartbeat_sender.cc
@@ -64,9 +64,9 @@
 void HeartbeatSender::HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                                   Completion complete) {
   const std::weak_ptr<void> answered_in = context_.incarnation_token();
-  const bool took_configuration = ApplyReply(request, reply);
+  const bool configuration_applied = ApplyReply(request, reply);
   if (!answered_in.expired()) {
-    (this->*complete)(took_configuration);
+    (this->*complete)(configuration_applied);
   }
 }
 
@@ -92,17 +92,18 @@
   RecordUpdateOutcome(context_, "configuration", effects.configuration);
   RecordUpdateOutcome(context_, "fleet", effects.fleet);
   listener_.OnHeartbeatApplied(effects);
-  return effects.configuration == UpdateOutcome::kTaken;
+  return effects.configuration == UpdateOutcome::kApplied;
 }
 
-void HeartbeatSender::CompleteRegular(bool took_configuration) {
+void HeartbeatSender::CompleteRegular(bool configuration_applied) {
   const Duration wait =
       std::max(Duration::zero(), last_sent_ + kMinimumInterval - context_.environment.Now());
   context_.environment.CancelTimer(timer_);
-  timer_ = context_.environment.ScheduleAfter(took_configuration ? Duration::zero() : wait, [this] {
-    timer_ = 0;
-    Start();
-  });
+  timer_ =
+      context_.environment.ScheduleAfter(configuration_applied ? Duration::zero() : wait, [this] {
+        timer_ = 0;
+        Start();
+      });
 }
 
 void HeartbeatSender::CompleteUrgent(bool /*took_configuration*/) { urgent_in_flight_ = false; }
--- a/src/control_client/heartbeat_sender.h
+++ b/src/control_client/heartbeat_sender.h
@@ -37,11 +37,11 @@
   void SendUrgent();
 
  private:
-  using Completion = void (HeartbeatSender::*)(bool took_configuration);
+  using Completion = void (HeartbeatSender::*)(bool configuration_applied);
 
   void Send(Duration hold, Completion complete);
-  void CompleteRegular(bool took_configuration);
-  void CompleteUrgent(bool took_configuration);
+  void CompleteRegular(bool configuration_applied);
+  void CompleteUrgent(bool configuration_applied);
   void HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                    Completion complete);
   /// @return whether a newer configuration was taken, which is to be confirmed at once.
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -41,7 +41,7 @@
       backoff_(options_.retry_delay) {}
 
 void LeaderCall::AttemptNext() {
-  for (const Endpoint& candidate : directory_->InOrder()) {
+  for (const Endpoint& candidate : directory_->ListCandidates()) {
     if (!in_flight_.contains(candidate)) {
       SendTo(candidate);
       return;
@@ -81,14 +81,14 @@
     HandleFailure(from, reply.status);
     return;
   }
-  directory_->Answered(from);
+  directory_->RecordAnswer(from);
   Finish({std::move(reply), sent});
 }
 
 void LeaderCall::HandleRedirect(const Endpoint& from, const Status& status) {
   last_failure_ = status;
   const Endpoint hint = ParseEndpoint(status.detail());
-  directory_->Redirected(from, hint);
+  directory_->RecordRedirect(from, hint);
   ++redirects_;
   const bool follow =
       hint.valid() && hint != from && redirects_ <= kMaximumRedirects && !in_flight_.contains(hint);
@@ -99,7 +99,7 @@
   last_failure_ = status;
   redirects_ = 0;
   outcome_unknown_ = outcome_unknown_ || status.code() == StatusCode::kUnknownOutcome;
-  directory_->Failed(from);
+  directory_->RecordFailure(from);
   ScheduleNext(NextBackoff());
 }
 
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -60,10 +60,10 @@
   if (effects.rank_changed) {
     gateway_rank_observers.NotifyAll();
   }
-  if (effects.configuration == UpdateOutcome::kTaken) {
+  if (effects.configuration == UpdateOutcome::kApplied) {
     configuration_observers.NotifyAll();
   }
-  if (effects.fleet == UpdateOutcome::kTaken) {
+  if (effects.fleet == UpdateOutcome::kApplied) {
     fleet_observers.NotifyAll();
   }
 }
@@ -142,7 +142,7 @@
 const FleetView& NodeAgent::fleet() const { return state_->context.session.fleet(); }
 
 std::vector<Endpoint> NodeAgent::coordinators() const {
-  return state_->context.directory->InOrder();
+  return state_->context.directory->ListCandidates();
 }
 
 void NodeAgent::OnConfiguration(std::function<void()> observer) {
--- a/src/control_client/node_session.cc
+++ b/src/control_client/node_session.cc
@@ -22,7 +22,7 @@
 /// The holder's clock may run slower than the giver's: it gives up this share of each lease.
 constexpr int kClockDriftDivisor = 100;
 
-Duration UsableLease(std::uint32_t lease_ms) {
+Duration ComputeUsableLease(std::uint32_t lease_ms) {
   const Duration lease = milliseconds(lease_ms);
   return lease - lease / kClockDriftDivisor;
 }
@@ -66,7 +66,7 @@
   return request;
 }
 
-bool NodeSession::UpdateRank(const proto::HeartbeatResponse& response) {
+bool NodeSession::UpdateGatewayRank(const proto::HeartbeatResponse& response) {
   if (response.zone_gateway_count() == 0) {
     return false;
   }
@@ -84,21 +84,21 @@
   if (response.has_configuration()) {
     effects.configuration = configuration_.Apply(response.configuration());
   } else {
-    configuration_.NothingOffered();
+    configuration_.HandleNoUpdate();
   }
   if (response.has_fleet()) {
     effects.fleet = fleet_.Apply(response.fleet());
   }
-  effects.rank_changed = UpdateRank(response);
+  effects.rank_changed = UpdateGatewayRank(response);
   neighbours_ = ToEndpoints(response.neighbours());
   list_sources_ = ToListSources(response);
   const bool same_incarnation = node_id_.valid() && NodeId(request.node_id()) == node_id_;
   if (same_incarnation && effects.configuration != UpdateOutcome::kGap) {
-    const TimePoint end = times.sent + UsableLease(response.lease_ms());
+    const TimePoint end = times.sent + ComputeUsableLease(response.lease_ms());
     effects.lease_extended = end > lease_end_;
     lease_end_ = std::max(lease_end_, end);
-    const bool held_before = last_lease_end_ != TimePoint();
-    if (held_before) {
+    const bool had_lease = last_lease_end_ != TimePoint();
+    if (had_lease) {
       effects.lease_gap = std::max(Duration::zero(), times.answered - last_lease_end_);
     }
     last_lease_end_ = std::max(last_lease_end_, end);
--- a/src/control_client/node_session.h
+++ b/src/control_client/node_session.h
@@ -77,7 +77,7 @@
 
  private:
   /// @return whether the place among the gateways is another one now.
-  bool UpdateRank(const proto::HeartbeatResponse& response);
+  bool UpdateGatewayRank(const proto::HeartbeatResponse& response);
 
   Incarnation incarnation_;
   NodeId node_id_;
--- a/src/control_client/operator_orders.cc
+++ b/src/control_client/operator_orders.cc
@@ -33,9 +33,9 @@
 
 void OperatorOrders::ReadConfiguration(std::uint32_t history,
                                        Done<proto::GetConfigurationResponse> done) {
-  proto::GetConfigurationRequest question;
-  question.set_history(history);
-  agent_.CallLeader<proto::GetConfigurationResponse>("coordinator.GetConfiguration", question,
+  proto::GetConfigurationRequest request;
+  request.set_history(history);
+  agent_.CallLeader<proto::GetConfigurationResponse>("coordinator.GetConfiguration", request,
                                                      timeouts_.read, std::move(done));
 }
 
@@ -89,9 +89,9 @@
 
 void OperatorOrders::ReadRetirement(const std::string& machine,
                                     Done<proto::GetRetirementResponse> done) {
-  proto::GetRetirementRequest question;
-  question.set_machine(machine);
-  agent_.CallLeader<proto::GetRetirementResponse>("coordinator.GetRetirement", question,
+  proto::GetRetirementRequest request;
+  request.set_machine(machine);
+  agent_.CallLeader<proto::GetRetirementResponse>("coordinator.GetRetirement", request,
                                                   timeouts_.read, std::move(done));
 }
 
--- a/tests/control_client/watch_test.cc
+++ b/tests/control_client/watch_test.cc
@@ -29,7 +29,7 @@
       ->set_state(proto::ZONE_STATE_DRAINED);
   update.add_changes()->mutable_set_batch()->set_paused(true);
   ConfigurationWatch watch;
-  ASSERT_EQ(watch.Apply(update), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(update), UpdateOutcome::kApplied);
   const proto::RoutingConfiguration& held = watch.configuration();
   ASSERT_EQ(held.routes_size(), 2);
   EXPECT_EQ(held.routes(0).name(), "a");
@@ -61,7 +61,7 @@
   }
   whole.add_partitions()->set_owner(10);
   FleetWatch watch;
-  ASSERT_EQ(watch.Apply(whole), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(whole), UpdateOutcome::kApplied);
   ASSERT_NE(watch.view().OwnerOf(PartitionId(0)), nullptr);
 
   proto::FleetUpdate gap;
@@ -76,7 +76,7 @@
   proto::Server* dead = delta.add_servers();
   dead->set_node_id(10);
   dead->set_state(proto::SERVER_STATE_DEAD);
-  ASSERT_EQ(watch.Apply(delta), UpdateOutcome::kTaken);
+  ASSERT_EQ(watch.Apply(delta), UpdateOutcome::kApplied);
   EXPECT_EQ(watch.view().servers.size(), 1U);
   EXPECT_EQ(watch.view().OwnerOf(PartitionId(0)), nullptr) << "nobody owns what a dead node owned";
 
