--- a/src/consensus/disk_full_handler.cc
+++ b/src/consensus/disk_full_handler.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Between tries of a write for which the disk had no room.
+/// Between attempts of a write that finds the disk full.
 constexpr Duration kRetryInterval = milliseconds(200);
 
 }  // namespace
--- a/src/consensus/disk_full_handler.h
+++ b/src/consensus/disk_full_handler.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Keeps a member from leading and voting while its disk is full, and tries the write again until
-/// there is space. Threads: the environment's event loop only.
+/// Makes a member unable to lead and vote while its disk is full, and retries the write until there
+/// is space. Threads: the environment's event loop only.
 
 #include "base/status.h"
 #include "consensus/raft_node_context.h"
@@ -22,7 +22,7 @@
   void OnDiskFull(const Status& status);
   /// A write succeeded.
   void OnWritten();
-  /// Tries no further write.
+  /// Cancels the retry.
   void Stop();
 
  private:
--- a/src/consensus/pending_proposals.cc
+++ b/src/consensus/pending_proposals.cc
@@ -23,7 +23,7 @@
 }
 
 void PendingProposals::FailLost() {
-  // A callback may end the leadership or propose again, so each proposal is looked at anew.
+  // A callback may end the leadership or propose again, so the term is read for each proposal.
   while (!proposals_.empty()) {
     const auto first = proposals_.begin();
     if (first->second.term == context_.LeadingTerm()) {
--- a/src/consensus/pending_proposals.h
+++ b/src/consensus/pending_proposals.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Proposals of this member whose commit is awaited. Threads: the environment's event loop only.
+/// Proposals of this member that are not committed yet. Threads: the environment's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -20,8 +20,8 @@
   explicit PendingProposals(const RaftNodeContext& context) : context_(context) {}
 
   void Add(const RaftPosition& position, Done done);
-  /// `entry` was applied with `result`. A proposal of another term at its index gets kNotLeader: it
-  /// was certainly not committed.
+  /// Completes the proposal at the index of `entry`, which was applied with `result`. A proposal of
+  /// another term gets kNotLeader: it was certainly not committed.
   void Complete(const proto::RaftEntry& entry, std::string result);
   /// Fails proposals of terms that this member no longer leads with kUnknownOutcome.
   void FailLost();
--- a/src/consensus/raft_applier.h
+++ b/src/consensus/raft_applier.h
@@ -17,11 +17,12 @@
   RaftApplier(RaftNodeContext& context, StateMachine& state_machine)
       : context_(context), state_machine_(state_machine) {}
 
-  /// Replaces the whole state. @return kCorrupt if the snapshot can not be read.
+  /// Replaces the complete state. @return kCorrupt if the snapshot can not be read.
   Status Restore(const proto::RaftSnapshot& snapshot);
-  /// Applies the next entry. @return the state machine's result; empty if it is no command.
+  /// Applies the next entry. @return the state machine's result; empty for an entry without a
+  /// command.
   std::string Apply(const proto::RaftEntry& entry);
-  /// Hands the core a snapshot if enough was applied since the last one.
+  /// Gives the core a snapshot if the thresholds since the last one are reached.
   void TakeSnapshotIfDue();
 
  private:
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -22,7 +22,7 @@
   }
   synced_index_ = log_.last_index();
   commit_index_ = snapshot_ ? snapshot_->last_included_index() : 0;
-  // The promise made to a leader before the restart is not on the disk: assume the longest one.
+  // When it last heard a leader is not on the disk: assume that it did just now.
   RecordLeaderContact(now);
 }
 
@@ -81,7 +81,7 @@
 
 Result<RaftPosition> RaftCore::Propose(TimePoint now, std::string command) {
   if (role_ == RaftRole::kLeader && now >= next_wakeup_) {
-    TickLeader(now);  // A leader that was frozen finds out here that it is none any more.
+    TickLeader(now);  // A leader that was suspended detects here that its quorum is lost.
   }
   if (role_ != RaftRole::kLeader) {
     Refuse(RaftRefusal::kNotLeader);
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -1,18 +1,19 @@
 #pragma once
 /// @file
-/// Raft as a pure state machine (Ongaro and Ousterhout, "In Search of an Understandable Consensus
-/// Algorithm", and Ongaro's dissertation for pre-vote (9.6), check-quorum and leases (6.4.1),
-/// learners (4.2.1)). It holds no socket, file, thread or clock: every input names the time, and
-/// what is to be done about it is collected until `TakeEffects`. Call that after each input.
+/// The Raft algorithm as a pure state machine (Ongaro and Ousterhout, "In Search of an
+/// Understandable Consensus Algorithm", and Ongaro's dissertation for pre-vote (9.6), check quorum
+/// (6.2), leases (6.4.1), learners (4.2.1) and leadership transfer (3.10)). It does no I/O and
+/// reads no clock: every input carries the time, and what the driver has to do is collected until
+/// `TakeEffects`, which the driver calls after each input.
 ///
 /// Invariants:
-///  - No answer and no vote request leaves before the term, vote and entries it rests on are
-///  synced.
-///  - Terms and votes never go back, whichever cluster a member belongs to.
-///  - A member that heard a leader less than the minimum election timeout ago, or started less than
-///  that
-///    ago, votes for nobody. The leader's lease rests on this.
-///  - A leader counts itself only up to its own synced index.
+///  - No response and no vote request is sent before the term, vote and entries it depends on are
+///    synced.
+///  - The term never decreases and a vote is never changed within a term, even if the member joins
+///    another cluster.
+///  - A member that heard a leader or started less than the minimum election timeout ago votes for
+///    nobody. The leader's lease depends on this.
+///  - A leader counts its own entries towards a commit only once they are synced.
 ///
 /// Threads: not thread-safe; the owner's event loop only.
 
@@ -33,7 +34,7 @@
 
 namespace cloverbank {
 
-/// Where a proposal went in the log.
+/// Position of a proposal in the log.
 struct RaftPosition {
   std::uint64_t index = 0;
   std::uint64_t term = 0;
@@ -41,16 +42,17 @@
 
 class RaftCore {
  public:
-  /// Starts as a follower that may have promised its vote to a leader just before it stopped.
+  /// Starts as a follower that may have heard a leader just before it stopped, so it withholds
+  /// votes at first.
   RaftCore(const RaftCoreOptions& options, RaftDurableState state, TimePoint now);
 
-  /// Does what has fallen due. To be called at `NextWakeup` or later.
+  /// Handles timeouts: elections, heartbeats, check quorum. To be called at `NextWakeup` or later.
   void Tick(TimePoint now);
-  /// Says whether writes get to the disk now. A member whose writes wait hands leadership over or
-  /// gives it up, stands for no election, and answers nothing that depends on those writes.
+  /// Sets whether writes reach the disk. A member that can not write transfers leadership or steps
+  /// down, does not stand for election, and sends no response that depends on pending writes.
   void SetWritable(TimePoint now, bool writable);
   TimePoint NextWakeup() const { return next_wakeup_; }
-  /// @return what the inputs since the last call ask for.
+  /// @return the effects of the inputs since the last call.
   RaftEffects TakeEffects() { return std::exchange(effects_, {}); }
 
   // Requests of other members, admitted by `AdmitSender`.
@@ -75,33 +77,36 @@
   /// Every write up to `write` is synced.
   void HandlePersisted(TimePoint now, RaftWriteId write);
 
-  /// Appends a command. kNotLeader: not appended; kResourceExhausted: not appended, too many wait.
+  /// Appends a command. kNotLeader: not appended; kResourceExhausted: not appended, too many are
+  /// uncommitted.
   Result<RaftPosition> Propose(TimePoint now, std::string command);
-  /// Takes `member` in as a learner, in place of any other at its endpoint or of `replaces`. A
-  /// member that is in the group already gets its new endpoint. kUnavailable: another change is
-  /// under way.
+  /// Adds `member` as a learner, to replace the member at its endpoint or else `replaces` (0: none
+  /// named). A present member gets its new endpoint instead. kUnavailable: another change is
+  /// pending; kConflict: the group is full, or the leader would be replaced.
   Status AdmitMember(TimePoint now, const proto::RaftMember& member, std::uint64_t replaces);
-  /// Hands leadership to the voter that is furthest on, e.g. before this process ends: refuses
-  /// proposals, and once that voter has everything makes it stand for election. From then on this
-  /// term's lease is over for good. kUnavailable: no other voter is heard.
+  /// Transfers leadership to the voter with the longest log, e.g. before this process ends
+  /// (dissertation, 3.10): refuses proposals, and once that voter has all entries makes it stand
+  /// for election. From then on this leader has no lease. kUnavailable: no other voter is active.
   Status TransferLeadership(TimePoint now);
-  /// Makes `snapshot`, taken of the applied state, durable, and shortens the log afterwards.
+  /// Writes a snapshot of the applied state up to `index`, and compacts the log once it is durable
+  /// (Raft, section 7).
   void StoreSnapshot(std::uint64_t index, std::string state);
 
-  /// Whether a message of `cluster_id` to `recipient_id` is meant for this member. A member without
-  /// a configuration takes on the cluster of whoever knows its id, for it has told only seeds and
-  /// leaders.
+  /// Checks that a message of `cluster_id` to `recipient_id` is meant for this member. A member
+  /// without a configuration adopts the cluster of whoever knows its id, since only seeds and
+  /// leaders have learned it. kNotFound: another recipient; kConflict: another cluster.
   Status AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id);
-  /// Writes the first configuration, as the lowest seed. Requires `IsEmpty()`.
+  /// Writes the first configuration of a new cluster. Requires `IsEmpty()`.
   void Bootstrap(std::uint64_t cluster_id, const proto::RaftConfiguration& configuration);
 
-  /// Whether no other member can lead now, and all that earlier leaders committed is applied.
+  /// Whether no other member can be leader at `now`, and all entries of earlier terms are committed
+  /// here (leader lease, dissertation 6.4.1).
   bool HasLeaderLease(TimePoint now) const;
   /// Whether this member leads and has committed an entry of its own term.
   bool IsReadyLeader() const;
-  /// Whether this member has never held a configuration: it can not have acknowledged anything.
+  /// Whether this member has never had a configuration: it can not have acknowledged anything.
   bool IsEmpty() const { return log_.configuration().members().empty(); }
-  /// Whether the configuration in force here contains this member.
+  /// Whether the latest configuration in the log contains this member.
   bool IsMember() const;
 
   RaftRole role() const { return role_; }
@@ -173,7 +178,7 @@
   void SendSnapshotChunk(TimePoint now, RaftPeer& peer);
   std::uint64_t AllocateSequence(TimePoint now, RaftPeer& peer);
   void ReplicateToAll(TimePoint now);
-  /// Goes on with what `member` still lacks; a learner waits for the next heartbeat.
+  /// Sends a voter its next entries at once; a learner gets them with the next heartbeat.
   void ContinueReplication(TimePoint now, std::uint64_t member);
   RaftPeer* RecordResponse(TimePoint now, std::uint64_t response_term, std::uint64_t follower_id,
                            std::uint64_t sequence);
@@ -185,14 +190,14 @@
   void AdvanceTransfer(TimePoint now);
 
   // raft_core_membership.cc
-  /// @return the voter that was not heard for the longest time, if long enough to give its place to
-  /// a member at another address; else 0.
+  /// @return the voter that has not answered for the longest time, if long enough to be replaced;
+  /// else 0.
   std::uint64_t FindLongestUnresponsiveVoter(TimePoint now) const;
-  /// @return when `peer` was last heard; the start of the term or of its membership if never.
+  /// @return when `peer` last answered; the start of the term or of its membership if it never did.
   TimePoint LastContact(const RaftPeer& peer) const;
-  /// Whether `member` is a learner that may be left out: it was silent for as long as a voter may.
+  /// Whether `member` is a learner that has not answered for `replace_unresponsive_after`.
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
-  /// Whether a learner already takes the place of `voter`: a second one would make the group grow.
+  /// Whether a responsive learner already replaces `voter`: a second one would make the group grow.
   bool HasResponsiveSuccessor(TimePoint now, std::uint64_t voter) const;
   /// @return the configuration without learners that `joining` displaces or that are unresponsive.
   proto::RaftConfiguration RemoveDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
@@ -224,10 +229,10 @@
   RaftWriteId last_metadata_write_ = 0;
   RaftWriteId persisted_write_ = 0;
   std::uint64_t synced_index_ = 0;
-  /// Writes of the log that are under way, in order.
+  /// Pending writes of the log, in order.
   std::deque<UnsyncedWrite> unsynced_writes_;
   std::multimap<RaftWriteId, RaftReply> pending_replies_;
-  /// The own snapshot that is being written, and by which write.
+  /// The write of the snapshot that `StoreSnapshot` began; 0 if none is pending.
   RaftWriteId snapshot_write_ = 0;
 
   RaftRole role_ = RaftRole::kFollower;
@@ -248,12 +253,12 @@
   std::uint64_t term_start_index_ = 0;
   TimePoint term_started_;
   std::uint64_t last_sequence_ = 0;
-  /// Who is to take over; 0 if nobody.
+  /// The voter that is to become leader; 0 if no transfer is pending.
   std::uint64_t transfer_target_ = 0;
   bool transfer_sent_ = false;
   TimePoint transfer_deadline_;
 
-  // A snapshot being received: all chunks so far.
+  // The snapshot that is being received: its chunks so far.
   proto::RaftSnapshot incoming_snapshot_;
   std::uint64_t incoming_term_ = 0;
 };
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -14,8 +14,8 @@
   }
   role_ = RaftRole::kPreCandidate;
   votes_.clear();
-  // A refused pre-vote has cost nobody anything, so it is repeated soon: the others may only have
-  // heard the leader a little later than this member.
+  // A refused pre-vote disturbs nobody, so it is repeated soon: the others may have heard the
+  // leader only slightly later than this member.
   ResetElectionTimer(now, options_.heartbeat_interval, 2 * options_.heartbeat_interval);
   SendVoteRequests();
   CountVote(now, member_id());
@@ -29,7 +29,7 @@
   metadata_.set_current_term(term() + 1);
   metadata_.set_voted_for(member_id());
   WriteMetadata();
-  vote_write_ = last_metadata_write_;  // Goes on in HandlePersisted.
+  vote_write_ = last_metadata_write_;  // HandlePersisted sends the requests.
   ResetElectionTimer(now, options_.minimum_election_timeout / 2,
                      options_.maximum_election_timeout / 2);
 }
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -45,7 +45,7 @@
   const std::uint64_t last_new_index =
       request.previous_log_index() + static_cast<std::uint64_t>(request.entries_size());
   SetCommitIndex(std::min({request.leader_commit(), last_new_index, log_.last_index()}));
-  // A heartbeat does not wait for entries being synced; it vouches only for those that are.
+  // A heartbeat's response does not wait for a sync, so it covers only entries already synced.
   response.set_match_index(request.entries().empty() ? std::min(last_new_index, synced_index_)
                                                      : last_new_index);
   return true;
@@ -64,7 +64,8 @@
   if (previous > log_.last_index()) {
     return log_.last_index();
   }
-  // Skips the whole term that conflicts (end of Raft section 5.3), but nothing committed.
+  // Skips all entries of the conflicting term (end of Raft section 5.3), but none that is
+  // committed.
   return std::max(log_.FirstIndexOfTermAt(previous) - 1, commit_index_);
 }
 
@@ -96,7 +97,8 @@
 }
 
 void RaftCore::TruncateLog(std::uint64_t index) {
-  // No write of its own: the entry that follows replaces this one and all after it on the disk too.
+  // Needs no write of its own: on the disk the next appended entry also overwrites this one and all
+  // later ones.
   log_.TruncateFrom(index);
   const std::uint64_t last_remaining = index - 1;
   synced_index_ = std::min(synced_index_, last_remaining);
@@ -159,10 +161,10 @@
     log_.Reset(index, request.last_included_term(), request.configuration());
   }
   commit_index_ = index;
-  // Nothing of the new log is synced until it is written whole.
+  // Nothing of the new log is synced until it has been rewritten.
   synced_index_ = 0;
   unsynced_writes_.clear();
-  // Entries committed in the same round lie before the snapshot.
+  // Entries committed by the same input precede the snapshot.
   effects_.committed.clear();
   effects_.restore = snapshot_;
   AddWrite().snapshot = snapshot_;
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -1,16 +1,15 @@
 // Membership: one member at a time (Ongaro's dissertation, 4.1-4.3), new ones as learners first.
 //
-// Replacing a member whose disk was emptied. The group {A, B, C} has lost C's disk; C' is the same
-// machine under a new id. Exchanging C for C' in one entry would be unsafe: {A, C} and {B, C'} do
-// not intersect, and C's disk may after all come back. So there are two steps, each of one voter:
-//  - C is silent: remove C, then promote C'. Before and in between A and B are both needed, so the
-//    step in between costs nothing; with four voters (promote first) A, B and C' would all be
-//    needed.
-//  - C still answers (replacement by another machine): promote first, then remove C, because {A, B}
-//    in between would tolerate no failure while four voters tolerate one.
-// Every step is taken only while a majority of the next configuration is heard. All that is needed
-// to go on is in the configuration (`RaftMember.replaces`), so that another leader finishes what
-// one began.
+// Replacing a member whose disk was lost. In the group {A, B, C}, C' is C's machine with an empty
+// disk and a new id. Replacing C by C' in one entry would be unsafe: the majorities {A, C} and {B,
+// C'} do not intersect, and C's disk may return. So there are two steps of one voter each:
+//  - C does not answer: remove C, then promote C'. A and B are both needed before and between the
+//    steps, so nothing is lost; with four voters (promoting first) A, B and C' would all be needed.
+//  - C still answers (replacement by another machine): promote C', then remove C. The group {A, B}
+//    in between would tolerate no failure, while four voters tolerate one.
+//
+// A step is taken only while a majority of the next configuration is active. Its state is in the
+// configuration (`RaftMember.replaces`), so that a new leader completes the change.
 #include <algorithm>
 
 #include "consensus/raft_core.h"
@@ -100,7 +99,7 @@
 proto::RaftConfiguration RaftCore::RemoveDisplacedLearners(TimePoint now,
                                                            const proto::RaftMember& joining,
                                                            std::uint64_t replaces) const {
-  // Learners do not count for a majority: they may come and go along with another change.
+  // Learners do not count for a majority, so they can be removed along with another change.
   proto::RaftConfiguration remaining;
   for (const proto::RaftMember& present : configuration().members()) {
     const bool displaced = SameEndpoint(present, joining) || present.member_id() == replaces;
@@ -116,7 +115,8 @@
                                            std::uint64_t replaces) const {
   std::uint64_t replaced = FindMember(configuration(), replaces) != nullptr ? replaces : 0;
   for (const proto::RaftMember& present : remaining.members()) {
-    // Whoever had this very address is gone for certain, so it goes before one that is only named.
+    // The member that had this endpoint no longer exists, so it is replaced before one that is only
+    // named.
     if (SameEndpoint(present, joining)) {
       replaced = present.member_id();
     }
@@ -177,7 +177,7 @@
 }
 
 Status RaftCore::UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member) {
-  // The same disk at another address: who votes does not change, so this is safe at any time.
+  // The same disk at another address: the set of voters does not change, so this is always safe.
   proto::RaftConfiguration next = configuration();
   for (proto::RaftMember& present : *next.mutable_members()) {
     if (present.member_id() == member.member_id()) {
--- a/src/consensus/raft_core_replication.cc
+++ b/src/consensus/raft_core_replication.cc
@@ -1,4 +1,4 @@
-// Leading: log replication (Raft section 5.3 and 5.4.2), heartbeats, check-quorum, sending
+// The leader: log replication (Raft section 5.3 and 5.4.2), heartbeats, check-quorum, sending
 // snapshots.
 #include <algorithm>
 #include <functional>
@@ -11,8 +11,8 @@
 namespace cloverbank {
 namespace {
 
-/// A message with entries or snapshot bytes is sent again when no answer came for this many
-/// heartbeats. It may still be under way or waiting for a sync: receiving it twice does no harm.
+/// A message with entries or snapshot data is resent when it was not answered for this many
+/// heartbeats. Receiving it twice is harmless.
 constexpr int kResendAfterHeartbeats = 3;
 
 /// @return the highest value that a majority of `values`, one a voter, reaches.
@@ -67,7 +67,7 @@
   request.set_cluster_id(cluster_id());
   request.set_recipient_id(peer.member.member_id());
   request.set_sequence(AllocateSequence(now, peer));
-  // While entries are under way a heartbeat may overtake them, so it rests on what is known to
+  // A heartbeat may overtake entries in flight, so its previous entry is one that is known to
   // match.
   const std::uint64_t previous = peer.in_flight != 0 ? peer.match_index : peer.next_index - 1;
   if (const std::optional<std::uint64_t> previous_term = log_.TermAt(previous)) {
@@ -134,7 +134,7 @@
   RaftPeer& peer = found->second;
   const auto sent = peer.sent_at.find(sequence);
   if (sent == peer.sent_at.end()) {
-    return nullptr;  // Sent before this leadership, or answered before.
+    return nullptr;  // Sent in an earlier term, or already answered.
   }
   if (!peer.last_contact || *peer.last_contact < sent->second) {
     peer.last_contact = sent->second;
@@ -165,7 +165,7 @@
 }
 
 void RaftCore::ContinueReplication(TimePoint now, std::uint64_t member) {
-  // A changed configuration may have removed the peer.
+  // A configuration change may have removed the peer.
   const auto found = peers_.find(member);
   if (found != peers_.end() && !found->second.member.learner()) {
     ReplicateTo(now, found->second, false);
@@ -175,7 +175,7 @@
 void RaftCore::DecrementNextIndex(TimePoint now, RaftPeer& peer, std::uint64_t hint) {
   const std::uint64_t next_index = std::max(peer.match_index + 1, hint + 1);
   if (next_index >= peer.next_index) {
-    return;  // An answer that a later one has overtaken.
+    return;  // The response was overtaken by a later one.
   }
   peer.next_index = next_index;
   ReplicateTo(now, peer, false);
@@ -185,7 +185,7 @@
                                              const proto::InstallSnapshotResponse& response) {
   RaftPeer* peer =
       RecordResponse(now, response.term(), response.follower_id(), response.sequence());
-  // Only the latest chunk's answer counts: an earlier one may speak of another snapshot.
+  // Only the response to the latest chunk counts: an earlier one may belong to another snapshot.
   if (peer == nullptr || peer->in_flight != response.sequence() || !peer->snapshot) {
     return;
   }
@@ -207,7 +207,7 @@
     return;
   }
   RaftPeer& peer = found->second;
-  peer.probing = true;  // The next heartbeat tries again, without a load.
+  peer.probing = true;  // The next heartbeat probes it without entries.
   if (peer.in_flight == sequence) {
     peer.in_flight = 0;
   }
@@ -242,7 +242,8 @@
     matches.push_back(own ? synced_index_ : peer->second.match_index);
   }
   const std::uint64_t majority_match = ReachedByMajority(std::move(matches));
-  // Entries of earlier terms are committed only along with one of this term (Raft, figure 8).
+  // An entry of an earlier term is committed only together with one of this term (Raft, 5.4.2 and
+  // figure 8).
   if (majority_match > commit_index_ && log_.TermAt(majority_match) == term()) {
     SetCommitIndex(majority_match);
   }
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -1,8 +1,8 @@
-// Handing leadership over: Ongaro's dissertation, 3.10.
+// Leadership transfer: Ongaro's dissertation, 3.10.
 //
-// The new leader's votes pass over the promises on which this leader's lease rests. So the lease
-// ends for good before the message that allows them is sent, and this leader steps down whatever
-// becomes of it.
+// A vote in a transfer is granted even to members that have recently heard this leader, which
+// breaks the assumption of its lease. So the lease ends before TimeoutNow is sent, and this leader
+// steps down whatever the outcome.
 #include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
@@ -41,7 +41,7 @@
     if (transfer_sent_) {
       BecomeFollower(now, term(), 0);
     }
-    return;  // If nothing has been sent, this leader goes on.
+    return;  // Before TimeoutNow was sent, this leader stays leader.
   }
   if (transfer_sent_ || target->second.match_index < log_.last_index()) {
     return;
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Whether the group reaches this member where it is.
+/// Whether the group knows this member by its present endpoint.
 bool Contains(const proto::RaftConfiguration& configuration, const FormationRound& round) {
   const auto& members = configuration.members();
   return std::any_of(members.begin(), members.end(), [&round](const proto::RaftMember& member) {
@@ -13,7 +13,7 @@
   });
 }
 
-/// @return a group that can take this member in, if an answer shows one.
+/// @return the group to join, if a response shows one.
 FormationDecision DecideJoin(const FormationRound& round) {
   for (const auto& [endpoint, answer] : round.answers) {
     const bool other_cluster = !round.empty && answer.cluster_id() != round.cluster_id;
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -1,33 +1,27 @@
 #pragma once
 /// @file
-/// How a member without a group finds or founds one. Pure decision over what the seeds answered.
+/// How a member without a group joins one or bootstraps a new one. A pure decision over the seeds'
+/// responses.
 ///
-/// Founding. Only the seed with the lowest endpoint founds, and only when in one round every seed
-/// answered that it holds no configuration. Why that is safe:
-///  - Two founders can not be: the lowest endpoint is one machine, running one process at a time.
-///  (All
-///    members must be given the same seeds.)
-///  - A seed that dies before it answers stops the round; nothing is founded until all three are
-///  there.
-///  - A founder that crashes before its configuration is synced has told nobody and is empty again.
-///  If it
-///    crashes afterwards, it restarts with it and answers as not empty.
-///  - Another seed that loses its disk between its answer and the founding is replaced like any
-///  member:
-///    its old id is in the configuration, its new one joins.
-///  - If a founded group lost two disks, the third member is still not empty, so that no new group
-///  can take
-///    the place of the old one. The group stands still until an operator decides; it does not
-///    forget.
-///  - A founder that lost its disk after others took its configuration finds them not empty and
-///  joins.
-///    If none of them took it, nothing was ever committed, and founding anew loses nothing. A late
-///    message of the first founding is refused, because its sender's id has been superseded
-///    (`MemberDirectory`).
+/// Bootstrap. Only the seed with the lowest endpoint bootstraps the group, and only when in one
+/// round every seed answered that it has no configuration. Why that is safe:
+///  - There can not be two such members: the lowest endpoint is one machine, which runs one process
+///    at a time. (All members must be given the same seeds.)
+///  - A seed that fails before it answers stops the round: no group is formed until all seeds run.
+///  - A bootstrapping member that crashes before its configuration is synced has sent it to nobody
+///    and is empty again. If it crashes afterwards, it restarts with the configuration and answers
+///    as not empty.
+///  - Another seed that loses its disk between its answer and the bootstrap is replaced like any
+///    member: its old id is in the configuration, its new one joins.
+///  - If the group loses two of three disks, the third member is still not empty, so no new group
+///    is formed. The group is unavailable until an operator decides; it loses nothing silently.
+///  - A bootstrapping member that loses its disk after others stored its configuration finds them
+///    not empty and joins. If none of them stored it, nothing was committed, and a second bootstrap
+///    loses nothing. A delayed message of the first one is refused, because its sender's id is
+///    superseded (`MemberDirectory`).
 ///
-/// Joining. A member without a configuration, or one that the leader's configuration no longer
-/// contains, asks the leader to take it in. Its id is new after a disk loss, so it has no vote to
-/// remember.
+/// Join. A member without a configuration, or one that the leader's configuration no longer
+/// contains, asks the leader to add it. After a disk loss its id is new, so it has no earlier vote.
 
 #include <cstdint>
 #include <map>
@@ -41,31 +35,36 @@
 
 namespace cloverbank {
 
-/// What a member knows about itself and the seeds after one round of questions.
+/// What a member knows about itself and the others after one round of raft.Discover.
 struct FormationRound {
   std::uint64_t member_id = 0;
   Endpoint endpoint;
-  bool empty = true;             ///< Holds no configuration.
+  bool empty = true;             ///< This member has no configuration.
   std::uint64_t cluster_id = 0;  ///< Meaningful when not empty.
   std::vector<Endpoint> seeds;
-  bool may_found = true;  ///< Whether this may be the first start of the whole system.
-  /// Answers of others, by the endpoint asked.
+  /// Whether this may be the first start of the system, so that a group may be bootstrapped.
+  bool may_found = true;
+  /// Responses of others, by the endpoint called.
   std::map<Endpoint, proto::DiscoverResponse> answers;
 };
 
+/// Nothing to do in this round.
 struct KeepWaiting {};
+/// This member writes the first configuration.
 struct BootstrapGroup {
   proto::RaftConfiguration configuration;
 };
+/// This member asks the leader to add it.
 struct JoinGroup {
   Endpoint leader;
 };
 using FormationDecision = std::variant<KeepWaiting, BootstrapGroup, JoinGroup>;
 
+/// @return what the member has to do after the round; see the top of this file.
 FormationDecision DecideFormation(const FormationRound& round);
 
-/// Which member id was last seen at each endpoint. An id that another one followed is superseded
-/// for good, in whatever order late messages arrive.
+/// Which member id was last seen at each endpoint. An id that was followed by another one there
+/// stays superseded, in whatever order delayed messages arrive.
 class MemberDirectory {
  public:
   void RecordMember(const Endpoint& endpoint, std::uint64_t member_id);
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -14,13 +14,13 @@
 constexpr std::string_view kDiscover = "raft.Discover";
 constexpr std::string_view kJoin = "raft.Join";
 
-/// Rounds of questions while there is no group: one each election timeout. A member that has a
-/// group asks only when it has heard no leader, and less often.
+/// Interval of discovery rounds, in election timeouts, of a member that is in a group but knows no
+/// leader, or that a full group refused. Others start one each election timeout.
 constexpr int kSlowRoundElectionTimeouts = 4;
 
 }  // namespace
 
-/// Answers of one round of questions.
+/// Responses of one discovery round.
 struct RaftFormationDriver::Round {
   FormationRound answers;
   std::size_t pending_responses = 0;
@@ -72,7 +72,8 @@
                  leader.valid() ? leader.ToString() : std::string()));
     return;
   }
-  // The request may be a late one of a life whose disk is gone: ask who is there now.
+  // The request may be a delayed one of a member whose disk was lost since: confirm who runs there
+  // now.
   CallPeer<proto::DiscoverResponse>(context_.environment, ToEndpoint(request.member().endpoint()),
                                     kDiscover, MakeDiscoverRequest(),
                                     context_.options.election_timeout,
@@ -129,7 +130,7 @@
 }
 
 void RaftFormationDriver::UpdateOwnEndpoint() {
-  // A leader that came back at another address is not reached by anyone who asks for the leader.
+  // A leader that restarted at another address can not be reached by referrals to the old one.
   const Endpoint own_endpoint = context_.environment.peer_endpoint();
   if (!context_.IsReadyLeader() || context_.LeaderEndpoint() == own_endpoint) {
     return;
@@ -160,7 +161,7 @@
   const bool urgent = !context_.core->IsMember() && !group_full_;
   const Duration timeout = context_.options.election_timeout;
   const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
-  // Spread, so that members do not ask in step.
+  // With jitter, so that members do not call in lockstep.
   const Duration delay =
       interval / 2 +
       Duration(static_cast<Duration::rep>(context_.environment.Random() %
--- a/src/consensus/raft_formation_driver.h
+++ b/src/consensus/raft_formation_driver.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Finds, founds or joins the group: asks the seeds and members in rounds, carries out what
-/// `DecideFormation` says, and answers other members that do the same. Threads: the environment's
+/// Discovers, bootstraps or joins the group: calls seeds and members in rounds, executes what
+/// `DecideFormation` returns, and answers raft.Discover and raft.Join. Threads: the environment's
 /// event loop only.
 
 #include <cstdint>
@@ -37,7 +37,8 @@
   Result<proto::DiscoverResponse> HandleDiscover(const proto::DiscoverRequest& request);
   void HandleJoin(const proto::JoinRequest& request,
                   const std::function<void(Result<proto::JoinResponse>)>& reply);
-  /// Second step of `HandleJoin`: `present` is who answers now at the endpoint of the request.
+  /// Second step of `HandleJoin`: `present` is the response of the member at the request's
+  /// endpoint.
   Result<proto::JoinResponse> CompleteJoin(const proto::JoinRequest& request,
                                            const Result<proto::DiscoverResponse>& present);
   Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
@@ -59,9 +60,9 @@
   RaftNodeContext& context_;
   TimerId round_timer_ = 0;
   MemberDirectory directory_;
-  /// Members that answers of others named last: seeds may all be gone by the time they are needed.
+  /// Members as other members reported them last: no seed may be left by the time they are needed.
   std::set<Endpoint> reported_members_;
-  /// The group was complete when this member last asked to join: it asks less often.
+  /// The group was full when this member last asked to join, so it asks less often.
   bool group_full_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The part of the replicated log that a member holds in memory: the entries after a base, and the
-/// group configurations that they contain.
+/// A member's in-memory copy of the replicated log: the entries after a base, and the group
+/// configurations that they contain. Pure data; the owner keeps it in step with the disk. Threads:
+/// the owner's event loop only.
 
 #include <cstdint>
 #include <deque>
@@ -12,7 +13,7 @@
 
 namespace cloverbank {
 
-/// Entries (base, last]. Pure data; the owner keeps it in step with the disk.
+/// The entries (base, last].
 class RaftLog {
  public:
   /// @param configuration in force at the base.
@@ -28,7 +29,7 @@
   std::optional<std::uint64_t> TermAt(std::uint64_t index) const;
   /// Requires base < index <= last.
   const proto::RaftEntry& At(std::uint64_t index) const;
-  /// @return the smallest index held that has the term of the entry at `index`.
+  /// @return the index of the first entry in the log that has the term of the entry at `index`.
   std::uint64_t FirstIndexOfTermAt(std::uint64_t index) const;
   /// @return entries from `first` on, at least one if there is one, within both limits.
   std::vector<proto::RaftEntry> Slice(std::uint64_t first, std::size_t maximum_entries,
@@ -40,7 +41,7 @@
   void TruncateFrom(std::uint64_t index);
   /// Makes `index` the base. Requires base <= index <= last.
   void CompactTo(std::uint64_t index);
-  /// Forgets everything; a snapshot that ends at `index` takes its place.
+  /// Drops all entries; a snapshot that ends at `index` replaces them.
   void Reset(std::uint64_t index, std::uint64_t term, proto::RaftConfiguration configuration);
 
   /// The configuration in force: the last one in the log, committed or not (Raft, section 6).
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -49,7 +49,7 @@
   }
   context_.identity_durable = state->metadata.member_id() != 0;
   if (!context_.identity_durable) {
-    // The disk is empty: a new member, which must not be taken for one that remembers a vote.
+    // The disk is empty: a new member, which must not be mistaken for one that has voted.
     state->metadata.set_member_id(std::max<std::uint64_t>(1, context_.environment.Random()));
     RaftWrite identity;
     identity.metadata = state->metadata;
@@ -131,7 +131,7 @@
 
 void RaftNode::ExecuteEffects() {
   if (executing_effects_ || context_.stopped) {
-    return;  // Called from a callback below: the loop further up takes the effects.
+    return;  // Called from a callback of the loop below, which takes the effects.
   }
   executing_effects_ = true;
   for (RaftEffects effects = context_.core->TakeEffects(); !effects.empty() && !context_.stopped;
@@ -213,7 +213,7 @@
 void RaftNode::ScheduleWakeup() {
   const TimePoint due = context_.core->NextWakeup();
   if (wakeup_timer_ != 0 && wakeup_at_ <= due) {
-    return;  // Fires early and is armed anew then: cheaper than once a heartbeat.
+    return;  // Fires early and is then scheduled anew: cheaper than a timer a heartbeat.
   }
   context_.environment.CancelTimer(wakeup_timer_);
   wakeup_at_ = due;
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// `ReplicatedLog` over `RaftCore`: ties the core to time, peers and the disk, applies what is
-/// committed to the state machine, and finds, founds or joins the group.
+/// `ReplicatedLog` over `RaftCore`: drives the core with time, peer messages and completed writes,
+/// and applies committed entries to the state machine.
 ///
 /// Peers call "raft.RequestVote", "raft.AppendEntries", "raft.InstallSnapshot", "raft.TimeoutNow",
 /// "raft.Discover" and "raft.Join". Threads: the environment's event loop only. The node must live
@@ -39,11 +39,11 @@
   /// Reads the disk and restores the state machine. kCorrupt: the disk lost or damaged synced
   /// bytes; the member must not start on it.
   Status Load();
-  /// Begins to serve peers. Requires a successful `Load`.
+  /// Starts to serve peers and to write. Requires a successful `Load`.
   void Start();
 
-  /// Besides the documented outcomes, kResourceExhausted: not appended, too many commands wait. A
-  /// refusal comes before the call returns.
+  /// Besides the documented outcomes, kResourceExhausted: not appended, too many commands are
+  /// uncommitted. `done` gets a refusal before the call returns.
   void Propose(std::string command, std::function<void(Result<std::string>)> done) override;
   /// Implies `IsReadyLeader`.
   bool HasLeaderLease() const override;
@@ -54,8 +54,8 @@
   void OnLeadershipChange(std::function<void(bool leads)> observer) override;
   void OnApplied(std::function<void(std::uint64_t index)> observer) override;
 
-  /// Hands leadership to another member, e.g. before the process ends; over when the observers hear
-  /// that this member leads no more. kNotLeader, or kUnavailable when no other voter is heard.
+  /// Transfers leadership to another member, e.g. before the process ends; complete when the
+  /// observers of the leadership run. kNotLeader, or kUnavailable when no other voter is active.
   Status TransferLeadership();
 
   /// For status pages and tests. Requires a successful `Load`.
@@ -64,10 +64,10 @@
 
  private:
   RaftCoreOptions CoreOptions();
-  /// Executes what the core asks for, until it asks for nothing more.
+  /// Executes the core's effects until it has none. Calls from within it return at once.
   void ExecuteEffects();
   void Execute(RaftEffects& effects);
-  /// Restores, applies, and takes a snapshot if one is due.
+  /// Restores the snapshot, applies committed entries, and takes a snapshot if one is due.
   Status ApplyCommitted(const RaftEffects& effects);
   void NotifyLeadership();
   void ScheduleWakeup();
@@ -83,7 +83,8 @@
   RaftTransport transport_;
   bool executing_effects_ = false;
 
-  std::uint64_t notified_term_ = 0;  ///< Term reported to the observers as led; 0 if none.
+  /// The term in which the observers know this member as leader; 0 if none.
+  std::uint64_t notified_term_ = 0;
   std::vector<std::function<void(bool)>> leadership_observers_;
   std::vector<std::function<void(std::uint64_t)>> applied_observers_;
 
--- a/src/consensus/raft_node_context.h
+++ b/src/consensus/raft_node_context.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the parts of one `RaftNode` share: environment, options, the core, and the state of the
-/// member around it. Threads: the environment's event loop only.
+/// State that the parts of one `RaftNode` share: environment, options, the core, and how far the
+/// member has come. Threads: the environment's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -18,12 +18,13 @@
 struct RaftNodeContext {
   Environment& environment;
   const RaftNodeOptions options;
-  /// To be called after each input to the core.
+  /// Executes the core's effects; to be called after each input to the core.
   std::function<void()> execute_effects;
-  std::unique_ptr<RaftCore> core;  ///< Null before the disk was read.
-  /// The member id is synced. Before that it could be forgotten, so the member answers nobody.
+  std::unique_ptr<RaftCore> core;  ///< Null before `RaftNode::Load`.
+  /// The member id is synced. Until then the member answers nobody, since a crash would lose the
+  /// id.
   bool identity_durable = false;
-  bool stopped = false;  ///< For good: it answers nobody and leads nothing.
+  bool stopped = false;  ///< After a fatal error: the member neither answers nor leads.
   std::uint64_t applied_index = 0;
 
   bool CanAnswerPeers() const { return !stopped && identity_durable; }
--- a/src/consensus/raft_node_options.h
+++ b/src/consensus/raft_node_options.h
@@ -16,29 +16,30 @@
 struct RaftNodeOptions {
   /// Peer endpoints of the first members, the same list at each.
   std::vector<Endpoint> seeds;
-  /// Whether seeds that are all empty may found a new group. False on every start but the first of
-  /// the whole system: an empty disk then only ever joins.
+  /// Whether seeds that are all empty may bootstrap a new group. True only on the first start of
+  /// the system: later a member with an empty disk can only join.
   bool may_found = true;
-  /// Voters of a complete group, if more than there are seeds. A group that is to bear n losses at
-  /// once needs 2n + 1.
+  /// Voters of a full group, if more than there are seeds. A group needs 2n + 1 to tolerate n
+  /// failures at once.
   std::size_t wanted_voters = 0;
-  /// See `RaftCoreOptions`. If set, seeds say nothing of who is to be replaced: they may lag.
+  /// See `RaftCoreOptions`. If set, a member that is no seed is not replaced for that reason: the
+  /// list of seeds may be outdated.
   Duration replace_unresponsive_after{};
-  /// Shortest silence of the leader after which another is elected; the longest is twice that.
+  /// Shortest election timeout; the longest is twice that.
   Duration election_timeout = milliseconds(400);
   Duration heartbeat_interval = milliseconds(100);
   /// A snapshot is taken after this many commands or bytes of commands.
   std::uint64_t snapshot_threshold_entries = 10000;
   std::uint64_t snapshot_threshold_bytes = 4U << 20U;
-  /// Commands before a snapshot that are kept, so that a slow member needs no snapshot.
+  /// Entries before a snapshot that stay in the log, so that a slow member needs no snapshot.
   std::uint64_t trailing_entries = 512;
-  /// Most commands in one message.
+  /// Limit of entries in one message.
   std::size_t maximum_append_entries = 1024;
-  /// Size of one message of a snapshot.
+  /// Snapshot bytes in one message.
   std::size_t snapshot_chunk_bytes = 256U << 10U;
-  /// Runs once when the member can not go on (a failed sync, damaged state). The node then answers
-  /// nobody and leads nothing; the process should end. A full disk is no such case: the member
-  /// leads nothing and votes for nobody until there is room.
+  /// Runs once when the member has stopped after a fatal error (a failed sync, damaged state). It
+  /// then neither answers nor leads; the process should end. A full disk is not fatal: the member
+  /// neither leads nor votes until there is space.
   std::function<void(const Status&)> on_fatal;
 };
 
--- a/src/consensus/raft_peer.h
+++ b/src/consensus/raft_peer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What a leader knows of one other member.
+/// A leader's replication state of one other member (Raft, section 5.3).
 
 #include <cstdint>
 #include <map>
@@ -14,22 +14,22 @@
 
 struct RaftPeer {
   proto::RaftMember member;
-  /// Highest index known to be synced at the member.
+  /// Highest index known to be synced at the member (matchIndex).
   std::uint64_t match_index = 0;
-  /// First index to send next.
+  /// First index to send next (nextIndex).
   std::uint64_t next_index = 1;
-  /// Sequence number of the message with entries or snapshot bytes that is under way; 0 if none is.
+  /// Sequence number of the pending message with entries or snapshot data; 0 if none is.
   std::uint64_t in_flight = 0;
   TimePoint in_flight_since;
   /// The last call failed: only empty messages are sent until the member answers.
   bool probing = false;
   /// When each unanswered message was sent.
   std::map<std::uint64_t, TimePoint> sent_at;
-  /// When this leader began to count it among the members.
+  /// When this leader learned that it is a member.
   TimePoint member_since;
-  /// When the latest answered message was sent: the member heard this leader then or later.
+  /// When the latest message that the member answered was sent: it heard this leader then or later.
   std::optional<TimePoint> last_contact;
-  /// The snapshot being sent, and how much of it the member has.
+  /// The snapshot being sent, and how many bytes of it the member has.
   std::shared_ptr<const proto::RaftSnapshot> snapshot;
   std::uint64_t snapshot_offset = 0;
 };
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -10,14 +10,15 @@
 constexpr char kMetadataFile[] = "consensus/metadata";
 constexpr char kSnapshotFile[] = "consensus/snapshot";
 constexpr char kLogFile[] = "consensus/log";
-/// Seed of the records' checksums, so that no other file's records are taken for these.
+/// Seed of the records' checksums: records of other files fail the check.
 constexpr std::uint64_t kRecordSeed = 0x7261667431ULL;
 
 Status Corrupt(const std::string& file, const std::string& problem) {
   return {StatusCode::kCorrupt, file + ": " + problem};
 }
 
-/// Adds one entry as read from the log; it may take the place of earlier ones.
+/// Adds one entry as read from the log; it may overwrite earlier ones. @return false if it does not
+/// follow.
 bool PutEntry(RaftDurableState& state, const proto::RaftEntry& entry) {
   const std::uint64_t last_index = state.base_index + state.entries.size();
   if (entry.index() <= state.base_index || entry.index() > last_index + 1) {
@@ -196,7 +197,7 @@
   busy_ = true;
   current_ = std::move(queue_.front());
   queue_.pop_front();
-  // Group commit: what has come in meanwhile joins, as long as it only adds to the log.
+  // Group commit: queued writes are merged as long as they only append to the log.
   while (!queue_.empty() && !queue_.front().snapshot && !queue_.front().replaces_log) {
     RaftWrite& next = queue_.front();
     current_.id = next.id;
--- a/src/consensus/raft_transport.cc
+++ b/src/consensus/raft_transport.cc
@@ -125,7 +125,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::AppendEntriesRequest& request) {
-  // A late answer to a heartbeat is worth nothing; one to entries still tells that they arrived.
+  // A late response to a heartbeat is useless; one to entries still confirms them.
   const Duration timeout = context_.options.election_timeout;
   const Duration deadline =
       request.entries().empty() ? timeout : kDataDeadlineElectionTimeouts * timeout;
@@ -142,7 +142,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::TimeoutNowRequest& request) {
-  // Nothing rests on the answer: the leader waits for the new term, and not for ever.
+  // The response is not needed: the leader waits for the new term, up to a deadline.
   CallPeer<proto::TimeoutNowResponse>(context_.environment, message.endpoint, kTimeoutNow, request,
                                       context_.options.election_timeout,
                                       [](const Result<proto::TimeoutNowResponse>&) {});
--- a/src/consensus/raft_transport.h
+++ b/src/consensus/raft_transport.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Raft's own messages over peer calls: hands requests of other members to the core and sends the
+/// Raft's messages over peer calls: passes requests of other members to the core, and sends the
 /// core's requests and replies. Threads: the environment's event loop only.
 
 #include <cstdint>
@@ -24,13 +24,13 @@
   void Serve();
   /// Sends a request; the core gets its outcome.
   void Send(const RaftMessage& message);
-  /// Answers the request that was handed to the core under the reply's token.
+  /// Answers the request that the core got with the reply's token.
   void SendReply(const RaftReply& reply);
-  /// Answers all requests that still wait for the core: this member has stopped.
+  /// Fails all requests that the core has not answered: this member has stopped.
   void FailPendingReplies();
 
  private:
-  /// Gets the reply; null when none will come.
+  /// Called with the core's reply; null if the member stopped before it.
   using ReplySender = std::function<void(const RaftReply*)>;
   template <typename Request>
   using CoreRequestHandler = void (RaftCore::*)(TimePoint, const Request&, RaftReplyToken);
@@ -48,7 +48,7 @@
   void SendRequest(const RaftMessage& message, const proto::AppendEntriesRequest& request);
   void SendRequest(const RaftMessage& message, const proto::InstallSnapshotRequest& request);
   void SendRequest(const RaftMessage& message, const proto::TimeoutNowRequest& request);
-  /// Sends a leader's request, whose failure the core wants to know.
+  /// Sends a request of the leader; the core gets its response or its failure.
   template <typename Request, typename Response>
   void SendLeaderRequest(const RaftMessage& message, std::string_view method,
                          const Request& request, Duration deadline,
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -16,40 +16,43 @@
 
 namespace cloverbank {
 
-/// Names an incoming request until its answer comes out as a `RaftReply`.
+/// Identifies an incoming request until its response comes out as a `RaftReply`.
 using RaftReplyToken = std::uint64_t;
-/// Numbers writes to disk in their order; 0 is before the first.
+/// Sequence number of a write to disk; 0 is before the first.
 using RaftWriteId = std::uint64_t;
 
 struct RaftCoreOptions {
-  /// Silence of the leader after which a follower may vote for another one. The leader's lease
-  /// rests on it.
+  /// A member votes for nobody for this long after it heard a leader (dissertation, 4.2.3
+  /// and 6.4.1). The leader's lease rests on it.
   Duration minimum_election_timeout = milliseconds(400);
-  /// Election timeouts are drawn between the minimum and this. A leader that hears no majority for
-  /// this long steps down.
+  /// Election timeouts are drawn between the minimum and this. A leader that no majority answers
+  /// for this long steps down (check quorum, dissertation 6.2).
   Duration maximum_election_timeout = milliseconds(800);
+  /// Between AppendEntries messages of a leader to each member.
   Duration heartbeat_interval = milliseconds(100);
-  /// Share of the minimum election timeout by which the lease is shorter, for clocks of unequal
-  /// rate.
+  /// The lease is this share of the minimum election timeout shorter, to allow for clock drift.
   std::uint32_t lease_margin_percent = 10;
+  /// Limits of one AppendEntries message.
   std::size_t maximum_append_entries = 1024;
   std::size_t maximum_append_bytes = 1U << 20U;
+  /// Snapshot data in one InstallSnapshot message.
   std::size_t snapshot_chunk_bytes = 256U << 10U;
-  /// What a learner that catches up is sent in one heartbeat interval. The rest of the leader's
-  /// link belongs to voters and to the heartbeats of nodes, whose leases must not run out
-  /// meanwhile.
+  /// Limit of what a learner is sent in one heartbeat interval while it catches up. The rest of the
+  /// leader's bandwidth is left for voters and for the heartbeats of nodes, whose leases must not
+  /// expire meanwhile.
   std::size_t catch_up_bytes = 128U << 10U;
   /// Entries before a snapshot that stay in the log, so that a slow follower needs no snapshot.
   std::uint64_t trailing_entries = 512;
-  /// The most bytes of them. Memory and disk hold the log whole, and a snapshot rewrites it.
+  /// Limit of the trailing entries' size. The complete log is in memory, and a snapshot rewrites it
+  /// on disk.
   std::size_t trailing_bytes = 2U << 20U;
-  /// Proposals are refused while this many entries wait for their commit.
+  /// Proposals are refused while this many entries are uncommitted.
   std::uint64_t maximum_uncommitted_entries = 16384;
-  /// Voters of a complete group. A join that replaces nobody is refused when there are as many
+  /// Voters of a full group. A join that replaces no member is refused when there are as many
   /// members.
   std::size_t maximum_members = 3;
-  /// A voter that was not heard for this long gives its place to a joining member at another
-  /// address that names nobody to replace. Zero: never.
+  /// A voter that has not answered for this long is replaced by a joining member at another
+  /// endpoint that names no member to replace. Zero: never.
   Duration replace_unresponsive_after{};
   /// Seeds the election timeouts. Differs from member to member.
   std::uint64_t random_seed = 1;
@@ -66,21 +69,21 @@
   std::vector<proto::RaftEntry> entries;
 };
 
-/// One write, to be carried out after all earlier ones: first metadata, then the snapshot, then the
+/// One write, to be executed after all earlier ones: first metadata, then the snapshot, then the
 /// log.
 struct RaftWrite {
   RaftWriteId id = 0;
   std::optional<proto::RaftMetadata> metadata;
   std::shared_ptr<const proto::RaftSnapshot> snapshot;
-  /// Whether `entries` (after the base) are the whole log from now on. If not, they are added to
-  /// it; an entry whose index is already there takes its place and removes all after it.
+  /// Whether `entries` (after the base) are the complete log from now on. If not, they are
+  /// appended; an entry whose index already exists overwrites it and removes all later ones.
   bool replaces_log = false;
   std::uint64_t base_index = 0;
   std::uint64_t base_term = 0;
   std::vector<proto::RaftEntry> entries;
 };
 
-/// A request to another member. Its outcome comes back as a response or as `HandleCallFailed`.
+/// A request to another member. The driver passes back its response, or `HandleCallFailed`.
 struct RaftMessage {
   std::uint64_t member_id = 0;
   Endpoint endpoint;
@@ -89,7 +92,7 @@
       request;
 };
 
-/// The answer to a request handed in under `token`.
+/// The response to the request that the core got with `token`.
 struct RaftReply {
   RaftReplyToken token = 0;
   std::variant<proto::RequestVoteResponse, proto::AppendEntriesResponse,
@@ -97,17 +100,17 @@
       response;
 };
 
-/// What the driver has to do after an input, in the order of the members. The core never asks for
-/// anything that rests on a write before `HandlePersisted` has confirmed that write.
+/// What the driver has to do after an input, in the order of the fields. Nothing that depends on a
+/// write is asked for before `HandlePersisted` has confirmed that write.
 struct RaftEffects {
   std::vector<RaftWrite> writes;
   std::vector<RaftReply> replies;
   std::vector<RaftMessage> messages;
   /// State to restore before `committed` is applied.
   std::shared_ptr<const proto::RaftSnapshot> restore;
-  /// Committed entries in order of their index, each given out once.
+  /// Committed entries in order of their index, each of them once.
   std::vector<proto::RaftEntry> committed;
-  /// Why something was refused or given up, for the metrics.
+  /// For the metrics.
   std::vector<RaftRefusal> refusals;
   /// A broken invariant or damaged state: the member must stop.
   std::optional<Status> fatal;
@@ -118,6 +121,7 @@
   }
 };
 
+/// The paper's server states, and the pre-candidate of pre-vote (dissertation, 9.6).
 enum class RaftRole : std::uint8_t { kFollower, kPreCandidate, kCandidate, kLeader };
 
 }  // namespace cloverbank
--- a/src/consensus/replicated_log.h
+++ b/src/consensus/replicated_log.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the coordinator needs of consensus: a log of commands that a majority has synced, applied
-/// in one order to a `StateMachine` at each member. Implemented by `RaftNode` and by fakes in
+/// The coordinator's interface to consensus: a log of commands that a majority has synced, applied
+/// in one order to a `StateMachine` at each member. Implemented by `RaftNode`, and by fakes in
 /// tests. Threads: the owner's event loop only.
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 namespace cloverbank {
 
-/// The deterministic state that the log drives. Nothing in it reads a clock, a random number or
-/// anything else that differs between members.
+/// A deterministic state machine: it reads no clock, random number or anything else that differs
+/// between members.
 class StateMachine {
  public:
   virtual ~StateMachine() = default;
-  /// Applies one committed command. @return its result, handed to the proposer.
+  /// Applies one committed command. @return its result, for the proposer.
   virtual std::string Apply(std::uint64_t index, const std::string& command) = 0;
-  /// @return the whole state, for log compaction.
+  /// @return the complete state, for log compaction.
   virtual std::string TakeSnapshot() const = 0;
-  /// Replaces the whole state. @return kCorrupt if `snapshot` can not be read.
+  /// Replaces the complete state. @return kCorrupt if `snapshot` can not be read.
   virtual Status RestoreSnapshot(const std::string& snapshot) = 0;
 };
 
@@ -39,14 +39,15 @@
   virtual ~ReplicatedLog() = default;
 
   /// Appends `command`; `done` gets the state machine's result once it is committed and applied
-  /// here. kNotLeader: certainly not appended. kUnknownOutcome: leadership was lost while it was
-  /// under way.
+  /// here. kNotLeader: certainly not appended. kUnknownOutcome: leadership was lost before the
+  /// commit.
   virtual void Propose(std::string command, std::function<void(Result<std::string>)> done) = 0;
 
-  /// Whether this member leads and a majority has heard it recently enough that no other can lead
-  /// now (leader lease). Check it immediately before answering from local state.
+  /// Whether this member leads and a majority has heard from it recently enough that no other
+  /// member can lead now (leader lease). To be checked immediately before each answer from local
+  /// state.
   virtual bool HasLeaderLease() const = 0;
-  /// Whether this member believes it leads and has applied an entry of its own term.
+  /// Whether this member is leader, as far as it knows, and has applied an entry of its own term.
   virtual bool IsReadyLeader() const = 0;
   virtual std::uint64_t term() const = 0;
   /// @return the leader's endpoint as far as known; invalid if unknown.
--- a/src/control_client/batch_partitions.h
+++ b/src/control_client/batch_partitions.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which partition a batch belongs to. Every node works it out alike from the count of partitions.
+/// Maps batches to partitions. Every node computes the same from the count of partitions.
 
 #include <cstdint>
 #include <string>
@@ -10,14 +10,14 @@
 
 namespace cloverbank {
 
-/// Detail of the kConflict that a request for a partition of another owner gets.
+/// Detail of kConflict: the partition has another owner.
 inline constexpr std::string_view kNotOwnerDetail = "not_owner";
-/// Detail of the kConflict that a batch gets while the keeper of its route's limit can not be
-/// asked: nothing was taken, and it may be submitted again at once.
+/// Detail of kConflict: the owner of the route's token quota is unavailable. The batch was not
+/// accepted and may be resubmitted at once.
 inline constexpr std::string_view kQuotaOwnerUnavailableDetail = "keeper_away";
 
-/// @return the partition that all batches of `tenant` belong to whose ids the system chooses, and
-/// that keeps the limits of the tenant's routes. Requires `partition_count` > 0.
+/// @return the partition of all batches of `tenant` whose ids the system chooses, which also owns
+/// the token quotas of the tenant's routes. Requires `partition_count` > 0.
 PartitionId PartitionOfTenant(std::string_view tenant, std::uint32_t partition_count);
 
 /// @return the partition of a batch whose id its client chose: those of one tenant are spread over
--- a/src/control_client/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -11,7 +11,7 @@
   return object.name() < name;
 }
 
-/// Puts `object` in place of the one of its name, or where it belongs in the sorted `list`.
+/// Replaces the element with the name of `object`, or inserts it in the order of the sorted `list`.
 template <typename List, typename Named>
 void SetByName(const Named& object, List* list) {
   auto position = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
@@ -21,11 +21,11 @@
   }
   const auto index = position - list->begin();
   *list->Add() = object;
-  // Moves the elements' pointers at once: tenants come by the thousand.
+  // Moves pointers, not elements: there are thousands of tenants.
   std::rotate(list->pointer_begin() + index, list->pointer_end() - 1, list->pointer_end());
 }
 
-/// Adds `object` unless there is one of its name.
+/// Inserts `object` unless an element has its name.
 template <typename List, typename Named>
 void EnsureByName(const Named& object, List* list) {
   const auto position =
@@ -131,7 +131,7 @@
     full_update_needed_ = true;
     return UpdateOutcome::kGap;
   }
-  // Checked before the first is applied, so that no copy of the whole is needed to go back to.
+  // Checked before the first change is applied, so that no copy is needed to roll back.
   const bool all_known =
       std::all_of(update.changes().begin(), update.changes().end(),
                   [](const proto::ConfigurationChange& change) {
--- a/src/control_client/configuration_watch.h
+++ b/src/control_client/configuration_watch.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Pure core: a node's copy of the routing configuration, kept current by updates from the
-/// coordinators. Its version never goes back. Threads: the owner's event loop only.
+/// coordinators. Its version never decreases. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <string_view>
@@ -11,19 +11,20 @@
 
 namespace cloverbank {
 
-/// What became of an offered update.
+/// Result of an offered update.
 enum class UpdateOutcome : std::uint8_t {
-  kNothing,  ///< It holds nothing that is not held already.
+  kNothing,  ///< It contains nothing new.
   kApplied,  ///< The copy is now newer.
-  kGap,      ///< A delta from another version than the held one: the whole is asked for next.
-  kOlder,    ///< It would go back; refused.
+  kGap,      ///< A delta from another version: a full update is requested next.
+  kOlder,    ///< Its version is lower; refused.
 };
 
 /// @return the name of `outcome` in metrics; stable.
 std::string_view UpdateOutcomeName(UpdateOutcome outcome);
 
-/// Applies one change to `configuration`, keeping lists sorted by name. The version is left alone.
-/// @return false if the change names nothing this program knows.
+/// Applies one change to `configuration`, keeping lists sorted by name. Does not change the
+/// version.
+/// @return false if the change is of a kind that this program does not know.
 bool ApplyChange(const proto::ConfigurationChange& change,
                  proto::RoutingConfiguration* configuration);
 
@@ -31,11 +32,11 @@
  public:
   const proto::RoutingConfiguration& configuration() const { return configuration_; }
   ConfigurationVersion version() const { return ConfigurationVersion(configuration_.version()); }
-  /// @return the version to report in the next heartbeat; 0 asks for the whole configuration.
+  /// @return the version to report in the next heartbeat; 0 requests a full update.
   ConfigurationVersion VersionToReport() const;
 
   UpdateOutcome Apply(const proto::ConfigurationUpdate& update);
-  /// The leader had nothing newer than what was reported to it.
+  /// The leader has nothing newer than the reported version.
   void HandleNoUpdate() { full_update_needed_ = false; }
 
  private:
--- a/src/control_client/coordinator_directory.h
+++ b/src/control_client/coordinator_directory.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Pure core: which coordinator to ask next. Threads: the owner's event loop only.
+/// Pure core: which coordinator to call next. Threads: the owner's event loop only.
 
 #include <cstddef>
 #include <optional>
@@ -11,22 +11,22 @@
 
 namespace cloverbank {
 
-/// Members as last learned, then the seeds (which may be gone, but may also be all that is left for
-/// a node that slept through a change of all members).
+/// The members as last learned, then the seeds: they may no longer exist, but are all that is left
+/// to a node that missed a replacement of all members.
 class CoordinatorDirectory {
  public:
   explicit CoordinatorDirectory(std::vector<Endpoint> seeds);
 
-  /// Takes the current member list. An empty one is ignored.
+  /// Sets the current member list. An empty one is ignored.
   void UpdateMembers(std::vector<Endpoint> members);
   /// `endpoint` answered as the leader.
   void RecordAnswer(const Endpoint& endpoint) { leader_ = endpoint; }
-  /// `from` is not the leader; `hint` may name the one it knows (else it is invalid).
+  /// `from` is not the leader; `hint` is the leader it knows (invalid if none).
   void RecordRedirect(const Endpoint& from, const Endpoint& hint);
   /// `endpoint` did not answer.
   void RecordFailure(const Endpoint& endpoint);
 
-  /// @return all coordinators, best guess of the leader first.
+  /// @return all coordinators, the likely leader first.
   std::vector<Endpoint> ListCandidates() const;
 
  private:
--- a/src/control_client/coordinator_referral.cc
+++ b/src/control_client/coordinator_referral.cc
@@ -6,7 +6,7 @@
 namespace cloverbank {
 namespace {
 
-/// What a node or an operator's gateway asks before it has heard from the coordinators.
+/// Methods that a node or an operator's gateway calls before it has heard from the coordinators.
 constexpr std::array<std::string_view, 5> kCoordinatorMethods = {
     "coordinator.RegisterServer", "coordinator.GetConfiguration", "coordinator.SubmitTransaction",
     "coordinator.RetireServer", "coordinator.GetRetirement"};
--- a/src/control_client/coordinator_referral.h
+++ b/src/control_client/coordinator_referral.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Answers calls for the coordinators in a process that is none of them, by naming one: seeds may
-/// name machines that never were coordinators, and a machine that has just started knows only its
-/// seeds. Threads: the owner's event loop only.
+/// Refers calls for the coordinators to one of them, in a process that is no coordinator: a seed
+/// may be any machine, and a machine that has just started knows only its seeds. Threads: the
+/// owner's event loop only.
 
 #include <memory>
 
@@ -13,8 +13,8 @@
 
 class CoordinatorReferral {
  public:
-  /// Registers the methods of the coordinators; the process must not serve them itself. Names
-  /// nobody before `agent`, which must outlive this, has heard from the coordinators.
+  /// Registers the coordinators' methods; the process must not serve them itself. Refuses calls
+  /// until `agent`, which must outlive this, has heard from the coordinators.
   CoordinatorReferral(Environment& environment, const NodeAgent& agent);
 
  private:
--- a/src/control_client/fleet_view.h
+++ b/src/control_client/fleet_view.h
@@ -10,17 +10,17 @@
 
 namespace cloverbank {
 
-/// The servers and partition owners as last heard. Versions never go back; dead servers are left
-/// out.
+/// The servers and partition owners as last received. The version never decreases; dead servers are
+/// left out.
 struct FleetView {
   FleetVersion version;
   std::map<NodeId, proto::Server> servers;  ///< Queue and backup nodes.
   std::map<PartitionId, proto::Partition> partitions;
-  /// @return the queue node that owns `partition`, or nullptr while nobody does.
+  /// @return the queue node that owns `partition`, or nullptr while it has no owner.
   const proto::Server* OwnerOf(PartitionId partition) const;
 };
 
-/// Place of a gateway among the live gateways of its zone, as of the last heartbeat.
+/// Rank of a gateway among the live gateways of its zone, as of the last heartbeat.
 struct GatewayRank {
   std::uint32_t index = 0;  ///< Below `count`.
   std::uint32_t count = 1;
--- a/src/control_client/fleet_watch.cc
+++ b/src/control_client/fleet_watch.cc
@@ -19,7 +19,7 @@
   const FleetVersion to(update.to_version());
   const bool full = update.from_version() == 0;
   if (full) {
-    full_update_needed_ = false;  // Asked for or not, this is what the leader has.
+    full_update_needed_ = false;  // Requested or not, it is the leader's complete state.
   }
   if (to < view_.version) {
     return UpdateOutcome::kOlder;
--- a/src/control_client/fleet_watch.h
+++ b/src/control_client/fleet_watch.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Pure core: a node's view of the store machines and partition owners. Its version never goes
-/// back. Threads: the owner's event loop only.
+/// Pure core: a node's view of queue nodes, backups and partition owners, kept current by updates
+/// from the coordinators. Its version never decreases. Threads: the owner's event loop only.
 
 #include "control_client/configuration_watch.h"
 #include "control_client/fleet_view.h"
@@ -12,7 +12,7 @@
 class FleetWatch {
  public:
   const FleetView& view() const { return view_; }
-  /// @return the version to report in the next heartbeat; 0 asks for the whole lists.
+  /// @return the version to report in the next heartbeat; 0 requests a full update.
   FleetVersion VersionToReport() const;
 
   UpdateOutcome Apply(const proto::FleetUpdate& update);
--- a/src/control_client/heartbeat_sender.cc
+++ b/src/control_client/heartbeat_sender.cc
@@ -8,12 +8,12 @@
 namespace cloverbank {
 namespace {
 
-/// Heartbeats follow each other no faster than this, unless one carries a confirmation.
+/// Shortest interval between heartbeats, except for one that confirms a configuration.
 constexpr Duration kMinimumInterval = milliseconds(50);
-/// Wait beyond the hold before another coordinator is asked beside one that does not answer.
+/// How much longer than the hold to wait for an answer before another coordinator is called too.
 constexpr Duration kHeartbeatGrace = milliseconds(300);
 
-/// Whether the coordinators do not take the sender's node id for alive.
+/// Whether the coordinators regard the sender's node id as dead or unknown.
 bool RefusesNodeId(StatusCode code) {
   return code == StatusCode::kFenced || code == StatusCode::kNotFound;
 }
@@ -46,7 +46,8 @@
   const auto request = std::make_shared<proto::HeartbeatRequest>();
   LeaderCallOptions call;
   call.method = "coordinator.Heartbeat";
-  // After a failure the lease matters more than news: later attempts are not held.
+  // After a failure renewing the lease matters more than updates, so retries are to be answered at
+  // once.
   call.make_body = [this, request, hold](std::uint32_t attempt) {
     *request = context_.session.MakeHeartbeat(attempt == 0 ? hold : Duration::zero());
     last_sent_ = context_.environment.Now();
--- a/src/control_client/heartbeat_sender.h
+++ b/src/control_client/heartbeat_sender.h
@@ -10,11 +10,11 @@
 
 namespace cloverbank {
 
-/// What comes of heartbeats. Either call may end the incarnation.
+/// Receives the results of heartbeats. Either call may end the incarnation.
 class HeartbeatListener {
  public:
   virtual ~HeartbeatListener() = default;
-  /// The coordinators do not take the node id for alive.
+  /// The coordinators regard the node id as dead or unknown.
   virtual void OnNodeIdRefused(const Status& status) = 0;
   /// An answer has been applied to the session.
   virtual void OnHeartbeatApplied(const HeartbeatEffects& effects) = 0;
@@ -32,8 +32,8 @@
   void Start();
   /// Sends no more heartbeats until `Start`; the incarnation has ended.
   void Stop();
-  /// Sends one that is answered at once, beside the one that the leader holds, if there is a node
-  /// id and none is under way.
+  /// Sends a heartbeat that is answered at once, beside the pending one, if there is a node id and
+  /// no other urgent one is in flight.
   void SendUrgent();
 
  private:
@@ -44,7 +44,7 @@
   void CompleteUrgent(bool configuration_applied);
   void HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                    Completion complete);
-  /// @return whether a newer configuration was taken, which is to be confirmed at once.
+  /// @return whether a newer configuration was applied, which is to be confirmed at once.
   bool ApplyReply(const proto::HeartbeatRequest& request, const LeaderReply& reply);
 
   NodeContext& context_;
--- a/src/control_client/heartbeat_telemetry.h
+++ b/src/control_client/heartbeat_telemetry.h
@@ -16,8 +16,8 @@
 void RecordHeartbeatFailure(const NodeContext& context, std::string_view reason);
 /// Counts an update that was refused. @param what "configuration" or "fleet".
 void RecordUpdateOutcome(const NodeContext& context, std::string_view what, UpdateOutcome outcome);
-/// Records that there was no lease for `gap`, and the configuration version held before the answer
-/// that ended it. Zero: there was no gap.
+/// Records that there was no lease for `gap` (zero: there was none), and the configuration version
+/// before the answer that ended it.
 void RecordLeaseGap(const NodeContext& context, Duration gap, std::uint64_t version_before);
 
 }  // namespace cloverbank
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -6,7 +6,8 @@
 namespace cloverbank {
 namespace {
 
-/// Hints followed at once in a row; further ones wait, since two members may point at each other.
+/// Hints followed at once in a row; further ones after a back-off, since two members may refer to
+/// each other.
 constexpr std::uint32_t kMaximumRedirects = 3;
 constexpr Duration kMaximumBackoff = milliseconds(150);
 
@@ -47,7 +48,7 @@
       return;
     }
   }
-  ScheduleNext(NextBackoff());  // Every member is being asked already, or none is known.
+  ScheduleNext(NextBackoff());  // Every member is being called already, or none is known.
 }
 
 void LeaderCall::SendTo(const Endpoint& target) {
--- a/src/control_client/leader_call.h
+++ b/src/control_client/leader_call.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// One call to the coordinator leader, wherever it is: follows kNotLeader hints, goes on to other
-/// members after a failure, and asks a further one beside a member that stays silent. Only for
-/// methods that may be repeated. Threads: the owner's event loop only.
+/// One call to the coordinator leader: follows kNotLeader hints, retries at other members after a
+/// failure, and calls a further one when a member does not answer. Only for idempotent methods.
+/// Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -18,10 +18,10 @@
 
 namespace cloverbank {
 
-/// How long one search for the leader goes on before it starts afresh.
+/// Deadline of a registration or a heartbeat, which is then started again.
 inline constexpr Duration kLeaderSearchDeadline = seconds(10);
 
-/// The answer and when the attempt that brought it was sent.
+/// The response, and when the attempt that it answers was sent.
 struct LeaderReply {
   PeerReply reply;
   TimePoint sent;
@@ -31,16 +31,16 @@
   std::string method;
   /// @return the request; `attempt` counts from 0.
   std::function<std::string(std::uint32_t attempt)> make_body;
-  Duration deadline{};          ///< Of the whole call.
+  Duration deadline{};          ///< Of the call.
   Duration attempt_deadline{};  ///< Of one attempt at one member.
-  Duration response_timeout{};  ///< Silence after which another member is asked too.
-  Duration retry_delay{};       ///< Before another round; grows up to a limit, with jitter.
+  Duration response_timeout{};  ///< Without an answer, after which another member is called too.
+  Duration retry_delay{};       ///< First back-off; grows up to a limit, with jitter.
 };
 
 class LeaderCall : public std::enable_shared_from_this<LeaderCall> {
  public:
-  /// Starts a call that keeps itself alive until `done` has run. It is dropped without a word once
-  /// `owner` is gone.
+  /// Starts a call that keeps itself alive until `done` has run. It ends without `done` once
+  /// `owner` is destroyed.
   static void Start(Environment& environment, std::shared_ptr<CoordinatorDirectory> directory,
                     std::weak_ptr<void> owner, LeaderCallOptions options,
                     std::function<void(LeaderReply)> done);
--- a/src/control_client/list_source.h
+++ b/src/control_client/list_source.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A gateway that another one may ask for the list of replicas.
+/// A gateway from which another one may request the list of replicas.
 
 #include "base/ids.h"
 
@@ -8,7 +8,7 @@
 
 struct ListSource {
   Endpoint endpoint;
-  bool in_zone = true;  ///< In the zone of the one that asks.
+  bool in_zone = true;  ///< In the zone of the gateway that requests.
 };
 
 }  // namespace cloverbank
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -12,8 +12,7 @@
 namespace cloverbank {
 namespace {
 
-/// The longest an attempt of another call may stay unanswered: an acknowledgement of a transaction
-/// waits for up to one node lease.
+/// Longer than a node lease, for which the acknowledgement of a transaction may have to wait.
 constexpr Duration kCallAttemptDeadline = seconds(5);
 constexpr Duration kCallResponseTimeout = seconds(1);
 
@@ -25,7 +24,7 @@
   void OnRegistered();
   void OnNodeIdRefused(const Status& status) override;
   void OnHeartbeatApplied(const HeartbeatEffects& effects) override;
-  /// Lets the leader tell where the coordinators are: seeds may name none.
+  /// Accepts the list of coordinators from the leader: no seed may be a coordinator any more.
   void ServeCoordinators();
   void EndIncarnation(std::string_view reason);
 
--- a/src/control_client/node_agent.h
+++ b/src/control_client/node_agent.h
@@ -1,11 +1,12 @@
 #pragma once
 /// @file
-/// What every role needs of control: registration under a node id, heartbeats that renew its lease,
-/// and a watch on the routing configuration and the fleet. One agent a role on a machine.
+/// A node's client of the coordinators: it registers the node under an id, renews its lease by
+/// heartbeats, and keeps copies of the routing configuration and the fleet current. One agent for
+/// each role on a machine.
 ///
-/// The lease counts from the moment the heartbeat that renewed it was *sent*, on the boot clock, so
-/// a process that froze finds it expired when it wakes. Holders call `LeaseValid()` immediately
-/// before each effect.
+/// The lease starts when the heartbeat that renewed it was *sent*, on the boot clock, so a process
+/// that was suspended finds it expired when it resumes. Owners of a lease check `LeaseValid()`
+/// immediately before each effect.
 ///
 /// Threads: the owner's event loop only.
 
@@ -34,49 +35,50 @@
   NodeAgent(const NodeAgent&) = delete;
   NodeAgent& operator=(const NodeAgent&) = delete;
 
-  /// Begins registering, then heartbeating, for as long as the agent lives.
+  /// Registers, then sends heartbeats, for as long as the agent lives.
   void Start();
 
-  /// @return the id of this life; invalid until registered, and again after `OnFenced`.
+  /// @return the id of this incarnation; invalid until registered, and again after `OnFenced`.
   NodeId node_id() const;
   Incarnation incarnation() const;
   const std::string& zone() const;
   std::uint32_t partition_count() const;
-  /// @return where this gateway stands among those of its zone: shares of what all of them may take
-  /// are divided by it.
+  /// @return the rank of this gateway in its zone, by which zone-wide rates and capacities are
+  /// divided.
   GatewayRank gateway_rank() const;
   /// @return peer endpoints of other gateways in this zone, a bounded number of them.
   const std::vector<Endpoint>& neighbours() const;
-  /// @return the gateways to ask for the list of replicas, in order; nothing before the first
+  /// @return the gateways to request the list of replicas from, in order; none before the first
   /// heartbeat was answered.
   const std::optional<std::vector<ListSource>>& list_sources() const;
-  /// Whether this node still holds the right to act: registered, not fenced, lease not run out.
+  /// Whether this node may act: it is registered, not fenced, and its lease has not expired.
   bool LeaseValid() const;
-  /// @return when the lease runs out; a past time if there is none.
+  /// @return when the lease expires; a past time if there is none.
   TimePoint lease_end() const;
 
-  /// The newest configuration held; version 0 until the first arrives. Never goes back.
+  /// The newest known configuration; version 0 until the first arrives. The version never
+  /// decreases.
   const proto::RoutingConfiguration& configuration() const;
   const FleetView& fleet() const;
-  /// Current coordinators, best guess of the leader first.
+  /// Current coordinators, the likely leader first.
   std::vector<Endpoint> coordinators() const;
 
-  /// Observers run after a newer configuration or fleet view was taken.
+  /// Observers run after a newer configuration or fleet view was applied.
   void OnConfiguration(std::function<void()> observer);
   void OnFleet(std::function<void()> observer);
-  /// Runs after the place among the gateways of the zone has changed.
+  /// Runs after the rank among the gateways of the zone has changed.
   void OnGatewayRank(std::function<void()> observer);
-  /// Runs when the node id became valid (first, and again after each fence).
+  /// Runs when the node id has become valid (at first, and again after each fence).
   void OnRegistered(std::function<void()> observer);
   /// Runs when the coordinators refused this node id as dead. The owner must stop every act under
   /// the old id at once. The agent then registers anew under a fresh id.
   void OnFenced(std::function<void()> observer);
 
-  /// Tells the coordinators at once, in a heartbeat beside a held one.
+  /// Reports `peer` as unresponsive to the coordinators at once, in a heartbeat of its own.
   void ReportSuspect(NodeId peer);
   void SetLoad(std::uint64_t free_bytes, std::uint64_t open_items, bool degraded);
-  /// Ends this life and registers under a fresh id (a queue node that was refused as fenced by a
-  /// backup calls it). Runs the `OnFenced` observers.
+  /// Ends this incarnation and registers under a fresh id (called by a queue node that a backup
+  /// refused as fenced). Runs the `OnFenced` observers.
   void AbandonNodeId(std::string_view reason);
 
   /// Calls `method` at the coordinator leader, following kNotLeader hints and trying the other
--- a/src/control_client/node_agent_options.h
+++ b/src/control_client/node_agent_options.h
@@ -15,13 +15,13 @@
   proto::Role role = proto::ROLE_UNSPECIFIED;
   std::string machine;  ///< Name from the settings.
   std::string zone;
-  Endpoint client_endpoint;            ///< Gateways: where callers reach it.
-  bool spare = false;                  ///< Backups on front machines.
-  std::string disk_id;                 ///< Backups: id stored on their disk.
-  std::vector<Endpoint> coordinators;  ///< Seeds; replaced by the member list learned from them.
-  Duration heartbeat_hold = milliseconds(800);  ///< How long the leader may hold a heartbeat.
+  Endpoint client_endpoint;                     ///< Gateways: where callers reach it.
+  bool spare = false;                           ///< Backups on front machines.
+  std::string disk_id;                          ///< Backups: id stored on their disk.
+  std::vector<Endpoint> coordinators;           ///< Seeds; members learned later come first.
+  Duration heartbeat_hold = milliseconds(800);  ///< Limit of a heartbeat's long poll.
   Duration heartbeat_deadline = milliseconds(1500);
-  Duration retry_delay = milliseconds(100);  ///< Between tries, with jitter.
+  Duration retry_delay = milliseconds(100);  ///< Between attempts, with jitter.
 };
 
 }  // namespace cloverbank
--- a/src/control_client/node_context.h
+++ b/src/control_client/node_context.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the parts of one `NodeAgent` share: environment, options, session, and calls to the leader
-/// on behalf of the current incarnation. Threads: the owner's event loop only.
+/// State that the parts of one `NodeAgent` share: environment, options, session, and calls to the
+/// leader on behalf of the current incarnation. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -20,7 +20,7 @@
 
   /// Calls the leader on behalf of this incarnation: `done` is dropped once it has ended.
   void CallLeader(LeaderCallOptions call, std::function<void(const LeaderReply&)> done) const;
-  /// Voids the node id, its lease and the calls under way.
+  /// Ends the validity of the node id and its lease, and drops pending calls.
   void EndIncarnation();
   /// Expires when the incarnation ends or the context is destroyed.
   std::weak_ptr<void> incarnation_token() const { return incarnation_token_; }
--- a/src/control_client/node_session.cc
+++ b/src/control_client/node_session.cc
@@ -19,7 +19,8 @@
   return sources;
 }
 
-/// The holder's clock may run slower than the giver's: it gives up this share of each lease.
+/// The node's clock may run slower than the leader's, so it uses the lease less one part in this
+/// many.
 constexpr int kClockDriftDivisor = 100;
 
 Duration ComputeUsableLease(std::uint32_t lease_ms) {
--- a/src/control_client/node_session.h
+++ b/src/control_client/node_session.h
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// Pure core of `NodeAgent`: the node id of this life, its lease, and the copies of configuration
-/// and fleet. It decides what a heartbeat says and what its answer is worth.
+/// Pure core of `NodeAgent`: the node id of this incarnation, its lease, and the copies of
+/// configuration and fleet. It makes heartbeat requests and applies their responses.
 ///
-/// A lease is taken from an answer only if the copy of the configuration is then at least as new as
-/// the one offered with it: otherwise a node that was away could serve by a version older than one
-/// acknowledged meanwhile. Threads: the owner's event loop only.
+/// A response renews the lease only if the copy of the configuration is then at least as new as the
+/// one offered with it: otherwise a node that was partitioned could serve by a version older than
+/// one acknowledged meanwhile. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <optional>
@@ -22,13 +22,13 @@
 
 namespace cloverbank {
 
-/// What a heartbeat's answer changed.
+/// What the response to a heartbeat changed.
 struct HeartbeatEffects {
   UpdateOutcome configuration = UpdateOutcome::kNothing;
   UpdateOutcome fleet = UpdateOutcome::kNothing;
   bool lease_extended = false;
-  /// How long there had been no lease when this one began; zero if there was one, or never had
-  /// been.
+  /// How long there had been no lease when this one began; zero if there was one, or if this is the
+  /// first.
   Duration lease_gap{};
   bool rank_changed = false;
 };
@@ -44,13 +44,13 @@
   explicit NodeSession(Incarnation incarnation) : incarnation_(incarnation) {}
 
   NodeId node_id() const { return node_id_; }
-  /// The id held before this one in the same process life; invalid if none.
+  /// The id before this one in the same process; invalid if none.
   NodeId previous_node_id() const { return previous_node_id_; }
   Incarnation incarnation() const { return incarnation_; }
   std::uint32_t partition_count() const { return partition_count_; }
   GatewayRank gateway_rank() const { return gateway_rank_; }
   const std::vector<Endpoint>& neighbours() const { return neighbours_; }
-  /// Nothing before the first heartbeat was answered.
+  /// None before the first heartbeat was answered.
   const std::optional<std::vector<ListSource>>& list_sources() const { return list_sources_; }
   TimePoint lease_end() const { return lease_end_; }
   bool LeaseValid(TimePoint now) const { return node_id_.valid() && now < lease_end_; }
@@ -59,24 +59,24 @@
   }
   const FleetView& fleet() const { return fleet_.view(); }
 
-  /// A fresh id was given out. There is no lease until the first heartbeat is answered.
+  /// Applies a fresh node id. There is no lease until the first heartbeat is answered.
   void ApplyRegistration(const proto::RegisterServerResponse& response);
-  /// Ends this life: the id and its lease are void at once.
+  /// Ends this incarnation: the id and its lease are invalid at once.
   void EndIncarnation();
 
-  /// Adds a peer to report as suspect. @return whether it was not waiting already.
+  /// Adds a peer to report as suspect. @return false if its report is already pending.
   bool AddSuspect(NodeId peer) { return suspects_.insert(peer).second; }
   void SetLoad(std::uint64_t free_bytes, std::uint64_t open_items, bool degraded);
 
-  /// @return the request to send now, to be held by the leader for up to `hold`.
+  /// @return the request to send now; the leader may delay its answer for up to `hold`.
   proto::HeartbeatRequest MakeHeartbeat(Duration hold) const;
-  /// Takes the answer to `request`, which was sent at `sent`.
+  /// Applies the response to `request`.
   HeartbeatEffects ApplyHeartbeat(const proto::HeartbeatRequest& request,
                                   const HeartbeatTimes& times,
                                   const proto::HeartbeatResponse& response);
 
  private:
-  /// @return whether the place among the gateways is another one now.
+  /// @return whether the rank has changed.
   bool UpdateGatewayRank(const proto::HeartbeatResponse& response);
 
   Incarnation incarnation_;
@@ -87,7 +87,7 @@
   std::vector<Endpoint> neighbours_;
   std::optional<std::vector<ListSource>> list_sources_;
   TimePoint lease_end_{};
-  TimePoint last_lease_end_{};  ///< Of any life of this process.
+  TimePoint last_lease_end_{};  ///< Of any incarnation of this process.
   ConfigurationWatch configuration_;
   FleetWatch fleet_;
   std::set<NodeId> suspects_;
--- a/src/control_client/operator_orders.cc
+++ b/src/control_client/operator_orders.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// @return the order's transaction if `current` is its base, else an inquiry after it.
+/// @return the order's transaction if `current` is its base, else an inquiry about its outcome.
 Result<proto::ConfigurationTransaction> MakeTransaction(const proto::RoutingConfiguration& current,
                                                         const DocumentOrder& order) {
   proto::ConfigurationTransaction transaction;
@@ -24,7 +24,7 @@
   return transaction;
 }
 
-/// Whether an inquiry found that its order was never carried out and can be submitted.
+/// Whether an inquiry found that its order was not executed and can be submitted.
 bool MayBeSent(const Result<proto::SubmitTransactionResponse>& result) {
   return result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
 }
@@ -74,7 +74,7 @@
   Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), order,
                                    done](Result<proto::SubmitTransactionResponse> result) {
     if (!alive.expired() && MayBeSent(result)) {
-      SubmitOnDocument(order, done);  // The base came between reading and inquiring.
+      SubmitOnDocument(order, done);  // The base arrived between the read and the inquiry.
     } else {
       done(std::move(result));
     }
--- a/src/control_client/operator_orders.h
+++ b/src/control_client/operator_orders.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What operators ask of the coordinators, through any node that serves an operator interface, and
-/// how long each question may take. Threads: the owner's event loop only.
+/// Operators' reads and transactions, sent to the coordinators by a node that serves an operator
+/// interface, with the deadline of each. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -12,19 +12,19 @@
 
 namespace cloverbank {
 
-/// The defaults suit operators that turn to another node after about a second of silence.
+/// The defaults suit operators that try another node after about a second without an answer.
 struct OperatorTimeouts {
   Duration read = milliseconds(900);
-  /// Longer than a node lease, which an acknowledgement may have to wait for, and an election.
+  /// Longer than an election and a node lease, for which an acknowledgement may have to wait.
   Duration order = seconds(4);
 };
 
-/// An order whose changes are read from the operator's own document of the label it builds on.
+/// A transaction that is computed from the operator's document of the label it is based on.
 struct DocumentOrder {
   std::string operation_id;
-  std::uint64_t base = 0;   ///< Label it builds on.
-  std::uint64_t label = 0;  ///< Label it brings.
-  /// Makes the transaction out of the document of `base`; the same one each time it is called.
+  std::uint64_t base = 0;   ///< Label it is based on.
+  std::uint64_t label = 0;  ///< Label that it sets.
+  /// Makes the transaction from the document of `base`; must be deterministic.
   std::function<Result<proto::ConfigurationTransaction>(const std::string& document)> make;
 };
 
@@ -39,12 +39,12 @@
 
   /// @param history how many of the newest transactions to add.
   void ReadConfiguration(std::uint32_t history, Done<proto::GetConfigurationResponse> done);
-  /// Answered once the transaction is in force, or refused. An unknown outcome is learned by
-  /// sending the same transaction again.
+  /// Answered once the transaction is in force, or refused. After kUnknownOutcome the same
+  /// transaction is to be submitted again.
   void Submit(proto::ConfigurationTransaction transaction,
               Done<proto::SubmitTransactionResponse> done);
-  /// As `Submit`, for an order that only the current document can be read into: reads it, and
-  /// inquires after the order where another label is current. kInvalidArgument: `make` refused.
+  /// As `Submit`, for an order that is computed from the current document: reads it, or inquires
+  /// about the order's outcome if another label is current. kInvalidArgument: `make` refused.
   void SubmitOnDocument(std::shared_ptr<const DocumentOrder> order,
                         Done<proto::SubmitTransactionResponse> done);
   void Retire(const proto::RetireServerRequest& order, Done<proto::RetireServerResponse> done);
@@ -58,7 +58,7 @@
 
   NodeAgent& agent_;
   const OperatorTimeouts timeouts_;
-  /// Answers that come later than this object's end are dropped.
+  /// Responses after the end of this object are dropped.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/control_client/overload_rejection.h
+++ b/src/control_client/overload_rejection.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// The refusal of a batch for which there is no room now, which says when to come again.
+/// The refusal of a batch for which there is no capacity now. The Status detail carries when to
+/// retry, in milliseconds.
 
 #include <optional>
 #include <string>
@@ -10,9 +11,9 @@
 
 namespace cloverbank {
 
-/// @return a kResourceExhausted refusal: nothing was taken.
+/// @return a kResourceExhausted refusal: the batch was not accepted.
 Status RejectForOverload(std::string message, Duration come_after);
-/// @return when a batch that got this refusal should come again, if the refusal says so.
+/// @return how long to wait before the batch is resubmitted, if `status` is such a refusal.
 std::optional<Duration> RetryAfter(const Status& status);
 
 }  // namespace cloverbank
