--- a/tests/consensus/raft_core_membership_test.cc
+++ b/tests/consensus/raft_core_membership_test.cc
@@ -5,12 +5,12 @@
 namespace cloverbank {
 namespace {
 
-TEST_F(RaftCoreTest, MembershipWaitsForAnEntryOfTheTerm) {
+TEST_F(RaftCoreTest, RefusesChangesBeforeAnEntryOfItsTerm) {
   Elect();
   EXPECT_EQ(core_->AdmitMember(now_, Member(13), 0).code(), StatusCode::kUnavailable);
 }
 
-TEST_F(RaftCoreTest, CompleteGroupTakesNobodyInUnlessItReplacesSomeone) {
+TEST_F(RaftCoreTest, FullGroupAdmitsOnlyReplacements) {
   Lead();
   EXPECT_EQ(core_->AdmitMember(now_, Member(14), 0).code(), StatusCode::kConflict);
   EXPECT_EQ(core_->AdmitMember(now_, Member(11), 0).code(), StatusCode::kConflict);
@@ -19,7 +19,7 @@
 
 /// A machine is replaced by an empty one at another address: without this the group goes on with
 /// two voters, and the next loss stops it.
-TEST_F(RaftCoreTest, ALongSilentVoterGivesItsPlaceToAMemberAtAnotherAddress) {
+TEST_F(RaftCoreTest, ReplacesAnUnresponsiveVoter) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
@@ -40,7 +40,7 @@
   EXPECT_EQ(members, (std::set<std::uint64_t>{1, 2, 14}));
 }
 
-TEST_F(RaftCoreTest, OneSilentVoterHasOneSuccessorAtATime) {
+TEST_F(RaftCoreTest, AdmitsOneSuccessorOfAVoterAtATime) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
@@ -66,7 +66,7 @@
   EXPECT_EQ(members, (std::set<std::uint64_t>{1, 2, 15}));
 }
 
-TEST_F(RaftCoreTest, WhoeverHadTheVeryAddressGoesBeforeOneThatIsOnlyNamed) {
+TEST_F(RaftCoreTest, ReplacesTheSameEndpointBeforeANamedMember) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 2).ok());  // The endpoint of member 3.
   for (const proto::RaftMember& member : core_->configuration().members()) {
@@ -76,7 +76,7 @@
   }
 }
 
-TEST_F(RaftCoreTest, EmptiedMemberTakesItsOldPlaceInTwoSteps) {
+TEST_F(RaftCoreTest, RemovesADeadVoterBeforePromotingItsSuccessor) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());  // The endpoint of member 3.
   Exchange(Take(), {2, 13});
@@ -94,7 +94,7 @@
   EXPECT_EQ(steps, (std::vector<std::string>{"1 2 3 13l ", "1 2 13l ", "1 2 13 "}));
 }
 
-TEST_F(RaftCoreTest, LivingMemberIsReplacedOnlyAfterItsSuccessorCounts) {
+TEST_F(RaftCoreTest, PromotesASuccessorBeforeRemovingALiveVoter) {
   Lead();
   Exchange(Heartbeat(), {2, 3});
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 3).ok());
@@ -106,7 +106,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 3);
 }
 
-TEST_F(RaftCoreTest, LearnerThatIsBehindIsNotPromoted) {
+TEST_F(RaftCoreTest, DoesNotPromoteALaggingLearner) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
   Exchange(Take(), {2});
@@ -121,7 +121,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 4);
 }
 
-TEST_F(RaftCoreTest, ALearnerIsSentOneBoundedMessageAHeartbeat) {
+TEST_F(RaftCoreTest, SendsALearnerOneBoundedMessageAHeartbeat) {
   constexpr std::size_t kCommandBytes = 30'000;
   options_.catch_up_bytes = 2 * kCommandBytes + 1'000;
   Restart();
@@ -173,7 +173,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 3);
 }
 
-TEST_F(RaftCoreTest, LearnerDoesNotCount) {
+TEST_F(RaftCoreTest, LearnersDoNotCountForCommit) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
   const std::uint64_t before = core_->commit_index();
--- a/tests/consensus/raft_core_test.cc
+++ b/tests/consensus/raft_core_test.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-TEST_F(RaftCoreTest, VoteIsAnsweredOnlyWhenItIsSynced) {
+TEST_F(RaftCoreTest, AnswersAVoteOnlyOnceSynced) {
   PassPreVote();
   core_->HandleRequestVote(now_, Vote(2, 5), 9);
   const RaftEffects asked = Take();
@@ -37,7 +37,7 @@
   EXPECT_TRUE(VoteAnswer(transfer).granted());
 }
 
-TEST_F(RaftCoreTest, PreVoteChangesNothing) {
+TEST_F(RaftCoreTest, PreVoteLeavesTermAndVoteUnchanged) {
   PassPreVote();
   auto pre_vote = Vote(2, 2);
   pre_vote.set_pre_vote(true);
@@ -46,7 +46,7 @@
   EXPECT_TRUE(VoteAnswer(Vote(3, 2)).granted());
 }
 
-TEST_F(RaftCoreTest, CandidateAsksOnlyWhenItsOwnVoteIsSynced) {
+TEST_F(RaftCoreTest, RequestsVotesOnlyOnceItsOwnIsSynced) {
   now_ = core_->NextWakeup();
   core_->Tick(now_);
   const RaftEffects pre_votes = Take();
@@ -58,7 +58,7 @@
   EXPECT_EQ(Take().messages.size(), 2U);
 }
 
-TEST_F(RaftCoreTest, VoteOfAnotherMemberAtTheAddressDoesNotCount) {
+TEST_F(RaftCoreTest, IgnoresAVoteOfAnotherMemberId) {
   now_ = core_->NextWakeup();
   core_->Tick(now_);
   auto request = Find<proto::RequestVoteRequest>(Take(), 2);
@@ -69,7 +69,7 @@
   EXPECT_EQ(core_->role(), RaftRole::kPreCandidate);
 }
 
-TEST_F(RaftCoreTest, EntriesAreAcknowledgedOnlyWhenSynced) {
+TEST_F(RaftCoreTest, AcknowledgesEntriesOnlyOnceSynced) {
   core_->HandleAppendEntries(now_, Append(1, 1, 1, {Command(2, 1), Command(3, 1)}), 1);
   const RaftEffects asked = Take();
   EXPECT_TRUE(asked.replies.empty());
@@ -82,7 +82,7 @@
   EXPECT_EQ(std::get<proto::AppendEntriesResponse>(synced.replies[0].response).match_index(), 3U);
 }
 
-TEST_F(RaftCoreTest, ConflictingSuffixGivesWayAndIsNotVouchedFor) {
+TEST_F(RaftCoreTest, ReplacesConflictingEntries) {
   AppendAnswer(Append(1, 1, 1, {Command(2, 1), Command(3, 1), Command(4, 1)}));
   AppendAnswer(Append(3, 2, 1));  // The new term is known and synced.
   core_->HandleAppendEntries(now_, Append(3, 2, 1, {Command(3, 3)}), 1);
@@ -91,7 +91,7 @@
   EXPECT_EQ(AppendAnswer(Append(3, 3, 3)).match_index(), 2U) << "the new entry 3 is not synced";
 }
 
-TEST_F(RaftCoreTest, HintSkipsAWholeTermButNothingCommitted) {
+TEST_F(RaftCoreTest, ConflictHintSkipsTheConflictingTerm) {
   AppendAnswer(Append(2, 1, 1, {Command(2, 1), Command(3, 2), Command(4, 2), Command(5, 2)}, 3));
   EXPECT_EQ(AppendAnswer(Append(4, 9, 4)).match_index(), 5U);
   const auto answer = AppendAnswer(Append(4, 5, 4));
@@ -99,13 +99,13 @@
   EXPECT_EQ(answer.match_index(), 3U);
 }
 
-TEST_F(RaftCoreTest, ContradictedCommittedEntryStopsTheMember) {
+TEST_F(RaftCoreTest, FailsOnAConflictWithACommittedEntry) {
   AppendAnswer(Append(2, 1, 1, {Command(2, 2)}, 2));
   core_->HandleAppendEntries(now_, Append(3, 1, 1, {Command(2, 3)}), 1);
   EXPECT_TRUE(Take().fatal.has_value());
 }
 
-TEST_F(RaftCoreTest, LeaderCountsItselfOnlyWhenSynced) {
+TEST_F(RaftCoreTest, LeaderCountsOnlyItsSyncedEntries) {
   const RaftEffects elected = Elect();
   Acknowledge(2, Find<proto::AppendEntriesRequest>(elected, 2));
   EXPECT_EQ(core_->commit_index(), 0U);
@@ -113,7 +113,7 @@
   EXPECT_EQ(core_->commit_index(), 2U);
 }
 
-TEST_F(RaftCoreTest, EntriesOfEarlierTermsAreNotCommittedAlone) {
+TEST_F(RaftCoreTest, DoesNotCommitEntriesOfEarlierTermsAlone) {
   const RaftEffects elected = Elect();
   core_->HandlePersisted(now_, elected.writes.back().id);
   proto::AppendEntriesResponse response;
@@ -126,7 +126,7 @@
   EXPECT_EQ(core_->commit_index(), 0U);
 }
 
-TEST_F(RaftCoreTest, LeaseCountsFromTheSendingAndKeepsAMargin) {
+TEST_F(RaftCoreTest, LeaseStartsAtTheRequestLessAMargin) {
   Lead();
   const RaftEffects sent = Heartbeat();
   const TimePoint sent_at = now_;
@@ -140,20 +140,20 @@
   EXPECT_FALSE(core_->HasLeaderLease(sent_at + milliseconds(360)));
 }
 
-TEST_F(RaftCoreTest, LeaderWithoutAMajorityStepsDownAndRefusesProposals) {
+TEST_F(RaftCoreTest, LeaderWithoutQuorumStepsDown) {
   Lead();
   now_ += options_.maximum_election_timeout + milliseconds(1);
   EXPECT_EQ(core_->Propose(now_, "x").status().code(), StatusCode::kNotLeader);
   EXPECT_EQ(core_->role(), RaftRole::kFollower);
 }
 
-TEST_F(RaftCoreTest, LeaderDoesNotVoteWhileItsMajorityListens) {
+TEST_F(RaftCoreTest, LeaderWithQuorumWithholdsItsVote) {
   Lead();
   EXPECT_FALSE(VoteAnswer(Vote(3, 9, 9, 9)).granted());
   EXPECT_EQ(core_->role(), RaftRole::kLeader);
 }
 
-TEST_F(RaftCoreTest, SnapshotTravelsInChunksAndReplacesAContradictingLog) {
+TEST_F(RaftCoreTest, InstallsASnapshotOverAConflictingLog) {
   AppendAnswer(Append(1, 1, 1, {Command(2, 1)}));
   proto::InstallSnapshotRequest chunk;
   chunk.set_term(2);
@@ -180,7 +180,7 @@
   EXPECT_EQ(core_->log().base_index(), 7U);
 }
 
-TEST_F(RaftCoreTest, LeaderSendsItsSnapshotToAMemberThatIsBehindTheLog) {
+TEST_F(RaftCoreTest, LeaderSendsASnapshotToALaggingFollower) {
   Lead();
   core_->StoreSnapshot(2, "abcdefgh");
   Sync();
@@ -205,7 +205,7 @@
   EXPECT_TRUE(chunk.done());
 }
 
-TEST_F(RaftCoreTest, OtherClustersAndOtherRecipientsAreRefused) {
+TEST_F(RaftCoreTest, RejectsOtherClustersAndRecipients) {
   EXPECT_TRUE(core_->AdmitSender(kCluster, 1).ok());
   EXPECT_EQ(core_->AdmitSender(kCluster + 1, 1).code(), StatusCode::kConflict);
   EXPECT_EQ(core_->AdmitSender(kCluster, 4).code(), StatusCode::kNotFound);
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -53,7 +53,7 @@
   RaftCluster cluster;
 };
 
-TEST(RaftFullDiskTest, ALeaderWhoseDiskIsFullGivesItsPlaceToAnotherAndGoesOnWithRoom) {
+TEST(RaftFullDiskTest, LeaderWithAFullDiskHandsOver) {
   FullDiskRun run(1);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
@@ -68,7 +68,7 @@
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
 
-TEST(RaftFullDiskTest, AFollowerWhoseDiskIsFullDisturbsNobody) {
+TEST(RaftFullDiskTest, FollowersWithFullDisksCauseNoElection) {
   FullDiskRun run(2);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
@@ -85,7 +85,7 @@
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
 }
 
-TEST(RaftFullDiskTest, AGroupWhoseDisksAreAllFullServesAgainWithRoom) {
+TEST(RaftFullDiskTest, RecoversOnceDisksHaveSpace) {
   FullDiskRun run(3);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   for (std::size_t member = 0; member < kMembers; ++member) {
@@ -97,7 +97,7 @@
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
 
-TEST(RaftFullDiskTest, NothingIsLostWhileDisksFillAndMembersLosePower) {
+TEST(RaftFullDiskTest, LosesNothingUnderFullDisksAndPowerLoss) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     FullDiskRun run(seed);
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -82,7 +82,7 @@
   RaftCluster cluster;
 };
 
-TEST(RaftLossesTest, TwoVotersThatLoseTheirDisksAtOnceLoseNothingAgainAndAgain) {
+TEST(RaftLossesTest, SurvivesRepeatedLossOfTwoDisks) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
@@ -101,7 +101,7 @@
   }
 }
 
-TEST(RaftLossesTest, SparesTakeThePlacesOfSeedsThatAreAllGone) {
+TEST(RaftLossesTest, SparesReplaceAllSeeds) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
@@ -116,7 +116,7 @@
   }
 }
 
-TEST(RaftLossesTest, TwoVotersWithoutPowerHoldNothingUpAndTheirPlacesAreTaken) {
+TEST(RaftLossesTest, ReplacesTwoVotersWithoutPower) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -47,13 +47,13 @@
   }
 };
 
-TEST_F(RaftNodeTest, SeedsFoundOneGroupAndAgree) {
+TEST_F(RaftNodeTest, SeedsFormOneGroup) {
   Form();
   ProposeAndWait(20);
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, NothingIsFoundedBeforeEverySeedAnswers) {
+TEST_F(RaftNodeTest, FormsNoGroupBeforeEverySeedAnswers) {
   cluster.machine(0).Start();
   cluster.machine(1).Start();
   cluster.RunFor(seconds(20));
@@ -62,7 +62,7 @@
   EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(5)));
 }
 
-TEST_F(RaftNodeTest, EmptiedSeedsDoNotOutvoteTheOneThatRemembers) {
+TEST_F(RaftNodeTest, EmptiedSeedsFormNoNewGroup) {
   Form();
   ProposeAndWait(3);
   cluster.machine(0).LoseDisk();
@@ -75,7 +75,7 @@
   EXPECT_EQ(cluster.Leader(), cluster.size());
 }
 
-TEST_F(RaftNodeTest, MemberWithAnEmptiedDiskRejoinsUnderANewId) {
+TEST_F(RaftNodeTest, EmptiedMemberRejoinsUnderANewId) {
   Form();
   ProposeAndWait(30);
   const std::size_t member = Follower();
@@ -89,7 +89,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, MachineAtANewSeedAddressTakesThePlaceOfTheOneThatIsNoSeedAnyMore) {
+TEST_F(RaftNodeTest, ReplacesAMemberThatIsNoLongerASeed) {
   Form();
   ProposeAndWait(5);
   cluster.ReplaceMachine(2, "10.0.0.9");
@@ -103,7 +103,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, DiskAtANewAddressKeepsItsMember) {
+TEST_F(RaftNodeTest, MovedDiskKeepsItsMemberId) {
   Form();
   ProposeAndWait(5);
   const std::uint64_t id = Id(2);
@@ -125,7 +125,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, LeaderHandsOverWithoutAGapInWhichTwoLead) {
+TEST_F(RaftNodeTest, TransfersLeadershipWithoutATimeout) {
   Form();
   ProposeAndWait(5);
   for (int round = 0; round < 20; ++round) {
@@ -141,7 +141,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, AcknowledgedCommandsOutlastPowerLossOfAll) {
+TEST_F(RaftNodeTest, AcknowledgedCommandsSurvivePowerLoss) {
   Form();
   ProposeAndWait(30);
   for (std::size_t member = 0; member < cluster.size(); ++member) {
@@ -153,7 +153,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, WokenLeaderHasNoLease) {
+TEST_F(RaftNodeTest, ResumedLeaderHasNoLease) {
   Form();
   const std::size_t old_leader = cluster.Leader();
   ASSERT_TRUE(cluster.process(old_leader)->node.HasLeaderLease());
@@ -166,7 +166,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST_F(RaftNodeTest, ReturningMemberDoesNotDisturbTheLeader) {
+TEST_F(RaftNodeTest, RejoiningMemberDoesNotDisturbTheLeader) {
   Form();
   const std::uint64_t term = cluster.process(cluster.Leader())->node.term();
   const std::size_t member = Follower();
@@ -177,7 +177,7 @@
   EXPECT_EQ(cluster.process(cluster.Leader())->node.term(), term);
 }
 
-TEST_F(RaftNodeTest, MemberWhoseSyncFailsStopsAndLeadsNoMore) {
+TEST_F(RaftNodeTest, FailedSyncStopsTheMember) {
   Form();
   const std::size_t leader = cluster.Leader();
   cluster.machine(leader).FailSyncs(true);
@@ -190,7 +190,7 @@
   EXPECT_FALSE(cluster.process(leader)->node.HasLeaderLease());
 }
 
-TEST_F(RaftNodeTest, DamageBeforeTheLastWriteIsNotTakenForATornTail) {
+TEST_F(RaftNodeTest, DetectsDamageBeforeTheLastWrite) {
   Form();
   ProposeAndWait(1);
   ProposeAndWait(1);
@@ -202,7 +202,7 @@
   EXPECT_NE(record().failures[0].find("a disk does not load: corrupt"), std::string::npos);
 }
 
-TEST_F(RaftNodeSnapshotTest, LateMemberGetsTheSnapshotInChunks) {
+TEST_F(RaftNodeSnapshotTest, LaggingMemberCatchesUpFromASnapshot) {
   Form();
   const std::size_t member = Follower();
   cluster.machine(member).Kill();
@@ -230,7 +230,7 @@
 }
 
 /// A seed is struck at every moment of the founding.
-TEST(RaftFoundingTest, SurvivesTheLossOfOneSeedAtAnyMoment) {
+TEST(RaftFoundingTest, SurvivesTheLossOfASeedAtAnyMoment) {
   for (int moment = 0; moment < 120; ++moment) {
     RaftCluster cluster({.size = 3, .seed = 1 + static_cast<std::uint64_t>(moment)});
     cluster.StartAll();
--- a/tests/consensus/raft_storage_test.cc
+++ b/tests/consensus/raft_storage_test.cc
@@ -130,7 +130,7 @@
   EXPECT_EQ(process->log, expected);
 }
 
-TEST(RaftStorageTest, PowerLossAtAnyMomentLeavesTheStateOfOneOfTheWrites) {
+TEST(RaftStorageTest, PowerLossLeavesTheStateAfterSomeWrite) {
   for (std::uint64_t moment = 0; moment < 300; ++moment) {
     StorageWorld storage_world(moment + 1);
     auto& [world, machine, persisted, process] = storage_world;
@@ -152,7 +152,7 @@
   }
 }
 
-TEST(RaftStorageTest, WritesThatFindTheDiskFullAreCarriedOutOnceThereIsRoom) {
+TEST(RaftStorageTest, CompletesWritesOnceTheDiskHasSpace) {
   for (std::size_t full_from = 0; full_from < Script().size(); ++full_from) {
     StorageWorld storage_world(full_from + 1);
     auto& [world, machine, persisted, process] = storage_world;
--- a/tests/control_client/coordinator_referral_test.cc
+++ b/tests/control_client/coordinator_referral_test.cc
@@ -66,7 +66,7 @@
 };
 
 // All machines lost power, and the seeds name only machines that know no more than they do.
-TEST_F(CoordinatorReferralTest, ANodeThatKnowsNobodyIsToldByTheLeader) {
+TEST_F(CoordinatorReferralTest, AcceptsTheCoordinatorListFromTheLeader) {
   AddGateway("lost", "10.0.2.1", {Endpoint{"10.0.2.9", 7401}});
   EXPECT_FALSE(Joins("lost", seconds(2)));
   proto::UpdateCoordinatorsRequest request;
@@ -80,14 +80,14 @@
 
 // After a turnover of seeds a machine that lost power knew three fronts, none of them a
 // coordinator.
-TEST_F(CoordinatorReferralTest, AMachineWhoseSeedsAreNoCoordinatorsIsLedToThem) {
+TEST_F(CoordinatorReferralTest, RefersToTheCoordinators) {
   AddGateway("known", "10.0.2.1", {endpoints_["c2"]});
   ASSERT_TRUE(Joins("known", seconds(3)));
   AddGateway("new", "10.0.2.2", {world_.machine("known").endpoint()});
   EXPECT_TRUE(Joins("new", seconds(2)));
 }
 
-TEST_F(CoordinatorReferralTest, OneThatKnowsNoneItselfSendsNobodyAstray) {
+TEST_F(CoordinatorReferralTest, RefersNobodyBeforeItsFirstHeartbeat) {
   AddGateway("first", "10.0.2.1", {Endpoint{"10.0.2.2", 7401}});
   AddGateway("second", "10.0.2.2", {world_.machine("first").endpoint()});
   EXPECT_FALSE(Joins("first", seconds(3)));
@@ -95,7 +95,7 @@
   EXPECT_TRUE(Joins("known", seconds(2)));
 }
 
-TEST_F(CoordinatorReferralTest, WhoeverIsToldOfADeadLeaderFindsTheNextOne) {
+TEST_F(CoordinatorReferralTest, FindsTheNextLeaderAfterAStaleReferral) {
   AddGateway("known", "10.0.2.1", {endpoints_["c2"]});
   ASSERT_TRUE(Joins("known", seconds(3)));
   world_.machine("c1").Kill();
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -46,7 +46,7 @@
   SimulatedWorld world{7};
 };
 
-TEST_F(NodeAgentTest, FollowsTheHintToTheLeaderAndKeepsItsLease) {
+TEST_F(NodeAgentTest, FollowsALeaderHintAndRenewsItsLease) {
   control.leader = "c3";
   Join();
   EXPECT_EQ(agent->node_id(), NodeId(1));
@@ -67,7 +67,7 @@
   EXPECT_TRUE(WaitForLease(seconds(3)));
 }
 
-TEST_F(NodeAgentTest, LeaseCountsFromTheMomentTheHeartbeatWasSent) {
+TEST_F(NodeAgentTest, LeaseStartsWhenTheHeartbeatIsSent) {
   Join();
   const std::size_t seen = control.heartbeats.size();
   ASSERT_TRUE(world.RunUntil([&] { return control.heartbeats.size() > seen; }, seconds(1)));
@@ -83,7 +83,7 @@
   EXPECT_FALSE(agent->LeaseValid());
 }
 
-TEST_F(NodeAgentTest, FrozenNodeWakesWithoutALease) {
+TEST_F(NodeAgentTest, SuspendedNodeResumesWithoutALease) {
   Join();
   world.machine("g").Freeze();
   world.RunFor(seconds(25));
@@ -108,7 +108,7 @@
   EXPECT_TRUE(WaitForLease(seconds(1)));
 }
 
-TEST_F(NodeAgentTest, AbandonedIdIsVoidAtOnce) {
+TEST_F(NodeAgentTest, AbandonedIdIsInvalidAtOnce) {
   Join();
   agent->AbandonNodeId("a backup refused it as fenced");
   EXPECT_FALSE(agent->LeaseValid());
@@ -130,7 +130,7 @@
   EXPECT_TRUE(world.RunUntil(again, milliseconds(21)));
 }
 
-TEST_F(NodeAgentTest, AsksForTheWholeAfterAGap) {
+TEST_F(NodeAgentTest, RequestsAFullUpdateAfterAGap) {
   Join();
   control.AddRoute("a");
   world.RunFor(milliseconds(100));
@@ -147,7 +147,7 @@
   EXPECT_EQ(versions, (std::vector<std::uint64_t>{1, 3}));
 }
 
-TEST_F(NodeAgentTest, NeverGoesBackAVersion) {
+TEST_F(NodeAgentTest, RejectsOlderVersions) {
   Join();
   control.AddRoute("a");
   control.AddRoute("b");
@@ -160,7 +160,7 @@
   EXPECT_EQ(agent->configuration().routes_size(), 2);
 }
 
-TEST_F(NodeAgentTest, ImmediateAnswersAreNotAskedForFasterThanThePace) {
+TEST_F(NodeAgentTest, LimitsTheRateOfImmediateHeartbeats) {
   Join();
   control.AddRoute("a");
   control.AddRoute("b");
@@ -171,7 +171,7 @@
   EXPECT_LE(control.heartbeats.size() - before, 21U);
 }
 
-TEST_F(NodeAgentTest, GoesOnWhenItsSeedsAreGone) {
+TEST_F(NodeAgentTest, OutlivesItsSeeds) {
   const Endpoint moved = world.AddMachine("c9", "10.0.1.9").endpoint();
   proto::Endpoint member;
   member.set_host(moved.host);
@@ -195,7 +195,7 @@
   }
 }
 
-TEST_F(NodeAgentTest, KeepsItsLeaseWhenTheLeaderGoesDark) {
+TEST_F(NodeAgentTest, KeepsItsLeaseWhenTheLeaderIsIsolated) {
   Join();
   world.RunFor(milliseconds(1500));
   world.Isolate("c1");
@@ -206,7 +206,7 @@
   }
 }
 
-TEST_F(NodeAgentTest, OutageOfAllCoordinatorsEndsTheLeaseAndIsSurvived) {
+TEST_F(NodeAgentTest, RecoversFromAnOutageOfAllCoordinators) {
   Join();
   for (const char* name : {"c1", "c2", "c3"}) {
     world.machine(name).LosePower();
@@ -220,7 +220,7 @@
   EXPECT_EQ(agent->node_id(), NodeId(1));
 }
 
-TEST_F(NodeAgentTest, ReportsASuspectBesideAHeldHeartbeat) {
+TEST_F(NodeAgentTest, ReportsASuspectDuringALongPoll) {
   Join();
   world.RunFor(milliseconds(300));
   agent->ReportSuspect(NodeId(77));
--- a/tests/control_client/operator_orders_test.cc
+++ b/tests/control_client/operator_orders_test.cc
@@ -62,7 +62,7 @@
   SimulatedWorld world_{5};
 };
 
-TEST_F(OperatorOrdersTest, APatchOnTheCurrentLabelIsMadeOfItsDocument) {
+TEST_F(OperatorOrdersTest, PatchesTheDocumentOfTheCurrentLabel) {
   control_.label = kBase;
   ASSERT_TRUE(Order().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
@@ -73,7 +73,7 @@
   EXPECT_FALSE(sent.inquiry());
 }
 
-TEST_F(OperatorOrdersTest, OnAnotherLabelItOnlyInquires) {
+TEST_F(OperatorOrdersTest, InquiresIfAnotherLabelIsCurrent) {
   control_.label = kBase + 1;
   ASSERT_TRUE(Order().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(control_.transactions[0].transaction().changes_size(), 0);
 }
 
-TEST_F(OperatorOrdersTest, APatchWhoseBaseArrivesMeanwhileIsMadeAndSentAfterAll) {
+TEST_F(OperatorOrdersTest, SubmitsOnceTheBaseArrives) {
   control_.label = kBase - 2;
   control_.next_label = kBase;
   const auto answer = Order();
--- a/tests/control_client/watch_test.cc
+++ b/tests/control_client/watch_test.cc
@@ -43,7 +43,7 @@
   EXPECT_EQ(held.version(), 1U);
 }
 
-TEST(ConfigurationWatchTest, ChangeOfAnUnknownKindTakesNothing) {
+TEST(ConfigurationWatchTest, UnknownChangeAppliesNothing) {
   proto::ConfigurationUpdate update = Delta(0, 1);
   update.add_changes()->mutable_set_route()->set_name("a");
   update.add_changes();
