--- a/tests/consensus/raft_cluster.cc
+++ b/tests/consensus/raft_cluster.cc
@@ -156,7 +156,7 @@
   return leader;
 }
 
-bool RaftCluster::IsWhole() {
+bool RaftCluster::IsComplete() {
   const std::size_t leader = Leader();
   if (leader == size()) {
     return false;
@@ -223,7 +223,8 @@
       const proto::RaftEntry& entry = log.At(index);
       const std::string content =
           std::to_string(*log.TermAt(index - 1)) + ":" + entry.SerializeAsString();
-      const auto [known, added] = record_.entries.emplace(std::pair(index, entry.term()), content);
+      const auto [known, added] =
+          record_.entries.emplace(RunRecord::EntryId{index, entry.term()}, content);
       if (!added && known->second != content) {
         record_.Fail("logs differ at index " + std::to_string(index));
       }
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -3,6 +3,7 @@
 /// A group of `RaftNode`s on a `SimulatedWorld`, with clocks of unequal rate and checks of Raft's
 /// safety properties after every event.
 
+#include <compare>
 #include <map>
 #include <memory>
 #include <set>
@@ -14,19 +15,25 @@
 
 namespace cloverbank {
 
-/// What all members of one run have shown so far. Failures are collected, not thrown.
+/// What was observed of all members of one run. Violated invariants are collected in `failures`.
 struct RunRecord {
-  std::map<std::uint64_t, std::string> applied;                            ///< Command by index.
-  std::map<std::string, std::uint64_t> acknowledged;                       ///< Index by command.
-  std::map<std::uint64_t, std::uint64_t> leaders;                          ///< Member id by term.
-  std::map<std::pair<std::uint64_t, std::uint64_t>, std::string> entries;  ///< By index and term.
+  struct EntryId {
+    std::uint64_t index = 0;
+    std::uint64_t term = 0;
+    auto operator<=>(const EntryId&) const = default;
+  };
+
+  std::map<std::uint64_t, std::string> applied;       ///< Command by index.
+  std::map<std::string, std::uint64_t> acknowledged;  ///< Index by command.
+  std::map<std::uint64_t, std::uint64_t> leaders;     ///< Member id by term.
+  std::map<EntryId, std::string> entries;             ///< Content of each entry.
   std::uint64_t highest_acknowledged = 0;
   std::vector<std::string> failures;
 
   void Fail(std::string what) { failures.push_back(std::move(what)); }
 };
 
-/// An ordered list of commands, checked against what others applied.
+/// An ordered list of commands, compared with what other members applied.
 class ListMachine final : public StateMachine {
  public:
   explicit ListMachine(RunRecord& record) : record_(record) {}
@@ -72,7 +79,7 @@
   int rate_;
 };
 
-/// One life of one member. "test.Propose" proposes the body; "handover..." hands leadership over.
+/// One process of a member. "test.Propose" proposes the body; "handover..." transfers leadership.
 struct MemberProcess {
   MemberProcess(Environment& real, DataFolder& folder, int clock_rate, RunRecord& record,
                 RaftNodeOptions options);
@@ -103,20 +110,19 @@
   /// @return null while the member does not run.
   MemberProcess* process(std::size_t member);
   void StartAll();
-  /// Puts a new machine with an empty disk and address in the place of `member`, in the seeds too;
-  /// members take up the changed seeds when they start next.
+  /// Replaces the machine of `member`, also among the seeds, by one with an empty disk at `host`.
+  /// Members read the changed seeds when they start next.
   void ReplaceMachine(std::size_t member, const std::string& host);
   /// Lets time pass and checks the invariants after each event.
   void RunFor(Duration time);
   bool RunUntil(const std::function<bool()>& condition, Duration limit);
-  /// Sends a new command, made of `text` and a counter, to `member`.
+  /// Sends a new command, `text` and a counter, to `member`.
   void Propose(std::size_t member, const std::string& text = "c");
   /// @return the member that is a ready leader in the highest term, or size().
   std::size_t Leader();
-  /// Whether there is a leader and its committed configuration is exactly the present members.
-  bool IsWhole();
-  /// Whether every member runs and has applied all that has been acknowledged and the same as all
-  /// others.
+  /// Whether there is a leader whose committed configuration is exactly the running members.
+  bool IsComplete();
+  /// Whether every member runs and has applied all commands that any member applied.
   bool HasConverged();
   void CheckLogs();
 
--- a/tests/consensus/raft_core_fixture.h
+++ b/tests/consensus/raft_core_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One `RaftCore` of a group of three, without a driver.
+/// A `RaftCore` of a group of three members, without a driver.
 
 #include <gtest/gtest.h>
 
@@ -27,8 +27,8 @@
   return entry;
 }
 
-/// Member 1 of the group {1, 2, 3}, whose log starts with the configuration. Inputs carry the
-/// answers that members 2 and 3 would give.
+/// Member 1 of the group {1, 2, 3}, whose log starts with the configuration. The tests make the
+/// requests and responses of members 2 and 3.
 class RaftCoreTest : public testing::Test {
  protected:
   RaftCoreTest() {
@@ -49,7 +49,7 @@
 
   void Restart() { core_.emplace(options_, state_, now_); }
   RaftEffects Take() { return core_->TakeEffects(); }
-  /// Confirms all writes asked for. @return the effects of that.
+  /// Confirms all writes. @return the effects of that.
   RaftEffects Sync() {
     RaftEffects before = Take();
     if (!before.writes.empty()) {
@@ -57,7 +57,8 @@
     }
     return Take();
   }
-  void PassPreVote() { now_ += options_.minimum_election_timeout; }
+  /// From then on the member may vote.
+  void PassElectionTimeout() { now_ += options_.minimum_election_timeout; }
 
   static proto::RequestVoteRequest Vote(std::uint64_t candidate, std::uint64_t term,
                                         std::uint64_t last_index = 1, std::uint64_t last_term = 1) {
@@ -81,7 +82,7 @@
     *request.mutable_entries() = {entries.begin(), entries.end()};
     return request;
   }
-  /// Hands in a vote request; @return the answer, which must come at once after a sync.
+  /// @return the response to a vote request, which must come as soon as writes are synced.
   proto::RequestVoteResponse VoteAnswer(const proto::RequestVoteRequest& request) {
     core_->HandleRequestVote(now_, request, 1);
     RaftEffects effects = Take();
@@ -100,7 +101,7 @@
     }
     return std::get<proto::AppendEntriesResponse>(effects.replies.at(0).response);
   }
-  /// The last message of one kind to `member`.
+  /// @return the last message of one kind to `member`.
   template <typename Request>
   static Request Find(const RaftEffects& effects, std::uint64_t member) {
     Request found;
@@ -120,7 +121,7 @@
     core_->HandleRequestVoteResponse(now_, request, response);
     return Take();
   }
-  /// Elects member 1 with the votes of 2, its no-op unsynced. @return the effects of that moment.
+  /// Elects member 1 with the vote of 2. @return the effects of that, with its no-op unsynced.
   RaftEffects Elect() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
@@ -138,7 +139,7 @@
                              static_cast<std::uint64_t>(request.entries_size()));
     core_->HandleAppendEntriesResponse(now_, response);
   }
-  /// Syncs all writes and lets `answering` members take all entries sent; calls to others fail.
+  /// Syncs all writes and acknowledges all entries for `answering` members; calls to others fail.
   void Exchange(RaftEffects effects, const std::set<std::uint64_t>& answering) {
     for (; !effects.empty(); effects = Take()) {
       if (!effects.writes.empty()) {
@@ -159,6 +160,7 @@
     Exchange(Elect(), {2});
     ASSERT_TRUE(core_->IsReadyLeader());
   }
+  /// Lets time pass to the next tick. @return its effects.
   RaftEffects Heartbeat() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
--- a/tests/consensus/raft_core_membership_test.cc
+++ b/tests/consensus/raft_core_membership_test.cc
@@ -1,72 +1,87 @@
-#include <set>
+#include <gmock/gmock.h>
 
 #include "consensus/raft_core_fixture.h"
 
 namespace cloverbank {
 namespace {
 
-TEST_F(RaftCoreTest, RefusesChangesBeforeAnEntryOfItsTerm) {
+using testing::ElementsAre;
+using testing::UnorderedElementsAre;
+
+/// The leader of the group {1, 2, 3} changes its members.
+class RaftMembershipTest : public RaftCoreTest {
+ protected:
+  std::vector<std::uint64_t> Voters() const {
+    std::vector<std::uint64_t> ids;
+    for (const proto::RaftMember& member : core_->configuration().members()) {
+      if (!member.learner()) {
+        ids.push_back(member.member_id());
+      }
+    }
+    return ids;
+  }
+  std::vector<std::uint64_t> Learners() const {
+    std::vector<std::uint64_t> ids;
+    for (const proto::RaftMember& member : core_->configuration().members()) {
+      if (member.learner()) {
+        ids.push_back(member.member_id());
+      }
+    }
+    return ids;
+  }
+  /// Lets `rounds` heartbeat intervals pass in which only `answering` members answer.
+  void ExchangeHeartbeats(int rounds, const std::set<std::uint64_t>& answering) {
+    for (int round = 0; round < rounds; ++round) {
+      Exchange(Heartbeat(), answering);
+    }
+  }
+};
+
+TEST_F(RaftMembershipTest, RefusesChangesBeforeAnEntryOfItsTerm) {
   Elect();
   EXPECT_EQ(core_->AdmitMember(now_, Member(13), 0).code(), StatusCode::kUnavailable);
 }
 
-TEST_F(RaftCoreTest, FullGroupAdmitsOnlyReplacements) {
+TEST_F(RaftMembershipTest, FullGroupAdmitsOnlyReplacements) {
   Lead();
   EXPECT_EQ(core_->AdmitMember(now_, Member(14), 0).code(), StatusCode::kConflict);
   EXPECT_EQ(core_->AdmitMember(now_, Member(11), 0).code(), StatusCode::kConflict);
   EXPECT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
 }
 
-/// A machine is replaced by an empty one at another address: without this the group goes on with
-/// two voters, and the next loss stops it.
-TEST_F(RaftCoreTest, ReplacesAnUnresponsiveVoter) {
+// A machine is replaced by an empty one at another address: otherwise the group would be left with
+// two voters and tolerate no further loss.
+TEST_F(RaftMembershipTest, ReplacesAnUnresponsiveVoter) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
   Exchange(Heartbeat(), {2, 3});
   EXPECT_EQ(core_->AdmitMember(now_, Member(14), 0).code(), StatusCode::kConflict);
-  for (int round = 0; round < 30; ++round) {
-    Exchange(Heartbeat(), {2});  // Member 3 is silent.
-  }
+  ExchangeHeartbeats(30, {2});  // Member 3 does not answer.
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 0).ok());
-  for (int round = 0; round < 4; ++round) {
-    Exchange(Heartbeat(), {2, 14});
-  }
-  std::set<std::uint64_t> members;
-  for (const proto::RaftMember& member : core_->configuration().members()) {
-    EXPECT_FALSE(member.learner());
-    members.insert(member.member_id());
-  }
-  EXPECT_EQ(members, (std::set<std::uint64_t>{1, 2, 14}));
+  ExchangeHeartbeats(4, {2, 14});
+  EXPECT_THAT(Voters(), UnorderedElementsAre(1, 2, 14));
+  EXPECT_THAT(Learners(), ElementsAre());
 }
 
-TEST_F(RaftCoreTest, AdmitsOneSuccessorOfAVoterAtATime) {
+TEST_F(RaftMembershipTest, AdmitsOneSuccessorOfAVoterAtATime) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
   Lead();
   Exchange(Heartbeat(), {2, 3});
-  for (int round = 0; round < 30; ++round) {
-    Exchange(Heartbeat(), {2});  // Member 3 is silent.
-  }
+  ExchangeHeartbeats(30, {2});  // Member 3 does not answer.
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 0).ok());
   Exchange(Take(), {2});
   Exchange(Heartbeat(), {2});
   EXPECT_EQ(core_->AdmitMember(now_, Member(15), 0).code(), StatusCode::kConflict);
-  for (int round = 0; round < 30; ++round) {
-    Exchange(Heartbeat(), {2});  // And so is its successor.
-  }
+  ExchangeHeartbeats(30, {2});  // Nor does its successor.
   ASSERT_TRUE(core_->AdmitMember(now_, Member(15), 0).ok());
-  for (int round = 0; round < 4; ++round) {
-    Exchange(Heartbeat(), {2, 15});
-  }
-  std::set<std::uint64_t> members;
-  for (const proto::RaftMember& member : core_->configuration().members()) {
-    members.insert(member.member_id());
-  }
-  EXPECT_EQ(members, (std::set<std::uint64_t>{1, 2, 15}));
+  ExchangeHeartbeats(4, {2, 15});
+  EXPECT_THAT(Voters(), UnorderedElementsAre(1, 2, 15));
+  EXPECT_THAT(Learners(), ElementsAre());
 }
 
-TEST_F(RaftCoreTest, ReplacesTheSameEndpointBeforeANamedMember) {
+TEST_F(RaftMembershipTest, ReplacesTheSameEndpointBeforeANamedMember) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 2).ok());  // The endpoint of member 3.
   for (const proto::RaftMember& member : core_->configuration().members()) {
@@ -76,7 +91,7 @@
   }
 }
 
-TEST_F(RaftCoreTest, RemovesADeadVoterBeforePromotingItsSuccessor) {
+TEST_F(RaftMembershipTest, RemovesADeadVoterBeforePromotingItsSuccessor) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());  // The endpoint of member 3.
   Exchange(Take(), {2, 13});
@@ -91,10 +106,10 @@
       steps.push_back(step);
     }
   }
-  EXPECT_EQ(steps, (std::vector<std::string>{"1 2 3 13l ", "1 2 13l ", "1 2 13 "}));
+  EXPECT_THAT(steps, ElementsAre("1 2 3 13l ", "1 2 13l ", "1 2 13 "));
 }
 
-TEST_F(RaftCoreTest, PromotesASuccessorBeforeRemovingALiveVoter) {
+TEST_F(RaftMembershipTest, PromotesASuccessorBeforeRemovingALiveVoter) {
   Lead();
   Exchange(Heartbeat(), {2, 3});
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 3).ok());
@@ -106,7 +121,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 3);
 }
 
-TEST_F(RaftCoreTest, DoesNotPromoteALaggingLearner) {
+TEST_F(RaftMembershipTest, DoesNotPromoteALaggingLearner) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
   Exchange(Take(), {2});
@@ -121,7 +136,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 4);
 }
 
-TEST_F(RaftCoreTest, SendsALearnerOneBoundedMessageAHeartbeat) {
+TEST_F(RaftMembershipTest, SendsALearnerOneBoundedMessageAHeartbeat) {
   constexpr std::size_t kCommandBytes = 30'000;
   options_.catch_up_bytes = 2 * kCommandBytes + 1'000;
   Restart();
@@ -164,7 +179,8 @@
     for (const RaftMessage& message : after.messages) {
       const auto* append = std::get_if<proto::AppendEntriesRequest>(&message.request);
       if (append != nullptr && message.member_id == 13) {
-        EXPECT_LT(append->ByteSizeLong(), kCommandBytes) << "sent on before the next heartbeat";
+        EXPECT_LT(append->ByteSizeLong(), kCommandBytes)
+            << "more entries before the next heartbeat";
       }
     }
     Exchange(after, {2, 13});
@@ -173,7 +189,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 3);
 }
 
-TEST_F(RaftCoreTest, LearnersDoNotCountForCommit) {
+TEST_F(RaftMembershipTest, LearnersDoNotCountForCommit) {
   Lead();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
   const std::uint64_t before = core_->commit_index();
--- a/tests/consensus/raft_core_test.cc
+++ b/tests/consensus/raft_core_test.cc
@@ -6,7 +6,7 @@
 namespace {
 
 TEST_F(RaftCoreTest, AnswersAVoteOnlyOnceSynced) {
-  PassPreVote();
+  PassElectionTimeout();
   core_->HandleRequestVote(now_, Vote(2, 5), 9);
   const RaftEffects asked = Take();
   EXPECT_TRUE(asked.replies.empty());
@@ -16,29 +16,44 @@
   EXPECT_EQ(Take().replies.size(), 1U);
 }
 
-TEST_F(RaftCoreTest, VotesOnceInATermAndOnlyForAnUpToDateLog) {
-  PassPreVote();
+TEST_F(RaftCoreTest, VotesForOneCandidateInATerm) {
+  PassElectionTimeout();
   EXPECT_TRUE(VoteAnswer(Vote(2, 5)).granted());
   EXPECT_FALSE(VoteAnswer(Vote(3, 5)).granted());
   EXPECT_TRUE(VoteAnswer(Vote(2, 5)).granted());
+}
+
+TEST_F(RaftCoreTest, RefusesAVoteForAStaleLog) {
+  PassElectionTimeout();
+  EXPECT_TRUE(VoteAnswer(Vote(2, 5)).granted());
   EXPECT_FALSE(VoteAnswer(Vote(3, 6, 0, 0)).granted());
   EXPECT_EQ(core_->term(), 6U);
 }
 
-TEST_F(RaftCoreTest, RefusesVotesWhileALeaderMayCountOnIt) {
-  EXPECT_FALSE(VoteAnswer(Vote(2, 5)).granted()) << "just started: may have promised before";
-  PassPreVote();
+TEST_F(RaftCoreTest, WithholdsVotesAfterARestart) {
+  EXPECT_FALSE(VoteAnswer(Vote(2, 5)).granted()) << "it may have heard a leader before";
+}
+
+TEST_F(RaftCoreTest, WithholdsVotesAfterLeaderContact) {
+  PassElectionTimeout();
   AppendAnswer(Append(1, 1, 1));
   now_ += options_.minimum_election_timeout - milliseconds(1);
   EXPECT_FALSE(VoteAnswer(Vote(3, 5)).granted());
   EXPECT_EQ(core_->term(), 1U) << "a refused candidate does not raise the term";
+}
+
+TEST_F(RaftCoreTest, GrantsATransferVoteDespiteLeaderContact) {
+  PassElectionTimeout();
+  AppendAnswer(Append(1, 1, 1));
+  now_ += options_.minimum_election_timeout - milliseconds(1);
+  EXPECT_FALSE(VoteAnswer(Vote(3, 5)).granted());
   auto transfer = Vote(3, 5);
   transfer.set_leadership_transfer(true);
   EXPECT_TRUE(VoteAnswer(transfer).granted());
 }
 
 TEST_F(RaftCoreTest, PreVoteLeavesTermAndVoteUnchanged) {
-  PassPreVote();
+  PassElectionTimeout();
   auto pre_vote = Vote(2, 2);
   pre_vote.set_pre_vote(true);
   EXPECT_TRUE(VoteAnswer(pre_vote).granted());
@@ -135,8 +150,8 @@
   now_ = sent_at + milliseconds(359);
   EXPECT_TRUE(core_->HasLeaderLease(now_));
   EXPECT_FALSE(core_->HasLeaderLease(sent_at + milliseconds(360)));
-  Acknowledge(2, Find<proto::AppendEntriesRequest>(sent, 2));  // The same answer once more.
-  Acknowledge(3, Find<proto::AppendEntriesRequest>(sent, 3));  // A late one.
+  Acknowledge(2, Find<proto::AppendEntriesRequest>(sent, 2));  // The same response again.
+  Acknowledge(3, Find<proto::AppendEntriesRequest>(sent, 3));  // A late response.
   EXPECT_FALSE(core_->HasLeaderLease(sent_at + milliseconds(360)));
 }
 
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -1,4 +1,4 @@
-// Members whose disks are full for a while.
+// Members whose disks are temporarily full.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t kMembers = 5;
-constexpr std::uint64_t kFull = 1;
-constexpr std::uint64_t kAmple = 1U << 30U;
+constexpr std::uint64_t kFullDiskBytes = 1;
+constexpr std::uint64_t kAmpleDiskBytes = 1U << 30U;
 constexpr std::uint64_t kDefaultSeeds = 10;
 constexpr int kRounds = 8;
 
@@ -42,10 +42,10 @@
         },
         limit);
   }
-  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFull); }
-  void DisplaceLowerRanked() {
+  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
+  void FreeAllDisks() {
     for (std::size_t member = 0; member < kMembers; ++member) {
-      cluster.machine(member).SetDiskLimit(kAmple);
+      cluster.machine(member).SetDiskLimit(kAmpleDiskBytes);
     }
   }
   std::uint64_t Term(std::size_t member) { return cluster.process(member)->node.term(); }
@@ -62,8 +62,8 @@
   run.cluster.RunFor(seconds(1));
   ASSERT_TRUE(run.HasLeader(seconds(2)));
   EXPECT_NE(run.cluster.Leader(), leader);
-  EXPECT_TRUE(run.cluster.record().failures.empty()) << "the member must not stop";
-  run.DisplaceLowerRanked();
+  EXPECT_TRUE(run.cluster.record().failures.empty()) << "a full disk is not fatal";
+  run.FreeAllDisks();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
@@ -81,7 +81,7 @@
   }
   EXPECT_EQ(run.cluster.Leader(), leader);
   EXPECT_EQ(run.Term(leader), term);
-  run.DisplaceLowerRanked();
+  run.FreeAllDisks();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
 }
 
@@ -92,7 +92,7 @@
     run.Fill(member);
   }
   EXPECT_FALSE(run.Acknowledges(seconds(3)));
-  run.DisplaceLowerRanked();
+  run.FreeAllDisks();
   EXPECT_TRUE(run.Acknowledges(seconds(3)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
@@ -117,7 +117,7 @@
         }
       }
       run.cluster.StartAll();
-      run.DisplaceLowerRanked();
+      run.FreeAllDisks();
       ASSERT_TRUE(run.Acknowledges(seconds(8))) << "round " << round;
     }
     EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(8)));
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -1,4 +1,4 @@
-// A group that is to bear two losses at once, and again after each repair.
+// A group of five voters that tolerates two failures at once, and again after each repair.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,7 +30,7 @@
  public:
   explicit LossesRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
 
-  /// Machines whose members vote, in the leader's configuration.
+  /// @return machines of the voters in the leader's configuration.
   std::vector<std::size_t> Voters() {
     std::vector<std::size_t> voters;
     const std::size_t leader = cluster.Leader();
@@ -48,7 +48,8 @@
     }
     return voters;
   }
-  bool Complete(Duration limit) {
+  /// Whether all voters are present within `limit`.
+  bool WaitForAllVoters(Duration limit) {
     return cluster.RunUntil([this] { return Voters().size() == kVoters; }, limit);
   }
   bool Acknowledges(Duration limit) {
@@ -62,7 +63,7 @@
     }
     return cluster.record().acknowledged.size() > before;
   }
-  /// Two voters, the leader among them every other time.
+  /// @return two voters, the leader among them in every other round.
   std::vector<std::size_t> DrawTwo(int round) {
     std::vector<std::size_t> voters = Voters();
     const std::size_t leader = cluster.Leader();
@@ -86,7 +87,7 @@
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
-    ASSERT_TRUE(run.Complete(seconds(10)));
+    ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
       for (const std::size_t lost : run.DrawTwo(round)) {
@@ -95,7 +96,7 @@
       run.cluster.RunFor(milliseconds(300));
       run.cluster.StartAll();
       ASSERT_TRUE(run.Acknowledges(seconds(5))) << "round " << round;
-      ASSERT_TRUE(run.Complete(seconds(10))) << "round " << round;
+      ASSERT_TRUE(run.WaitForAllVoters(seconds(10))) << "round " << round;
     }
     EXPECT_TRUE(run.cluster.record().failures.empty());
   }
@@ -105,9 +106,9 @@
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
-    ASSERT_TRUE(run.Complete(seconds(10)));
+    ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (std::size_t removed = 0; removed < kSeeds; ++removed) {
-      run.cluster.machine(removed).LosePower();  // And never comes back.
+      run.cluster.machine(removed).LosePower();  // For good.
       run.cluster.RunFor(seconds(8));
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "seed machine " << removed;
       EXPECT_EQ(run.Voters().size(), kVoters) << "seed machine " << removed;
@@ -120,13 +121,13 @@
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     LossesRun run(seed);
-    ASSERT_TRUE(run.Complete(seconds(10)));
+    ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
       for (const std::size_t lost : run.DrawTwo(round)) {
         run.cluster.machine(lost).LosePower();
       }
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
-      ASSERT_TRUE(run.Complete(seconds(12))) << "round " << round;
+      ASSERT_TRUE(run.WaitForAllVoters(seconds(12))) << "round " << round;
       run.cluster.StartAll();
       run.cluster.RunFor(seconds(2));
       EXPECT_EQ(run.Voters().size(), kVoters) << "round " << round;
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -16,7 +16,7 @@
 
   void Form() {
     cluster.StartAll();
-    ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(5)));
+    ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
   }
   void ProposeAndWait(int count) {
     const std::size_t wanted = record().acknowledged.size() + static_cast<std::size_t>(count);
@@ -59,7 +59,7 @@
   cluster.RunFor(seconds(20));
   EXPECT_TRUE(cluster.process(0)->node.core().IsEmpty());
   cluster.machine(2).Start();
-  EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(5)));
+  EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
 }
 
 TEST_F(RaftNodeTest, EmptiedSeedsFormNoNewGroup) {
@@ -82,8 +82,8 @@
   const std::uint64_t old_id = Id(member);
   cluster.machine(member).LoseDisk();
   cluster.machine(member).Start();
-  EXPECT_FALSE(cluster.IsWhole());
-  ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(5)));
+  EXPECT_FALSE(cluster.IsComplete());
+  ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
   EXPECT_NE(Id(member), old_id);
   ProposeAndWait(1);
   EXPECT_TRUE(record().failures.empty());
@@ -98,7 +98,7 @@
     cluster.machine(member).Kill();
     cluster.machine(member).Start();
   }
-  ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsWhole(); }, seconds(8)));
+  ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(8)));
   ProposeAndWait(1);
   EXPECT_TRUE(record().failures.empty());
 }
@@ -148,8 +148,8 @@
     cluster.machine(member).LosePower();
   }
   cluster.StartAll();
-  EXPECT_TRUE(
-      cluster.RunUntil([this] { return cluster.IsWhole() && cluster.HasConverged(); }, seconds(3)));
+  EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete() && cluster.HasConverged(); },
+                               seconds(3)));
   EXPECT_TRUE(record().failures.empty());
 }
 
@@ -219,18 +219,18 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST(RaftFoundingTest, SingleSeedLeadsItself) {
+TEST(RaftBootstrapTest, SingleSeedLeadsItself) {
   RaftCluster cluster({.size = 1, .seed = 1});
   cluster.StartAll();
-  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.IsWhole(); }, seconds(3)));
+  ASSERT_TRUE(cluster.RunUntil([&] { return cluster.IsComplete(); }, seconds(3)));
   cluster.Propose(0);
   cluster.RunFor(seconds(1));
   EXPECT_EQ(cluster.record().acknowledged.size(), 1U);
   EXPECT_TRUE(cluster.process(0)->node.HasLeaderLease());
 }
 
-/// A seed is struck at every moment of the founding.
-TEST(RaftFoundingTest, SurvivesTheLossOfASeedAtAnyMoment) {
+// A seed fails at every moment of the bootstrap.
+TEST(RaftBootstrapTest, SurvivesTheLossOfASeedAtAnyMoment) {
   for (int moment = 0; moment < 120; ++moment) {
     RaftCluster cluster({.size = 3, .seed = 1 + static_cast<std::uint64_t>(moment)});
     cluster.StartAll();
@@ -243,7 +243,7 @@
     }
     cluster.RunFor(milliseconds(moment % 7 * 50));
     victim.Start();
-    EXPECT_TRUE(cluster.RunUntil([&] { return cluster.IsWhole(); }, seconds(10))) << moment;
+    EXPECT_TRUE(cluster.RunUntil([&] { return cluster.IsComplete(); }, seconds(10))) << moment;
     EXPECT_TRUE(cluster.record().failures.empty()) << moment;
   }
 }
--- a/tests/consensus/raft_simulation_test.cc
+++ b/tests/consensus/raft_simulation_test.cc
@@ -1,8 +1,8 @@
 // Random faults against whole groups. A failing seed is printed; run it alone with
 // CLOVERBANK_SEED=<seed>, or more of them with CLOVERBANK_SCHEDULES=<count>.
 //
-// What these tests can see was tried by planting faults in the product, one at a time, and running
-// schedules 1 to 3000 (number of failing ones, and the first) and the other tests of this folder:
+// Which planted faults these tests detect: schedules 1 to 3000 (number of failing ones, and the
+// first) and the other tests of this folder, with one fault at a time:
 //
 //   planted fault                                   schedules  other tests that fail
 //   vote answered before it is synced               4 (325)    AnswersAVoteOnlyOnceSynced
@@ -11,13 +11,13 @@
 //   lease without its margin                        5 (361)    LeaseStartsAtTheRequest...
 //   lease counted from the answer                   16 (27)    LeaseStartsAtTheRequest...
 //   lease that does not run out                     561 (7)    LeaseStartsAtTheRequest...
-//   votes in spite of a living leader               5 (216)    RefusesVotesWhileALeader...
-//   promise forgotten at a restart                  1 (1457)   RefusesVotesWhileALeader...
+//   votes in spite of a living leader               5 (216)    WithholdsVotesAfterLeader...
+//   promise forgotten at a restart                  1 (1457)   WithholdsVotesAfterARestart
 //   entries of earlier terms committed alone        -          DoesNotCommitEntriesOf...
 //   leader counts entries it has not synced         10 (276)   LeaderCountsOnlyIts...
 //   entries acknowledged before they are synced     51 (22)    AcknowledgesEntriesOnly...
 //   heartbeat vouches for unsynced entries          -          AcknowledgesEntriesOnly...
-//   votes without comparing logs                    422 (7)    VotesOnceInATermAndOnly...
+//   votes without comparing logs                    422 (7)    RefusesAVoteForAStaleLog
 //   overruled suffix of the log reappears           26 (78)    PowerLossLeavesTheState...
 //   torn tail not cut before the next write         1 (1138)   PowerLossLeavesTheState...
 //   contradicting log kept beside a new snapshot    -          PowerLossLeavesTheState...
@@ -37,7 +37,7 @@
 constexpr std::uint64_t kDefaultSchedules = 150;
 constexpr int kFaultsInSchedule = 16;
 
-/// One run: a group, a client, and a row of faults drawn from the seed.
+/// One run: a group, a client, and a sequence of faults drawn from the seed.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : cluster_(Options(seed)), world_(cluster_.world()) {
@@ -54,8 +54,8 @@
   const std::vector<std::string>& Run() {
     cluster_.StartAll();
     ProposeForEver();
-    if (Below(4) != 0) {  // The others run into the faults while the group is founded.
-      cluster_.RunUntil([this] { return cluster_.IsWhole(); }, seconds(5));
+    if (Below(4) != 0) {  // Else faults strike while the group is formed.
+      cluster_.RunUntil([this] { return cluster_.IsComplete(); }, seconds(5));
     }
     for (int fault = 0; fault < kFaultsInSchedule && Failures().empty(); ++fault) {
       ApplyFault();
@@ -87,14 +87,14 @@
 
   std::uint64_t Below(std::uint64_t bound) { return world_.RandomBelow(bound); }
   std::size_t AnyMember() { return Below(cluster_.size()); }
-  /// Mostly the leader, which is where it hurts.
+  /// @return the leader more often than others.
   std::size_t Victim() {
     const std::size_t leader = cluster_.Leader();
     return leader == cluster_.size() || Below(2) == 0 ? AnyMember() : leader;
   }
   const std::vector<std::string>& Failures() { return cluster_.record().failures; }
 
-  /// Bursts with pauses: while all logs are the same length, anybody can be elected.
+  /// Bursts with pauses: while all logs are of the same length, any member can be elected.
   void ProposeForEver() {
     cluster_.Propose(AnyMember());
     if (const std::size_t leader = cluster_.Leader(); leader != cluster_.size() && Below(60) == 0) {
@@ -157,9 +157,9 @@
     }
   }
 
-  /// At most one disk at a time is gone: the group must be whole again before the next.
+  /// Loses at most one disk at a time: the group must be complete again before the next.
   void LoseDisk() {
-    if (!cluster_.RunUntil([this] { return cluster_.IsWhole(); }, seconds(1))) {
+    if (!cluster_.RunUntil([this] { return cluster_.IsComplete(); }, seconds(1))) {
       return;
     }
     const std::size_t member = Victim();
@@ -167,7 +167,7 @@
     StartLater(member);
   }
 
-  /// One member has lost the leader; another one that promised to listen to it restarts.
+  /// One member is cut off from the leader; a follower that has heard the leader restarts.
   void RestartVoter() {
     const std::size_t leader = cluster_.Leader();
     const std::size_t lonely = AnyMember();
@@ -181,7 +181,7 @@
     HealLater();
   }
 
-  /// Members forget what they have not synced just when they vote.
+  /// Members lose unsynced writes just when they vote.
   void LosePowerInElection() {
     SlowDisks();
     cluster_.machine(Victim()).LosePower();
@@ -235,12 +235,12 @@
   }
 
   void CheckProgressAfterHeal() {
-    cluster_.RunFor(seconds(3));  // All repairs that faults left behind have happened.
+    cluster_.RunFor(seconds(3));  // All scheduled repairs have happened.
     world_.HealAll();
     cluster_.StartAll();
     const std::size_t before = cluster_.record().acknowledged.size();
     const bool progress = cluster_.RunUntil(
-        [&] { return cluster_.record().acknowledged.size() > before && cluster_.IsWhole(); },
+        [&] { return cluster_.record().acknowledged.size() > before && cluster_.IsComplete(); },
         seconds(10));
     if (!progress) {
       cluster_.record().Fail("no progress within 10 s after all faults ended");
@@ -258,7 +258,7 @@
     }
   }
 
-  NetworkBehaviour network_;  ///< While nothing disturbs it.
+  NetworkBehaviour network_;  ///< Without faults.
   DiskBehaviour disks_;
   RaftCluster cluster_;
   SimulatedWorld& world_;
--- a/tests/consensus/raft_storage_test.cc
+++ b/tests/consensus/raft_storage_test.cc
@@ -33,8 +33,8 @@
   return write;
 }
 
-/// A life of a follower: entries, a conflict, a received snapshot that contradicts the log, an own
-/// one.
+/// The writes of a follower: entries, a conflict, a received snapshot that conflicts with the log,
+/// and a snapshot of its own.
 std::vector<RaftWrite> Script() {
   std::vector<RaftWrite> script(9);
   script[0] = Metadata(1);
@@ -59,12 +59,12 @@
   return script;
 }
 
-/// "snapshot base:term,term,..." after each write. A received snapshot counts before the log is
-/// emptied.
+/// "snapshot base:term,term,..." after each write. A received snapshot applies before the log is
+/// cleared.
 constexpr std::array<std::string_view, 10> kLogs = {
     "0 0:", "0 0:", "0 0:1,1,1,1,1,", "0 0:1,1,2,", "0 0:1,1,2,2,2,2,2,",
     "6 6:", "6 6:", "6 6:4,4,",       "8 6:4,4,",   "8 7:4,"};
-/// The term on the disk after each write at the least: metadata goes ahead of the log.
+/// The lowest possible term on the disk after each write: metadata is written before the log.
 constexpr std::array<std::uint64_t, 10> kTerms = {0, 1, 1, 2, 4, 4, 4, 4, 4, 4};
 
 std::string Describe(const RaftDurableState& state) {
@@ -76,7 +76,7 @@
   return text;
 }
 
-/// The program of one life.
+/// One process of the machine.
 struct StorageProcess {
   StorageProcess(DataFolder& folder, RaftWriteId& persisted)
       : storage(
@@ -115,7 +115,7 @@
   std::shared_ptr<StorageProcess> process;
 };
 
-/// What is written after a torn tail must not be hidden behind it.
+/// A write after a torn tail must be readable.
 void CheckThatTheNextWriteLasts(SimulatedWorld& world, SimulatedMachine& machine,
                                 const std::shared_ptr<StorageProcess>& process) {
   RaftWrite write = Metadata(9);
@@ -166,7 +166,7 @@
     world.RunFor(milliseconds(50));
     process->storage.Retry();
     world.RunFor(milliseconds(50));
-    // The last two writes need no more room than what they replace.
+    // The last two writes need no more space than what they replace.
     EXPECT_EQ(persisted < Script().size(), full_from < 7) << "full from write " << full_from;
     machine.SetDiskLimit(1U << 20U);
     while (process->found_full > 0 && persisted < Script().size()) {
--- a/tests/control_client/coordinator_referral_test.cc
+++ b/tests/control_client/coordinator_referral_test.cc
@@ -1,4 +1,4 @@
-// Processes whose seeds name machines that are no coordinators.
+// Processes none of whose seeds is a coordinator.
 #include "control_client/coordinator_referral.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-/// A gateway's agent and its answers for the coordinators.
+/// A gateway's agent and its referrals to the coordinators.
 struct Gateway {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<CoordinatorReferral> referral;
@@ -55,7 +55,7 @@
     world_.machine(name).Start();
   }
 
-  bool Joins(const std::string& name, Duration limit) {
+  bool JoinsWithin(const std::string& name, Duration limit) {
     return world_.RunUntil([this, name] { return gateways_[name]->agent->LeaseValid(); }, limit);
   }
 
@@ -65,43 +65,42 @@
   SimulatedWorld world_{9};
 };
 
-// All machines lost power, and the seeds name only machines that know no more than they do.
+// After a power loss of all machines, all seeds may be machines that know no coordinator either.
 TEST_F(CoordinatorReferralTest, AcceptsTheCoordinatorListFromTheLeader) {
   AddGateway("lost", "10.0.2.1", {Endpoint{"10.0.2.9", 7401}});
-  EXPECT_FALSE(Joins("lost", seconds(2)));
+  EXPECT_FALSE(JoinsWithin("lost", seconds(2)));
   proto::UpdateCoordinatorsRequest request;
   for (const auto& [name, endpoint] : endpoints_) {
     *request.add_coordinators() = ToMessage(endpoint);
   }
   world_.CallPeer(world_.machine("lost").endpoint(), UpdateCoordinatorsMethod(proto::ROLE_GATEWAY),
                   request.SerializeAsString(), seconds(1), [](const PeerReply&) {});
-  EXPECT_TRUE(Joins("lost", seconds(2)));
+  EXPECT_TRUE(JoinsWithin("lost", seconds(2)));
 }
 
-// After a turnover of seeds a machine that lost power knew three fronts, none of them a
-// coordinator.
+// After the seeds were replaced, all seeds of a machine that was off may be gateways.
 TEST_F(CoordinatorReferralTest, RefersToTheCoordinators) {
   AddGateway("known", "10.0.2.1", {endpoints_["c2"]});
-  ASSERT_TRUE(Joins("known", seconds(3)));
+  ASSERT_TRUE(JoinsWithin("known", seconds(3)));
   AddGateway("new", "10.0.2.2", {world_.machine("known").endpoint()});
-  EXPECT_TRUE(Joins("new", seconds(2)));
+  EXPECT_TRUE(JoinsWithin("new", seconds(2)));
 }
 
 TEST_F(CoordinatorReferralTest, RefersNobodyBeforeItsFirstHeartbeat) {
   AddGateway("first", "10.0.2.1", {Endpoint{"10.0.2.2", 7401}});
   AddGateway("second", "10.0.2.2", {world_.machine("first").endpoint()});
-  EXPECT_FALSE(Joins("first", seconds(3)));
+  EXPECT_FALSE(JoinsWithin("first", seconds(3)));
   AddGateway("known", "10.0.2.3", {endpoints_["c1"]});
-  EXPECT_TRUE(Joins("known", seconds(2)));
+  EXPECT_TRUE(JoinsWithin("known", seconds(2)));
 }
 
 TEST_F(CoordinatorReferralTest, FindsTheNextLeaderAfterAStaleReferral) {
   AddGateway("known", "10.0.2.1", {endpoints_["c2"]});
-  ASSERT_TRUE(Joins("known", seconds(3)));
+  ASSERT_TRUE(JoinsWithin("known", seconds(3)));
   world_.machine("c1").Kill();
   control_.leader = "c3";
   AddGateway("new", "10.0.2.2", {world_.machine("known").endpoint()});
-  EXPECT_TRUE(Joins("new", seconds(6)));
+  EXPECT_TRUE(JoinsWithin("new", seconds(6)));
 }
 
 }  // namespace
--- a/tests/control_client/fake_control.h
+++ b/tests/control_client/fake_control.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A scripted coordinator group for tests of nodes: three machines, one state, one leader.
+/// A fake coordinator group for tests of nodes: three machines with a shared state and one leader.
 
 #include <algorithm>
 #include <map>
@@ -35,7 +35,7 @@
   std::vector<proto::SubmitTransactionRequest> transactions;
   std::vector<std::string> retired;
   proto::TransactionResult transaction_result;  ///< Answer to every transaction.
-  /// The operators' own label and document, as read; an inquiry brings `next_label` if it is set.
+  /// The operators' label, as read; an inquiry sets it to `next_label` if that is set.
   std::uint64_t label = 0;
   std::uint64_t next_label = 0;
 
@@ -177,10 +177,10 @@
     return response;
   }
 
-  proto::ConfigurationUpdate MakeUpdate(std::uint64_t held) {
+  proto::ConfigurationUpdate MakeUpdate(std::uint64_t known_version) {
     proto::ConfigurationUpdate update;
     update.set_to_version(control_.configuration_version);
-    if (held == 0 || held > control_.configuration_version) {
+    if (known_version == 0 || known_version > control_.configuration_version) {
       proto::RoutingConfiguration& full = *update.mutable_full();
       full.set_version(control_.configuration_version);
       for (const proto::ConfigurationChange& change : control_.changes) {
@@ -188,7 +188,7 @@
       }
       return update;
     }
-    const std::uint64_t from = held + (control_.skip_one_delta ? 1 : 0);
+    const std::uint64_t from = known_version + (control_.skip_one_delta ? 1 : 0);
     control_.skip_one_delta = false;
     update.set_from_version(from);
     for (std::uint64_t version = from; version < control_.configuration_version; ++version) {
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -37,9 +37,19 @@
     return world.RunUntil([this] { return agent->LeaseValid(); }, limit);
   }
 
+  /// Calls the leader; `outcome` gets the code of the result.
+  void Submit(Duration deadline) {
+    agent->CallLeader<proto::SubmitTransactionResponse>(
+        "coordinator.SubmitTransaction", proto::SubmitTransactionRequest(), deadline,
+        [this](const Result<proto::SubmitTransactionResponse>& result) {
+          outcome = result.status().code();
+        });
+  }
+
   FakeControl control;
   std::vector<Endpoint> seeds;
   NodeAgent* agent = nullptr;
+  StatusCode outcome = StatusCode::kInternal;
   int fences = 0;
   bool lease_valid_when_fenced = false;
   std::vector<std::uint64_t> versions;
@@ -72,7 +82,7 @@
   const std::size_t seen = control.heartbeats.size();
   ASSERT_TRUE(world.RunUntil([&] { return control.heartbeats.size() > seen; }, seconds(1)));
   const TimePoint arrived = world.Now();  // Sent 1 to 5 ms before.
-  world.RunFor(milliseconds(830));        // Held for 800 ms, then answered.
+  world.RunFor(milliseconds(830));        // A long poll of 800 ms.
   const Duration usable = milliseconds(kFakeLeaseMs) * 99 / 100;
   EXPECT_LE(agent->lease_end(), arrived + usable - milliseconds(1));
   EXPECT_GE(agent->lease_end(), arrived + usable - milliseconds(5));
@@ -87,7 +97,7 @@
   Join();
   world.machine("g").Freeze();
   world.RunFor(seconds(25));
-  EXPECT_FALSE(agent->LeaseValid()) << "invalid at the moment it wakes, before it hears anything";
+  EXPECT_FALSE(agent->LeaseValid()) << "invalid before it hears from a coordinator";
   world.machine("g").Wake();
   EXPECT_FALSE(agent->LeaseValid());
   ASSERT_TRUE(WaitForLease(seconds(2)));
@@ -125,7 +135,7 @@
   const auto confirmed = [this] { return control.heartbeats.back().configuration_version() == 1; };
   ASSERT_TRUE(world.RunUntil(confirmed, milliseconds(40)));
   EXPECT_EQ(agent->configuration().routes(0).name(), "narrate");
-  control.AddRoute("describe");  // The pace of heartbeats does not hold a confirmation back.
+  control.AddRoute("describe");  // The minimum interval does not delay a confirmation.
   const auto again = [this] { return control.heartbeats.back().configuration_version() == 2; };
   EXPECT_TRUE(world.RunUntil(again, milliseconds(21)));
 }
@@ -141,7 +151,7 @@
   ASSERT_TRUE(world.RunUntil([this] { return !control.skip_one_delta; }, seconds(1)));
   world.RunFor(milliseconds(7));
   EXPECT_EQ(agent->configuration().version(), 1U);
-  EXPECT_EQ(agent->lease_end(), end) << "no lease is taken with a configuration that was not";
+  EXPECT_EQ(agent->lease_end(), end) << "the lease is not renewed without the configuration";
   ASSERT_TRUE(world.RunUntil([this] { return agent->configuration().version() == 3; }, seconds(1)));
   EXPECT_EQ(agent->configuration().routes_size(), 3);
   EXPECT_EQ(versions, (std::vector<std::uint64_t>{1, 3}));
@@ -153,7 +163,7 @@
   control.AddRoute("b");
   world.RunFor(milliseconds(100));
   ASSERT_EQ(agent->configuration().version(), 2U);
-  control.configuration_version = 1;  // A freshly started group that forgot.
+  control.configuration_version = 1;  // A group that lost its state.
   control.changes.pop_back();
   world.RunFor(seconds(2));
   EXPECT_EQ(agent->configuration().version(), 2U);
@@ -227,32 +237,32 @@
   const auto reported = [this] { return control.heartbeats.back().suspected_node_ids_size() == 1; };
   EXPECT_TRUE(world.RunUntil(reported, milliseconds(20)));
   world.RunFor(seconds(2));
-  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0) << "told once";
+  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0) << "reported once";
 }
 
-TEST_F(NodeAgentTest, LeaderCallOutlivesAnElectionButNotItsDeadline) {
+TEST_F(NodeAgentTest, LeaderCallSurvivesAnElection) {
   Join();
   control.leader = "nobody";
   world.ScheduleAfter(milliseconds(700), [this] { control.leader = "c2"; });
-  StatusCode code = StatusCode::kInternal;
-  const auto call = [this, &code](Duration deadline) {
-    agent->CallLeader<proto::SubmitTransactionResponse>(
-        "coordinator.SubmitTransaction", proto::SubmitTransactionRequest(), deadline,
-        [&code](const Result<proto::SubmitTransactionResponse>& result) {
-          code = result.status().code();
-        });
-  };
-  call(seconds(5));
+  Submit(seconds(5));
   world.RunFor(seconds(2));
-  EXPECT_EQ(code, StatusCode::kOk);
+  EXPECT_EQ(outcome, StatusCode::kOk);
+}
+
+TEST_F(NodeAgentTest, RefusedLeaderCallIsUnavailableAtItsDeadline) {
+  Join();
   control.leader = "nobody";
-  call(seconds(1));
+  Submit(seconds(1));
   world.RunFor(milliseconds(1010));
-  EXPECT_EQ(code, StatusCode::kUnavailable) << "every member refused it: certainly not carried out";
+  EXPECT_EQ(outcome, StatusCode::kUnavailable) << "no member executed it";
+}
+
+TEST_F(NodeAgentTest, UnansweredLeaderCallHasAnUnknownOutcome) {
+  Join();
   world.Isolate("g");
-  call(seconds(1));
+  Submit(seconds(1));
   world.RunFor(milliseconds(1010));
-  EXPECT_EQ(code, StatusCode::kUnknownOutcome);
+  EXPECT_EQ(outcome, StatusCode::kUnknownOutcome);
 }
 
 }  // namespace
--- a/tests/control_client/operator_orders_test.cc
+++ b/tests/control_client/operator_orders_test.cc
@@ -1,4 +1,4 @@
-// Orders that build on the operator's own document.
+// Transactions that are computed from the operator's document.
 #include "control_client/operator_orders.h"
 
 #include <gtest/gtest.h>
--- a/tests/control_client/watch_test.cc
+++ b/tests/control_client/watch_test.cc
@@ -30,17 +30,17 @@
   update.add_changes()->mutable_set_batch()->set_paused(true);
   ConfigurationWatch watch;
   ASSERT_EQ(watch.Apply(update), UpdateOutcome::kApplied);
-  const proto::RoutingConfiguration& held = watch.configuration();
-  ASSERT_EQ(held.routes_size(), 2);
-  EXPECT_EQ(held.routes(0).name(), "a");
-  EXPECT_EQ(held.routes(1).name(), "b");
-  ASSERT_EQ(held.zones_size(), 2);
-  EXPECT_EQ(held.zones(0).name(), "b");
-  EXPECT_EQ(held.zones(0).state(), proto::ZONE_STATE_DRAINED);
-  ASSERT_EQ(held.tenants_size(), 2);
-  EXPECT_EQ(held.tenants(1).name(), "c");
-  EXPECT_TRUE(held.batch().paused());
-  EXPECT_EQ(held.version(), 1U);
+  const proto::RoutingConfiguration& configuration = watch.configuration();
+  ASSERT_EQ(configuration.routes_size(), 2);
+  EXPECT_EQ(configuration.routes(0).name(), "a");
+  EXPECT_EQ(configuration.routes(1).name(), "b");
+  ASSERT_EQ(configuration.zones_size(), 2);
+  EXPECT_EQ(configuration.zones(0).name(), "b");
+  EXPECT_EQ(configuration.zones(0).state(), proto::ZONE_STATE_DRAINED);
+  ASSERT_EQ(configuration.tenants_size(), 2);
+  EXPECT_EQ(configuration.tenants(1).name(), "c");
+  EXPECT_TRUE(configuration.batch().paused());
+  EXPECT_EQ(configuration.version(), 1U);
 }
 
 TEST(ConfigurationWatchTest, UnknownChangeAppliesNothing) {
@@ -53,35 +53,60 @@
   EXPECT_EQ(watch.VersionToReport(), ConfigurationVersion(0));
 }
 
-TEST(FleetWatchTest, MergesDeltasAndDropsTheDead) {
-  proto::FleetUpdate whole;
-  whole.set_to_version(4);
-  for (const std::uint64_t id : {10, 11}) {
-    whole.add_servers()->set_node_id(id);
+/// A watch at version 4, with servers 10 and 11; server 10 owns partition 0.
+class FleetWatchTest : public testing::Test {
+ protected:
+  FleetWatchTest() {
+    full_.set_to_version(4);
+    for (const std::uint64_t id : {10, 11}) {
+      full_.add_servers()->set_node_id(id);
+    }
+    full_.add_partitions()->set_owner(10);
+    EXPECT_EQ(watch_.Apply(full_), UpdateOutcome::kApplied);
   }
-  whole.add_partitions()->set_owner(10);
-  FleetWatch watch;
-  ASSERT_EQ(watch.Apply(whole), UpdateOutcome::kApplied);
-  ASSERT_NE(watch.view().OwnerOf(PartitionId(0)), nullptr);
 
+  /// @return a delta to version 5 by which server 10 is dead.
+  static proto::FleetUpdate DeathOfOwner() {
+    proto::FleetUpdate delta;
+    delta.set_from_version(4);
+    delta.set_to_version(5);
+    proto::Server* dead = delta.add_servers();
+    dead->set_node_id(10);
+    dead->set_state(proto::SERVER_STATE_DEAD);
+    return delta;
+  }
+
+  proto::FleetUpdate full_;
+  FleetWatch watch_;
+};
+
+TEST_F(FleetWatchTest, RequestsAFullFleetAfterAGap) {
+  proto::FleetUpdate gap;
+  gap.set_from_version(5);
+  gap.set_to_version(6);
+  EXPECT_EQ(watch_.Apply(gap), UpdateOutcome::kGap);
+  EXPECT_EQ(watch_.VersionToReport(), FleetVersion(0));
+}
+
+TEST_F(FleetWatchTest, AppliesADeltaAfterAGap) {
   proto::FleetUpdate gap;
   gap.set_from_version(5);
   gap.set_to_version(6);
-  EXPECT_EQ(watch.Apply(gap), UpdateOutcome::kGap);
-  EXPECT_EQ(watch.VersionToReport(), FleetVersion(0));
+  ASSERT_EQ(watch_.Apply(gap), UpdateOutcome::kGap);
+  EXPECT_EQ(watch_.Apply(DeathOfOwner()), UpdateOutcome::kApplied);
+}
 
-  proto::FleetUpdate delta;
-  delta.set_from_version(4);
-  delta.set_to_version(5);
-  proto::Server* dead = delta.add_servers();
-  dead->set_node_id(10);
-  dead->set_state(proto::SERVER_STATE_DEAD);
-  ASSERT_EQ(watch.Apply(delta), UpdateOutcome::kApplied);
-  EXPECT_EQ(watch.view().servers.size(), 1U);
-  EXPECT_EQ(watch.view().OwnerOf(PartitionId(0)), nullptr) << "nobody owns what a dead node owned";
+TEST_F(FleetWatchTest, RemovesDeadServers) {
+  ASSERT_NE(watch_.view().OwnerOf(PartitionId(0)), nullptr);
+  ASSERT_EQ(watch_.Apply(DeathOfOwner()), UpdateOutcome::kApplied);
+  EXPECT_EQ(watch_.view().servers.size(), 1U);
+  EXPECT_EQ(watch_.view().OwnerOf(PartitionId(0)), nullptr) << "a dead server owns no partition";
+}
 
-  EXPECT_EQ(watch.Apply(whole), UpdateOutcome::kOlder);
-  EXPECT_EQ(watch.view().version, FleetVersion(5));
+TEST_F(FleetWatchTest, RejectsAnOlderFleet) {
+  ASSERT_EQ(watch_.Apply(DeathOfOwner()), UpdateOutcome::kApplied);
+  EXPECT_EQ(watch_.Apply(full_), UpdateOutcome::kOlder);
+  EXPECT_EQ(watch_.view().version, FleetVersion(5));
 }
 
 }  // namespace
