--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -10,14 +10,15 @@
 constexpr char kMetadataFile[] = "consensus/metadata";
 constexpr char kSnapshotFile[] = "consensus/snapshot";
 constexpr char kLogFile[] = "consensus/log";
-/// Seed of the records' checksums, so that no other file's records are taken for these.
+/// Seed of the records' checksums: records of other files fail the check.
 constexpr std::uint64_t kRecordSeed = 0x7261667431ULL;
 
 Status Corrupt(const std::string& file, const std::string& problem) {
   return {StatusCode::kCorrupt, file + ": " + problem};
 }
 
-/// Adds one entry as read from the log; it may take the place of earlier ones.
+/// Adds one entry as read from the log; it may overwrite earlier ones. @return false if it does not
+/// follow.
 bool PutEntry(RaftDurableState& state, const proto::RaftEntry& entry) {
   const std::uint64_t last_index = state.base_index + state.entries.size();
   if (entry.index() <= state.base_index || entry.index() > last_index + 1) {
@@ -196,7 +197,7 @@
   busy_ = true;
   current_ = std::move(queue_.front());
   queue_.pop_front();
-  // Group commit: what has come in meanwhile joins, as long as it only adds to the log.
+  // Group commit: queued writes are merged as long as they only append to the log.
   while (!queue_.empty() && !queue_.front().snapshot && !queue_.front().replaces_log) {
     RaftWrite& next = queue_.front();
     current_.id = next.id;
@@ -216,7 +217,7 @@
     return;
   }
   folder_.Replace(kMetadataFile, EncodeRecord(current_.metadata->SerializeAsString(), kRecordSeed),
-                  Then(&RaftStorage::WriteMetadata, &RaftStorage::WriteSnapshot));
+                  ContinueWith(&RaftStorage::WriteMetadata, &RaftStorage::WriteSnapshot));
 }
 
 void RaftStorage::WriteSnapshot() {
@@ -225,16 +226,16 @@
     return;
   }
   folder_.Replace(kSnapshotFile, EncodeRecord(current_.snapshot->SerializeAsString(), kRecordSeed),
-                  Then(&RaftStorage::WriteSnapshot, &RaftStorage::WriteLog));
+                  ContinueWith(&RaftStorage::WriteSnapshot, &RaftStorage::WriteLog));
 }
 
 void RaftStorage::WriteLog() {
   if (current_.replaces_log) {
     folder_.Replace(kLogFile, SerializeLogRecord(current_),
-                    Then(&RaftStorage::WriteLog, &RaftStorage::Finish));
+                    ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
   } else if (!current_.entries.empty()) {
     folder_.Append(kLogFile, SerializeLogRecord(current_),
-                   Then(&RaftStorage::WriteLog, &RaftStorage::Finish));
+                   ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
   } else {
     Finish();
   }
@@ -248,7 +249,7 @@
   on_persisted_(finished);
 }
 
-DataFolder::Done RaftStorage::Then(Step step, Step next) {
+DataFolder::Done RaftStorage::ContinueWith(Step step, Step next) {
   return [this, step, next, alive = std::weak_ptr<bool>(alive_)](Status status) {
     if (alive.expired() || failed_) {
       return;
@@ -263,7 +264,7 @@
 
 void RaftStorage::HandleFailure(Step step, Status status) {
   if (status.code() == StatusCode::kResourceExhausted) {
-    waiting_step_ = step;
+    pending_step_ = step;
     on_full_(std::move(status));
     return;
   }
@@ -272,7 +273,7 @@
 }
 
 void RaftStorage::Retry() {
-  if (const Step step = std::exchange(waiting_step_, nullptr)) {
+  if (const Step step = std::exchange(pending_step_, nullptr)) {
     (this->*step)();
   }
 }
--- a/src/control_client/heartbeat_sender.cc
+++ b/src/control_client/heartbeat_sender.cc
@@ -8,12 +8,12 @@
 namespace cloverbank {
 namespace {
 
-/// Heartbeats follow each other no faster than this, unless one carries a confirmation.
+/// Shortest interval between heartbeats, except for one that confirms a configuration.
 constexpr Duration kMinimumInterval = milliseconds(50);
-/// Wait beyond the hold before another coordinator is asked beside one that does not answer.
+/// How much longer than the hold to wait for an answer before another coordinator is called too.
 constexpr Duration kHeartbeatGrace = milliseconds(300);
 
-/// Whether the coordinators do not take the sender's node id for alive.
+/// Whether the coordinators regard the sender's node id as dead or unknown.
 bool RefusesNodeId(StatusCode code) {
   return code == StatusCode::kFenced || code == StatusCode::kNotFound;
 }
@@ -46,7 +46,8 @@
   const auto request = std::make_shared<proto::HeartbeatRequest>();
   LeaderCallOptions call;
   call.method = "coordinator.Heartbeat";
-  // After a failure the lease matters more than news: later attempts are not held.
+  // After a failure renewing the lease matters more than updates, so retries are to be answered at
+  // once.
   call.make_body = [this, request, hold](std::uint32_t attempt) {
     *request = context_.session.MakeHeartbeat(attempt == 0 ? hold : Duration::zero());
     last_sent_ = context_.environment.Now();
@@ -64,9 +65,9 @@
 void HeartbeatSender::HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                                   Completion complete) {
   const std::weak_ptr<void> answered_in = context_.incarnation_token();
-  const bool took_configuration = ApplyReply(request, reply);
+  const bool configuration_applied = ApplyReply(request, reply);
   if (!answered_in.expired()) {
-    (this->*complete)(took_configuration);
+    (this->*complete)(configuration_applied);
   }
 }
 
@@ -92,17 +93,18 @@
   RecordUpdateOutcome(context_, "configuration", effects.configuration);
   RecordUpdateOutcome(context_, "fleet", effects.fleet);
   listener_.OnHeartbeatApplied(effects);
-  return effects.configuration == UpdateOutcome::kTaken;
+  return effects.configuration == UpdateOutcome::kApplied;
 }
 
-void HeartbeatSender::CompleteRegular(bool took_configuration) {
+void HeartbeatSender::CompleteRegular(bool configuration_applied) {
   const Duration wait =
       std::max(Duration::zero(), last_sent_ + kMinimumInterval - context_.environment.Now());
   context_.environment.CancelTimer(timer_);
-  timer_ = context_.environment.ScheduleAfter(took_configuration ? Duration::zero() : wait, [this] {
-    timer_ = 0;
-    Start();
-  });
+  timer_ =
+      context_.environment.ScheduleAfter(configuration_applied ? Duration::zero() : wait, [this] {
+        timer_ = 0;
+        Start();
+      });
 }
 
 void HeartbeatSender::CompleteUrgent(bool /*took_configuration*/) { urgent_in_flight_ = false; }
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -6,7 +6,8 @@
 namespace cloverbank {
 namespace {
 
-/// Hints followed at once in a row; further ones wait, since two members may point at each other.
+/// Hints followed at once in a row; further ones after a back-off, since two members may refer to
+/// each other.
 constexpr std::uint32_t kMaximumRedirects = 3;
 constexpr Duration kMaximumBackoff = milliseconds(150);
 
@@ -41,13 +42,13 @@
       backoff_(options_.retry_delay) {}
 
 void LeaderCall::AttemptNext() {
-  for (const Endpoint& candidate : directory_->InOrder()) {
+  for (const Endpoint& candidate : directory_->ListCandidates()) {
     if (!in_flight_.contains(candidate)) {
       SendTo(candidate);
       return;
     }
   }
-  ScheduleNext(NextBackoff());  // Every member is being asked already, or none is known.
+  ScheduleNext(NextBackoff());  // Every member is being called already, or none is known.
 }
 
 void LeaderCall::SendTo(const Endpoint& target) {
@@ -81,14 +82,14 @@
     HandleFailure(from, reply.status);
     return;
   }
-  directory_->Answered(from);
+  directory_->RecordAnswer(from);
   Finish({std::move(reply), sent});
 }
 
 void LeaderCall::HandleRedirect(const Endpoint& from, const Status& status) {
   last_failure_ = status;
   const Endpoint hint = ParseEndpoint(status.detail());
-  directory_->Redirected(from, hint);
+  directory_->RecordRedirect(from, hint);
   ++redirects_;
   const bool follow =
       hint.valid() && hint != from && redirects_ <= kMaximumRedirects && !in_flight_.contains(hint);
@@ -99,7 +100,7 @@
   last_failure_ = status;
   redirects_ = 0;
   outcome_unknown_ = outcome_unknown_ || status.code() == StatusCode::kUnknownOutcome;
-  directory_->Failed(from);
+  directory_->RecordFailure(from);
   ScheduleNext(NextBackoff());
 }
 
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -12,8 +12,7 @@
 namespace cloverbank {
 namespace {
 
-/// The longest an attempt of another call may stay unanswered: an acknowledgement of a transaction
-/// waits for up to one node lease.
+/// Longer than a node lease, for which the acknowledgement of a transaction may have to wait.
 constexpr Duration kCallAttemptDeadline = seconds(5);
 constexpr Duration kCallResponseTimeout = seconds(1);
 
@@ -25,7 +24,7 @@
   void OnRegistered();
   void OnNodeIdRefused(const Status& status) override;
   void OnHeartbeatApplied(const HeartbeatEffects& effects) override;
-  /// Lets the leader tell where the coordinators are: seeds may name none.
+  /// Accepts the list of coordinators from the leader: no seed may be a coordinator any more.
   void ServeCoordinators();
   void EndIncarnation(std::string_view reason);
 
@@ -60,10 +59,10 @@
   if (effects.rank_changed) {
     gateway_rank_observers.NotifyAll();
   }
-  if (effects.configuration == UpdateOutcome::kTaken) {
+  if (effects.configuration == UpdateOutcome::kApplied) {
     configuration_observers.NotifyAll();
   }
-  if (effects.fleet == UpdateOutcome::kTaken) {
+  if (effects.fleet == UpdateOutcome::kApplied) {
     fleet_observers.NotifyAll();
   }
 }
@@ -142,7 +141,7 @@
 const FleetView& NodeAgent::fleet() const { return state_->context.session.fleet(); }
 
 std::vector<Endpoint> NodeAgent::coordinators() const {
-  return state_->context.directory->InOrder();
+  return state_->context.directory->ListCandidates();
 }
 
 void NodeAgent::OnConfiguration(std::function<void()> observer) {
--- a/src/control_client/operator_orders.cc
+++ b/src/control_client/operator_orders.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// @return the order's transaction if `current` is its base, else an inquiry after it.
+/// @return the order's transaction if `current` is its base, else an inquiry about its outcome.
 Result<proto::ConfigurationTransaction> MakeTransaction(const proto::RoutingConfiguration& current,
                                                         const DocumentOrder& order) {
   proto::ConfigurationTransaction transaction;
@@ -24,7 +24,7 @@
   return transaction;
 }
 
-/// Whether an inquiry found that its order was never carried out and can be submitted.
+/// Whether an inquiry found that its order was not executed and can be submitted.
 bool MayBeSent(const Result<proto::SubmitTransactionResponse>& result) {
   return result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
 }
@@ -33,9 +33,9 @@
 
 void OperatorOrders::ReadConfiguration(std::uint32_t history,
                                        Done<proto::GetConfigurationResponse> done) {
-  proto::GetConfigurationRequest question;
-  question.set_history(history);
-  agent_.CallLeader<proto::GetConfigurationResponse>("coordinator.GetConfiguration", question,
+  proto::GetConfigurationRequest request;
+  request.set_history(history);
+  agent_.CallLeader<proto::GetConfigurationResponse>("coordinator.GetConfiguration", request,
                                                      timeouts_.read, std::move(done));
 }
 
@@ -74,7 +74,7 @@
   Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), order,
                                    done](Result<proto::SubmitTransactionResponse> result) {
     if (!alive.expired() && MayBeSent(result)) {
-      SubmitOnDocument(order, done);  // The base came between reading and inquiring.
+      SubmitOnDocument(order, done);  // The base arrived between the read and the inquiry.
     } else {
       done(std::move(result));
     }
@@ -89,9 +89,9 @@
 
 void OperatorOrders::ReadRetirement(const std::string& machine,
                                     Done<proto::GetRetirementResponse> done) {
-  proto::GetRetirementRequest question;
-  question.set_machine(machine);
-  agent_.CallLeader<proto::GetRetirementResponse>("coordinator.GetRetirement", question,
+  proto::GetRetirementRequest request;
+  request.set_machine(machine);
+  agent_.CallLeader<proto::GetRetirementResponse>("coordinator.GetRetirement", request,
                                                   timeouts_.read, std::move(done));
 }
 
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -1,4 +1,4 @@
-// Members whose disks are full for a while.
+// Members whose disks are temporarily full.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::size_t kMembers = 5;
-constexpr std::uint64_t kFull = 1;
-constexpr std::uint64_t kAmple = 1U << 30U;
+constexpr std::uint64_t kFullDiskBytes = 1;
+constexpr std::uint64_t kAmpleDiskBytes = 1U << 30U;
 constexpr std::uint64_t kDefaultSeeds = 10;
 constexpr int kRounds = 8;
 
@@ -42,10 +42,10 @@
         },
         limit);
   }
-  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFull); }
-  void DisplaceLowerRanked() {
+  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
+  void FreeAllDisks() {
     for (std::size_t member = 0; member < kMembers; ++member) {
-      cluster.machine(member).SetDiskLimit(kAmple);
+      cluster.machine(member).SetDiskLimit(kAmpleDiskBytes);
     }
   }
   std::uint64_t Term(std::size_t member) { return cluster.process(member)->node.term(); }
@@ -53,7 +53,7 @@
   RaftCluster cluster;
 };
 
-TEST(RaftFullDiskTest, ALeaderWhoseDiskIsFullGivesItsPlaceToAnotherAndGoesOnWithRoom) {
+TEST(RaftFullDiskTest, LeaderWithAFullDiskHandsOver) {
   FullDiskRun run(1);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
@@ -62,13 +62,13 @@
   run.cluster.RunFor(seconds(1));
   ASSERT_TRUE(run.HasLeader(seconds(2)));
   EXPECT_NE(run.cluster.Leader(), leader);
-  EXPECT_TRUE(run.cluster.record().failures.empty()) << "the member must not stop";
-  run.DisplaceLowerRanked();
+  EXPECT_TRUE(run.cluster.record().failures.empty()) << "a full disk is not fatal";
+  run.FreeAllDisks();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
 
-TEST(RaftFullDiskTest, AFollowerWhoseDiskIsFullDisturbsNobody) {
+TEST(RaftFullDiskTest, FollowersWithFullDisksCauseNoElection) {
   FullDiskRun run(2);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
@@ -81,23 +81,23 @@
   }
   EXPECT_EQ(run.cluster.Leader(), leader);
   EXPECT_EQ(run.Term(leader), term);
-  run.DisplaceLowerRanked();
+  run.FreeAllDisks();
   EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(5)));
 }
 
-TEST(RaftFullDiskTest, AGroupWhoseDisksAreAllFullServesAgainWithRoom) {
+TEST(RaftFullDiskTest, RecoversOnceDisksHaveSpace) {
   FullDiskRun run(3);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   for (std::size_t member = 0; member < kMembers; ++member) {
     run.Fill(member);
   }
   EXPECT_FALSE(run.Acknowledges(seconds(3)));
-  run.DisplaceLowerRanked();
+  run.FreeAllDisks();
   EXPECT_TRUE(run.Acknowledges(seconds(3)));
   EXPECT_TRUE(run.cluster.record().failures.empty());
 }
 
-TEST(RaftFullDiskTest, NothingIsLostWhileDisksFillAndMembersLosePower) {
+TEST(RaftFullDiskTest, LosesNothingUnderFullDisksAndPowerLoss) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     FullDiskRun run(seed);
@@ -117,7 +117,7 @@
         }
       }
       run.cluster.StartAll();
-      run.DisplaceLowerRanked();
+      run.FreeAllDisks();
       ASSERT_TRUE(run.Acknowledges(seconds(8))) << "round " << round;
     }
     EXPECT_TRUE(run.cluster.RunUntil([&] { return run.cluster.HasConverged(); }, seconds(8)));
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -37,16 +37,26 @@
     return world.RunUntil([this] { return agent->LeaseValid(); }, limit);
   }
 
+  /// Calls the leader; `outcome` gets the code of the result.
+  void Submit(Duration deadline) {
+    agent->CallLeader<proto::SubmitTransactionResponse>(
+        "coordinator.SubmitTransaction", proto::SubmitTransactionRequest(), deadline,
+        [this](const Result<proto::SubmitTransactionResponse>& result) {
+          outcome = result.status().code();
+        });
+  }
+
   FakeControl control;
   std::vector<Endpoint> seeds;
   NodeAgent* agent = nullptr;
+  StatusCode outcome = StatusCode::kInternal;
   int fences = 0;
   bool lease_valid_when_fenced = false;
   std::vector<std::uint64_t> versions;
   SimulatedWorld world{7};
 };
 
-TEST_F(NodeAgentTest, FollowsTheHintToTheLeaderAndKeepsItsLease) {
+TEST_F(NodeAgentTest, FollowsALeaderHintAndRenewsItsLease) {
   control.leader = "c3";
   Join();
   EXPECT_EQ(agent->node_id(), NodeId(1));
@@ -67,12 +77,12 @@
   EXPECT_TRUE(WaitForLease(seconds(3)));
 }
 
-TEST_F(NodeAgentTest, LeaseCountsFromTheMomentTheHeartbeatWasSent) {
+TEST_F(NodeAgentTest, LeaseStartsWhenTheHeartbeatIsSent) {
   Join();
   const std::size_t seen = control.heartbeats.size();
   ASSERT_TRUE(world.RunUntil([&] { return control.heartbeats.size() > seen; }, seconds(1)));
   const TimePoint arrived = world.Now();  // Sent 1 to 5 ms before.
-  world.RunFor(milliseconds(830));        // Held for 800 ms, then answered.
+  world.RunFor(milliseconds(830));        // A long poll of 800 ms.
   const Duration usable = milliseconds(kFakeLeaseMs) * 99 / 100;
   EXPECT_LE(agent->lease_end(), arrived + usable - milliseconds(1));
   EXPECT_GE(agent->lease_end(), arrived + usable - milliseconds(5));
@@ -83,11 +93,11 @@
   EXPECT_FALSE(agent->LeaseValid());
 }
 
-TEST_F(NodeAgentTest, FrozenNodeWakesWithoutALease) {
+TEST_F(NodeAgentTest, SuspendedNodeResumesWithoutALease) {
   Join();
   world.machine("g").Freeze();
   world.RunFor(seconds(25));
-  EXPECT_FALSE(agent->LeaseValid()) << "invalid at the moment it wakes, before it hears anything";
+  EXPECT_FALSE(agent->LeaseValid()) << "invalid before it hears from a coordinator";
   world.machine("g").Wake();
   EXPECT_FALSE(agent->LeaseValid());
   ASSERT_TRUE(WaitForLease(seconds(2)));
@@ -108,7 +118,7 @@
   EXPECT_TRUE(WaitForLease(seconds(1)));
 }
 
-TEST_F(NodeAgentTest, AbandonedIdIsVoidAtOnce) {
+TEST_F(NodeAgentTest, AbandonedIdIsInvalidAtOnce) {
   Join();
   agent->AbandonNodeId("a backup refused it as fenced");
   EXPECT_FALSE(agent->LeaseValid());
@@ -125,12 +135,12 @@
   const auto confirmed = [this] { return control.heartbeats.back().configuration_version() == 1; };
   ASSERT_TRUE(world.RunUntil(confirmed, milliseconds(40)));
   EXPECT_EQ(agent->configuration().routes(0).name(), "narrate");
-  control.AddRoute("describe");  // The pace of heartbeats does not hold a confirmation back.
+  control.AddRoute("describe");  // The minimum interval does not delay a confirmation.
   const auto again = [this] { return control.heartbeats.back().configuration_version() == 2; };
   EXPECT_TRUE(world.RunUntil(again, milliseconds(21)));
 }
 
-TEST_F(NodeAgentTest, AsksForTheWholeAfterAGap) {
+TEST_F(NodeAgentTest, RequestsAFullUpdateAfterAGap) {
   Join();
   control.AddRoute("a");
   world.RunFor(milliseconds(100));
@@ -141,26 +151,26 @@
   ASSERT_TRUE(world.RunUntil([this] { return !control.skip_one_delta; }, seconds(1)));
   world.RunFor(milliseconds(7));
   EXPECT_EQ(agent->configuration().version(), 1U);
-  EXPECT_EQ(agent->lease_end(), end) << "no lease is taken with a configuration that was not";
+  EXPECT_EQ(agent->lease_end(), end) << "the lease is not renewed without the configuration";
   ASSERT_TRUE(world.RunUntil([this] { return agent->configuration().version() == 3; }, seconds(1)));
   EXPECT_EQ(agent->configuration().routes_size(), 3);
   EXPECT_EQ(versions, (std::vector<std::uint64_t>{1, 3}));
 }
 
-TEST_F(NodeAgentTest, NeverGoesBackAVersion) {
+TEST_F(NodeAgentTest, RejectsOlderVersions) {
   Join();
   control.AddRoute("a");
   control.AddRoute("b");
   world.RunFor(milliseconds(100));
   ASSERT_EQ(agent->configuration().version(), 2U);
-  control.configuration_version = 1;  // A freshly started group that forgot.
+  control.configuration_version = 1;  // A group that lost its state.
   control.changes.pop_back();
   world.RunFor(seconds(2));
   EXPECT_EQ(agent->configuration().version(), 2U);
   EXPECT_EQ(agent->configuration().routes_size(), 2);
 }
 
-TEST_F(NodeAgentTest, ImmediateAnswersAreNotAskedForFasterThanThePace) {
+TEST_F(NodeAgentTest, LimitsTheRateOfImmediateHeartbeats) {
   Join();
   control.AddRoute("a");
   control.AddRoute("b");
@@ -171,7 +181,7 @@
   EXPECT_LE(control.heartbeats.size() - before, 21U);
 }
 
-TEST_F(NodeAgentTest, GoesOnWhenItsSeedsAreGone) {
+TEST_F(NodeAgentTest, OutlivesItsSeeds) {
   const Endpoint moved = world.AddMachine("c9", "10.0.1.9").endpoint();
   proto::Endpoint member;
   member.set_host(moved.host);
@@ -195,7 +205,7 @@
   }
 }
 
-TEST_F(NodeAgentTest, KeepsItsLeaseWhenTheLeaderGoesDark) {
+TEST_F(NodeAgentTest, KeepsItsLeaseWhenTheLeaderIsIsolated) {
   Join();
   world.RunFor(milliseconds(1500));
   world.Isolate("c1");
@@ -206,7 +216,7 @@
   }
 }
 
-TEST_F(NodeAgentTest, OutageOfAllCoordinatorsEndsTheLeaseAndIsSurvived) {
+TEST_F(NodeAgentTest, RecoversFromAnOutageOfAllCoordinators) {
   Join();
   for (const char* name : {"c1", "c2", "c3"}) {
     world.machine(name).LosePower();
@@ -220,39 +230,39 @@
   EXPECT_EQ(agent->node_id(), NodeId(1));
 }
 
-TEST_F(NodeAgentTest, ReportsASuspectBesideAHeldHeartbeat) {
+TEST_F(NodeAgentTest, ReportsASuspectDuringALongPoll) {
   Join();
   world.RunFor(milliseconds(300));
   agent->ReportSuspect(NodeId(77));
   const auto reported = [this] { return control.heartbeats.back().suspected_node_ids_size() == 1; };
   EXPECT_TRUE(world.RunUntil(reported, milliseconds(20)));
   world.RunFor(seconds(2));
-  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0) << "told once";
+  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0) << "reported once";
 }
 
-TEST_F(NodeAgentTest, LeaderCallOutlivesAnElectionButNotItsDeadline) {
+TEST_F(NodeAgentTest, LeaderCallSurvivesAnElection) {
   Join();
   control.leader = "nobody";
   world.ScheduleAfter(milliseconds(700), [this] { control.leader = "c2"; });
-  StatusCode code = StatusCode::kInternal;
-  const auto call = [this, &code](Duration deadline) {
-    agent->CallLeader<proto::SubmitTransactionResponse>(
-        "coordinator.SubmitTransaction", proto::SubmitTransactionRequest(), deadline,
-        [&code](const Result<proto::SubmitTransactionResponse>& result) {
-          code = result.status().code();
-        });
-  };
-  call(seconds(5));
+  Submit(seconds(5));
   world.RunFor(seconds(2));
-  EXPECT_EQ(code, StatusCode::kOk);
+  EXPECT_EQ(outcome, StatusCode::kOk);
+}
+
+TEST_F(NodeAgentTest, RefusedLeaderCallIsUnavailableAtItsDeadline) {
+  Join();
   control.leader = "nobody";
-  call(seconds(1));
+  Submit(seconds(1));
   world.RunFor(milliseconds(1010));
-  EXPECT_EQ(code, StatusCode::kUnavailable) << "every member refused it: certainly not carried out";
+  EXPECT_EQ(outcome, StatusCode::kUnavailable) << "no member executed it";
+}
+
+TEST_F(NodeAgentTest, UnansweredLeaderCallHasAnUnknownOutcome) {
+  Join();
   world.Isolate("g");
-  call(seconds(1));
+  Submit(seconds(1));
   world.RunFor(milliseconds(1010));
-  EXPECT_EQ(code, StatusCode::kUnknownOutcome);
+  EXPECT_EQ(outcome, StatusCode::kUnknownOutcome);
 }
 
 }  // namespace
