--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -54,7 +54,7 @@
       Log(LogLevel::kError, "fence_file_damaged", {{"file", name}});
       continue;
     }
-    wanted_.insert(file->begin(), file->end());
+    fenced_.insert(file->begin(), file->end());
     files.push_back(*std::move(file));
   }
   if (any_damaged && files.empty()) {
@@ -66,47 +66,47 @@
     std::set_intersection(files[0].begin(), files[0].end(), files[1].begin(), files[1].end(),
                           std::inserter(synced_, synced_.end()));
   }
-  return wanted_;
+  return fenced_;
 }
 
 void FenceFile::Add(NodeId node, DataFolder::Done done) {
-  wanted_.insert(node);
-  waiting_.push_back(std::move(done));
-  if (!saving_) {
-    Save();
+  fenced_.insert(node);
+  waiting_callbacks_.push_back(std::move(done));
+  if (!save_under_way_) {
+    StartSave();
   }
 }
 
-void FenceFile::Save() {
-  saving_ = true;
-  under_way_ = std::exchange(waiting_, {});
-  WriteFile(0, std::make_shared<const Content>(Content{wanted_, Encode(wanted_)}));
+void FenceFile::StartSave() {
+  save_under_way_ = true;
+  saving_callbacks_ = std::exchange(waiting_callbacks_, {});
+  WriteFile(0, std::make_shared<const Content>(Content{fenced_, Encode(fenced_)}));
 }
 
 void FenceFile::WriteFile(std::size_t index, const std::shared_ptr<const Content>& content) {
   if (index == std::size(kFileNames)) {
-    Finish(content->nodes, Status::Ok());
+    CompleteSave(content->nodes, Status::Ok());
     return;
   }
   folder_.Replace(kFileNames[index], content->bytes, [this, index, content](const Status& status) {
     if (status.ok()) {
       WriteFile(index + 1, content);
     } else {
-      Finish(content->nodes, status);
+      CompleteSave(content->nodes, status);
     }
   });
 }
 
-void FenceFile::Finish(const std::set<NodeId>& saved, const Status& status) {
-  saving_ = false;
+void FenceFile::CompleteSave(const std::set<NodeId>& saved, const Status& status) {
+  save_under_way_ = false;
   if (status.ok()) {
     synced_ = saved;
   }
-  for (const DataFolder::Done& done : std::exchange(under_way_, {})) {
+  for (const DataFolder::Done& done : std::exchange(saving_callbacks_, {})) {
     done(status);
   }
-  if (!waiting_.empty() && !saving_) {
-    Save();
+  if (!waiting_callbacks_.empty() && !save_under_way_) {
+    StartSave();
   }
 }
 
--- a/src/backup/fence_file.h
+++ b/src/backup/fence_file.h
@@ -34,17 +34,17 @@
     std::string bytes;
   };
 
-  void Save();
+  void StartSave();
   /// Writes the file at `index` and those after it, one at a time.
   void WriteFile(std::size_t index, const std::shared_ptr<const Content>& content);
-  void Finish(const std::set<NodeId>& saved, const Status& status);
+  void CompleteSave(const std::set<NodeId>& saved, const Status& status);
 
   DataFolder& folder_;
-  std::set<NodeId> wanted_;
+  std::set<NodeId> fenced_;
   std::set<NodeId> synced_;
-  bool saving_ = false;
-  std::vector<DataFolder::Done> waiting_;  ///< For the next save.
-  std::vector<DataFolder::Done> under_way_;
+  bool save_under_way_ = false;
+  std::vector<DataFolder::Done> waiting_callbacks_;  ///< For the next save.
+  std::vector<DataFolder::Done> saving_callbacks_;
 };
 
 }  // namespace cloverbank
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -43,7 +43,7 @@
       operations_(operations),
       fences_(fences) {}
 
-void RecoveryReader::Fence(NodeId node, DataFolder::Done done) {
+void RecoveryReader::FenceNode(NodeId node, DataFolder::Done done) {
   store_.Fence(node);
   environment_.metrics().SetGauge("backup_fenced_nodes",
                                   static_cast<double>(store_.fenced().size()));
@@ -61,9 +61,9 @@
   if (under_way) {
     return;
   }
-  Fence(node, [this, node](const Status& status) {
+  FenceNode(node, [this, node](const Status& status) {
     if (!status.ok()) {
-      FinishReading(node, status);
+      CompleteReading(node, status);
       return;
     }
     operations_.WhenIdle(node, [this, node] { StartCheck(node); });
@@ -73,7 +73,7 @@
 void RecoveryReader::StartCheck(NodeId node) {
   auto check = std::make_shared<ReplicaCheck>();
   check->node = node;
-  check->keys = store_.KeysOf(node);
+  check->keys = store_.FindKeys(node);
   ContinueCheck(check);
 }
 
@@ -81,16 +81,16 @@
   while (check->position < check->keys.size()) {
     const ReplicaKey key = check->keys[check->position];
     ++check->position;
-    if (CheckOne(key, [this, check] { ContinueCheck(check); })) {
+    if (CheckReplica(key, [this, check] { ContinueCheck(check); })) {
       return;
     }
   }
-  FinishReading(check->node, StoredSegments(check->node));
+  CompleteReading(check->node, ListOfferedSegments(check->node));
 }
 
-bool RecoveryReader::CheckOne(const ReplicaKey& key, std::function<void()> next) {
+bool RecoveryReader::CheckReplica(const ReplicaKey& key, std::function<void()> next) {
   const Replica* replica = store_.Find(key);
-  if (replica == nullptr || !replica->offered() || replica->checked) {
+  if (replica == nullptr || !replica->IsOffered() || replica->checked) {
     return false;
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
@@ -98,7 +98,7 @@
     DropCorrupt(key, bytes.status());
     return false;
   }
-  if (replica->open()) {
+  if (replica->IsOpen()) {
     Seal(key, *bytes, std::move(next));
     return true;
   }
@@ -125,11 +125,11 @@
       });
 }
 
-proto::StartReadingDataResponse RecoveryReader::StoredSegments(NodeId node) const {
+proto::StartReadingDataResponse RecoveryReader::ListOfferedSegments(NodeId node) const {
   proto::StartReadingDataResponse response;
-  for (const ReplicaKey& key : store_.KeysOf(node)) {
+  for (const ReplicaKey& key : store_.FindKeys(node)) {
     const Replica* replica = store_.Find(key);
-    if (!replica->offered() || !replica->checked) {
+    if (!replica->IsOffered() || !replica->checked) {
       continue;
     }
     proto::StoredSegment* segment = response.add_segments();
@@ -144,8 +144,8 @@
   return response;
 }
 
-void RecoveryReader::FinishReading(NodeId node,
-                                   const Result<proto::StartReadingDataResponse>& result) {
+void RecoveryReader::CompleteReading(NodeId node,
+                                     const Result<proto::StartReadingDataResponse>& result) {
   const auto replies = std::move(reading_.at(node));
   reading_.erase(node);
   for (const auto& reply : replies) {
@@ -158,10 +158,10 @@
   const ReplicaKey key{NodeId(request.dead_node_id()), SegmentId(request.segment_id())};
   const Replica* replica = store_.Find(key);
   if (!fences_.IsSynced(key.node) ||
-      (replica != nullptr && replica->open() && replica->offered())) {
+      (replica != nullptr && replica->IsOpen() && replica->IsOffered())) {
     return Status(StatusCode::kConflict, "startReadingData has to come first");
   }
-  if (replica == nullptr || !replica->offered()) {
+  if (replica == nullptr || !replica->IsOffered()) {
     return Status(StatusCode::kNotFound, "no whole copy of this segment here");
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
@@ -180,7 +180,7 @@
 
 void RecoveryReader::ReleaseRecoveryData(NodeId node,
                                          Reply<proto::ReleaseRecoveryDataResponse> reply) {
-  Fence(node, [this, node, reply = std::move(reply)](const Status& status) {
+  FenceNode(node, [this, node, reply = std::move(reply)](const Status& status) {
     if (!status.ok()) {
       reply(status);
       return;
@@ -190,7 +190,7 @@
 }
 
 void RecoveryReader::RemoveAll(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply) {
-  const std::vector<ReplicaKey> keys = store_.KeysOf(node);
+  const std::vector<ReplicaKey> keys = store_.FindKeys(node);
   if (keys.empty()) {
     reply(proto::ReleaseRecoveryDataResponse());
     return;
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -46,14 +46,14 @@
     std::size_t position = 0;  ///< Of the next one.
   };
 
-  void Fence(NodeId node, DataFolder::Done done);
+  void FenceNode(NodeId node, DataFolder::Done done);
   void StartCheck(NodeId node);
   void ContinueCheck(const std::shared_ptr<ReplicaCheck>& check);
   /// @return whether the check goes on later by itself.
-  bool CheckOne(const ReplicaKey& key, std::function<void()> next);
+  bool CheckReplica(const ReplicaKey& key, std::function<void()> next);
   void Seal(const ReplicaKey& key, const std::string& bytes, std::function<void()> next);
-  void FinishReading(NodeId node, const Result<proto::StartReadingDataResponse>& result);
-  proto::StartReadingDataResponse StoredSegments(NodeId node) const;
+  void CompleteReading(NodeId node, const Result<proto::StartReadingDataResponse>& result);
+  proto::StartReadingDataResponse ListOfferedSegments(NodeId node) const;
   void DropCorrupt(const ReplicaKey& key, const Status& reason);
   void RemoveAll(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply);
 
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -27,15 +27,15 @@
   const Operation& operation = queues_.at(key).front();
   Result<ReplicaChange> change = operation.decide();
   if (!change.ok()) {
-    Finish(key, operation.done, change.status());
+    CompleteOperation(key, operation.done, change.status());
     return;
   }
-  auto run = std::make_shared<Run>();
-  run->key = key;
-  run->change = *std::move(change);
-  run->steps = Steps(key, run->change);
-  run->done = operation.done;
-  RunSteps(run);
+  auto execution = std::make_shared<Execution>();
+  execution->key = key;
+  execution->change = *std::move(change);
+  execution->steps = BuildSteps(key, execution->change);
+  execution->done = operation.done;
+  RunNextStep(execution);
 }
 
 ReplicaOperations::Step ReplicaOperations::WriteStep(const std::string& name, std::uint64_t offset,
@@ -64,8 +64,8 @@
   };
 }
 
-std::deque<ReplicaOperations::Step> ReplicaOperations::Steps(const ReplicaKey& key,
-                                                             const ReplicaChange& change) {
+std::deque<ReplicaOperations::Step> ReplicaOperations::BuildSteps(const ReplicaKey& key,
+                                                                  const ReplicaChange& change) {
   const std::string name = SegmentFileName(key);
   std::deque<Step> steps;
   if (change.remove) {
@@ -94,44 +94,46 @@
   return steps;
 }
 
-void ReplicaOperations::RunSteps(const std::shared_ptr<Run>& run) {
-  if (run->steps.empty()) {
-    store_.Apply(run->key, run->change, environment_.Now());
-    Finish(run->key, run->done, Status::Ok());
+void ReplicaOperations::RunNextStep(const std::shared_ptr<Execution>& execution) {
+  if (execution->steps.empty()) {
+    store_.Apply(execution->key, execution->change, environment_.Now());
+    CompleteOperation(execution->key, execution->done, Status::Ok());
     return;
   }
-  const Step step = std::move(run->steps.front());
-  run->steps.pop_front();
-  step([this, run](const Status& status) {
+  const Step step = std::move(execution->steps.front());
+  execution->steps.pop_front();
+  step([this, execution](const Status& status) {
     if (status.ok()) {
-      RunSteps(run);
+      RunNextStep(execution);
     } else {
-      Fail(run, status);
+      FailOperation(execution, status);
     }
   });
 }
 
-void ReplicaOperations::Fail(const std::shared_ptr<Run>& run, const Status& status) {
-  store_.Abandon(run->key, run->change);
+void ReplicaOperations::FailOperation(const std::shared_ptr<Execution>& execution,
+                                      const Status& status) {
+  store_.Abandon(execution->key, execution->change);
   environment_.metrics().Increment("backup_disk_failures_total",
                                    {{"reason", StatusCodeName(status.code())}});
-  const std::string name = SegmentFileName(run->key);
+  const std::string name = SegmentFileName(execution->key);
   Log(LogLevel::kError, "segment_write_failed", {{"file", name}, {"reason", status.ToString()}});
-  if (!run->change.create) {
-    Finish(run->key, run->done, status);
+  if (!execution->change.create) {
+    CompleteOperation(execution->key, execution->done, status);
     return;
   }
   // Nothing was promised: give the space back before the next call on this segment.
-  folder_.Remove(name, [this, run, status](const Status& removed) {
+  folder_.Remove(name, [this, execution, status](const Status& removed) {
     if (!removed.ok()) {
       Log(LogLevel::kWarning, "segment_remove_failed",
-          {{"file", SegmentFileName(run->key)}, {"reason", removed.ToString()}});
+          {{"file", SegmentFileName(execution->key)}, {"reason", removed.ToString()}});
     }
-    Finish(run->key, run->done, status);
+    CompleteOperation(execution->key, execution->done, status);
   });
 }
 
-void ReplicaOperations::Finish(const ReplicaKey& key, const Done& done, const Status& status) {
+void ReplicaOperations::CompleteOperation(const ReplicaKey& key, const Done& done,
+                                          const Status& status) {
   const Done call_back = done;  // The operation that holds it goes now.
   std::deque<Operation>& queue = queues_.at(key);
   queue.pop_front();
@@ -147,7 +149,7 @@
   }
 }
 
-bool ReplicaOperations::Idle(NodeId node) const {
+bool ReplicaOperations::IsIdle(NodeId node) const {
   const auto next = queues_.lower_bound({node, SegmentId()});
   return next == queues_.end() || next->first.node != node;
 }
@@ -156,7 +158,7 @@
   std::vector<IdleAction> waiting;
   std::vector<std::function<void()>> ready;
   for (IdleAction& idle : idle_actions_) {
-    if (Idle(idle.node)) {
+    if (IsIdle(idle.node)) {
       ready.push_back(std::move(idle.action));
     } else {
       waiting.push_back(std::move(idle));
--- a/src/backup/replica_operations.h
+++ b/src/backup/replica_operations.h
@@ -40,7 +40,7 @@
   };
   using Step = std::function<void(DataFolder::Done)>;
   /// A change being carried out.
-  struct Run {
+  struct Execution {
     ReplicaKey key;
     ReplicaChange change;
     std::deque<Step> steps;
@@ -53,14 +53,14 @@
   };
 
   void StartNext(const ReplicaKey& key);
-  std::deque<Step> Steps(const ReplicaKey& key, const ReplicaChange& change);
+  std::deque<Step> BuildSteps(const ReplicaKey& key, const ReplicaChange& change);
   Step WriteStep(const std::string& name, std::uint64_t offset, std::string bytes);
   Step WriteHeaderStep(const std::string& name, const ReplicaHeader& header);
   Step TruncateStep(const std::string& name, std::uint64_t size);
-  void RunSteps(const std::shared_ptr<Run>& run);
-  void Fail(const std::shared_ptr<Run>& run, const Status& status);
-  void Finish(const ReplicaKey& key, const Done& done, const Status& status);
-  bool Idle(NodeId node) const;
+  void RunNextStep(const std::shared_ptr<Execution>& execution);
+  void FailOperation(const std::shared_ptr<Execution>& execution, const Status& status);
+  void CompleteOperation(const ReplicaKey& key, const Done& done, const Status& status);
+  bool IsIdle(NodeId node) const;
   void RunIdleActions();
 
   Environment& environment_;
--- a/src/backup/replica_reader.cc
+++ b/src/backup/replica_reader.cc
@@ -9,7 +9,7 @@
 
 Result<std::string> ReadReplica(DataFolder& folder, const Replica& replica) {
   const SegmentId segment = replica.header.key.segment;
-  if (replica.open() && !replica.staging.empty()) {
+  if (replica.IsOpen() && !replica.staging.empty()) {
     const std::size_t valid = ScanSegment(segment, replica.staging).valid_length;
     return replica.staging.substr(0, valid);
   }
--- a/src/backup/scrubber.cc
+++ b/src/backup/scrubber.cc
@@ -22,21 +22,22 @@
 
 void Scrubber::ScrubNext() {
   const auto& replicas = store_.replicas();
-  const auto wanted = [](const auto& entry) {
-    return !entry.second.open() && !entry.second.corrupt;
+  const auto should_scrub = [](const auto& entry) {
+    return !entry.second.IsOpen() && !entry.second.corrupt;
   };
-  auto next = std::find_if(replicas.upper_bound(last_), replicas.end(), wanted);
+  auto next = std::find_if(replicas.upper_bound(last_scrubbed_), replicas.end(), should_scrub);
   if (next == replicas.end()) {
-    next = std::find_if(replicas.begin(), replicas.end(), wanted);
+    next = std::find_if(replicas.begin(), replicas.end(), should_scrub);
   }
   if (next == replicas.end()) {
     return;
   }
-  last_ = next->first;
+  last_scrubbed_ = next->first;
   const Result<std::string> bytes = ReadReplica(folder_, next->second);
   environment_.metrics().Increment("backup_scrubbed_replicas_total");
   if (!bytes.ok()) {
-    DropCorruptReplica(environment_, store_, last_, CorruptionFoundBy::kScrub, bytes.status());
+    DropCorruptReplica(environment_, store_, last_scrubbed_, CorruptionFoundBy::kScrub,
+                       bytes.status());
   }
 }
 
--- a/src/backup/scrubber.h
+++ b/src/backup/scrubber.h
@@ -27,7 +27,7 @@
   SegmentStore& store_;
   Duration interval_;
   TimerId timer_ = 0;
-  ReplicaKey last_;
+  ReplicaKey last_scrubbed_;
 };
 
 }  // namespace cloverbank
--- a/src/backup/segment_dump.cc
+++ b/src/backup/segment_dump.cc
@@ -22,26 +22,26 @@
   return "unknown";
 }
 
-std::string HeaderLine(const ReplicaHeader& header) {
+std::string FormatHeader(const ReplicaHeader& header) {
   return "segment " + header.key.segment.ToString() + " of node " + header.key.node.ToString() +
          ", " + std::string(ReplicaStateName(header.state)) + ", epoch " + header.epoch.ToString() +
          ", capacity " + std::to_string(header.capacity) + ", recorded length " +
          std::to_string(header.length) + ", generation " + std::to_string(header.generation) + "\n";
 }
 
-std::string EntryKind(const proto::LogEntry& entry) {
+std::string EntryKindName(const proto::LogEntry& entry) {
   const google::protobuf::FieldDescriptor* field =
       proto::LogEntry::descriptor()->FindFieldByNumber(entry.payload_case());
   return field == nullptr ? "empty" : field->name();
 }
 
-std::string EntryLine(const proto::LogEntry& entry, std::size_t offset, std::size_t bytes) {
+std::string FormatEntry(const proto::LogEntry& entry, std::size_t offset, std::size_t bytes) {
   std::string line = "offset " + std::to_string(offset) + " bytes " + std::to_string(bytes);
   if (entry.partition_tag() != 0) {
     line += " partition " + std::to_string(entry.partition_tag() - 1) + " sequence " +
             std::to_string(entry.sequence());
   }
-  line += " " + EntryKind(entry) + " ";
+  line += " " + EntryKindName(entry) + " ";
   std::string content = entry.ShortDebugString();
   if (content.size() > kShownContentBytes) {
     content.resize(kShownContentBytes);
@@ -55,7 +55,7 @@
   return SegmentData(file).substr(0, header.capacity);
 }
 
-Status Verdict(const SegmentFileCheck& check) {
+Status OfferStatus(const SegmentFileCheck& check) {
   if (check.header->state == ReplicaState::kReplacing) {
     return {StatusCode::kConflict, "replacement copy is not complete"};
   }
@@ -83,7 +83,7 @@
   check.entry_count = scan.entry_count;
   check.tail = scan.tail;
   check.digest = FindLogDigest(segment, contents);
-  check.status = Verdict(check);
+  check.status = OfferStatus(check);
   return check;
 }
 
@@ -92,12 +92,12 @@
   if (!check.header) {
     return check.status.ToString() + "\n";
   }
-  std::string text = HeaderLine(*check.header);
+  std::string text = FormatHeader(*check.header);
   SegmentReader reader(check.header->key.segment, Contents(file, *check.header));
   proto::LogEntry entry;
   std::size_t offset = 0;
   while (reader.Next(&entry)) {
-    text += EntryLine(entry, offset, reader.valid_length() - offset);
+    text += FormatEntry(entry, offset, reader.valid_length() - offset);
     offset = reader.valid_length();
   }
   text += "end at " + std::to_string(offset) + ", tail " + std::string(TailName(reader.tail())) +
--- a/src/backup/segment_file.cc
+++ b/src/backup/segment_file.cc
@@ -26,12 +26,12 @@
 constexpr std::size_t kLengthOffset = 48;
 constexpr std::size_t kGenerationOffset = 56;
 
-bool KnownState(std::uint64_t state) {
+bool IsKnownState(std::uint64_t state) {
   return state >= static_cast<std::uint64_t>(ReplicaState::kOpen) &&
          state <= static_cast<std::uint64_t>(ReplicaState::kSealed);
 }
 
-bool AllZero(std::string_view bytes) {
+bool IsAllZero(std::string_view bytes) {
   return std::all_of(bytes.begin(), bytes.end(), [](char byte) { return byte == '\0'; });
 }
 
@@ -75,7 +75,7 @@
   }
   const std::uint64_t version = ReadLittleEndian(slot.substr(kVersionOffset, kHalfWordBytes));
   const std::uint64_t state = ReadLittleEndian(slot.substr(kStateOffset, kHalfWordBytes));
-  if (version != kFormatVersion || !KnownState(state)) {
+  if (version != kFormatVersion || !IsKnownState(state)) {
     return Status(StatusCode::kInvalidArgument,
                   "segment file of format version " + std::to_string(version) + ", state " +
                       std::to_string(state) + "; this program knows version 1, states 1 to 4");
@@ -113,7 +113,7 @@
       newest = *header;
     }
   }
-  if (!newest && AllZero(SegmentData(file))) {
+  if (!newest && IsAllZero(SegmentData(file))) {
     return Status(StatusCode::kNotFound, "segment file was never written");
   }
   if (!newest) {
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -21,12 +21,12 @@
   return replica;
 }
 
-Replica ReplicaOf(const ReplicaHeader& header, std::string_view data, bool keep_staging) {
+Replica ScanReplica(const ReplicaHeader& header, std::string_view data, bool keep_staging) {
   Replica replica;
   replica.header = header;
   const SegmentScan scan = ScanSegment(header.key.segment, data.substr(0, header.capacity));
   replica.corrupt = scan.valid_length < header.length;
-  if (!replica.open()) {
+  if (!replica.IsOpen()) {
     replica.length = header.length;
     return replica;
   }
@@ -58,7 +58,7 @@
     restore_corrupt(header.ok() ? "wrong key" : header.status().message());
     return true;
   }
-  Replica replica = ReplicaOf(*header, SegmentData(*file), !store.IsFenced(key.node));
+  Replica replica = ScanReplica(*header, SegmentData(*file), !store.IsFenced(key.node));
   if (replica.corrupt) {
     ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad,
                          "shorter than its recorded length");
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -9,17 +9,17 @@
 namespace cloverbank {
 namespace {
 
-Status Fenced(NodeId node) {
+Status FencedError(NodeId node) {
   return {StatusCode::kFenced, "node " + node.ToString() + " is declared dead"};
 }
 
-Status Stale(HeadEpoch asked, HeadEpoch current) {
+Status StaleEpochError(HeadEpoch asked, HeadEpoch current) {
   return {StatusCode::kStaleEpoch,
           "epoch " + asked.ToString() + " is superseded by " + current.ToString(),
           current.ToString()};
 }
 
-Status Conflict(std::string message, std::uint64_t length) {
+Status ConflictError(std::string message, std::uint64_t length) {
   return {StatusCode::kConflict, std::move(message), std::to_string(length)};
 }
 
@@ -69,11 +69,11 @@
 
 HeadEpoch Replica::current_epoch() const { return std::max(header.epoch, replacement_epoch); }
 
-bool Replica::open() const {
+bool Replica::IsOpen() const {
   return header.state == ReplicaState::kOpen || header.state == ReplicaState::kReplacing;
 }
 
-bool Replica::offered() const {
+bool Replica::IsOffered() const {
   return !corrupt && header.state != ReplicaState::kReplacing && length > 0;
 }
 
@@ -82,7 +82,7 @@
   const ReplicaKey key = ReplicaKeyFor(request);
   const HeadEpoch epoch(request.epoch());
   if (IsFenced(key.node)) {
-    return Fenced(key.node);
+    return FencedError(key.node);
   }
   if (!key.node.valid() || !key.segment.valid() || !epoch.valid()) {
     return Status(StatusCode::kInvalidArgument, "node id, segment id and epoch must not be 0");
@@ -93,14 +93,14 @@
   }
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
-    if (FreedRecently(key, epoch, now)) {
+    if (WasFreedRecently(key, epoch, now)) {
       return Status(StatusCode::kStaleEpoch, "segment was freed moments ago under this epoch");
     }
     return OpenNew(request, free_bytes, false);
   }
   const Replica& replica = found->second;
   if (epoch < replica.current_epoch()) {
-    return Stale(epoch, replica.current_epoch());
+    return StaleEpochError(epoch, replica.current_epoch());
   }
   return replica.corrupt ? OpenNew(request, free_bytes, true) : Reopen(replica, request);
 }
@@ -129,8 +129,8 @@
 Result<ReplicaChange> SegmentStore::Reopen(const Replica& replica,
                                            const proto::OpenSegmentRequest& request) {
   const HeadEpoch epoch(request.epoch());
-  if (!replica.open()) {
-    return Conflict("segment is closed", replica.length);
+  if (!replica.IsOpen()) {
+    return ConflictError("segment is closed", replica.length);
   }
   if (replica.failed) {
     return Status(StatusCode::kIoError, "an earlier write of this replica failed");
@@ -152,7 +152,7 @@
 
 Result<Replica*> SegmentStore::FindForWriter(const ReplicaKey& key) {
   if (IsFenced(key.node)) {
-    return Fenced(key.node);
+    return FencedError(key.node);
   }
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
@@ -171,14 +171,14 @@
                                 const proto::WriteSegmentRequest& request) const {
   const HeadEpoch epoch(request.epoch());
   if (epoch < replica.current_epoch()) {
-    return Stale(epoch, replica.current_epoch());
+    return StaleEpochError(epoch, replica.current_epoch());
   }
-  if (!replica.open()) {
-    return Conflict("segment is closed", replica.length);
+  if (!replica.IsOpen()) {
+    return ConflictError("segment is closed", replica.length);
   }
   const std::string& data = request.data();
   if (request.offset() > replica.length) {
-    return Conflict("write leaves a gap", replica.length);
+    return ConflictError("write leaves a gap", replica.length);
   }
   if (data.size() > replica.header.capacity - request.offset()) {
     return {StatusCode::kResourceExhausted, "write goes over the segment's capacity"};
@@ -188,8 +188,8 @@
   if (replacing && !request.atomic_replace() && !request.replace_complete()) {
     return Status(StatusCode::kConflict, "replacement copy is not complete");
   }
-  const std::size_t held = std::min<std::size_t>(data.size(), replica.length - request.offset());
-  if (replica.staging.compare(request.offset(), held, data, 0, held) != 0) {
+  const std::size_t overlap = std::min<std::size_t>(data.size(), replica.length - request.offset());
+  if (replica.staging.compare(request.offset(), overlap, data, 0, overlap) != 0) {
     return {StatusCode::kCorrupt, "write differs from the bytes held"};
   }
   return Status::Ok();
@@ -205,10 +205,10 @@
   if (Status status = CheckWrite(replica, request); !status.ok()) {
     return status;
   }
-  const std::uint64_t held = replica.length - request.offset();
+  const std::uint64_t already_stored = replica.length - request.offset();
   ReplicaChange change;
-  if (held < request.data().size()) {
-    change.data = request.data().substr(held);
+  if (already_stored < request.data().size()) {
+    change.data = request.data().substr(already_stored);
   }
   bool partial = false;
   if (request.atomic_replace() || request.replace_complete()) {
@@ -218,9 +218,10 @@
                                       HeadEpoch(request.epoch()), replica.length);
   }
   const bool completes = request.replace_complete() && change.header.has_value();
-  const bool whole = completes ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
-                               : partial || EndsWithCompleteEntry(key.segment, change.data);
-  if (!whole) {
+  const bool ends_complete = completes
+                                 ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
+                                 : partial || EndsWithCompleteEntry(key.segment, change.data);
+  if (!ends_complete) {
     return Status(StatusCode::kCorrupt, "write does not consist of whole, checked entries");
   }
   return change;
@@ -234,14 +235,14 @@
   const Replica& replica = **found;
   const HeadEpoch epoch(request.epoch());
   if (epoch < replica.current_epoch()) {
-    return Stale(epoch, replica.current_epoch());
+    return StaleEpochError(epoch, replica.current_epoch());
   }
   ReplicaChange change;
   if (epoch == replica.current_epoch()) {
     return change;
   }
-  if (!replica.open()) {
-    return Conflict("segment is closed", replica.length);
+  if (!replica.IsOpen()) {
+    return ConflictError("segment is closed", replica.length);
   }
   if (replica.replacement_epoch.valid()) {
     change.replacement_epoch = epoch;
@@ -258,10 +259,10 @@
   }
   const Replica& replica = **found;
   if (request.length() != replica.length) {
-    return Conflict("replica has another length", replica.length);
+    return ConflictError("replica has another length", replica.length);
   }
   ReplicaChange change;
-  if (!replica.open()) {
+  if (!replica.IsOpen()) {
     return change;
   }
   if (replica.header.state == ReplicaState::kReplacing || replica.replacement_epoch.valid()) {
@@ -276,7 +277,7 @@
 Result<ReplicaChange> SegmentStore::Free(const proto::FreeSegmentRequest& request) {
   const ReplicaKey key = ReplicaKeyFor(request);
   if (IsFenced(key.node)) {
-    return Fenced(key.node);
+    return FencedError(key.node);
   }
   return Remove(key);
 }
--- a/src/backup/segment_store.h
+++ b/src/backup/segment_store.h
@@ -53,10 +53,10 @@
   std::vector<std::uint64_t> digest;
 
   HeadEpoch current_epoch() const;
-  bool open() const;
+  bool IsOpen() const;
   /// Whether recoveries and copies may use it. A replica without a byte never held an acknowledged
   /// entry, and must not stand for one that did.
-  bool offered() const;
+  bool IsOffered() const;
 };
 
 /// Disk writes of one call, in order. An empty change needs none.
@@ -107,7 +107,7 @@
 
   /// @return the replica, or null. Valid until the next change.
   const Replica* Find(const ReplicaKey& key) const;
-  std::vector<ReplicaKey> KeysOf(NodeId node) const;
+  std::vector<ReplicaKey> FindKeys(NodeId node) const;
   const std::map<ReplicaKey, Replica>& replicas() const { return replicas_; }
   /// @return the capacities of all open replicas and opens under way.
   std::uint64_t staging_bytes() const;
@@ -118,7 +118,7 @@
   Result<ReplicaChange> Reopen(const Replica& replica, const proto::OpenSegmentRequest& request);
   Status CheckWrite(const Replica& replica, const proto::WriteSegmentRequest& request) const;
   Result<Replica*> FindForWriter(const ReplicaKey& key);
-  bool FreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now);
+  bool WasFreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now);
 
   struct Freed {
     HeadEpoch epoch;
--- a/src/backup/segment_store_state.cc
+++ b/src/backup/segment_store_state.cc
@@ -29,7 +29,7 @@
   }
   replica.staging.append(change.data);
   replica.length += change.data.size();
-  if (!replica.open()) {
+  if (!replica.IsOpen()) {
     replica.length = replica.header.length;
     std::string().swap(replica.staging);
   }
@@ -73,7 +73,7 @@
   return found == replicas_.end() ? nullptr : &found->second;
 }
 
-std::vector<ReplicaKey> SegmentStore::KeysOf(NodeId node) const {
+std::vector<ReplicaKey> SegmentStore::FindKeys(NodeId node) const {
   std::vector<ReplicaKey> keys;
   for (auto it = replicas_.lower_bound({node, SegmentId()});
        it != replicas_.end() && it->first.node == node; ++it) {
@@ -85,7 +85,7 @@
 std::uint64_t SegmentStore::staging_bytes() const {
   std::uint64_t total = 0;
   for (const auto& [key, replica] : replicas_) {
-    total += replica.open() && !replica.corrupt ? replica.header.capacity : 0;
+    total += replica.IsOpen() && !replica.corrupt ? replica.header.capacity : 0;
   }
   for (const auto& [key, capacity] : opening_) {
     total += capacity;
@@ -93,7 +93,7 @@
   return total;
 }
 
-bool SegmentStore::FreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now) {
+bool SegmentStore::WasFreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now) {
   std::erase_if(
       freed_, [&](const auto& entry) { return now - entry.second.time >= options_.freed_memory; });
   const auto found = freed_.find(key);
--- a/tests/backup/segment_store_test.cc
+++ b/tests/backup/segment_store_test.cc
@@ -119,16 +119,16 @@
 TEST(SegmentStoreTest, ReplacementIntoAnEmptyReplicaIsHiddenUntilComplete) {
   Core core;
   ASSERT_TRUE(core.Open(2).ok());
-  EXPECT_FALSE(core.replica().offered());
+  EXPECT_FALSE(core.replica().IsOffered());
   ASSERT_TRUE(core.Write(0, core.one.substr(0, 7), 2, ReplaceStep::kPartial).ok());
   EXPECT_EQ(core.last.header_before->state, ReplicaState::kReplacing);
-  EXPECT_FALSE(core.replica().offered());
+  EXPECT_FALSE(core.replica().IsOffered());
   EXPECT_EQ(core.Write(7, core.one.substr(7), 2).code(), StatusCode::kConflict);
   EXPECT_EQ(core.Close(7).code(), StatusCode::kConflict);
   EXPECT_EQ(core.Write(7, core.one.substr(7, 5), 2, ReplaceStep::kLast).code(),
             StatusCode::kCorrupt);
   ASSERT_TRUE(core.Write(7, core.one.substr(7), 3, ReplaceStep::kLast).ok());
-  EXPECT_TRUE(core.replica().offered());
+  EXPECT_TRUE(core.replica().IsOffered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(3));
   EXPECT_TRUE(core.Write(core.one.size(), core.two, 3).ok());
 }
@@ -141,7 +141,7 @@
   EXPECT_EQ(core.Write(core.one.size(), core.two, 1).code(), StatusCode::kStaleEpoch);
   EXPECT_EQ(core.Write(core.one.size(), core.two, 2).code(), StatusCode::kConflict);
   ASSERT_TRUE(core.Write(0, core.one + core.two.substr(0, 5), 2, ReplaceStep::kPartial).ok());
-  EXPECT_TRUE(core.replica().offered());
+  EXPECT_TRUE(core.replica().IsOffered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(1));
   ASSERT_TRUE(core.Write(core.one.size() + 5, core.two.substr(5), 2, ReplaceStep::kLast).ok());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(2));
@@ -159,7 +159,7 @@
   }
   ASSERT_TRUE(core.Do(core.store.Seal(kKey, core.one.size())).ok());
   EXPECT_EQ(core.replica().header.state, ReplicaState::kSealed);
-  EXPECT_TRUE(core.replica().offered());
+  EXPECT_TRUE(core.replica().IsOffered());
 }
 
 TEST(SegmentStoreTest, DelayedOpenDoesNotBringAFreedSegmentBack) {
@@ -198,7 +198,7 @@
   core.store.Abandon(kKey, ReplicaChange());
   EXPECT_EQ(core.Write(core.one.size(), core.two).code(), StatusCode::kIoError);
   EXPECT_EQ(core.Open(2).code(), StatusCode::kIoError);
-  EXPECT_TRUE(core.replica().offered());
+  EXPECT_TRUE(core.replica().IsOffered());
 }
 
 TEST(SegmentStoreTest, ADamagedCopyIsStartedAnew) {
@@ -207,12 +207,12 @@
   ASSERT_TRUE(core.Write(0, core.one).ok());
   ASSERT_TRUE(core.Close(core.one.size()).ok());
   core.store.SetCorrupt(kKey);
-  EXPECT_FALSE(core.replica().offered());
+  EXPECT_FALSE(core.replica().IsOffered());
   ASSERT_TRUE(core.Open(1).ok());
   EXPECT_TRUE(core.last.remove && core.last.create);
   EXPECT_EQ(core.replica().length, 0U);
   EXPECT_TRUE(core.Write(0, core.one, 1, ReplaceStep::kLast).ok());
-  EXPECT_TRUE(core.replica().offered());
+  EXPECT_TRUE(core.replica().IsOffered());
 }
 
 }  // namespace
