--- a/src/backup/backup_service.h
+++ b/src/backup/backup_service.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// A backup: keeps replicas of queue nodes' segments and serves the `backup.*` calls of log.proto
-/// (RAMCloud page "Backup"; docs/DESIGN.md section 5). Ties `SegmentStore` to the disk and to
-/// peers.
+/// (RAMCloud page, BackupServer; docs/DESIGN.md section 5). Connects `SegmentStore`, which decides,
+/// to the disk and to peers.
 ///
 /// A call that changes a replica is answered with success only when the change is synced.
 ///
@@ -24,7 +24,7 @@
 
 struct BackupOptions {
   SegmentStoreOptions store;
-  /// One closed replica is read and checked each such interval.
+  /// One closed replica is read and checked in each interval.
   Duration scrub_interval = seconds(2);
 };
 
@@ -34,13 +34,12 @@
   BackupService(const BackupService&) = delete;
   BackupService& operator=(const BackupService&) = delete;
 
-  /// Reads the disk, then starts to serve. Call it once, before anything else. kCorrupt if the
-  /// fences can not be read: then nothing may be served from this disk.
+  /// Reads the disk, then starts to serve. Call it once, first. kCorrupt if the fences can not be
+  /// read: then nothing may be served from this disk.
   Status Load();
-  /// Names this disk, over restarts; another one after the disk was lost. Random hexadecimal
-  /// digits.
+  /// Identifies this disk over restarts; a lost disk comes back with another id.
   const std::string& disk_id() const { return disk_id_; }
-  /// @return bytes that new segments may take.
+  /// @return the bytes of disk that new segments may take.
   std::uint64_t FreeBytes();
 
  private:
--- a/src/backup/fence_file.h
+++ b/src/backup/fence_file.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// The durable set of fenced node ids, kept in two files ("fenced", "fenced_copy"), each a
-/// checksummed `proto::FencedNodes`. Fences are only ever added, so the union of what can be read
-/// counts; one damaged file loses nothing.
+/// checksummed `proto::FencedNodes`. Fences are never removed, so the union of the readable files
+/// counts, and one damaged file loses nothing.
 ///
 /// Threads: the owner's event loop only.
 
@@ -21,10 +21,11 @@
  public:
   explicit FenceFile(DataFolder& folder) : folder_(folder) {}
 
-  /// @return the fences on disk; kCorrupt if there are some and no file of them can be read.
+  /// @return the fenced nodes on disk. kCorrupt if there are files and none can be read.
   Result<std::set<NodeId>> Load();
-  /// Adds `node`; `done` gets OK when it is synced in both files. Concurrent calls share a sync.
+  /// Adds `node`; `done` runs with OK once both files are synced. Concurrent calls share a save.
   void Add(NodeId node, DataFolder::Done done);
+  /// Whether the fence of `node` is synced in both files.
   bool IsSynced(NodeId node) const { return synced_.contains(node); }
 
  private:
@@ -44,7 +45,7 @@
   std::set<NodeId> synced_;
   bool save_under_way_ = false;
   std::vector<DataFolder::Done> waiting_callbacks_;  ///< For the next save.
-  std::vector<DataFolder::Done> saving_callbacks_;
+  std::vector<DataFolder::Done> saving_callbacks_;   ///< Of the save under way.
 };
 
 }  // namespace cloverbank
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -9,7 +9,7 @@
 
 namespace cloverbank {
 
-/// The removal of all replicas of one node, answered when the last one is over.
+/// The removal of all replicas of one node, answered after the last one.
 class RecoveryReader::Removal {
  public:
   Removal(std::size_t count, Reply<proto::ReleaseRecoveryDataResponse> reply)
@@ -103,7 +103,7 @@
     return true;
   }
   store_.RecordChecked(key, FindLogDigest(key.segment, *bytes));
-  // Other calls and timers get their turn between two segments.
+  // One segment a turn of the event loop, so that other calls and timers are not delayed.
   environment_.ScheduleAfter(Duration::zero(), std::move(next));
   return true;
 }
@@ -117,7 +117,7 @@
       [this, key, length, digest = std::move(digest),
        next = std::move(next)](const Status& status) {
         if (!status.ok()) {
-          // The synced fence refuses late writes as well; what is held may be the last copy.
+          // The synced fence refuses late writes too, and this may be the last replica.
           store_.Apply(key, store_.Seal(key, length), environment_.Now());
         }
         store_.RecordChecked(key, digest);
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Serves the recovery of dead queue nodes (RAMCloud page, "Data Recovery"): fences them, seals and
-/// checks their replicas one per turn of the event loop, filters entries by partition, and lets go
-/// of everything once the recovery is over.
+/// Serves the recovery of a dead queue node (RAMCloud page, "Data Recovery"): fences it, seals and
+/// checks its replicas, one in each turn of the event loop, returns the entries of partitions, and
+/// removes the replicas when the recovery is over.
 ///
 /// Threads: the owner's event loop only.
 
@@ -27,14 +27,14 @@
   RecoveryReader(Environment& environment, DataFolder& folder, SegmentStore& store,
                  ReplicaOperations& operations, FenceFile& fences);
 
-  /// Answers once the fence is synced, every earlier call of the node is over, and all of its
-  /// replicas are sealed and checked. Calls for one node that overlap share the work.
+  /// Answers once the fence is synced, every earlier call of the node is complete, and all of its
+  /// replicas are sealed and checked. Overlapping calls for one node share the work.
   void StartReadingData(NodeId node, Reply<proto::StartReadingDataResponse> reply);
-  /// Refuses kConflict before `StartReadingData`, kNotFound if nothing is offered, kCorrupt if the
-  /// replica fails its check now.
+  /// @return the entries of the asked partitions. kConflict before `StartReadingData`, kNotFound if
+  /// no replica is offered, kCorrupt if the replica fails its check now.
   Result<proto::GetRecoveryDataResponse> GetRecoveryData(
       const proto::GetRecoveryDataRequest& request);
-  /// Answers when the node's replicas are removed. Fences the node too, if it was not.
+  /// Answers once the node's replicas are removed. Fences the node first, if it was not.
   void ReleaseRecoveryData(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply);
 
  private:
@@ -49,7 +49,7 @@
   void FenceNode(NodeId node, DataFolder::Done done);
   void StartCheck(NodeId node);
   void ContinueCheck(const std::shared_ptr<ReplicaCheck>& check);
-  /// @return whether the check goes on later by itself.
+  /// @return whether `next` will run later; else the caller goes on.
   bool CheckReplica(const ReplicaKey& key, std::function<void()> next);
   void Seal(const ReplicaKey& key, const std::string& bytes, std::function<void()> next);
   void CompleteReading(NodeId node, const Result<proto::StartReadingDataResponse>& result);
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -53,7 +53,7 @@
 ReplicaOperations::Step ReplicaOperations::TruncateStep(const std::string& name,
                                                         std::uint64_t size) {
   return [this, name, size](DataFolder::Done done) {
-    // Only gives back space: the header says where the segment ends.
+    // Only releases space: the header says where the segment ends.
     folder_.Truncate(name, size, [name, done = std::move(done)](const Status& status) {
       if (!status.ok()) {
         Log(LogLevel::kWarning, "segment_truncate_failed",
@@ -122,7 +122,7 @@
     CompleteOperation(execution->key, execution->done, status);
     return;
   }
-  // Nothing was promised: give the space back before the next call on this segment.
+  // Nothing was acknowledged: release the space before the next operation on this replica.
   folder_.Remove(name, [this, execution, status](const Status& removed) {
     if (!removed.ok()) {
       Log(LogLevel::kWarning, "segment_remove_failed",
@@ -134,7 +134,7 @@
 
 void ReplicaOperations::CompleteOperation(const ReplicaKey& key, const Done& done,
                                           const Status& status) {
-  const Done call_back = done;  // The operation that holds it goes now.
+  const Done call_back = done;  // `done` may belong to the operation that is removed here.
   std::deque<Operation>& queue = queues_.at(key);
   queue.pop_front();
   const bool more = !queue.empty();
--- a/src/backup/replica_operations.h
+++ b/src/backup/replica_operations.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Carries out decided changes on disk. Calls on one replica run one at a time, in the order they
-/// came; calls on different replicas run side by side, so that the data folder can sync them
-/// together.
+/// Carries out decided changes of replicas on disk. Operations on one replica run one at a time, in
+/// the order of `Submit`; those on different replicas run concurrently, so that the data folder can
+/// sync them together.
 ///
 /// Threads: the owner's event loop only. The owner destroys it after the loop stopped calling back.
 
@@ -21,16 +21,17 @@
 
 class ReplicaOperations {
  public:
-  /// Decides a call when its turn has come.
+  /// Decides the change when the operation reaches the front of its queue.
   using Decide = std::function<Result<ReplicaChange>()>;
-  /// OK once the change is synced (and applied), else why the call is refused or failed.
+  /// OK once the change is synced and applied, else why it was refused or failed.
   using Done = std::function<void(Status)>;
 
   ReplicaOperations(Environment& environment, DataFolder& folder, SegmentStore& store);
 
+  /// Queues an operation on the replica of `key`; `done` runs once.
   void Submit(const ReplicaKey& key, Decide decide, Done done);
-  /// Runs `action` (at once, if it can) when no call on a replica of `node` is waiting or under
-  /// way.
+  /// Runs `action` once no operation on a replica of `node` is queued or under way; at once if so
+  /// now.
   void WhenIdle(NodeId node, std::function<void()> action);
 
  private:
@@ -39,7 +40,7 @@
     Done done;
   };
   using Step = std::function<void(DataFolder::Done)>;
-  /// A change being carried out.
+  /// A change that is being carried out.
   struct Execution {
     ReplicaKey key;
     ReplicaChange change;
@@ -66,7 +67,7 @@
   Environment& environment_;
   DataFolder& folder_;
   SegmentStore& store_;
-  /// The front one is under way.
+  /// The front operation of each queue is under way.
   std::map<ReplicaKey, std::deque<Operation>> queues_;
   std::vector<IdleAction> idle_actions_;
 };
--- a/src/backup/replica_reader.h
+++ b/src/backup/replica_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Reads a replica's bytes back and checks them. Closed replicas are read from disk, so that memory
-/// holds one segment at a time; open ones from their staging buffer.
+/// Reads the bytes of a replica and checks them: of a closed replica from disk, so that memory has
+/// one segment at a time; of an open one from its staging buffer.
 ///
 /// Threads: the owner's event loop only (reads are synchronous).
 
@@ -13,12 +13,12 @@
 
 namespace cloverbank {
 
-/// @return the bytes of whole, checked entries. kCorrupt if a closed or sealed replica has fewer
-/// than its recorded length (also when its file is gone or can not be read).
+/// @return the bytes of complete, checked entries. kCorrupt if there are fewer than the header
+/// records, or the file can not be read.
 Result<std::string> ReadReplica(DataFolder& folder, const Replica& replica);
 
-/// Appends the entries of `partitions` in `bytes` to `response`, in order. kCorrupt if an entry can
-/// not be decoded.
+/// Appends the entries in `bytes` of the request's partitions to `response`, in order. kCorrupt if
+/// an entry can not be decoded.
 Status FilterEntries(SegmentId segment, std::string_view bytes,
                      const proto::GetRecoveryDataRequest& request,
                      proto::GetRecoveryDataResponse* response);
--- a/src/backup/scrubber.h
+++ b/src/backup/scrubber.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Reads closed replicas again, one an interval, so that rot is found while other copies are whole.
+/// Reads and checks closed replicas in turn, one in each interval, to find damage while other
+/// replicas are intact and the owner can repair it.
 ///
 /// Threads: the owner's event loop only.
 
@@ -17,6 +18,7 @@
   Scrubber(const Scrubber&) = delete;
   Scrubber& operator=(const Scrubber&) = delete;
 
+  /// Schedules the next check, and from then on one in each interval.
   void Start();
 
  private:
--- a/src/backup/segment_dump.h
+++ b/src/backup/segment_dump.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Looks into segment files, for people: `cloverbank segment print|check FILE`. Reads only, and
-/// works on a copy of a file as well as on one in use (of which the tail may be under way).
+/// Shows segment files to people: `cloverbank segment print|check FILE`. Only reads; works on a
+/// copy of a file and on one in use, whose tail may be half written.
 ///
 /// Pure functions; any thread.
 
@@ -18,14 +18,14 @@
 /// What a check of a segment file found.
 struct SegmentFileCheck {
   std::optional<ReplicaHeader> header;  ///< Absent if no header slot is valid.
-  std::size_t valid_length = 0;         ///< Bytes of whole, checked entries.
+  std::size_t valid_length = 0;         ///< Bytes of complete, checked entries.
   std::size_t entry_count = 0;
   RecordTail tail = RecordTail::kClean;  ///< What follows them.
-  std::vector<std::uint64_t> digest;
+  std::vector<std::uint64_t> digest;     ///< Segment ids of its log digest.
   Status status;  ///< OK if a backup would offer the file's contents; else why not.
 };
 
-/// @param file the whole content of the file.
+/// @param file the content of the file.
 SegmentFileCheck CheckSegmentFile(std::string_view file);
 
 /// @return the file as text: a line for the header, one for each entry (offset, bytes, partition,
--- a/src/backup/segment_file.h
+++ b/src/backup/segment_file.h
@@ -35,7 +35,7 @@
 /// Durable state of a replica. The numbers are part of the file format.
 enum class ReplicaState : std::uint8_t {
   kOpen = 1,       ///< Takes writes; offered to recoveries.
-  kReplacing = 2,  ///< A replacement copy under way; not offered.
+  kReplacing = 2,  ///< A replacement is under way; not offered.
   kClosed = 3,     ///< Closed by its owner; refuses writes.
   kSealed = 4,     ///< Closed by StartReadingData, because its owner is dead.
 };
@@ -48,7 +48,7 @@
   HeadEpoch epoch;
   ReplicaState state = ReplicaState::kOpen;
   std::uint64_t capacity = 0;  ///< Bytes reserved for the segment.
-  /// Bytes held when the header was written; final once closed or sealed, 0 while replacing.
+  /// Bytes of content when the header was written; final once closed or sealed, 0 while replacing.
   std::uint64_t length = 0;
   std::uint64_t generation = 0;  ///< Counts header writes; the highest valid slot counts.
   bool operator==(const ReplicaHeader&) const = default;
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -11,8 +11,8 @@
 namespace cloverbank {
 namespace {
 
-/// A file that can not be used: kept under the key of its name, so that it can be freed or
-/// reopened.
+/// @return the replica for an unusable file, under the key of its name, so that it can be freed or
+/// opened again.
 Replica CorruptReplica(const ReplicaKey& key) {
   Replica replica;
   replica.header.key = key;
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -23,7 +23,7 @@
   return {StatusCode::kConflict, std::move(message), std::to_string(length)};
 }
 
-/// @param length synced bytes, all of them whole entries unless a replacement is under way.
+/// @param length synced bytes: complete entries unless a replacement is under way.
 ReplicaHeader NextHeader(ReplicaHeader header, ReplicaState state, HeadEpoch epoch,
                          std::uint64_t length) {
   header.length = state == ReplicaState::kReplacing ? 0 : length;
@@ -37,10 +37,10 @@
   return ScanSegment(segment, bytes).tail == RecordTail::kClean;
 }
 
-/// Decides the headers around a write that is part of a replacement copy. A copy into an empty
-/// replica is hidden until it is complete; a copy over an older one leaves that one offered under
-/// its own epoch.
-/// @return whether the replica still lacks a part of the copy after this write.
+/// Decides the headers around a write that is part of a replacement. A replacement in an empty
+/// replica is hidden until it is complete; one over older content leaves that offered under its own
+/// epoch.
+/// @return whether the replacement is still incomplete after this write.
 bool DecideReplacement(const Replica& replica, const proto::WriteSegmentRequest& request,
                        ReplicaChange* change) {
   const HeadEpoch epoch(request.epoch());
--- a/src/backup/segment_store_state.cc
+++ b/src/backup/segment_store_state.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The part of `SegmentStore` that takes decided changes in.
+/// The state of `SegmentStore`: how decided changes are applied, and look-ups.
 
 #include <utility>
 
--- a/src/log_format/segment_format.h
+++ b/src/log_format/segment_format.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// How log entries lie in a segment, shared by the queue nodes that write them and the backups that
-/// keep them. Each entry is framed as 4 bytes little-endian length of the serialized
+/// Encoding of log entries in a segment, shared by the queue nodes that write them and the backups
+/// that store them. Each entry is framed as 4 bytes little-endian length of the serialized
 /// `proto::LogEntry`, 8 bytes little-endian XXH3 of those bytes seeded with the segment id, then
 /// the bytes. A length of zero ends the segment, because reserved, unwritten space reads as zero;
 /// so no entry is empty.
@@ -34,8 +34,8 @@
 /// @return the segment ids of the log digest in `bytes`; empty if there is none.
 std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes);
 
-/// Walks the entries of a segment's bytes from its start and stops at the first one that is not
-/// whole. The bytes must outlive the reader.
+/// Iterates over the entries of a segment from its start and stops at the first incomplete or
+/// damaged one. The bytes must outlive the reader.
 class SegmentReader {
  public:
   SegmentReader(SegmentId segment, std::string_view bytes) : records_(bytes, segment.value()) {}
@@ -45,9 +45,9 @@
   /// Like `Next`, but only checks the entry's checksum and gives its serialized bytes.
   bool NextBytes(std::string_view* serialized);
 
-  /// @return the length of the whole, checked entries read so far, from the segment's start.
+  /// @return the bytes of the complete, checked entries read so far.
   std::size_t valid_length() const { return valid_length_; }
-  /// @return what lies at `valid_length()`; ask after the end.
+  /// @return what follows at `valid_length()`; call it after the end.
   RecordTail tail() const { return undecodable_ ? RecordTail::kCorrupt : records_.tail(); }
 
  private:
@@ -56,14 +56,14 @@
   bool undecodable_ = false;  ///< An entry has the right checksum but is no `proto::LogEntry`.
 };
 
-/// What a walk over a whole segment found.
+/// The result of `ScanSegment`.
 struct SegmentScan {
-  std::size_t valid_length = 0;  ///< Bytes of whole, checked entries.
+  std::size_t valid_length = 0;  ///< Bytes of complete, checked entries.
   std::size_t entry_count = 0;
   RecordTail tail = RecordTail::kClean;
 };
 
-/// Checks every entry's checksum. Does not decode entries.
+/// Checks the checksum of every entry without decoding it.
 SegmentScan ScanSegment(SegmentId segment, std::string_view bytes);
 
 }  // namespace cloverbank
--- a/src/log_writer/backup_client.h
+++ b/src/log_writer/backup_client.h
@@ -1,7 +1,9 @@
 #pragma once
 /// @file
-/// The owner's calls on segment replicas, for one queue node's life (RAMCloud's BackupClient: a
-/// thin stub of each call).
+/// Stubs of the segment calls on backups, for one node id (RAMCloud page, BackupClient). log.proto
+/// says what each call does and which refusals there are.
+///
+/// Threads: the owner's event loop only.
 
 #include <functional>
 #include <string>
@@ -12,18 +14,20 @@
 
 namespace cloverbank {
 
-/// One WriteSegment.
+/// The content of one WriteSegment.
 struct SegmentWrite {
-  std::uint64_t offset = 0;
+  std::uint64_t offset = 0;  ///< Bytes from the segment's start.
   std::string data;
-  bool atomic_replace = false;
-  bool replace_complete = false;
+  bool atomic_replace = false;    ///< Part of a replacement, hidden from recoveries.
+  bool replace_complete = false;  ///< Its last part: makes it visible.
 };
 
 class BackupClient {
  public:
+  /// Runs once, later, also when no answer comes within the deadline.
   using Done = std::function<void(Status)>;
 
+  /// @param deadline of each call.
   BackupClient(Environment& environment, NodeId node, Duration deadline)
       : environment_(environment), node_(node), deadline_(deadline) {}
 
--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -1,7 +1,9 @@
 #pragma once
 /// @file
-/// Which backups there are now and which of them failed lately. A holder of a replica is known by
-/// its disk: a restarted backup has a fresh node id and still holds its replicas.
+/// Which backups are live, which of them failed recently, and where replicas are. A location is
+/// identified by its disk: a restarted backup has a new node id and still has its replicas.
+///
+/// Threads: the owner's event loop only.
 
 #include <map>
 #include <set>
@@ -17,8 +19,8 @@
 
 /// Where one replica is.
 struct ReplicaLocation {
-  NodeId node;          ///< The backup's id when it took the replica.
-  std::string disk_id;  ///< Empty if the backup named none: then only `node` counts.
+  NodeId node;          ///< The backup's node id when the replica was opened.
+  std::string disk_id;  ///< Empty if the backup named none: then `node` identifies it.
   Endpoint endpoint;    ///< Last known.
 };
 
@@ -34,7 +36,7 @@
   BackupDirectory(Environment& environment, NodeAgent& agent, Duration failure_memory)
       : environment_(environment), agent_(agent), failure_memory_(failure_memory) {}
 
-  /// @return the live backup that has the holder's disk now, or nullptr.
+  /// @return the live backup that has the disk of `location` now, or nullptr.
   const proto::Server* FindBackup(const ReplicaLocation& location) const;
   /// @return the node id of that backup, or the last known one while it is not live.
   NodeId GetCurrentNode(const ReplicaLocation& location) const;
@@ -42,18 +44,20 @@
   ReplicaCount CountByKind(const std::vector<ReplicaLocation>& locations) const;
   /// @return whether a set on other backups would have fewer replicas on spare or retiring ones.
   bool HasBetterBackups(const std::vector<ReplicaLocation>& locations) const;
-  /// @return the holder's present endpoint, or the last known one while it is not live.
+  /// @return the endpoint of that backup, or the last known one while it is not live.
   Endpoint GetEndpoint(const ReplicaLocation& location) const;
-  /// @return the holder that `node` would be; requires that the fleet view has it.
+  /// @return the location of replicas on `node`, which must be in the fleet view.
   ReplicaLocation GetLocation(NodeId node) const;
 
-  /// A call to `node` failed: it is reported as suspect and not chosen for the failure memory.
+  /// Records that a call to `node` failed: reports it as suspect and does not choose it for the
+  /// failure memory.
   void RecordFailure(NodeId node);
-  /// A call to `node` succeeded.
+  /// Records that a call to `node` succeeded.
   void RecordSuccess(NodeId node) { failed_at_.erase(node); }
 
-  /// Chooses up to `count` backups that hold nothing of the segment.
-  /// @param holders hold it; @param excluded may not be chosen.
+  /// Chooses up to `count` backups for further replicas of a segment.
+  /// @param replicas wanted in all. @param locations of its replicas. @param excluded not to be
+  /// chosen.
   std::vector<NodeId> Select(std::size_t count, std::size_t replicas,
                              const std::vector<ReplicaLocation>& locations,
                              const std::vector<ReplicaLocation>& excluded);
--- a/src/log_writer/backup_selector.cc
+++ b/src/log_writer/backup_selector.cc
@@ -31,7 +31,7 @@
   return candidates;
 }
 
-/// Takes up to `count` of `servers` (in their shuffled order), each time from a zone used least.
+/// Chooses up to `count` of `servers`, in their shuffled order, each time from the least used zone.
 void ChooseAcrossZones(std::vector<const proto::Server*> servers, std::size_t count,
                        std::map<std::string, int>& zone_use, std::vector<NodeId>* chosen) {
   for (; count > 0 && !servers.empty(); --count) {
--- a/src/log_writer/backup_selector.h
+++ b/src/log_writer/backup_selector.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Choice of the backups for a segment: at random (RAMCloud page, "Normal Operation Walkthrough"
-/// step 6.2) among the backups that are up, one a zone where zones allow. Spare backups on front
-/// machines are taken only for places that the store machines' backups can not fill.
+/// step 6.2) among the backups that are up, one a zone as far as there are zones. Spare backups, on
+/// front machines, are chosen only for replicas that regular backups can not take.
 ///
 /// Pure: random numbers come from the caller. Threads: none of its own.
 
@@ -18,10 +18,10 @@
 
 struct BackupRequest {
   std::size_t count = 0;     ///< How many to choose.
-  std::size_t replicas = 0;  ///< Copies wanted in all: spares count only below this.
+  std::size_t replicas = 0;  ///< Wanted in all; spares are chosen only below this.
   std::set<NodeId> locations =
-      {};                       ///< Hold the segment already: not chosen, their zones are taken.
-  std::set<NodeId> avoid = {};  ///< Failed or refused lately, or out of disk: not chosen.
+      {};                       ///< Have a replica already: not chosen, their zones count as used.
+  std::set<NodeId> avoid = {};  ///< Failed or refused recently, or out of disk: not chosen.
 };
 
 /// @return up to `count` different backups; fewer when there are no more.
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -30,7 +30,7 @@
 void HeadSegment::AdvanceOnce() {
   EvaluateReplicaSet();
   AddCandidates();
-  // By index: a call may add nothing here, but keeps no reference over the loop.
+  // By index: a call must not keep a reference into `replicas_`.
   for (std::size_t i = 0; i < replicas_.size(); ++i) {
     StartNextCall(replicas_[i]);
   }
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -1,19 +1,22 @@
 #pragma once
 /// @file
-/// One open segment of the log and its set of backups: from the choice of the backups over writes
-/// and changes of the set to the close (RAMCloud page, "Segment Durability" and walk-through steps
-/// 6-11).
+/// The open segment at the head of the log and its set of backups: choice of the backups, writes,
+/// changes of the set, close (RAMCloud page, "Segment Durability" and "Normal Operation
+/// Walkthrough" steps 6 to 11).
 ///
-/// The set of backups changes under a rising *epoch*. A change goes so: (1) newcomers are opened
-/// under a later epoch and get the whole content, hidden from recoveries (atomic_replace); (2) the
-/// new set is fixed, the epoch raised, and nothing counts as held any more; (3) newcomers are made
-/// complete, the others are told the epoch; (4) the set is committed at the coordinators; (5) what
-/// all of its members have synced is held again. So no copy outside the committed set can be
-/// offered to a recovery under the committed epoch, and every acknowledged entry is on every copy
-/// inside it.
+/// The set of backups changes under a rising *epoch*:
+/// 1. Candidates are opened under a later epoch and receive the content, hidden from recoveries
+///    (atomic_replace).
+/// 2. The new set is fixed and the epoch raised; from here on nothing counts as durable.
+/// 3. Candidates receive the rest and become visible; the other members receive the new epoch.
+/// 4. The set is committed at the coordinators.
+/// 5. What all members have synced counts as durable again.
 ///
-/// A member whose call failed is retried (writes may be repeated) until another has taken its place
-/// or the set goes on without it; a short silence of all backups thus changes nothing.
+/// Invariant: no replica outside the committed set can be offered to a recovery under the committed
+/// epoch, and every acknowledged entry is in every replica of that set.
+///
+/// A member whose call failed is retried (writes are idempotent) until another backup has replaced
+/// it or the set goes on without it, so a short outage of all backups changes nothing.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -33,21 +36,22 @@
 
 class HeadSegment : public std::enable_shared_from_this<HeadSegment> {
  public:
-  /// @param content the framed entries at its start: header, digest, marks.
+  /// @param content the framed entries at its start: header, digest, watermarks.
   /// @param on_progress runs after anything below may have changed.
   HeadSegment(LogContext& context, SegmentId id, std::string content,
               std::function<void()> on_progress);
 
-  /// Goes on with whatever is due: call it after `Append`, on fleet changes and on a timer.
+  /// Starts the calls that are due. Call it after `Append`, on fleet changes and on a timer.
   void Advance();
 
   /// Appends a framed entry; requires `Fits`.
   void Append(const proto::LogEntry& entry) { content_.Append(entry); }
   bool Fits(std::uint64_t framed_bytes) const { return content_.Fits(framed_bytes); }
 
-  /// Lets the set be committed at the coordinators; a successor waits for this.
+  /// Allows the commit at the coordinators. Until then a successor only opens its replicas.
   void AllowCommit();
-  /// Asks for the close on all backups. Requires `drained()`; nothing may be appended after.
+  /// Starts to close the replicas on all backups. Requires `drained()`; nothing may be appended
+  /// after.
   void Close();
 
   SegmentId id() const { return id_; }
@@ -57,38 +61,40 @@
   const std::string& content() const { return content_.bytes(); }
   /// Bytes that every member of the committed set has synced. Never falls.
   std::uint64_t durable_length() const { return durable_length_; }
-  /// Whether a set of backups with at least the minimum of copies has the first content.
+  /// Whether a set of backups with at least the minimum of replicas has the content at the start.
   bool opened() const;
+  /// Whether some set of backups was committed.
   bool committed() const { return committed_epoch_.valid(); }
-  /// Whether a set is committed and holds all content.
+  /// Whether the present set is committed and all content is durable.
   bool drained() const;
   bool closing() const { return closing_; }
-  /// Whether enough backups have closed it.
+  /// Whether enough backups have closed their replica.
   bool closed() const;
   /// Whether enough members answer to take new entries.
   bool healthy() const;
   /// Whether the committed set has as many live members as wanted.
   bool IsFullyReplicated() const;
+  /// @return the number of live members (open) or of closed replicas.
   std::size_t replicas() const;
-  /// The members (open) or the backups that closed it.
+  /// @return the locations of the members (open) or of the closed replicas.
   std::vector<ReplicaLocation> locations() const;
 
  private:
   struct Replica {
-    std::uint64_t serial = 0;  ///< Tells late answers for a replica that was dropped.
+    std::uint64_t serial = 0;  ///< Distinguishes late answers for a dropped replica.
     ReplicaLocation location;
-    HeadEpoch epoch;  ///< Under which it was last known; invalid: not opened.
-    std::uint64_t synced = 0;
-    bool member = false;   ///< Of the set of `epoch_`; else a newcomer.
-    bool hidden = true;    ///< Its copy is hidden until replace_complete.
-    bool busy = false;     ///< A call is under way.
-    bool failing = false;  ///< Its last call failed.
-    bool refused = false;  ///< It refused for good: not retried.
+    HeadEpoch epoch;           ///< Last one the backup confirmed; invalid: not opened.
+    std::uint64_t synced = 0;  ///< Bytes the backup confirmed.
+    bool member = false;       ///< Of the set of `epoch_`; else a candidate.
+    bool hidden = true;        ///< From recoveries, until replace_complete.
+    bool busy = false;         ///< A call is under way.
+    bool failing = false;      ///< Its last call failed.
+    bool refused = false;      ///< Permanently: not retried.
     bool closed = false;
     TimePoint retry_at;
   };
 
-  /// The set of backups that could be had now.
+  /// The set that the live members and the ready candidates would form.
   struct ProposedReplicaSet {
     std::size_t size = 0;
     bool differs = false;  ///< From the present one.
@@ -108,28 +114,29 @@
   void AddCandidates();
   ProposedReplicaSet ProposeReplicaSet() const;
   bool HasUnreadyCandidates() const;
-  /// Moves to a new set and epoch when one is ready that is better than the present one.
+  /// Changes to the proposed set once it is complete enough.
   void EvaluateReplicaSet();
-  /// Makes the live members and the newcomers that are ready the set of the next epoch.
+  /// Makes the live members and the ready candidates the set of the next epoch.
   void AdoptReadyReplicas();
-  /// Frees the newcomers that are not to be kept.
+  /// Frees the candidates for which `keep` is false.
   void DropCandidates(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
-  /// @return the commit of the present set; the same one for every try under one epoch.
+  /// @return the commit of the present set; the same bytes for every attempt under one epoch.
   const proto::CommitHeadRequest& CommitRequest();
   void HandleCommit(HeadEpoch epoch, const Status& status);
-  /// Whether a newcomer has so much of the content that the set can change to it.
+  /// Whether a candidate lacks at most one write of the content.
   bool IsReady(const Replica& replica) const;
 
   // head_segment_calls.cc
-  /// Makes the next call that `replica` needs, if any.
+  /// Starts the next call that `replica` needs, if any.
   void StartNextCall(Replica& replica);
   void OpenReplica(Replica& replica);
   void WriteReplica(Replica& replica);
   void SetReplicaEpoch(Replica& replica);
   void CloseReplica(Replica& replica);
 
-  /// Wraps the answer to a call on `replica`; `on_ok` runs if the replica is still wanted.
+  /// Marks `replica` busy. @return the handler of the answer; it runs `on_ok` if the call succeeded
+  /// and the replica was not dropped meanwhile.
   BackupClient::Done MakeAnswerHandler(Replica& replica, std::function<void(Replica&)> on_ok);
   void HandleAnswer(std::uint64_t serial, const Status& status,
                     const std::function<void(Replica&)>& on_ok);
@@ -143,7 +150,7 @@
   std::vector<Replica> replicas_;
   std::uint64_t last_serial_ = 0;
   HeadEpoch epoch_;            ///< Of the present set; 0 before the first.
-  HeadEpoch open_epoch_{1};    ///< For newcomers, and of the next set.
+  HeadEpoch open_epoch_{1};    ///< Of candidates and of the next set.
   HeadEpoch committed_epoch_;  ///< Last one the coordinators confirmed.
   proto::CommitHeadRequest commit_request_;
   std::uint64_t durable_length_ = 0;
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// Whether a refusal can not be mended by repeating the call.
+/// Whether repeating the call can not succeed.
 bool IsPermanentRefusal(StatusCode code) {
   switch (code) {
     case StatusCode::kInvalidArgument:
@@ -61,7 +61,7 @@
   write.offset = replica.synced;
   write.data = content_.bytes().substr(replica.synced, end - replica.synced);
   write.atomic_replace = replica.hidden;
-  // Complete copies are offered to recoveries: only members, or copies of final content, may be.
+  // A complete replica is offered to recoveries: only a member, or one of final content, may be.
   write.replace_complete =
       replica.hidden && end == content_.length() && (replica.member || closing_);
   auto done =
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -9,8 +9,8 @@
 namespace cloverbank {
 
 bool HeadSegment::IsReady(const Replica& replica) const {
-  // The rest is copied after the change of the set has begun, while nothing is acknowledged: under
-  // steady appends a newcomer would never have everything.
+  // Under steady appends a candidate never has everything: the rest is written after the change of
+  // the set, while nothing is acknowledged.
   return replica.epoch.valid() &&
          replica.synced + context_.options.write_bytes >= content_.length();
 }
@@ -76,7 +76,7 @@
 
 void HeadSegment::EvaluateReplicaSet() {
   if (closing_) {
-    return;  // The content is final: newcomers simply become further closed copies.
+    return;  // The content is final: candidates become further closed replicas without a new set.
   }
   if (IsFullyReplicated()) {
     DropCandidates([](const Replica&) { return false; });
@@ -89,7 +89,7 @@
     return;
   }
   if (next.size < context_.options.replicas) {
-    // Look once more for a backup that can still be asked before going on with fewer.
+    // Before going on with fewer replicas, look once more for backups that can still be asked.
     const std::size_t before = replicas_.size();
     AddCandidates();
     if (replicas_.size() > before) {
--- a/src/log_writer/log_context.h
+++ b/src/log_writer/log_context.h
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
-/// What the parts of one life's log share: options, the ways out, and the memory of failed backups.
+/// What the parts of one queue node incarnation's log share: options, clients of the backups, the
+/// directory of backups, and the notice that the node id is fenced.
+///
+/// Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -17,17 +20,18 @@
 struct SegmentLogOptions {
   std::uint64_t segment_bytes = 4ULL << 20U;
   std::uint32_t replicas = 3;
-  std::uint32_t minimum_replicas = 2;             ///< Below this nothing is acknowledged.
+  std::uint32_t minimum_replicas = 2;             ///< With fewer nothing is acknowledged.
   Duration call_deadline = milliseconds(1000);    ///< Of one call to a backup.
-  Duration bulk_deadline = seconds(5);            ///< Of a call that carries a whole segment.
+  Duration bulk_deadline = seconds(5);            ///< Of a call that carries all of a segment.
   Duration commit_deadline = milliseconds(2000);  ///< Of CommitHead at the coordinators.
   Duration retry_delay = milliseconds(100);
-  Duration failure_memory = seconds(2);  ///< A backup that failed is not chosen for so long.
-  /// Entries that no backup has seen are refused after waiting for so long.
+  Duration failure_memory = seconds(2);  ///< A backup whose call failed is not chosen for so long.
+  /// Appends of which nothing was sent to a backup are refused after waiting for so long.
   Duration refuse_after = seconds(2);
-  std::uint64_t waiting_bytes = 64ULL << 20U;  ///< Bound on entries that wait for their write.
+  std::uint64_t waiting_bytes = 64ULL
+                                << 20U;  ///< Bound on entries that wait for a place in a segment.
   std::uint64_t write_bytes = 1ULL << 20U;  ///< Largest WriteSegment, unless one entry is larger.
-  std::size_t parallel_repairs = 2;         ///< Closed segments copied at a time.
+  std::size_t parallel_repairs = 2;         ///< Closed segments under repair at a time.
 };
 
 /// Who refused the log's node id as dead.
@@ -41,11 +45,11 @@
   Environment& environment;
   NodeAgent& agent;
   SegmentLogOptions options;
-  NodeId node;               ///< The life whose log it is.
+  NodeId node;               ///< The incarnation that owns the log.
   BackupClient client;       ///< For the head.
   BackupClient bulk_client;  ///< For repairs.
   BackupDirectory directory;
-  bool stopped = false;
+  bool stopped = false;  ///< The log has ended; late answers are ignored.
   /// Called when a backup or coordinator refuses `node` as dead. Sets `stopped`.
   std::function<void(FencedBy source, const std::string& detail)> on_fenced;
 };
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -35,7 +35,7 @@
 void SegmentAudit::HandleAnswer(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
                                 const proto::ListSegmentsResponse& listed) {
   if (!context_.agent.fleet().servers.contains(backup)) {
-    return;  // Gone meanwhile.
+    return;  // Lost meanwhile.
   }
   std::set<SegmentId> found;
   for (const proto::SegmentReplicaKey& key : listed.replicas()) {
@@ -61,7 +61,7 @@
 
 void SegmentAudit::FreeLeftoverReplicas(NodeId backup, SegmentId head,
                                         const std::set<SegmentId>& found) {
-  // Closed before the question was sent, so nothing of them is under way but repairs.
+  // Segments before `head` were closed before the request: only repairs can be under way.
   const std::set<SegmentId> counted = repairer_->SegmentsOn(backup);
   for (const SegmentId id : found) {
     if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
--- a/src/log_writer/segment_audit.h
+++ b/src/log_writer/segment_audit.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Compares what backups have with what the log counts on, one backup an interval: replicas that
-/// are gone no longer count, and replicas that nothing counts on are freed.
+/// Compares the replicas that backups list with those that the log counts on, each backup once an
+/// interval: lost replicas no longer count, leftover ones are freed.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -20,8 +20,8 @@
   SegmentAudit(LogContext& context, std::shared_ptr<SegmentRepairer> repairer)
       : context_(context), repairer_(std::move(repairer)) {}
 
-  /// Asks the backups that are due for their segments. @param head the segment from which on they
-  /// are open.
+  /// Sends ListSegments to the backups that are due. @param head the first segment that may be
+  /// open.
   void Advance(SegmentId head);
 
  private:
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The durable log of one life of a queue node: a chain of segments, each on several backups
-/// (RAMCloud's BackupManager; DESIGN.md section 5). Entries are acknowledged in the order of
-/// `Append`, once every backup of the committed set has synced them and while the node's lease
-/// holds.
+/// The durable log of one incarnation of a queue node: a chain of segments, each replicated on
+/// several backups (RAMCloud page, BackupManager; docs/DESIGN.md section 5). Entries are
+/// acknowledged in the order of `Append`, once every backup of the committed set has synced them
+/// and while the node's lease is valid.
 ///
 /// Threads: the owner's event loop only.
 
@@ -29,43 +29,45 @@
 class SegmentLog {
  public:
   using Done = AppendQueue::Done;
-  /// Entries without sequence to be written at the start of a new segment (PartitionWatermark).
+  /// @return entries without a sequence (PartitionWatermark) for the start of a new segment.
   using Preamble = std::function<std::vector<proto::LogEntry>()>;
 
-  /// Begins the log of the agent's present node id, with no segment yet.
-  /// @param on_fenced runs once when a backup or coordinator refuses the node id as dead; `Stop`
-  /// has been called then.
+  /// Creates the log of the agent's present node id, without a segment.
+  /// @param on_fenced runs once, after `Stop`, when a backup or coordinator refuses the node id as
+  /// dead; `reason` is for logs.
   SegmentLog(Environment& environment, NodeAgent& agent, SegmentLogOptions options,
              Preamble preamble, std::function<void(const std::string& reason)> on_fenced);
   ~SegmentLog();
   SegmentLog(const SegmentLog&) = delete;
   SegmentLog& operator=(const SegmentLog&) = delete;
 
-  /// Opens the first segment.
+  /// Opens the first segment (RAMCloud page, "Normal Operation Walkthrough" step 4).
   void Start();
 
-  /// Appends the entries, kept in order and together with nothing in between. `done` runs later,
-  /// once: OK: held by every backup of the committed set, and the lease was valid at that moment.
-  /// kUnavailable, kResourceExhausted, kInvalidArgument: certainly not written.
-  /// kUnknownOutcome: this life ended first; the entries may or may not survive.
+  /// Appends the entries in order, with no other entry between them. `done` runs once, later:
+  /// - OK: every backup of the committed set has synced them, and the lease was valid at that
+  /// moment;
+  /// - kUnavailable, kResourceExhausted, kInvalidArgument: not written;
+  /// - kUnknownOutcome: the log ended first; the entries may or may not survive.
   void Append(std::vector<proto::LogEntry> entries, Done done);
 
   /// @return OK, or why `Append` would refuse now.
   Status Accepting() const;
 
-  /// Ends this life: every waiting append ends as kUnknownOutcome (later), nothing is done any
-  /// more.
+  /// Ends the log: pending appends complete as kUnknownOutcome (later), and no further call is
+  /// made.
   void Stop();
 
-  /// To be called when the fleet view changed.
+  /// Reacts to a change of the fleet view.
   void OnFleet();
 
-  /// Whether the first head is committed.
+  /// Whether the coordinators have committed the first head.
   bool ready() const { return head_ != nullptr && head_->committed(); }
-  /// Whether something has fewer copies than wanted.
+  /// Whether some segment has fewer live replicas than `SegmentLogOptions::replicas`.
   bool degraded() const;
+  /// @return the number of segments that are not freed, the head included.
   std::size_t live_segments() const;
-  /// @return a bound on the framed size of one entry.
+  /// @return the largest framed size of one entry, in bytes.
   std::uint64_t largest_entry() const { return context_.options.segment_bytes / 4; }
 
  private:
@@ -100,10 +102,10 @@
   std::shared_ptr<SegmentRepairer> repairer_;
   std::shared_ptr<SegmentAudit> audit_;
   SegmentUsage usage_;
-  std::vector<SegmentId> freed_by_successor_;  ///< Left out of its digest.
+  std::vector<SegmentId> freed_by_successor_;  ///< Dead; left out of its digest.
   AppendQueue appends_;
-  bool rolling_over_ = false;     ///< Nothing more goes into the head.
-  bool early_roll_over_ = false;  ///< The head should move once its successor is open.
+  bool rolling_over_ = false;     ///< The head takes no more entries.
+  bool early_roll_over_ = false;  ///< Roll over as soon as the successor is open.
   TimePoint last_roll_over_;
   RepeatedStep advance_;
   TimerId timer_ = 0;
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// Detail of the refusal by a backup that has the closed segment already: its length.
+/// Whether a backup refused because it has the closed segment already; `detail` is the length then.
 bool HasReplicaAlready(const Status& status, std::uint64_t length) {
   return status.code() == StatusCode::kConflict && status.detail() == std::to_string(length);
 }
@@ -115,7 +115,7 @@
   if (count.regular >= replicas || live.empty()) {
     return;
   }
-  // Copies on retiring backups do not count, so that others, spares included, take their place.
+  // Replicas on retiring backups do not count, so that others, spares included, replace them.
   const auto chosen = context_.directory.Select(1, replicas + count.retiring, live, {});
   if (chosen.empty()) {
     return;
@@ -198,7 +198,7 @@
     return;
   }
   if (status.code() == StatusCode::kCorrupt || status.code() == StatusCode::kNotFound) {
-    // This backup does not have what was written: it no longer counts as a holder.
+    // This backup does not have what was written: its replica no longer counts.
     std::erase_if(segment->second.locations, [&](const ReplicaLocation& location) {
       return location.node == repair->source.node;
     });
@@ -232,7 +232,7 @@
   --repairs_under_way_;
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
-    FreeAt(repair->target, repair->segment);  // Freed while it was copied.
+    FreeAt(repair->target, repair->segment);  // Freed during the repair.
   } else {
     segment->second.repairing = false;
     segment->second.locations.push_back(repair->target);
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Keeps the closed segments of the log on enough backups: copies anew what lay on lost ones, moves
-/// copies away from spare and retiring backups, and frees what is no longer needed. A copy counts
-/// once the backup has synced and closed it. Nothing is kept in memory: the bytes are read from
-/// another replica.
+/// Keeps the closed segments of the log on enough backups: replaces replicas on lost backups, moves
+/// replicas away from spare and retiring ones, and frees replicas that are no longer needed. A
+/// replica counts once the backup has synced and closed it. The content is read from another
+/// replica, because closed segments are not kept in memory.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -21,10 +21,10 @@
 
 struct ClosedSegment {
   SegmentId id;
-  HeadEpoch epoch;  ///< Highest under which a copy was opened.
+  HeadEpoch epoch;  ///< Highest under which a replica was opened.
   std::uint64_t length = 0;
-  std::uint64_t checksum = 0;  ///< Of the whole content.
-  std::vector<ReplicaLocation> locations;
+  std::uint64_t checksum = 0;              ///< Of the content.
+  std::vector<ReplicaLocation> locations;  ///< Of the replicas that count.
   bool repairing = false;
 };
 
@@ -32,14 +32,16 @@
  public:
   explicit SegmentRepairer(LogContext& context) : context_(context) {}
 
-  /// Takes charge of a segment that was closed on `segment.holders`.
+  /// Adds a segment with closed replicas at `segment.locations`.
   void Add(ClosedSegment segment);
-  /// Frees the segment everywhere; requires that a head without it in its digest is committed.
+  /// Frees all replicas of the segment (RAMCloud page, "Log Cleaning"). Requires that a head whose
+  /// digest leaves it out is committed.
   void Free(SegmentId segment);
-  /// Starts repairs that are due: call it on fleet changes and on a timer.
+  /// Starts the repairs that are due. Call it on fleet changes and on a timer.
   void Advance();
+
   const std::map<SegmentId, ClosedSegment>& segments() const { return segments_; }
-  /// Whether any segment has fewer live copies than wanted.
+  /// Whether some segment has fewer live replicas than `SegmentLogOptions::replicas`.
   bool degraded() const;
 
   /// Whether a repair of the segment is under way.
@@ -55,7 +57,7 @@
   void FreeAt(const ReplicaLocation& location, SegmentId segment);
 
  private:
-  /// One copy under way.
+  /// The copy of one segment from `source` to `target`.
   struct Repair {
     SegmentId segment;
     ReplicaLocation source;
@@ -71,7 +73,7 @@
   void RepairIfNeeded(ClosedSegment& segment);
   void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
                    const ReplicaLocation& target);
-  /// Frees copies on retiring backups and forgets lost ones; also those on spares if asked.
+  /// Frees the replicas on retiring backups, with `spares_too` also on spares; removes lost ones.
   void FreeUnneeded(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
@@ -81,7 +83,7 @@
   void Close(const RepairPtr& repair);
   void CompleteRepair(const RepairPtr& repair);
   void FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
-  /// @return a callback that goes on with `next`, or ends the repair.
+  /// @return a handler that runs `next` on success, else ends the repair.
   BackupClient::Done ContinueWith(const RepairPtr& repair, Step next);
   void HandleStep(const RepairPtr& repair, Step next, const Status& status);
 
--- a/src/log_writer/segment_usage.cc
+++ b/src/log_writer/segment_usage.cc
@@ -49,7 +49,7 @@
     return;
   }
   if (use.tombstone.valid()) {
-    return;  // Dead on arrival: a result that was under way when its batch was removed.
+    return;  // A result that was logged after its batch was removed.
   }
   ++use.entries[segment];
   ++live_[segment];
--- a/src/log_writer/segment_usage.h
+++ b/src/log_writer/segment_usage.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Which segments of the log still hold live entries. An entry is dead once its batch is removed;
-/// the tombstone itself (BatchRemoved, or a PartitionWatermark that voids what was before it) is
-/// live for as long as an earlier segment still holds an entry that it kills (RAMCloud page, "Log
-/// Cleaning").
+/// Counts the live entries of each segment of the log, to find segments that can be freed. An entry
+/// is dead once its batch is removed. The tombstone itself (BatchRemoved, or a PartitionWatermark
+/// that discards earlier entries) is live for as long as an earlier segment has an entry that it
+/// kills (RAMCloud page, "Log Cleaning").
 ///
 /// Pure. Threads: none of its own.
 
@@ -19,16 +19,16 @@
 
 class SegmentUsage {
  public:
-  /// Counts an entry written to `segment`. Entries are told in log order.
+  /// Counts an entry written to `segment`. Call it in log order.
   void AddEntry(SegmentId segment, const proto::LogEntry& entry);
-  /// @return whether nothing in `segment` is needed any more.
+  /// @return whether `segment` has no live entry.
   bool IsDead(SegmentId segment) const;
-  /// `segment` was freed at the backups: tombstones for its entries may die.
+  /// Records that `segment` was freed at the backups, so that tombstones of its entries may die.
   void Forget(SegmentId segment);
 
  private:
-  /// A batch as logged by one replay or owner of its partition: after a mark that voids what is
-  /// before it, the same batch may be logged anew and then is another one here.
+  /// A batch within one generation of its partition. After a watermark that discards earlier
+  /// entries, a replay may log the same batch again under the next generation.
   struct BatchKey {
     std::uint64_t partition_tag = 0;
     std::uint64_t generation = 0;
@@ -42,16 +42,18 @@
   };
 
   void MarkDead(const BatchKey& key, BatchUse& use, SegmentId tombstone);
-  /// Drops what is no longer needed of a dead batch. @return whether nothing is left.
+  /// Ends the tombstone of a dead batch once no earlier segment has an entry of it.
+  /// @return whether the batch can be forgotten.
   bool DropUnreferenced(BatchUse& use);
 
   std::map<BatchKey, BatchUse> batches_;
-  std::map<std::uint64_t, std::uint64_t> generations_;  ///< Marks seen, by partition tag.
+  std::map<std::uint64_t, std::uint64_t>
+      generations_;  ///< Discarding watermarks, by partition tag.
   std::map<SegmentId, std::set<BatchKey>> batches_in_;
   std::map<SegmentId, std::uint64_t> live_;
 };
 
-/// @return the batch that the entry is about; empty for entries about none.
+/// @return the id of the batch that the entry is about; empty if there is none.
 const std::string& BatchIdOf(const proto::LogEntry& entry);
 
 }  // namespace cloverbank
