--- a/tests/backup/backup_model_test.cc
+++ b/tests/backup/backup_model_test.cc
@@ -139,7 +139,7 @@
   }
   void SendFree(std::uint64_t id, ModelSegment& segment) {
     segment.free_sent = true;
-    Send("backup.FreeSegment", About<proto::FreeSegmentRequest>(backup_.node, id),
+    Send("backup.FreeSegment", SegmentRequest<proto::FreeSegmentRequest>(backup_.node, id),
          [&segment] { segment.free_acknowledged = true; });
   }
 
@@ -200,7 +200,7 @@
   std::uint64_t acknowledged_calls_ = 0;
 };
 
-TEST(BackupModelTest, KeepsItsPromisesUnderFaults) {
+TEST(BackupModelTest, AcknowledgedDataSurvivesRandomFaults) {
   std::uint64_t acknowledged = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds && !HasFailure(); ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
--- a/tests/backup/backup_service_test.cc
+++ b/tests/backup/backup_service_test.cc
@@ -13,8 +13,8 @@
 
 /// A backup with an open segment that holds `content`: its start and an entry of partitions 0
 /// and 1.
-struct StoredSegmentFixture : BackupWorld {
-  StoredSegmentFixture() {
+struct BackupWithSegment : BackupWorld {
+  BackupWithSegment() {
     content = SegmentStart(node, kSegment, {2, kSegment}) + Framed(kSegment, NumberedEntry(0, 1)) +
               Framed(kSegment, NumberedEntry(1, 2));
     EXPECT_EQ(Open(kSegment), StatusCode::kOk);
@@ -23,8 +23,8 @@
   std::string content;
 };
 
-TEST(BackupServiceTest, RecoveryFindsWhatWasWritten) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, RecoveryFindsWrittenEntries) {
+  BackupWithSegment backup;
   const auto offers = backup.Offers();
   ASSERT_EQ(offers.size(), 1U);
   const proto::StoredSegment& stored = offers.at(kSegment);
@@ -40,8 +40,8 @@
   EXPECT_EQ(entries->entries(0).sequence(), 2U);
 }
 
-TEST(BackupServiceTest, AcknowledgedBytesAndEpochOutlastAPowerLoss) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, AcknowledgedDataSurvivesPowerLoss) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.SetEpoch(kSegment, 4), StatusCode::kOk);
   backup.RestartAfterPowerLoss();
   const auto read = backup.Read(kSegment);
@@ -52,7 +52,7 @@
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more, 4), StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, DiskIdLastsUntilTheDiskIsLost) {
+TEST(BackupServiceTest, DiskIdChangesOnlyWithTheDisk) {
   BackupWorld backup;
   const std::string disk_id = backup.service.lock()->disk_id();
   backup.world.RunFor(seconds(1));
@@ -63,8 +63,8 @@
   EXPECT_NE(backup.service.lock()->disk_id(), disk_id);
 }
 
-TEST(BackupServiceTest, FenceRefusesAFrozenOwnersLateCallsForGood) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, FenceRefusesLateCallsPermanently) {
+  BackupWithSegment backup;
   const auto offers = backup.Offers();
   const std::string late = Framed(kSegment, NumberedEntry(0, 3));
   for (const bool after_restart : {false, true}) {
@@ -80,15 +80,15 @@
   }
 }
 
-TEST(BackupServiceTest, FenceCoversNodesNeverHeardOf) {
+TEST(BackupServiceTest, FenceCoversUnknownNode) {
   BackupWorld backup;
   ASSERT_TRUE(backup.Offers().empty());
   backup.RestartAfterPowerLoss();
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kFenced);
 }
 
-TEST(BackupServiceTest, ReleaseRemovesTheSegmentsAndKeepsTheFence) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, ReleaseRemovesSegmentsAndKeepsFence) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_EQ(backup.Release(), StatusCode::kOk);
   EXPECT_EQ(backup.Release(), StatusCode::kOk);
@@ -98,7 +98,7 @@
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kFenced);
 }
 
-TEST(BackupServiceTest, WriteUnderWayAtTheFenceIsIncludedOrRefused) {
+TEST(BackupServiceTest, ConcurrentWriteIsOfferedOrRefused) {
   int included = 0;
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
@@ -119,8 +119,8 @@
   EXPECT_GT(refused, 0);
 }
 
-TEST(BackupServiceTest, TornTailIsCutAtTheFirstBadEntry) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, TornTailIsTruncatedAtFirstBadEntry) {
+  BackupWithSegment backup;
   const std::string tail = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.Kill();
   backup.machine.disk().WriteAt(kFile, kDataOffset + backup.content.size(),
@@ -132,8 +132,8 @@
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + tail.size());
 }
 
-TEST(BackupServiceTest, DamagedClosedReplicaIsNeverOffered) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, DamagedClosedReplicaIsNotOffered) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -144,8 +144,8 @@
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kNotFound);
 }
 
-TEST(BackupServiceTest, DamageBelowTheLengthOfTheLastHeaderIsNoTornTail) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, DamageBelowRecordedLengthIsNoTornTail) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.SetEpoch(kSegment, 2), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -153,24 +153,24 @@
   EXPECT_TRUE(backup.Offers().empty());
 }
 
-TEST(BackupServiceTest, RecoveryDataNeedsStartReadingData) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, RecoveryDataRequiresStartReadingData) {
+  BackupWithSegment backup;
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kConflict);
   ASSERT_EQ(backup.Offers().size(), 1U);
   backup.RestartAfterPowerLoss();
   EXPECT_EQ(backup.RecoveryData(kSegment, {0, 1})->entries_size(), 2);
 }
 
-TEST(BackupServiceTest, DamageAfterTheOfferIsFoundWhenRead) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, DetectsDamageAfterTheOffer) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kCorrupt);
   EXPECT_TRUE(backup.Offers().empty());
 }
 
-TEST(BackupServiceTest, ScrubbingFindsRot) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, ScrubbingDetectsDamage) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + 20).ok());
   backup.world.RunFor(backup.options.scrub_interval * 2);
@@ -179,19 +179,19 @@
             std::string::npos);
   // The owner copies it anew.
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
-  EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, ReplaceStep::kLast), StatusCode::kOk);
+  EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, ReplacementPart::kLast), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
 }
 
-TEST(BackupServiceTest, OneDamagedHeaderSlotOrFenceFileLosesNothing) {
+TEST(BackupServiceTest, OneDamagedHeaderSlotLosesNothing) {
   for (const std::uint64_t slot_offset : {0U, 4096U}) {
-    StoredSegmentFixture backup;
+    BackupWithSegment backup;
     ASSERT_TRUE(backup.machine.FlipBit(kFile, slot_offset + 33).ok());
     backup.Restart();
     EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
   }
   for (const char* file : {"fenced", "fenced_copy"}) {
-    StoredSegmentFixture backup;
+    BackupWithSegment backup;
     ASSERT_EQ(backup.Offers().size(), 1U);
     ASSERT_TRUE(backup.machine.FlipBit(file, 5).ok());
     backup.Restart();
@@ -199,8 +199,8 @@
   }
 }
 
-TEST(BackupServiceTest, ADiskWithoutReadableFencesIsNotServed) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, RefusesToServeWithoutReadableFences) {
+  BackupWithSegment backup;
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit("fenced", 5).ok());
   ASSERT_TRUE(backup.machine.FlipBit("fenced_copy", 5).ok());
@@ -209,23 +209,23 @@
   EXPECT_FALSE(backup.Open(kSegment + 1) == StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, ReplacementIsOfferedOnlyWhenComplete) {
+TEST(BackupServiceTest, OffersReplacementOnlyWhenComplete) {
   for (const bool complete : {false, true}) {
     BackupWorld backup;
     const std::string content = SegmentStart(backup.node, kSegment, {kSegment});
     ASSERT_EQ(backup.Open(kSegment, 2), StatusCode::kOk);
-    ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, ReplaceStep::kPartial),
+    ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, ReplacementPart::kPartial),
               StatusCode::kOk);
     ASSERT_EQ(backup.Write(kSegment, 10, content.substr(10), 2,
-                           complete ? ReplaceStep::kLast : ReplaceStep::kPartial),
+                           complete ? ReplacementPart::kLast : ReplacementPart::kPartial),
               StatusCode::kOk);
     backup.RestartAfterPowerLoss();
     EXPECT_EQ(backup.Offers().contains(kSegment), complete);
   }
 }
 
-TEST(BackupServiceTest, FullDiskRefusesOpensClearlyAndStillFences) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, FullDiskRefusesOpensButStillFences) {
+  BackupWithSegment backup;
   constexpr std::uint64_t kNearlyAllTaken = 128U << 10U;  // The open segment takes 72 KiB.
   backup.machine.SetDiskLimit(kNearlyAllTaken);
   EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kResourceExhausted);
@@ -236,8 +236,8 @@
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + more.size());
 }
 
-TEST(BackupServiceTest, AFailedSyncIsNeverAcknowledged) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, FailedSyncIsNotAcknowledged) {
+  BackupWithSegment backup;
   const std::string more = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.FailSyncs(true);
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kIoError);
@@ -247,7 +247,7 @@
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
 }
 
-TEST(BackupServiceTest, UnfinishedOpenLeavesNothingBehind) {
+TEST(BackupServiceTest, UnfinishedOpenIsRemovedAtRestart) {
   BackupWorld backup;
   backup.machine.disk().Reserve(kFile, 16384, [](const Status&) {});
   backup.Restart();
@@ -256,8 +256,8 @@
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, OverlappingStartReadingDataShareTheWork) {
-  StoredSegmentFixture backup;
+TEST(BackupServiceTest, OverlappingStartReadingDataShareOneCheck) {
+  BackupWithSegment backup;
   const auto first = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
                                                                   backup.StartReadingRequest());
   const auto second = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
--- a/tests/backup/backup_world.h
+++ b/tests/backup/backup_world.h
@@ -70,8 +70,8 @@
         .code();
   }
   StatusCode Write(std::uint64_t segment, std::uint64_t offset, const std::string& data,
-                   std::uint64_t epoch = 1, ReplaceStep step = ReplaceStep::kNo) {
-    const auto request = WriteRequest(node, segment, offset, data, epoch, step);
+                   std::uint64_t epoch = 1, ReplacementPart part = ReplacementPart::kNone) {
+    const auto request = WriteRequest(node, segment, offset, data, epoch, part);
     return Call<proto::WriteSegmentResponse>("backup.WriteSegment", request).status().code();
   }
   StatusCode SetEpoch(std::uint64_t segment, std::uint64_t epoch) {
@@ -83,12 +83,12 @@
     return Call<proto::CloseSegmentResponse>("backup.CloseSegment", request).status().code();
   }
   StatusCode Free(std::uint64_t segment) {
-    const auto request = About<proto::FreeSegmentRequest>(node, segment);
+    const auto request = SegmentRequest<proto::FreeSegmentRequest>(node, segment);
     return Call<proto::FreeSegmentResponse>("backup.FreeSegment", request).status().code();
   }
   Result<proto::ReadSegmentResponse> Read(std::uint64_t segment) {
-    return Call<proto::ReadSegmentResponse>("backup.ReadSegment",
-                                            About<proto::ReadSegmentRequest>(node, segment));
+    return Call<proto::ReadSegmentResponse>(
+        "backup.ReadSegment", SegmentRequest<proto::ReadSegmentRequest>(node, segment));
   }
   Result<proto::ListSegmentsResponse> List() {
     return Call<proto::ListSegmentsResponse>("backup.ListSegments", proto::ListSegmentsRequest());
--- a/tests/backup/segment_file_test.cc
+++ b/tests/backup/segment_file_test.cc
@@ -19,7 +19,7 @@
   return header;
 }
 
-TEST(SegmentFileTest, HeaderLiesAsDocumented) {
+TEST(SegmentFileTest, EncodesHeaderAsDocumented) {
   const std::string bytes = EncodeReplicaHeader(SomeHeader(7));
   ASSERT_EQ(bytes.size(), 72U);
   EXPECT_EQ(bytes.substr(0, 8), "CBSEGMNT");
@@ -33,7 +33,7 @@
   EXPECT_EQ(*DecodeReplicaHeader(bytes), SomeHeader(7));
 }
 
-TEST(SegmentFileTest, TornHeaderLeavesTheOneBefore) {
+TEST(SegmentFileTest, TornHeaderLeavesPreviousOne) {
   std::string file = EncodeFirstHeader(SomeHeader(1)) + "data";
   const std::string next = EncodeReplicaHeader(SomeHeader(2));
   for (std::size_t written = 0; written <= next.size(); ++written) {
@@ -46,7 +46,7 @@
   EXPECT_NE(HeaderSlotOffset(2), HeaderSlotOffset(3));
 }
 
-TEST(SegmentFileTest, TellsUnfinishedFromDamagedAndUnknown) {
+TEST(SegmentFileTest, DistinguishesUnfinishedFromDamagedFile) {
   EXPECT_EQ(ReadReplicaHeader("").status().code(), StatusCode::kNotFound);
   EXPECT_EQ(ReadReplicaHeader(std::string(10000, '\0')).status().code(), StatusCode::kNotFound);
   std::string damaged(kSegmentDataOffset, '\0');
@@ -54,7 +54,7 @@
   EXPECT_EQ(ReadReplicaHeader(damaged).status().code(), StatusCode::kCorrupt);
 }
 
-TEST(SegmentFileTest, NamesRoundTrip) {
+TEST(SegmentFileTest, FileNamesRoundTrip) {
   const ReplicaKey key{NodeId(12), SegmentId(7)};
   EXPECT_EQ(SegmentFileName(key), "segments/12-7");
   EXPECT_EQ(ParseSegmentFileName("12-7"), key);
@@ -63,7 +63,7 @@
   }
 }
 
-TEST(SegmentDumpTest, PrintsAndChecks) {
+TEST(SegmentDumpTest, ChecksEntriesAndDigest) {
   const std::string content = SegmentStart(5, 3, {2, 3}) + Framed(3, NumberedEntry(4, 11));
   ReplicaHeader header = SomeHeader(1);
   header.length = content.size();
--- a/tests/backup/segment_messages.h
+++ b/tests/backup/segment_messages.h
@@ -39,7 +39,7 @@
 
 /// @return a request about one segment.
 template <typename Request>
-Request About(std::uint64_t node, std::uint64_t segment) {
+Request SegmentRequest(std::uint64_t node, std::uint64_t segment) {
   Request request;
   request.set_node_id(node);
   request.set_segment_id(segment);
@@ -47,34 +47,34 @@
 }
 inline proto::OpenSegmentRequest OpenRequest(std::uint64_t node, std::uint64_t segment,
                                              std::uint64_t epoch, std::uint64_t capacity) {
-  auto request = About<proto::OpenSegmentRequest>(node, segment);
+  auto request = SegmentRequest<proto::OpenSegmentRequest>(node, segment);
   request.set_epoch(epoch);
   request.set_capacity(capacity);
   return request;
 }
-/// Whether a write is part of a replacement copy.
-enum class ReplaceStep : std::uint8_t { kNo, kPartial, kLast };
+/// Whether a write is part of a replacement, and whether it completes it.
+enum class ReplacementPart : std::uint8_t { kNone, kPartial, kLast };
 inline proto::WriteSegmentRequest WriteRequest(std::uint64_t node, std::uint64_t segment,
                                                std::uint64_t offset, const std::string& data,
                                                std::uint64_t epoch,
-                                               ReplaceStep step = ReplaceStep::kNo) {
-  auto request = About<proto::WriteSegmentRequest>(node, segment);
+                                               ReplacementPart part = ReplacementPart::kNone) {
+  auto request = SegmentRequest<proto::WriteSegmentRequest>(node, segment);
   request.set_epoch(epoch);
   request.set_offset(offset);
   request.set_data(data);
-  request.set_atomic_replace(step != ReplaceStep::kNo);
-  request.set_replace_complete(step == ReplaceStep::kLast);
+  request.set_atomic_replace(part != ReplacementPart::kNone);
+  request.set_replace_complete(part == ReplacementPart::kLast);
   return request;
 }
 inline proto::SetSegmentEpochRequest EpochRequest(std::uint64_t node, std::uint64_t segment,
                                                   std::uint64_t epoch) {
-  auto request = About<proto::SetSegmentEpochRequest>(node, segment);
+  auto request = SegmentRequest<proto::SetSegmentEpochRequest>(node, segment);
   request.set_epoch(epoch);
   return request;
 }
 inline proto::CloseSegmentRequest CloseRequest(std::uint64_t node, std::uint64_t segment,
                                                std::uint64_t length) {
-  auto request = About<proto::CloseSegmentRequest>(node, segment);
+  auto request = SegmentRequest<proto::CloseSegmentRequest>(node, segment);
   request.set_length(length);
   return request;
 }
--- a/tests/backup/segment_store_test.cc
+++ b/tests/backup/segment_store_test.cc
@@ -26,8 +26,8 @@
     return Do(store.Open(OpenRequest(kNode, kSegment, epoch, capacity), free_bytes, now));
   }
   Status Write(std::uint64_t offset, const std::string& data, std::uint64_t epoch = 1,
-               ReplaceStep step = ReplaceStep::kNo) {
-    return Do(store.Write(WriteRequest(kNode, kSegment, offset, data, epoch, step)));
+               ReplacementPart part = ReplacementPart::kNone) {
+    return Do(store.Write(WriteRequest(kNode, kSegment, offset, data, epoch, part)));
   }
   Status SetEpoch(std::uint64_t epoch) {
     return Do(store.SetEpoch(EpochRequest(kNode, kSegment, epoch)));
@@ -35,7 +35,9 @@
   Status Close(std::uint64_t length) {
     return Do(store.Close(CloseRequest(kNode, kSegment, length)));
   }
-  Status Free() { return Do(store.Free(About<proto::FreeSegmentRequest>(kNode, kSegment))); }
+  Status Free() {
+    return Do(store.Free(SegmentRequest<proto::FreeSegmentRequest>(kNode, kSegment)));
+  }
   const Replica& replica() const { return *store.Find(kKey); }
 
   SegmentStoreOptions options;
@@ -47,7 +49,7 @@
   const std::string two = Framed(kSegment, NumberedEntry(0, 2));
 };
 
-TEST(SegmentStoreTest, WritesNeedAnOpenSegment) {
+TEST(SegmentStoreTest, RefusesCallsOnUnknownSegment) {
   Core core;
   EXPECT_EQ(core.Write(0, core.one).code(), StatusCode::kNotFound);
   EXPECT_EQ(core.SetEpoch(1).code(), StatusCode::kNotFound);
@@ -55,7 +57,7 @@
   EXPECT_TRUE(core.Free().ok());
 }
 
-TEST(SegmentStoreTest, RepeatedMessagesChangeNothing) {
+TEST(SegmentStoreTest, RepeatedCallsChangeNothing) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Open(1).ok());
@@ -73,7 +75,7 @@
   EXPECT_EQ(core.replica().staging.capacity(), std::string().capacity());
 }
 
-TEST(SegmentStoreTest, RefusesGapsDifferencesAndPartsOfEntries) {
+TEST(SegmentStoreTest, RefusesInvalidWrites) {
   Core core;
   ASSERT_TRUE(core.Open(1, core.one.size() + core.two.size()).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
@@ -87,7 +89,7 @@
   EXPECT_EQ(core.replica().length, core.one.size());
 }
 
-TEST(SegmentStoreTest, ClosedRefusesWritesAndNamesItsLength) {
+TEST(SegmentStoreTest, ClosedSegmentRefusesWritesWithItsLength) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
@@ -100,7 +102,7 @@
   }
 }
 
-TEST(SegmentStoreTest, EpochsOnlyRise) {
+TEST(SegmentStoreTest, RefusesStaleEpochs) {
   Core core;
   ASSERT_TRUE(core.Open(2).ok());
   ASSERT_TRUE(core.Write(0, core.one, 2).ok());
@@ -116,39 +118,39 @@
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(5));
 }
 
-TEST(SegmentStoreTest, ReplacementIntoAnEmptyReplicaIsHiddenUntilComplete) {
+TEST(SegmentStoreTest, HidesReplacementUntilComplete) {
   Core core;
   ASSERT_TRUE(core.Open(2).ok());
   EXPECT_FALSE(core.replica().IsOffered());
-  ASSERT_TRUE(core.Write(0, core.one.substr(0, 7), 2, ReplaceStep::kPartial).ok());
+  ASSERT_TRUE(core.Write(0, core.one.substr(0, 7), 2, ReplacementPart::kPartial).ok());
   EXPECT_EQ(core.last.header_before->state, ReplicaState::kReplacing);
   EXPECT_FALSE(core.replica().IsOffered());
   EXPECT_EQ(core.Write(7, core.one.substr(7), 2).code(), StatusCode::kConflict);
   EXPECT_EQ(core.Close(7).code(), StatusCode::kConflict);
-  EXPECT_EQ(core.Write(7, core.one.substr(7, 5), 2, ReplaceStep::kLast).code(),
+  EXPECT_EQ(core.Write(7, core.one.substr(7, 5), 2, ReplacementPart::kLast).code(),
             StatusCode::kCorrupt);
-  ASSERT_TRUE(core.Write(7, core.one.substr(7), 3, ReplaceStep::kLast).ok());
+  ASSERT_TRUE(core.Write(7, core.one.substr(7), 3, ReplacementPart::kLast).ok());
   EXPECT_TRUE(core.replica().IsOffered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(3));
   EXPECT_TRUE(core.Write(core.one.size(), core.two, 3).ok());
 }
 
-TEST(SegmentStoreTest, ReplacementOverAnOlderCopyKeepsItUnderItsEpoch) {
+TEST(SegmentStoreTest, ReplacementKeepsOlderContentOffered) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
   ASSERT_TRUE(core.Open(2).ok());
   EXPECT_EQ(core.Write(core.one.size(), core.two, 1).code(), StatusCode::kStaleEpoch);
   EXPECT_EQ(core.Write(core.one.size(), core.two, 2).code(), StatusCode::kConflict);
-  ASSERT_TRUE(core.Write(0, core.one + core.two.substr(0, 5), 2, ReplaceStep::kPartial).ok());
+  ASSERT_TRUE(core.Write(0, core.one + core.two.substr(0, 5), 2, ReplacementPart::kPartial).ok());
   EXPECT_TRUE(core.replica().IsOffered());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(1));
-  ASSERT_TRUE(core.Write(core.one.size() + 5, core.two.substr(5), 2, ReplaceStep::kLast).ok());
+  ASSERT_TRUE(core.Write(core.one.size() + 5, core.two.substr(5), 2, ReplacementPart::kLast).ok());
   EXPECT_EQ(core.replica().header.epoch, HeadEpoch(2));
   EXPECT_EQ(core.replica().staging, core.one + core.two);
 }
 
-TEST(SegmentStoreTest, FenceRefusesEverything) {
+TEST(SegmentStoreTest, FencedNodeIsRefusedEveryCall) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
@@ -162,7 +164,7 @@
   EXPECT_TRUE(core.replica().IsOffered());
 }
 
-TEST(SegmentStoreTest, DelayedOpenDoesNotBringAFreedSegmentBack) {
+TEST(SegmentStoreTest, DelayedOpenDoesNotRecreateFreedSegment) {
   Core core;
   ASSERT_TRUE(core.Open(2).ok());
   ASSERT_TRUE(core.Write(0, core.one, 2).ok());
@@ -175,7 +177,7 @@
   EXPECT_TRUE(core.Open(2).ok());
 }
 
-TEST(SegmentStoreTest, OpensAreBoundedByDiskAndMemory) {
+TEST(SegmentStoreTest, OpensAreBoundedByDiskSpace) {
   Core core;
   core.free_bytes = core.options.spare_disk_bytes;
   EXPECT_EQ(core.Open(1).code(), StatusCode::kResourceExhausted);
@@ -191,7 +193,7 @@
   EXPECT_EQ(core.store.staging_bytes(), core.options.staging_bytes);
 }
 
-TEST(SegmentStoreTest, AFailedWriteEndsWritingButKeepsWhatWasSynced) {
+TEST(SegmentStoreTest, FailedWriteEndsWritesButKeepsSyncedData) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
@@ -201,7 +203,7 @@
   EXPECT_TRUE(core.replica().IsOffered());
 }
 
-TEST(SegmentStoreTest, ADamagedCopyIsStartedAnew) {
+TEST(SegmentStoreTest, DamagedReplicaCanBeOpenedAgain) {
   Core core;
   ASSERT_TRUE(core.Open(1).ok());
   ASSERT_TRUE(core.Write(0, core.one).ok());
@@ -211,7 +213,7 @@
   ASSERT_TRUE(core.Open(1).ok());
   EXPECT_TRUE(core.last.remove && core.last.create);
   EXPECT_EQ(core.replica().length, 0U);
-  EXPECT_TRUE(core.Write(0, core.one, 1, ReplaceStep::kLast).ok());
+  EXPECT_TRUE(core.Write(0, core.one, 1, ReplacementPart::kLast).ok());
   EXPECT_TRUE(core.replica().IsOffered());
 }
 
--- a/tests/log_format/segment_format_test.cc
+++ b/tests/log_format/segment_format_test.cc
@@ -23,7 +23,7 @@
   return bytes;
 }
 
-TEST(SegmentFormatTest, FramesByteByByte) {
+TEST(SegmentFormatTest, FramesEntryAsDocumented) {
   std::string bytes;
   ASSERT_EQ(AppendEntry(&bytes, kSegment, Entry(1, 2)), 16U);
   // Length 4, XXH3 with seed 7, then partition_tag = 1 and sequence = 2 as protobuf varints.
@@ -31,7 +31,7 @@
   EXPECT_EQ(bytes.substr(12), std::string("\x08\x01\x10\x02", 4));
 }
 
-TEST(SegmentFormatTest, ReadsBackWhatWasAppended) {
+TEST(SegmentFormatTest, ReadsBackAppendedEntries) {
   const std::string bytes = ThreeEntries();
   SegmentReader reader(kSegment, bytes);
   proto::LogEntry entry;
@@ -44,7 +44,7 @@
   EXPECT_EQ(reader.valid_length(), bytes.size());
 }
 
-TEST(SegmentFormatTest, ReservedSpaceEndsTheSegment) {
+TEST(SegmentFormatTest, StopsAtReservedSpace) {
   const std::string bytes = ThreeEntries();
   const SegmentScan scan = ScanSegment(kSegment, bytes + std::string(100, '\0'));
   EXPECT_EQ(scan.tail, RecordTail::kReserved);
@@ -52,7 +52,7 @@
   EXPECT_EQ(scan.entry_count, 3U);
 }
 
-TEST(SegmentFormatTest, EveryCutIsFoundAtTheLastWholeEntry) {
+TEST(SegmentFormatTest, DetectsTruncationAtEveryByte) {
   const std::string bytes = ThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(SegmentFormatTest, EveryFlippedBitIsFound) {
+TEST(SegmentFormatTest, DetectsEveryFlippedBit) {
   const std::string bytes = ThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
@@ -73,11 +73,11 @@
   }
 }
 
-TEST(SegmentFormatTest, AnotherSegmentsEntriesAreNotTaken) {
+TEST(SegmentFormatTest, RejectsEntriesOfAnotherSegment) {
   EXPECT_EQ(ScanSegment(SegmentId(8), ThreeEntries()).valid_length, 0U);
 }
 
-TEST(SegmentFormatTest, BytesThatAreNoEntryAreCorrupt) {
+TEST(SegmentFormatTest, ReportsUndecodableEntryAsCorrupt) {
   std::string bytes;
   AppendRecord(bytes, "\xFF", kSegment.value());
   SegmentReader reader(kSegment, bytes);
--- a/tests/log_writer/backup_selector_test.cc
+++ b/tests/log_writer/backup_selector_test.cc
@@ -29,7 +29,7 @@
   std::mt19937_64 random_{5};
 };
 
-TEST_F(BackupSelectorTest, TakesOneAZoneAndEveryChoiceComesUp) {
+TEST_F(BackupSelectorTest, ChoosesOnePerZone) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
@@ -45,7 +45,7 @@
   EXPECT_EQ(ever.size(), 9U);
 }
 
-TEST_F(BackupSelectorTest, ReplacementGoesToAZoneThatIsFree) {
+TEST_F(BackupSelectorTest, ReplacementGoesToUnusedZone) {
   for (std::uint64_t id = 1; id <= 6; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
@@ -54,7 +54,7 @@
   EXPECT_EQ(fleet_.servers[*chosen.begin()].zone(), "zone0");
 }
 
-TEST_F(BackupSelectorTest, SparesFillOnlyMissingPlaces) {
+TEST_F(BackupSelectorTest, FillsMissingReplicaInUnusedZone) {
   Add(1, "a");
   Add(2, "b");
   Add(3, "c");
@@ -68,7 +68,7 @@
       Select({.count = 1, .replicas = 3, .locations = {NodeId(1), NodeId(2), NodeId(3)}}).empty());
 }
 
-TEST_F(BackupSelectorTest, TakesNoRetiringDeadOrAvoidedOnes) {
+TEST_F(BackupSelectorTest, SkipsRetiringDeadAndAvoidedBackups) {
   Add(1, "a", false, proto::SERVER_STATE_RETIRING);
   Add(2, "b", false, proto::SERVER_STATE_DEAD);
   Add(3, "c");
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -3,7 +3,7 @@
 namespace cloverbank {
 namespace {
 
-TEST_F(SegmentLogTest, AcknowledgesWhatEveryBackupHolds) {
+TEST_F(SegmentLogTest, AcknowledgesOnceEveryBackupSynced) {
   StartQueue();
   EXPECT_EQ(Head().backups_size(), 3);
   for (int i = 0; i < 20; ++i) {
@@ -13,7 +13,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, TwoDisksLostRightAfterTheAcknowledgement) {
+TEST_F(SegmentLogTest, AcknowledgedEntrySurvivesTwoLostDisks) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b1").LoseDisk();
@@ -22,7 +22,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, RollsOverWithoutLosingOrder) {
+TEST_F(SegmentLogTest, RollOverKeepsEntriesInOrder) {
   StartQueue();
   for (int i = 0; i < 300; ++i) {
     Append();
@@ -32,7 +32,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, NothingIsAcknowledgedBeforeTheHeadIsCommitted) {
+TEST_F(SegmentLogTest, AcknowledgesOnlyAfterHeadCommit) {
   StartQueue();
   logs.coordinator.answers_commits = false;
   logs.world.machine("b2").Kill();
@@ -46,7 +46,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, ReplacesALostBackupBeforeAcknowledging) {
+TEST_F(SegmentLogTest, ReplacesLostBackupBeforeAcknowledging) {
   logs.AddBackup("b4", "zone-b4");
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
@@ -64,7 +64,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, GoesOnDegradedAndIsRepairedWhenTheBackupReturns) {
+TEST_F(SegmentLogTest, ContinuesDegradedUntilBackupReturns) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b2").LoseDisk();
@@ -79,7 +79,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, RefusesBelowTheMinimumAndLeavesWhatIsUnderWayUnanswered) {
+TEST_F(SegmentLogTest, RefusesAppendsBelowMinimumReplicas) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b1").Kill();
@@ -97,7 +97,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, AShortIsolationLosesNothing) {
+TEST_F(SegmentLogTest, ShortIsolationLosesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.Isolate("q");
@@ -111,7 +111,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, AFencedNodeAcknowledgesNothingMore) {
+TEST_F(SegmentLogTest, FencedNodeAcknowledgesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("q").Freeze();
@@ -124,7 +124,7 @@
   EXPECT_EQ(fences, 1);
 }
 
-TEST_F(SegmentLogTest, NothingIsAcknowledgedWithoutTheLease) {
+TEST_F(SegmentLogTest, AcknowledgesNothingWithoutLease) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.Cut("q", "control");
@@ -137,7 +137,7 @@
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(late); }));
 }
 
-TEST_F(SegmentLogTest, CopiesClosedSegmentsOfALostBackupAnew) {
+TEST_F(SegmentLogTest, RepairsClosedSegmentsOfLostBackup) {
   logs.AddBackup("b4", "zone-b4");
   StartQueue();
   for (int i = 0; i < 200; ++i) {
@@ -153,7 +153,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, ACopyFoundDamagedIsReplacedAndNoLongerCounts) {
+TEST_F(SegmentLogTest, ReplacesDamagedReplica) {
   StartQueue();
   for (int i = 0; i < 200; ++i) {
     Append();
@@ -180,7 +180,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, SparesTakeMissingPlacesAndGiveThemBack) {
+TEST_F(SegmentLogTest, SpareServesOnlyWhileBackupIsMissing) {
   logs.AddBackup("spare", "zone-b1", true);
   StartQueue();
   const auto spare = logs.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
@@ -203,7 +203,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, FreesSegmentsWhoseBatchesAreRemoved) {
+TEST_F(SegmentLogTest, FreesSegmentsOfRemovedBatches) {
   StartQueue();
   for (int i = 0; i < 200; ++i) {
     Append(300, "old");
