--- a/tests/backup/backup_service_test.cc
+++ b/tests/backup/backup_service_test.cc
@@ -23,8 +23,17 @@
   std::string content;
 };
 
-TEST(BackupServiceTest, RecoveryFindsWrittenEntries) {
+class BackupServiceTest : public testing::Test {
+ protected:
   BackupWithSegment backup;
+};
+
+class EmptyBackupServiceTest : public testing::Test {
+ protected:
+  BackupWorld backup;
+};
+
+TEST_F(BackupServiceTest, RecoveryFindsWrittenEntries) {
   const auto offers = backup.Offers();
   ASSERT_EQ(offers.size(), 1U);
   const proto::StoredSegment& stored = offers.at(kSegment);
@@ -40,8 +49,7 @@
   EXPECT_EQ(entries->entries(0).sequence(), 2U);
 }
 
-TEST(BackupServiceTest, AcknowledgedDataSurvivesPowerLoss) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, AcknowledgedDataSurvivesPowerLoss) {
   ASSERT_EQ(backup.SetEpoch(kSegment, 4), StatusCode::kOk);
   backup.RestartAfterPowerLoss();
   const auto read = backup.Read(kSegment);
@@ -52,8 +60,7 @@
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more, 4), StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, DiskIdChangesOnlyWithTheDisk) {
-  BackupWorld backup;
+TEST_F(EmptyBackupServiceTest, DiskIdChangesOnlyWithTheDisk) {
   const std::string disk_id = backup.service.lock()->disk_id();
   backup.world.RunFor(seconds(1));
   backup.RestartAfterPowerLoss();
@@ -63,8 +70,7 @@
   EXPECT_NE(backup.service.lock()->disk_id(), disk_id);
 }
 
-TEST(BackupServiceTest, FenceRefusesLateCallsPermanently) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, FenceRefusesLateCallsPermanently) {
   const auto offers = backup.Offers();
   const std::string late = Framed(kSegment, NumberedEntry(0, 3));
   for (const bool after_restart : {false, true}) {
@@ -80,15 +86,13 @@
   }
 }
 
-TEST(BackupServiceTest, FenceCoversUnknownNode) {
-  BackupWorld backup;
+TEST_F(EmptyBackupServiceTest, FenceCoversUnknownNode) {
   ASSERT_TRUE(backup.Offers().empty());
   backup.RestartAfterPowerLoss();
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kFenced);
 }
 
-TEST(BackupServiceTest, ReleaseRemovesSegmentsAndKeepsFence) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, ReleaseRemovesSegmentsAndKeepsFence) {
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_EQ(backup.Release(), StatusCode::kOk);
   EXPECT_EQ(backup.Release(), StatusCode::kOk);
@@ -98,8 +102,8 @@
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kFenced);
 }
 
-TEST(BackupServiceTest, ConcurrentWriteIsOfferedOrRefused) {
-  int included = 0;
+TEST(BackupFenceRaceTest, ConcurrentWriteIsOfferedOrRefused) {
+  int offered = 0;
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     BackupWorld backup(seed);
@@ -111,29 +115,27 @@
         "backup.WriteSegment", WriteRequest(backup.node, kSegment, content.size(), late, 1));
     const std::uint64_t length = backup.Offers().at(kSegment).length();
     ASSERT_TRUE(backup.world.RunUntil([&] { return write->has_value(); }, seconds(10)));
-    const bool held = (*write)->ok();
-    EXPECT_EQ(length, content.size() + (held ? late.size() : 0)) << "seed " << seed;
-    ++(held ? included : refused);
+    const bool acknowledged = (*write)->ok();
+    EXPECT_EQ(length, content.size() + (acknowledged ? late.size() : 0)) << "seed " << seed;
+    ++(acknowledged ? offered : refused);
   }
-  EXPECT_GT(included, 0);
+  EXPECT_GT(offered, 0);
   EXPECT_GT(refused, 0);
 }
 
-TEST(BackupServiceTest, TornTailIsTruncatedAtFirstBadEntry) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, TornTailIsTruncatedAtFirstBadEntry) {
   const std::string tail = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.Kill();
   backup.machine.disk().WriteAt(kFile, kDataOffset + backup.content.size(),
                                 tail.substr(0, tail.size() - 1), [](const Status&) {});
   backup.machine.Start();
   EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
-  // The owner, who was not answered, sends it again.
+  // The owner, which got no answer, sends it again.
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), tail), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + tail.size());
 }
 
-TEST(BackupServiceTest, DamagedClosedReplicaIsNotOffered) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, DamagedClosedReplicaIsNotOffered) {
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -144,8 +146,7 @@
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kNotFound);
 }
 
-TEST(BackupServiceTest, DamageBelowRecordedLengthIsNoTornTail) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, DamageBelowRecordedLengthIsNoTornTail) {
   ASSERT_EQ(backup.SetEpoch(kSegment, 2), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -153,54 +154,58 @@
   EXPECT_TRUE(backup.Offers().empty());
 }
 
-TEST(BackupServiceTest, RecoveryDataRequiresStartReadingData) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, RecoveryDataRequiresStartReadingData) {
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kConflict);
   ASSERT_EQ(backup.Offers().size(), 1U);
   backup.RestartAfterPowerLoss();
   EXPECT_EQ(backup.RecoveryData(kSegment, {0, 1})->entries_size(), 2);
 }
 
-TEST(BackupServiceTest, DetectsDamageAfterTheOffer) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, DetectsDamageAfterTheOffer) {
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kCorrupt);
   EXPECT_TRUE(backup.Offers().empty());
 }
 
-TEST(BackupServiceTest, ScrubbingDetectsDamage) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, ScrubbingDetectsDamage) {
   ASSERT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + 20).ok());
   backup.world.RunFor(backup.options.scrub_interval * 2);
   EXPECT_EQ(backup.List()->replicas_size(), 0);
   EXPECT_NE(backup.metrics->Render().find(R"(backup_corrupt_replicas_total{found_by="scrub"} 1)"),
             std::string::npos);
-  // The owner copies it anew.
+  // The owner replaces it.
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
   EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, ReplacementPart::kLast), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
 }
 
-TEST(BackupServiceTest, OneDamagedHeaderSlotLosesNothing) {
-  for (const std::uint64_t slot_offset : {0U, 4096U}) {
-    BackupWithSegment backup;
-    ASSERT_TRUE(backup.machine.FlipBit(kFile, slot_offset + 33).ok());
-    backup.Restart();
-    EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
-  }
-  for (const char* file : {"fenced", "fenced_copy"}) {
-    BackupWithSegment backup;
-    ASSERT_EQ(backup.Offers().size(), 1U);
-    ASSERT_TRUE(backup.machine.FlipBit(file, 5).ok());
-    backup.Restart();
-    EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kFenced);
-  }
+class DamagedHeaderSlotTest : public BackupServiceTest,
+                              public testing::WithParamInterface<std::uint64_t> {};
+
+TEST_P(DamagedHeaderSlotTest, OneDamagedHeaderSlotLosesNothing) {
+  constexpr std::uint64_t kDamagedByte = 33;
+  ASSERT_TRUE(backup.machine.FlipBit(kFile, GetParam() + kDamagedByte).ok());
+  backup.Restart();
+  EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
 }
 
-TEST(BackupServiceTest, RefusesToServeWithoutReadableFences) {
-  BackupWithSegment backup;
+INSTANTIATE_TEST_SUITE_P(SlotOffsets, DamagedHeaderSlotTest, testing::Values(0U, 4096U));
+
+class DamagedFenceFileTest : public BackupServiceTest,
+                             public testing::WithParamInterface<const char*> {};
+
+TEST_P(DamagedFenceFileTest, OneDamagedFenceFileLosesNothing) {
+  ASSERT_EQ(backup.Offers().size(), 1U);
+  ASSERT_TRUE(backup.machine.FlipBit(GetParam(), 5).ok());
+  backup.Restart();
+  EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kFenced);
+}
+
+INSTANTIATE_TEST_SUITE_P(Files, DamagedFenceFileTest, testing::Values("fenced", "fenced_copy"));
+
+TEST_F(BackupServiceTest, RefusesToServeWithoutReadableFences) {
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit("fenced", 5).ok());
   ASSERT_TRUE(backup.machine.FlipBit("fenced_copy", 5).ok());
@@ -209,35 +214,36 @@
   EXPECT_FALSE(backup.Open(kSegment + 1) == StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, OffersReplacementOnlyWhenComplete) {
-  for (const bool complete : {false, true}) {
-    BackupWorld backup;
-    const std::string content = SegmentStart(backup.node, kSegment, {kSegment});
-    ASSERT_EQ(backup.Open(kSegment, 2), StatusCode::kOk);
-    ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, ReplacementPart::kPartial),
-              StatusCode::kOk);
-    ASSERT_EQ(backup.Write(kSegment, 10, content.substr(10), 2,
-                           complete ? ReplacementPart::kLast : ReplacementPart::kPartial),
-              StatusCode::kOk);
-    backup.RestartAfterPowerLoss();
-    EXPECT_EQ(backup.Offers().contains(kSegment), complete);
-  }
+class ReplacementOfferTest : public EmptyBackupServiceTest,
+                             public testing::WithParamInterface<bool> {};
+
+TEST_P(ReplacementOfferTest, OffersReplacementOnlyWhenComplete) {
+  const bool complete = GetParam();
+  const std::string content = SegmentStart(backup.node, kSegment, {kSegment});
+  ASSERT_EQ(backup.Open(kSegment, 2), StatusCode::kOk);
+  ASSERT_EQ(backup.Write(kSegment, 0, content.substr(0, 10), 2, ReplacementPart::kPartial),
+            StatusCode::kOk);
+  ASSERT_EQ(backup.Write(kSegment, 10, content.substr(10), 2,
+                         complete ? ReplacementPart::kLast : ReplacementPart::kPartial),
+            StatusCode::kOk);
+  backup.RestartAfterPowerLoss();
+  EXPECT_EQ(backup.Offers().contains(kSegment), complete);
 }
 
-TEST(BackupServiceTest, FullDiskRefusesOpensButStillFences) {
-  BackupWithSegment backup;
+INSTANTIATE_TEST_SUITE_P(Complete, ReplacementOfferTest, testing::Bool());
+
+TEST_F(BackupServiceTest, FullDiskRefusesOpensButStillFences) {
   constexpr std::uint64_t kNearlyAllTaken = 128U << 10U;  // The open segment takes 72 KiB.
   backup.machine.SetDiskLimit(kNearlyAllTaken);
   EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kResourceExhausted);
   EXPECT_EQ(backup.service.lock()->FreeBytes(), 0U);
-  // What is reserved can still be written, and the fence has room.
+  // Reserved space can still be written, and the fence fits into the spare bytes.
   const std::string more = Framed(kSegment, NumberedEntry(0, 3));
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + more.size());
 }
 
-TEST(BackupServiceTest, FailedSyncIsNotAcknowledged) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, FailedSyncIsNotAcknowledged) {
   const std::string more = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.FailSyncs(true);
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kIoError);
@@ -247,8 +253,7 @@
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
 }
 
-TEST(BackupServiceTest, UnfinishedOpenIsRemovedAtRestart) {
-  BackupWorld backup;
+TEST_F(EmptyBackupServiceTest, UnfinishedOpenIsRemovedAtRestart) {
   backup.machine.disk().Reserve(kFile, 16384, [](const Status&) {});
   backup.Restart();
   backup.world.RunFor(seconds(1));
@@ -256,8 +261,7 @@
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
 }
 
-TEST(BackupServiceTest, OverlappingStartReadingDataShareOneCheck) {
-  BackupWithSegment backup;
+TEST_F(BackupServiceTest, OverlappingStartReadingDataShareOneCheck) {
   const auto first = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
                                                                   backup.StartReadingRequest());
   const auto second = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
--- a/tests/backup/segment_file_test.cc
+++ b/tests/backup/segment_file_test.cc
@@ -1,5 +1,6 @@
 #include "backup/segment_file.h"
 
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include "backup/segment_dump.h"
@@ -39,9 +40,9 @@
   for (std::size_t written = 0; written <= next.size(); ++written) {
     std::string torn = file;
     torn.replace(HeaderSlotOffset(2), written, next.substr(0, written));
-    const bool whole = *ReadReplicaHeader(torn) == SomeHeader(2);
-    EXPECT_EQ(whole, written == next.size());
-    EXPECT_TRUE(whole || *ReadReplicaHeader(torn) == SomeHeader(1));
+    const bool complete = *ReadReplicaHeader(torn) == SomeHeader(2);
+    EXPECT_EQ(complete, written == next.size());
+    EXPECT_TRUE(complete || *ReadReplicaHeader(torn) == SomeHeader(1));
   }
   EXPECT_NE(HeaderSlotOffset(2), HeaderSlotOffset(3));
 }
@@ -63,21 +64,33 @@
   }
 }
 
-TEST(SegmentDumpTest, ChecksEntriesAndDigest) {
-  const std::string content = SegmentStart(5, 3, {2, 3}) + Framed(3, NumberedEntry(4, 11));
-  ReplicaHeader header = SomeHeader(1);
-  header.length = content.size();
-  std::string file = EncodeFirstHeader(header) + content;
-  const SegmentFileCheck check = CheckSegmentFile(file);
+class SegmentDumpTest : public testing::Test {
+ protected:
+  SegmentDumpTest() {
+    const std::string content = SegmentStart(5, 3, {2, 3}) + Framed(3, NumberedEntry(4, 11));
+    ReplicaHeader header = SomeHeader(1);
+    header.length = content.size();
+    file_ = EncodeFirstHeader(header) + content;
+  }
+  std::string file_;
+};
+
+TEST_F(SegmentDumpTest, ChecksEntriesAndDigest) {
+  const SegmentFileCheck check = CheckSegmentFile(file_);
   EXPECT_TRUE(check.status.ok()) << check.status.ToString();
   EXPECT_EQ(check.entry_count, 3U);
-  EXPECT_EQ(check.digest, (std::vector<std::uint64_t>{2, 3}));
-  const std::string text = PrintSegmentFile(file);
-  EXPECT_NE(text.find("partition 4 sequence 11 batch_cancelled"), std::string::npos) << text;
+  EXPECT_THAT(check.digest, testing::ElementsAre(2, 3));
+}
+
+TEST_F(SegmentDumpTest, PrintsEntries) {
+  EXPECT_THAT(PrintSegmentFile(file_),
+              testing::HasSubstr("partition 4 sequence 11 batch_cancelled"));
+}
 
-  file.back() = static_cast<char>(file.back() ^ 1);
-  EXPECT_EQ(CheckSegmentFile(file).status.code(), StatusCode::kCorrupt);
-  EXPECT_NE(PrintSegmentFile(file).find("tail torn"), std::string::npos);
+TEST_F(SegmentDumpTest, ReportsDamagedEntry) {
+  file_.back() = static_cast<char>(file_.back() ^ 1);
+  EXPECT_EQ(CheckSegmentFile(file_).status.code(), StatusCode::kCorrupt);
+  EXPECT_THAT(PrintSegmentFile(file_), testing::HasSubstr("tail torn"));
 }
 
 }  // namespace
--- a/tests/log_format/segment_format_test.cc
+++ b/tests/log_format/segment_format_test.cc
@@ -87,5 +87,22 @@
   EXPECT_EQ(reader.valid_length(), 0U);
 }
 
+TEST(SegmentFormatTest, SegmentStartsWithHeaderThenDigest) {
+  const std::string start = EncodeSegmentStart(NodeId(9), kSegment, {SegmentId(5), kSegment});
+  SegmentReader reader(kSegment, start);
+  proto::LogEntry entry;
+  ASSERT_TRUE(reader.Next(&entry));
+  EXPECT_EQ(entry.segment_header().node_id(), 9U);
+  EXPECT_EQ(entry.segment_header().segment_id(), kSegment.value());
+  ASSERT_TRUE(reader.Next(&entry));
+  EXPECT_EQ(entry.log_digest().segment_ids_size(), 2);
+  EXPECT_FALSE(reader.Next(&entry));
+  EXPECT_EQ(FindLogDigest(kSegment, start), (std::vector<std::uint64_t>{5, 7}));
+}
+
+TEST(SegmentFormatTest, FindsNoDigestWithoutOne) {
+  EXPECT_TRUE(FindLogDigest(kSegment, ThreeEntries()).empty());
+}
+
 }  // namespace
 }  // namespace cloverbank
--- a/tests/log_writer/backup_selector_test.cc
+++ b/tests/log_writer/backup_selector_test.cc
@@ -33,16 +33,24 @@
   for (std::uint64_t id = 1; id <= 9; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
-  std::set<NodeId> ever;
   for (int i = 0; i < 100; ++i) {
     std::set<std::string> zones;
     for (const NodeId id : Select({.count = 3, .replicas = 3})) {
       zones.insert(fleet_.servers[id].zone());
-      ever.insert(id);
     }
     EXPECT_EQ(zones.size(), 3U);
   }
-  EXPECT_EQ(ever.size(), 9U);
+}
+
+TEST_F(BackupSelectorTest, ChoosesEveryBackupAtSomeTime) {
+  for (std::uint64_t id = 1; id <= 9; ++id) {
+    Add(id, "zone" + std::to_string(id % 3));
+  }
+  std::set<NodeId> chosen;
+  for (int i = 0; i < 100; ++i) {
+    chosen.merge(Select({.count = 3, .replicas = 3}));
+  }
+  EXPECT_EQ(chosen.size(), 9U);
 }
 
 TEST_F(BackupSelectorTest, ReplacementGoesToUnusedZone) {
@@ -54,16 +62,28 @@
   EXPECT_EQ(fleet_.servers[*chosen.begin()].zone(), "zone0");
 }
 
-TEST_F(BackupSelectorTest, FillsMissingReplicaInUnusedZone) {
-  Add(1, "a");
-  Add(2, "b");
-  Add(3, "c");
-  Add(11, "a", true);
-  Add(12, "b", true);
+class SpareBackupSelectorTest : public BackupSelectorTest {
+ protected:
+  SpareBackupSelectorTest() {
+    Add(1, "a");
+    Add(2, "b");
+    Add(3, "c");
+    Add(11, "a", true);
+    Add(12, "b", true);
+  }
+};
+
+TEST_F(SpareBackupSelectorTest, PrefersRegularBackups) {
   EXPECT_EQ(Select({.count = 3, .replicas = 3}),
             (std::set<NodeId>{NodeId(1), NodeId(2), NodeId(3)}));
-  const auto chosen = Select({.count = 3, .replicas = 3, .avoid = {NodeId(2)}});
-  EXPECT_EQ(chosen, (std::set<NodeId>{NodeId(1), NodeId(3), NodeId(12)}));
+}
+
+TEST_F(SpareBackupSelectorTest, FillsMissingReplicaInUnusedZone) {
+  EXPECT_EQ(Select({.count = 3, .replicas = 3, .avoid = {NodeId(2)}}),
+            (std::set<NodeId>{NodeId(1), NodeId(3), NodeId(12)}));
+}
+
+TEST_F(SpareBackupSelectorTest, ChoosesNoSpareForFullReplication) {
   EXPECT_TRUE(
       Select({.count = 1, .replicas = 3, .locations = {NodeId(1), NodeId(2), NodeId(3)}}).empty());
 }
--- a/tests/log_writer/log_world.h
+++ b/tests/log_writer/log_world.h
@@ -81,65 +81,24 @@
     return answer->value_or(Status(StatusCode::kInternal, "never answered"));
   }
 
-  /// Fences `node` at every running backup and finds its whole log.
-  /// @return the segments and where they are, or what is missing.
+  /// Fences `node` at every running backup and assembles its log from the longest current replicas.
+  /// @return the segments and where they are, or which one is missing.
   Result<std::vector<proto::RecoverySegment>> Collect(std::uint64_t node) {
-    struct ReplaceStep {
-      std::string backup;
-      proto::StoredSegment stored;
-    };
-    std::map<std::uint64_t, std::vector<ReplaceStep>> replicas;
-    for (const std::string& backup : backups) {
-      proto::StartReadingDataRequest request;
-      request.set_dead_node_id(node);
-      const auto found =
-          Call<proto::StartReadingDataResponse>(backup, "backup.StartReadingData", request);
-      if (!found.ok()) {
-        continue;
-      }
-      for (const proto::StoredSegment& stored : found->segments()) {
-        replicas[stored.segment_id()].push_back({backup, stored});
-      }
-    }
+    const std::map<std::uint64_t, std::vector<FoundReplica>> found = StartReading(node);
     const proto::LogHead& head = coordinator.heads[node];
+    const std::vector<FoundReplica> head_replicas = LongestReplicas(found, head, head.segment_id());
+    if (head_replicas.empty()) {
+      return MissingSegment(head.segment_id());
+    }
     std::vector<proto::RecoverySegment> segments;
-    std::vector<std::uint64_t> live;
-    // From the head's digest: itself is last.
-    std::uint64_t next = head.segment_id();
-    std::size_t position = 0;
-    while (true) {
-      std::vector<ReplaceStep> whole;
-      for (const ReplaceStep& step : replicas[next]) {
-        const bool valid =
-            next == head.segment_id() ? step.stored.epoch() >= head.epoch() : step.stored.closed();
-        if (!valid || (!whole.empty() && step.stored.length() < whole[0].stored.length())) {
-          continue;
-        }
-        if (!whole.empty() && step.stored.length() > whole[0].stored.length()) {
-          whole.clear();
-        }
-        whole.push_back(step);
-      }
-      if (whole.empty()) {
-        return Status(StatusCode::kUnavailable, "segment " + std::to_string(next) + " is missing");
-      }
-      if (next == head.segment_id()) {
-        live.assign(whole[0].stored.digest().begin(), whole[0].stored.digest().end());
-        segments.resize(live.size());
-      }
-      const std::size_t place = next == head.segment_id() ? live.size() - 1 : position++;
-      segments[place].set_segment_id(next);
-      for (const ReplaceStep& step : whole) {
-        const Endpoint& endpoint = world.machine(step.backup).endpoint();
-        proto::Endpoint* listed = segments[place].add_backups();
-        listed->set_host(endpoint.host);
-        listed->set_port(endpoint.port);
-      }
-      if (position + 1 >= live.size()) {
-        return segments;
+    for (const std::uint64_t id : head_replicas[0].stored.digest()) {
+      const std::vector<FoundReplica> longest = LongestReplicas(found, head, id);
+      if (longest.empty()) {
+        return MissingSegment(id);
       }
-      next = live[position];
+      segments.push_back(ToRecoverySegment(id, longest));
     }
+    return segments;
   }
 
   /// @return all entries of `partition` in the log of `node`, in log order.
@@ -179,6 +138,71 @@
   FakeCoordinatorState coordinator;
   std::vector<std::string> backups;
   SimulatedWorld world;
+
+ private:
+  struct FoundReplica {
+    std::string backup;
+    proto::StoredSegment stored;
+  };
+
+  static Status MissingSegment(std::uint64_t id) {
+    return {StatusCode::kUnavailable, "segment " + std::to_string(id) + " is missing"};
+  }
+
+  /// @return the replicas that running backups offer, by segment id.
+  std::map<std::uint64_t, std::vector<FoundReplica>> StartReading(std::uint64_t node) {
+    std::map<std::uint64_t, std::vector<FoundReplica>> replicas;
+    for (const std::string& backup : backups) {
+      proto::StartReadingDataRequest request;
+      request.set_dead_node_id(node);
+      const auto found =
+          Call<proto::StartReadingDataResponse>(backup, "backup.StartReadingData", request);
+      if (!found.ok()) {
+        continue;
+      }
+      for (const proto::StoredSegment& stored : found->segments()) {
+        replicas[stored.segment_id()].push_back({backup, stored});
+      }
+    }
+    return replicas;
+  }
+
+  /// @return the longest of the replicas that count: of the head those of its epoch or later, of
+  /// other segments the closed ones.
+  static std::vector<FoundReplica> LongestReplicas(
+      const std::map<std::uint64_t, std::vector<FoundReplica>>& found, const proto::LogHead& head,
+      std::uint64_t id) {
+    std::vector<FoundReplica> longest;
+    const auto replicas = found.find(id);
+    if (replicas == found.end()) {
+      return longest;
+    }
+    for (const FoundReplica& replica : replicas->second) {
+      const proto::StoredSegment& stored = replica.stored;
+      const bool valid = id == head.segment_id() ? stored.epoch() >= head.epoch() : stored.closed();
+      if (!valid || (!longest.empty() && stored.length() < longest[0].stored.length())) {
+        continue;
+      }
+      if (!longest.empty() && stored.length() > longest[0].stored.length()) {
+        longest.clear();
+      }
+      longest.push_back(replica);
+    }
+    return longest;
+  }
+
+  proto::RecoverySegment ToRecoverySegment(std::uint64_t id,
+                                           const std::vector<FoundReplica>& replicas) {
+    proto::RecoverySegment segment;
+    segment.set_segment_id(id);
+    for (const FoundReplica& replica : replicas) {
+      const Endpoint& endpoint = world.machine(replica.backup).endpoint();
+      proto::Endpoint* listed = segment.add_backups();
+      listed->set_host(endpoint.host);
+      listed->set_port(endpoint.port);
+    }
+    return segment;
+  }
 };
 
 }  // namespace cloverbank
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -60,7 +60,7 @@
   EXPECT_EQ(Head().backups_size(), 3);
   EXPECT_EQ(Head().epoch(), 2U);
   logs.world.machine("q").Kill();
-  logs.world.machine(lost).Start();  // Comes back with a stale copy.
+  logs.world.machine(lost).Start();  // Its replica is stale.
   ExpectAcknowledgedRecoverable();
 }
 
@@ -167,7 +167,7 @@
     const std::string file = "segments/" + (*files)[index];
     ASSERT_TRUE(logs.world.machine("b1").FlipBit(file, kDamagedByte).ok());
   }
-  // Only the damaged copies can be read while b3 is down.
+  // While b3 is down only the damaged replicas can be read.
   logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
   logs.world.machine("b2").LoseDisk();
   logs.world.machine("b3").Kill();
@@ -195,9 +195,9 @@
   logs.world.machine("b2").Start();
   ASSERT_TRUE(WaitFor([&] { return on_spare() == 0; }));
   ASSERT_TRUE(WaitFor([&] {
-    const auto held = logs.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
-                                                             proto::ListSegmentsRequest());
-    return held.ok() && held->replicas_size() == 0;
+    const auto listed = logs.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
+                                                               proto::ListSegmentsRequest());
+    return listed.ok() && listed->replicas_size() == 0;
   }));
   EXPECT_FALSE(process->log->degraded());
   ExpectAcknowledgedRecoverable();
@@ -222,9 +222,9 @@
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 120; }));
   EXPECT_LT(process->log->live_segments(), before);
   logs.world.RunFor(seconds(2));
-  const auto held = logs.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
-                                                           proto::ListSegmentsRequest());
-  EXPECT_LE(static_cast<std::size_t>(held->replicas_size()), process->log->live_segments() + 1);
+  const auto listed = logs.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
+                                                             proto::ListSegmentsRequest());
+  EXPECT_LE(static_cast<std::size_t>(listed->replicas_size()), process->log->live_segments() + 1);
   ExpectAcknowledgedRecoverable();
 }
 
@@ -233,8 +233,8 @@
  protected:
   SegmentLogFaultTest() : SegmentLogTest(static_cast<std::uint64_t>(GetParam())) {}
 
-  /// One backup at a time is away, for a random while, in a random way.
-  void DisturbOne() {
+  /// Stops, freezes or isolates one random backup for a random time.
+  void InjectFault() {
     const std::string name = logs.backups[logs.world.RandomBelow(logs.backups.size())];
     SimulatedMachine& machine = logs.world.machine(name);
     if (!machine.running()) {
@@ -272,7 +272,7 @@
   logs.AddBackup("b4", "zone-b1");
   StartQueue();
   for (int round = 0; round < 12; ++round) {
-    DisturbOne();
+    InjectFault();
     for (int i = 0; i < 40; ++i) {
       Append(100 + logs.world.RandomBelow(900));
       logs.world.RunFor(milliseconds(logs.world.RandomBelow(60)));
