--- a/tests/log_writer/backup_selector_test.cc
+++ b/tests/log_writer/backup_selector_test.cc
@@ -29,23 +29,31 @@
   std::mt19937_64 random_{5};
 };
 
-TEST_F(BackupSelectorTest, TakesOneAZoneAndEveryChoiceComesUp) {
+TEST_F(BackupSelectorTest, ChoosesOnePerZone) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
-  std::set<NodeId> ever;
   for (int i = 0; i < 100; ++i) {
     std::set<std::string> zones;
     for (const NodeId id : Select({.count = 3, .replicas = 3})) {
       zones.insert(fleet_.servers[id].zone());
-      ever.insert(id);
     }
     EXPECT_EQ(zones.size(), 3U);
   }
-  EXPECT_EQ(ever.size(), 9U);
 }
 
-TEST_F(BackupSelectorTest, ReplacementGoesToAZoneThatIsFree) {
+TEST_F(BackupSelectorTest, ChoosesEveryBackupAtSomeTime) {
+  for (std::uint64_t id = 1; id <= 9; ++id) {
+    Add(id, "zone" + std::to_string(id % 3));
+  }
+  std::set<NodeId> chosen;
+  for (int i = 0; i < 100; ++i) {
+    chosen.merge(Select({.count = 3, .replicas = 3}));
+  }
+  EXPECT_EQ(chosen.size(), 9U);
+}
+
+TEST_F(BackupSelectorTest, ReplacementGoesToUnusedZone) {
   for (std::uint64_t id = 1; id <= 6; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
@@ -54,21 +62,33 @@
   EXPECT_EQ(fleet_.servers[*chosen.begin()].zone(), "zone0");
 }
 
-TEST_F(BackupSelectorTest, SparesFillOnlyMissingPlaces) {
-  Add(1, "a");
-  Add(2, "b");
-  Add(3, "c");
-  Add(11, "a", true);
-  Add(12, "b", true);
+class SpareBackupSelectorTest : public BackupSelectorTest {
+ protected:
+  SpareBackupSelectorTest() {
+    Add(1, "a");
+    Add(2, "b");
+    Add(3, "c");
+    Add(11, "a", true);
+    Add(12, "b", true);
+  }
+};
+
+TEST_F(SpareBackupSelectorTest, PrefersRegularBackups) {
   EXPECT_EQ(Select({.count = 3, .replicas = 3}),
             (std::set<NodeId>{NodeId(1), NodeId(2), NodeId(3)}));
-  const auto chosen = Select({.count = 3, .replicas = 3, .avoid = {NodeId(2)}});
-  EXPECT_EQ(chosen, (std::set<NodeId>{NodeId(1), NodeId(3), NodeId(12)}));
+}
+
+TEST_F(SpareBackupSelectorTest, FillsMissingReplicaInUnusedZone) {
+  EXPECT_EQ(Select({.count = 3, .replicas = 3, .avoid = {NodeId(2)}}),
+            (std::set<NodeId>{NodeId(1), NodeId(3), NodeId(12)}));
+}
+
+TEST_F(SpareBackupSelectorTest, ChoosesNoSpareForFullReplication) {
   EXPECT_TRUE(
       Select({.count = 1, .replicas = 3, .locations = {NodeId(1), NodeId(2), NodeId(3)}}).empty());
 }
 
-TEST_F(BackupSelectorTest, TakesNoRetiringDeadOrAvoidedOnes) {
+TEST_F(BackupSelectorTest, SkipsRetiringDeadAndAvoidedBackups) {
   Add(1, "a", false, proto::SERVER_STATE_RETIRING);
   Add(2, "b", false, proto::SERVER_STATE_DEAD);
   Add(3, "c");
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -3,7 +3,7 @@
 namespace cloverbank {
 namespace {
 
-TEST_F(SegmentLogTest, AcknowledgesWhatEveryBackupHolds) {
+TEST_F(SegmentLogTest, AcknowledgesOnceEveryBackupSynced) {
   StartQueue();
   EXPECT_EQ(Head().backups_size(), 3);
   for (int i = 0; i < 20; ++i) {
@@ -13,7 +13,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, TwoDisksLostRightAfterTheAcknowledgement) {
+TEST_F(SegmentLogTest, AcknowledgedEntrySurvivesTwoLostDisks) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b1").LoseDisk();
@@ -22,7 +22,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, RollsOverWithoutLosingOrder) {
+TEST_F(SegmentLogTest, RollOverKeepsEntriesInOrder) {
   StartQueue();
   for (int i = 0; i < 300; ++i) {
     Append();
@@ -32,7 +32,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, NothingIsAcknowledgedBeforeTheHeadIsCommitted) {
+TEST_F(SegmentLogTest, AcknowledgesOnlyAfterHeadCommit) {
   StartQueue();
   logs.coordinator.answers_commits = false;
   logs.world.machine("b2").Kill();
@@ -46,7 +46,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, ReplacesALostBackupBeforeAcknowledging) {
+TEST_F(SegmentLogTest, ReplacesLostBackupBeforeAcknowledging) {
   logs.AddBackup("b4", "zone-b4");
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
@@ -60,11 +60,11 @@
   EXPECT_EQ(Head().backups_size(), 3);
   EXPECT_EQ(Head().epoch(), 2U);
   logs.world.machine("q").Kill();
-  logs.world.machine(lost).Start();  // Comes back with a stale copy.
+  logs.world.machine(lost).Start();  // Its replica is stale.
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, GoesOnDegradedAndIsRepairedWhenTheBackupReturns) {
+TEST_F(SegmentLogTest, ContinuesDegradedUntilBackupReturns) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b2").LoseDisk();
@@ -79,7 +79,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, RefusesBelowTheMinimumAndLeavesWhatIsUnderWayUnanswered) {
+TEST_F(SegmentLogTest, RefusesAppendsBelowMinimumReplicas) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("b1").Kill();
@@ -97,7 +97,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, AShortIsolationLosesNothing) {
+TEST_F(SegmentLogTest, ShortIsolationLosesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.Isolate("q");
@@ -111,7 +111,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, AFencedNodeAcknowledgesNothingMore) {
+TEST_F(SegmentLogTest, FencedNodeAcknowledgesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.machine("q").Freeze();
@@ -124,7 +124,7 @@
   EXPECT_EQ(fences, 1);
 }
 
-TEST_F(SegmentLogTest, NothingIsAcknowledgedWithoutTheLease) {
+TEST_F(SegmentLogTest, AcknowledgesNothingWithoutLease) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   logs.world.Cut("q", "control");
@@ -137,7 +137,7 @@
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(late); }));
 }
 
-TEST_F(SegmentLogTest, CopiesClosedSegmentsOfALostBackupAnew) {
+TEST_F(SegmentLogTest, RepairsClosedSegmentsOfLostBackup) {
   logs.AddBackup("b4", "zone-b4");
   StartQueue();
   for (int i = 0; i < 200; ++i) {
@@ -153,7 +153,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, ACopyFoundDamagedIsReplacedAndNoLongerCounts) {
+TEST_F(SegmentLogTest, ReplacesDamagedReplica) {
   StartQueue();
   for (int i = 0; i < 200; ++i) {
     Append();
@@ -167,7 +167,7 @@
     const std::string file = "segments/" + (*files)[index];
     ASSERT_TRUE(logs.world.machine("b1").FlipBit(file, kDamagedByte).ok());
   }
-  // Only the damaged copies can be read while b3 is down.
+  // While b3 is down only the damaged replicas can be read.
   logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
   logs.world.machine("b2").LoseDisk();
   logs.world.machine("b3").Kill();
@@ -180,7 +180,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, SparesTakeMissingPlacesAndGiveThemBack) {
+TEST_F(SegmentLogTest, SpareServesOnlyWhileBackupIsMissing) {
   logs.AddBackup("spare", "zone-b1", true);
   StartQueue();
   const auto spare = logs.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
@@ -195,15 +195,15 @@
   logs.world.machine("b2").Start();
   ASSERT_TRUE(WaitFor([&] { return on_spare() == 0; }));
   ASSERT_TRUE(WaitFor([&] {
-    const auto held = logs.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
-                                                             proto::ListSegmentsRequest());
-    return held.ok() && held->replicas_size() == 0;
+    const auto listed = logs.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
+                                                               proto::ListSegmentsRequest());
+    return listed.ok() && listed->replicas_size() == 0;
   }));
   EXPECT_FALSE(process->log->degraded());
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, FreesSegmentsWhoseBatchesAreRemoved) {
+TEST_F(SegmentLogTest, FreesSegmentsOfRemovedBatches) {
   StartQueue();
   for (int i = 0; i < 200; ++i) {
     Append(300, "old");
@@ -222,9 +222,9 @@
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 120; }));
   EXPECT_LT(process->log->live_segments(), before);
   logs.world.RunFor(seconds(2));
-  const auto held = logs.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
-                                                           proto::ListSegmentsRequest());
-  EXPECT_LE(static_cast<std::size_t>(held->replicas_size()), process->log->live_segments() + 1);
+  const auto listed = logs.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
+                                                             proto::ListSegmentsRequest());
+  EXPECT_LE(static_cast<std::size_t>(listed->replicas_size()), process->log->live_segments() + 1);
   ExpectAcknowledgedRecoverable();
 }
 
@@ -233,8 +233,8 @@
  protected:
   SegmentLogFaultTest() : SegmentLogTest(static_cast<std::uint64_t>(GetParam())) {}
 
-  /// One backup at a time is away, for a random while, in a random way.
-  void DisturbOne() {
+  /// Stops, freezes or isolates one random backup for a random time.
+  void InjectFault() {
     const std::string name = logs.backups[logs.world.RandomBelow(logs.backups.size())];
     SimulatedMachine& machine = logs.world.machine(name);
     if (!machine.running()) {
@@ -272,7 +272,7 @@
   logs.AddBackup("b4", "zone-b1");
   StartQueue();
   for (int round = 0; round < 12; ++round) {
-    DisturbOne();
+    InjectFault();
     for (int i = 0; i < 40; ++i) {
       Append(100 + logs.world.RandomBelow(900));
       logs.world.RunFor(milliseconds(logs.world.RandomBelow(60)));
