--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -11,8 +11,8 @@
   return {StatusCode::kCorrupt, what + " (batch " + batch_id + ")"};
 }
 
-std::size_t PageLimit(std::uint32_t asked) {
-  return asked == 0 ? kDefaultPageEntries : std::min(asked, kLargestPageEntries);
+std::size_t PageLimit(std::uint32_t requested) {
+  return requested == 0 ? kDefaultPageEntries : std::min(requested, kMaxPageEntries);
 }
 
 /// @param position in the list, from 1.
@@ -72,19 +72,20 @@
 }
 
 Status BatchStore::ApplyItems(proto::BatchItems& items) {
-  std::vector<proto::BatchItem>& gathered = unaccepted_[items.batch_id()];
-  if (items.first_index() != gathered.size()) {
+  std::vector<proto::BatchItem>& logged_items = unaccepted_[items.batch_id()];
+  if (items.first_index() != logged_items.size()) {
     return Corrupt("items do not follow the ones before", items.batch_id());
   }
   for (proto::BatchItem& item : *items.mutable_items()) {
-    gathered.push_back(std::move(item));
+    logged_items.push_back(std::move(item));
   }
   return Status::Ok();
 }
 
 Status BatchStore::ApplyAccepted(proto::BatchAccepted& accepted, PartitionSequence sequence) {
-  const auto gathered = unaccepted_.find(accepted.batch_id());
-  const std::size_t item_count = gathered == unaccepted_.end() ? 0 : gathered->second.size();
+  const auto logged_items = unaccepted_.find(accepted.batch_id());
+  const std::size_t item_count =
+      logged_items == unaccepted_.end() ? 0 : logged_items->second.size();
   if (item_count != accepted.item_count() || by_id_.contains(accepted.batch_id())) {
     return Corrupt("batch does not match its items", accepted.batch_id());
   }
@@ -97,10 +98,10 @@
   auto batch = std::make_unique<StoredBatch>();
   batch->accepted = std::move(accepted);
   batch->position = sequence;
-  const auto gathered = unaccepted_.find(batch->accepted.batch_id());
-  if (gathered != unaccepted_.end()) {
-    batch->items = std::move(gathered->second);
-    unaccepted_.erase(gathered);
+  const auto logged_items = unaccepted_.find(batch->accepted.batch_id());
+  if (logged_items != unaccepted_.end()) {
+    batch->items = std::move(logged_items->second);
+    unaccepted_.erase(logged_items);
   }
   batch->items.shrink_to_fit();
   batch->phases.assign(batch->items.size(), ItemPhase::kWaiting);
@@ -287,7 +288,7 @@
   std::uint64_t position = *after;
   std::size_t bytes = 0;
   for (std::size_t left = PageLimit(limit);
-       left > 0 && position < batch->results.size() && bytes < kLargestPageBytes; --left) {
+       left > 0 && position < batch->results.size() && bytes < kMaxPageBytes; --left) {
     const StoredResult& result = batch->results[position];
     ++position;
     *list.add_results() = MakeListedResult(*batch, result, position);
@@ -298,12 +299,13 @@
   return list;
 }
 
-std::uint64_t BatchStore::OpenItems(const std::string& tenant) const {
+std::uint64_t BatchStore::CountOpenItems(const std::string& tenant) const {
   const auto found = tenants_.find(tenant);
   return found == tenants_.end() ? 0 : found->second.open_items;
 }
 
-std::uint64_t BatchStore::OpenTokens(const std::string& tenant, const std::string& route) const {
+std::uint64_t BatchStore::CountOpenTokens(const std::string& tenant,
+                                          const std::string& route) const {
   const auto found = tenants_.find(tenant);
   if (found == tenants_.end()) {
     return 0;
@@ -312,8 +314,8 @@
   return tokens == found->second.open_tokens.end() ? 0 : tokens->second;
 }
 
-Result<proto::BatchItem> BatchStore::OpenItem(const std::string& batch_id,
-                                              const std::string& custom_id) const {
+Result<proto::BatchItem> BatchStore::FindOpenItem(const std::string& batch_id,
+                                                  const std::string& custom_id) const {
   const StoredBatch* batch = Find(batch_id);
   for (std::size_t index = 0; batch != nullptr && index < batch->items.size(); ++index) {
     if (batch->items[index].custom_id() == custom_id &&
@@ -324,7 +326,7 @@
   return Status(StatusCode::kNotFound, "batch " + batch_id + " has no open item " + custom_id);
 }
 
-std::vector<std::string> BatchStore::FinishedUpTo(std::int64_t wall_ms) const {
+std::vector<std::string> BatchStore::FindFinishedBy(std::int64_t wall_ms) const {
   std::vector<std::string> ids;
   for (const auto& [position, batch] : batches_) {
     if (batch->AllFinished() && batch->finished_at_ms <= wall_ms) {
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -25,9 +25,9 @@
 
 /// Entries a page holds when the request names no limit, and at most.
 inline constexpr std::uint32_t kDefaultPageEntries = 100;
-inline constexpr std::uint32_t kLargestPageEntries = 1000;
+inline constexpr std::uint32_t kMaxPageEntries = 1000;
 /// A page of results ends early once it holds this many bytes of output.
-inline constexpr std::size_t kLargestPageBytes = 1U << 20U;
+inline constexpr std::size_t kMaxPageBytes = 1U << 20U;
 
 class BatchStore {
  public:
@@ -45,7 +45,8 @@
   const StoredBatch* FindByKey(const std::string& tenant, const std::string& idempotency_key) const;
 
   /// A page of the tenant's batches after `cursor` (empty: from the start), in the order in which
-  /// they were accepted. A cursor at or beyond the end gives an empty page and can be asked again.
+  /// they were accepted. A cursor at or beyond the end gives an empty page and can be requested
+  /// again.
   /// @return kInvalidArgument for a cursor that was never given out.
   Result<proto::BatchList> ListBatches(const std::string& tenant, const std::string& cursor,
                                        std::uint32_t limit) const;
@@ -54,16 +55,16 @@
                                         std::uint32_t limit) const;
 
   /// Items without a result, of one tenant and of all.
-  std::uint64_t OpenItems(const std::string& tenant) const;
+  std::uint64_t CountOpenItems(const std::string& tenant) const;
   std::uint64_t open_items() const { return open_items_; }
   /// Tokens of items without a result of one tenant's batches on one route, cancelled ones left
   /// out.
-  std::uint64_t OpenTokens(const std::string& tenant, const std::string& route) const;
+  std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
   /// @return an item of a batch that has no result yet; kNotFound for any other.
-  Result<proto::BatchItem> OpenItem(const std::string& batch_id,
-                                    const std::string& custom_id) const;
+  Result<proto::BatchItem> FindOpenItem(const std::string& batch_id,
+                                        const std::string& custom_id) const;
   /// @return ids of batches that had all results at or before `wall_ms`, in order of acceptance.
-  std::vector<std::string> FinishedUpTo(std::int64_t wall_ms) const;
+  std::vector<std::string> FindFinishedBy(std::int64_t wall_ms) const;
   /// Runs `visit` for every batch, in order of acceptance.
   void ForEach(const std::function<void(const StoredBatch&)>& visit) const;
 
--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -60,9 +60,10 @@
   }
 }
 
-std::uint64_t OwnedPartition::OpenItems(const std::string& tenant) const {
+std::uint64_t OwnedPartition::CountOpenItems(const std::string& tenant) const {
   const auto reserved = reserved_items_.find(tenant);
-  return store_->OpenItems(tenant) + (reserved == reserved_items_.end() ? 0 : reserved->second);
+  return store_->CountOpenItems(tenant) +
+         (reserved == reserved_items_.end() ? 0 : reserved->second);
 }
 
 void OwnedPartition::ReserveTokens(const std::string& tenant, const std::string& route,
@@ -84,11 +85,11 @@
   }
 }
 
-std::uint64_t OwnedPartition::OpenTokens(const std::string& tenant,
-                                         const std::string& route) const {
+std::uint64_t OwnedPartition::CountOpenTokens(const std::string& tenant,
+                                              const std::string& route) const {
   const auto reserved = reserved_tokens_.find({tenant, route});
-  const std::uint64_t under_way = reserved == reserved_tokens_.end() ? 0 : reserved->second;
-  return store_->OpenTokens(tenant, route) + under_way;
+  const std::uint64_t reserved_count = reserved == reserved_tokens_.end() ? 0 : reserved->second;
+  return store_->CountOpenTokens(tenant, route) + reserved_count;
 }
 
 proto::LogEntry OwnedPartition::Watermark() const {
--- a/src/batches/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -45,11 +45,11 @@
   /// Items of submissions that are on their way to the log; they count for the tenant's limit.
   void ReserveItems(const std::string& tenant, std::uint64_t count);
   void ReleaseItems(const std::string& tenant, std::uint64_t count);
-  std::uint64_t OpenItems(const std::string& tenant) const;
+  std::uint64_t CountOpenItems(const std::string& tenant) const;
   /// The same of tokens, which count for the limit of a route.
   void ReserveTokens(const std::string& tenant, const std::string& route, std::uint64_t count);
   void ReleaseTokens(const std::string& tenant, const std::string& route, std::uint64_t count);
-  std::uint64_t OpenTokens(const std::string& tenant, const std::string& route) const;
+  std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
 
   /// The node no longer owns it: nothing is answered from it any more.
   void Deactivate() { active_ = false; }
--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -11,18 +11,20 @@
 namespace {
 
 /// Items are logged in entries of about this many bytes.
-constexpr std::size_t kItemsEntryBytes = 128U << 10U;
+constexpr std::size_t kMaxItemsEntryBytes = 128U << 10U;
 /// Entries of a large batch that are logged together, so that other entries come between.
-constexpr std::size_t kEntriesTogether = 8;
+constexpr std::size_t kMaxEntriesPerAppend = 8;
 
-Status Invalid(const std::string& message) { return {StatusCode::kInvalidArgument, message}; }
+Status MakeInvalidStatus(const std::string& message) {
+  return {StatusCode::kInvalidArgument, message};
+}
 
-Status KeyReused(const std::string& key) {
+Status MakeKeyReusedStatus(const std::string& key) {
   return {StatusCode::kConflict,
           "idempotency key \"" + key + "\" was used for another batch; choose a new one"};
 }
 
-std::uint64_t TokensOf(const proto::SubmitBatch& batch) {
+std::uint64_t SumTokens(const proto::SubmitBatch& batch) {
   std::uint64_t tokens = 0;
   for (const proto::BatchItem& item : batch.items()) {
     tokens += item.tokens();
@@ -43,37 +45,37 @@
 }  // namespace
 
 BatchIntake::BatchIntake(Environment& environment, NodeAgent& agent, SegmentLog& log,
-                         ReserveTokens reserve_tokens, Accepted on_accepted)
+                         ReserveTokens reserve_tokens, OnAccepted on_accepted)
     : environment_(environment),
       agent_(agent),
       log_(log),
       reserve_tokens_(std::move(reserve_tokens)),
       on_accepted_(std::move(on_accepted)) {}
 
-Status BatchIntake::Check(const proto::SubmitBatch& batch) const {
+Status BatchIntake::CheckContent(const proto::SubmitBatch& batch) const {
   if (batch.tenant().empty() || batch.route().empty() || batch.items().empty()) {
-    return Invalid("a batch needs a tenant, a route and at least one item");
+    return MakeInvalidStatus("a batch needs a tenant, a route and at least one item");
   }
   std::unordered_set<std::string_view> ids;
   for (const proto::BatchItem& item : batch.items()) {
     if (!ids.insert(item.custom_id()).second) {
-      return Invalid("custom_id \"" + item.custom_id() + "\" is used twice");
+      return MakeInvalidStatus("custom_id \"" + item.custom_id() + "\" is used twice");
     }
     if (item.ByteSizeLong() > log_.largest_entry() / 2) {
-      return Invalid("item \"" + item.custom_id() + "\" is larger than " +
-                     std::to_string(log_.largest_entry() / 2) + " bytes");
+      return MakeInvalidStatus("item \"" + item.custom_id() + "\" is larger than " +
+                               std::to_string(log_.largest_entry() / 2) + " bytes");
     }
   }
   return Status::Ok();
 }
 
-Status BatchIntake::CheckLimit(const OwnedPartition& partition,
-                               const proto::SubmitBatch& batch) const {
+Status BatchIntake::CheckItemLimit(const OwnedPartition& partition,
+                                   const proto::SubmitBatch& batch) const {
   const proto::Tenant* tenant = FindTenant(agent_.configuration(), batch.tenant());
   if (tenant == nullptr || tenant->max_open_items() == 0) {
     return Status::Ok();
   }
-  const std::uint64_t open = partition.OpenItems(batch.tenant());
+  const std::uint64_t open = partition.CountOpenItems(batch.tenant());
   const auto more = static_cast<std::uint64_t>(batch.items_size());
   if (open + more <= tenant->max_open_items()) {
     return Status::Ok();
@@ -83,12 +85,12 @@
               std::to_string(tenant->max_open_items()) + "; submit again when some are finished"};
 }
 
-Status BatchIntake::CheckAll(const OwnedPartition& partition,
-                             const proto::SubmitBatch& batch) const {
-  if (Status status = Check(batch); !status.ok()) {
+Status BatchIntake::CheckAcceptable(const OwnedPartition& partition,
+                                    const proto::SubmitBatch& batch) const {
+  if (Status status = CheckContent(batch); !status.ok()) {
     return status;
   }
-  if (Status status = CheckLimit(partition, batch); !status.ok()) {
+  if (Status status = CheckItemLimit(partition, batch); !status.ok()) {
     return status;
   }
   return log_.Accepting();
@@ -100,12 +102,12 @@
   if (idempotency_key.empty()) {
     return false;
   }
-  const auto waiting = under_way_.find(key);
-  if (waiting != under_way_.end()) {
+  const auto waiting = pending_.find(key);
+  if (waiting != pending_.end()) {
     if (waiting->second->accepted.request_checksum() == checksum) {
       waiting->second->replies.push_back(std::move(reply));
     } else {
-      reply(KeyReused(idempotency_key));
+      reply(MakeKeyReusedStatus(idempotency_key));
     }
     return true;
   }
@@ -114,7 +116,7 @@
     return false;
   }
   if (earlier->accepted.request_checksum() != checksum) {
-    reply(KeyReused(idempotency_key));
+    reply(MakeKeyReusedStatus(idempotency_key));
     return true;
   }
   proto::SubmitBatchResponse response;
@@ -132,17 +134,17 @@
   if (JoinEarlier(*partition, key, checksum, reply)) {
     return;
   }
-  if (Status status = CheckAll(*partition, batch); !status.ok()) {
+  if (Status status = CheckAcceptable(*partition, batch); !status.ok()) {
     reply(std::move(status));
     return;
   }
-  const SubmissionPtr submission = Begin(partition, std::move(request), checksum);
+  const SubmissionPtr submission = StartSubmission(partition, std::move(request), checksum);
   submission->replies.push_back(std::move(reply));
   if (!key.idempotency_key.empty()) {
-    under_way_[key] = submission;
+    pending_[key] = submission;
   }
   if (submission->batch.open_token_limit() == 0) {
-    LogNext(submission);
+    LogNextItems(submission);
   } else {
     LogWithinLimit(submission);
   }
@@ -163,18 +165,18 @@
 
 void BatchIntake::HandleTokensReserved(const SubmissionPtr& submission, const Status& status) {
   if (!status.ok()) {
-    Finish(submission, status);
+    Complete(submission, status);
     return;
   }
   submission->tokens_reserved = true;
   submission->partition->ReserveTokens(submission->accepted.tenant(), submission->accepted.route(),
                                        submission->reservation.tokens);
-  LogNext(submission);
+  LogNextItems(submission);
 }
 
-BatchIntake::SubmissionPtr BatchIntake::Begin(const std::shared_ptr<OwnedPartition>& partition,
-                                              proto::SubmitBatchRequest request,
-                                              std::uint64_t checksum) {
+BatchIntake::SubmissionPtr BatchIntake::StartSubmission(
+    const std::shared_ptr<OwnedPartition>& partition, proto::SubmitBatchRequest request,
+    std::uint64_t checksum) {
   auto submission = std::make_shared<Submission>();
   submission->partition = partition;
   submission->batch = std::move(*request.mutable_batch());
@@ -187,8 +189,8 @@
   accepted.set_item_count(static_cast<std::uint64_t>(submission->batch.items_size()));
   accepted.set_request_checksum(checksum);
   accepted.set_idempotent(request.idempotent());
-  submission->reservation.tokens = TokensOf(submission->batch);
-  submission->reservation.longest_wait = milliseconds(request.wait_ms());
+  submission->reservation.tokens = SumTokens(submission->batch);
+  submission->reservation.max_wait = milliseconds(request.wait_ms());
   partition->ReserveItems(accepted.tenant(), accepted.item_count());
   return submission;
 }
@@ -200,12 +202,12 @@
   return partition.id().ToString() + "-" + std::string(digits.data(), end.ptr);
 }
 
-proto::LogEntry BatchIntake::NextItems(Submission& submission) const {
+proto::LogEntry BatchIntake::MakeItemsEntry(Submission& submission) const {
   proto::LogEntry entry;
   proto::BatchItems& items = *entry.mutable_batch_items();
   items.set_batch_id(submission.accepted.batch_id());
   items.set_first_index(static_cast<std::uint64_t>(submission.next_item));
-  const std::size_t limit = std::min<std::size_t>(kItemsEntryBytes, log_.largest_entry() / 2);
+  const std::size_t limit = std::min<std::size_t>(kMaxItemsEntryBytes, log_.largest_entry() / 2);
   std::size_t bytes = 0;
   while (submission.next_item < submission.batch.items_size() && bytes < limit) {
     proto::BatchItem& item = *submission.batch.mutable_items(submission.next_item);
@@ -219,11 +221,11 @@
   return entry;
 }
 
-void BatchIntake::LogNext(const SubmissionPtr& submission) {
+void BatchIntake::LogNextItems(const SubmissionPtr& submission) {
   std::vector<proto::LogEntry> entries;
   const int item_count = submission->batch.items_size();
-  while (submission->next_item < item_count && entries.size() < kEntriesTogether) {
-    entries.push_back(NextItems(*submission));
+  while (submission->next_item < item_count && entries.size() < kMaxEntriesPerAppend) {
+    entries.push_back(MakeItemsEntry(*submission));
   }
   const bool last = submission->next_item == item_count;
   if (last) {
@@ -243,13 +245,13 @@
 
 void BatchIntake::HandleLogged(const SubmissionPtr& submission, bool last, const Status& status) {
   if (!status.ok() || last) {
-    Finish(submission, status);
+    Complete(submission, status);
   } else {
-    LogNext(submission);
+    LogNextItems(submission);
   }
 }
 
-void BatchIntake::Finish(const SubmissionPtr& submission, const Status& status) {
+void BatchIntake::Complete(const SubmissionPtr& submission, const Status& status) {
   ReleaseReservations(submission);
   OwnedPartition& partition = *submission->partition;
   const std::string& batch_id = submission->accepted.batch_id();
@@ -272,9 +274,9 @@
     partition.ReleaseTokens(accepted.tenant(), accepted.route(), submission->reservation.tokens);
   }
   const auto waiting =
-      under_way_.find({partition.id(), accepted.tenant(), accepted.idempotency_key()});
-  if (waiting != under_way_.end() && waiting->second == submission) {
-    under_way_.erase(waiting);
+      pending_.find({partition.id(), accepted.tenant(), accepted.idempotency_key()});
+  if (waiting != pending_.end() && waiting->second == submission) {
+    pending_.erase(waiting);
   }
 }
 
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -25,7 +25,7 @@
 class BatchIntake : public std::enable_shared_from_this<BatchIntake> {
  public:
   using Reply = std::function<void(Result<proto::SubmitBatchResponse>)>;
-  using Accepted = std::function<void(OwnedPartition&, const StoredBatch&)>;
+  using OnAccepted = std::function<void(OwnedPartition&, const StoredBatch&)>;
 
   /// Asks whether a batch's tokens may be open; `done` gets what `TokenReserver::Reserve` says.
   using ReserveTokens =
@@ -35,7 +35,7 @@
   /// @param on_accepted runs when a new batch is held and applied, before its submission is
   /// answered.
   BatchIntake(Environment& environment, NodeAgent& agent, SegmentLog& log,
-              ReserveTokens reserve_tokens, Accepted on_accepted);
+              ReserveTokens reserve_tokens, OnAccepted on_accepted);
 
   /// Refuses kInvalidArgument (malformed), kConflict (key used for another body, or detail
   /// `kQuotaOwnerUnavailableDetail`), kResourceExhausted (the tenant's or the route's limit),
@@ -64,23 +64,23 @@
   };
   using SubmissionPtr = std::shared_ptr<Submission>;
 
-  Status Check(const proto::SubmitBatch& batch) const;
+  Status CheckContent(const proto::SubmitBatch& batch) const;
   /// @return why the batch can not be accepted now, or OK.
-  Status CheckAll(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
-  Status CheckLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
+  Status CheckAcceptable(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
+  Status CheckItemLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   /// @return whether the request met an earlier submission and needs nothing more.
   bool JoinEarlier(OwnedPartition& partition, const SubmissionKey& key, std::uint64_t checksum,
                    Reply& reply);
-  SubmissionPtr Begin(const std::shared_ptr<OwnedPartition>& partition,
-                      proto::SubmitBatchRequest request, std::uint64_t checksum);
+  SubmissionPtr StartSubmission(const std::shared_ptr<OwnedPartition>& partition,
+                                proto::SubmitBatchRequest request, std::uint64_t checksum);
   std::string NewBatchId(const OwnedPartition& partition);
   /// Logs the batch once the keeper of its route's limit has given room.
   void LogWithinLimit(const SubmissionPtr& submission);
   void HandleTokensReserved(const SubmissionPtr& submission, const Status& status);
-  void LogNext(const SubmissionPtr& submission);
+  void LogNextItems(const SubmissionPtr& submission);
   void HandleLogged(const SubmissionPtr& submission, bool last, const Status& status);
-  proto::LogEntry NextItems(Submission& submission) const;
-  void Finish(const SubmissionPtr& submission, const Status& status);
+  proto::LogEntry MakeItemsEntry(Submission& submission) const;
+  void Complete(const SubmissionPtr& submission, const Status& status);
   void ReleaseReservations(const SubmissionPtr& submission);
   static void AnswerAccepted(const Submission& submission, const StoredBatch& batch);
   static void AnswerFailed(const Submission& submission, const Status& status);
@@ -89,8 +89,8 @@
   NodeAgent& agent_;
   SegmentLog& log_;
   ReserveTokens reserve_tokens_;
-  Accepted on_accepted_;
-  std::map<SubmissionKey, SubmissionPtr> under_way_;
+  OnAccepted on_accepted_;
+  std::map<SubmissionKey, SubmissionPtr> pending_;
 };
 
 }  // namespace cloverbank
--- a/src/queue/batch_request_handler.cc
+++ b/src/queue/batch_request_handler.cc
@@ -81,7 +81,7 @@
                                   const Reply<proto::GetItemResponse>& reply) {
   AnswerFromStore(ownership_, request.partition_id(), reply,
                   [&](const BatchStore& store) -> Result<proto::GetItemResponse> {
-                    auto item = store.OpenItem(request.batch_id(), request.custom_id());
+                    auto item = store.FindOpenItem(request.batch_id(), request.custom_id());
                     if (!item.ok()) {
                       return item.status();
                     }
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -19,37 +19,38 @@
 }  // namespace
 
 PartitionRecovery::PartitionRecovery(Environment& environment, NodeAgent& agent, SegmentLog& log,
-                                     std::shared_ptr<ReadLimit> reads,
+                                     std::shared_ptr<ReadLimit> read_limit,
                                      proto::RecoverPartitionsRequest request,
                                      const std::vector<PartitionId>& partitions,
-                                     std::function<void(const std::string&)> fenced)
+                                     std::function<void(const std::string&)> on_fenced)
     : environment_(environment),
       agent_(agent),
       log_(log),
-      reads_(std::move(reads)),
+      read_limit_(std::move(read_limit)),
       request_(std::move(request)),
-      fenced_(std::move(fenced)),
+      on_fenced_(std::move(on_fenced)),
       sources_(static_cast<std::size_t>(request_.segments_size())) {
   for (const PartitionId partition : partitions) {
     recovering_[partition];
   }
 }
 
-void PartitionRecovery::Start() { ReadMore(); }
+void PartitionRecovery::Start() { ReadRemaining(); }
 
 void PartitionRecovery::UpdateSources(const proto::RecoverPartitionsRequest& request) {
   for (proto::RecoverySegment& known : *request_.mutable_segments()) {
-    for (const proto::RecoverySegment& acknowledged : request.segments()) {
-      if (acknowledged.segment_id() == known.segment_id()) {
-        known = acknowledged;
+    for (const proto::RecoverySegment& listed : request.segments()) {
+      if (listed.segment_id() == known.segment_id()) {
+        known = listed;
       }
     }
   }
-  const bool held = std::all_of(recovering_.begin(), recovering_.end(),
-                                [](const auto& recovering) { return recovering.second.held; });
-  if (held && sorted_) {
+  const bool all_durable =
+      std::all_of(recovering_.begin(), recovering_.end(),
+                  [](const auto& recovering) { return recovering.second.durable; });
+  if (all_durable && sorted_) {
     reported_ = false;
-    Report();
+    ReportRecovered();
   }
 }
 
@@ -57,7 +58,7 @@
 
 std::unique_ptr<BatchStore> PartitionRecovery::TakeStore(PartitionId partition) {
   const auto recovering = recovering_.find(partition);
-  if (recovering == recovering_.end() || !recovering->second.held) {
+  if (recovering == recovering_.end() || !recovering->second.durable) {
     return nullptr;
   }
   auto store = std::move(recovering->second.store);
@@ -68,14 +69,14 @@
 std::vector<proto::LogEntry> PartitionRecovery::Watermarks() const {
   std::vector<proto::LogEntry> watermarks;
   for (const auto& [partition, recovering] : recovering_) {
-    if (recovering.held) {
+    if (recovering.durable) {
       watermarks.push_back(MakePartitionWatermark(partition, recovering.next_sequence, false));
     }
   }
   return watermarks;
 }
 
-void PartitionRecovery::Later(void (PartitionRecovery::*step)()) {
+void PartitionRecovery::RetryLater(void (PartitionRecovery::*step)()) {
   environment_.ScheduleAfter(kRetryDelay, [weak = weak_from_this(), step] {
     if (const auto self = weak.lock()) {
       ((*self).*step)();
@@ -83,25 +84,25 @@
   });
 }
 
-void PartitionRecovery::ReadMore() {
+void PartitionRecovery::ReadRemaining() {
   for (std::size_t i = 0; i < sources_.size() && !waits_for_read_slot_; ++i) {
     if (!sources_[i].read && !sources_[i].reading) {
-      Read(i);
+      ReadSegment(i);
     }
   }
   const bool all_read = std::all_of(sources_.begin(), sources_.end(),
                                     [](const Source& source) { return source.read; });
   if (all_read && !sorted_) {
-    Sort();
-    LogMore();
+    SortEntries();
+    LogRemaining();
   }
 }
 
-void PartitionRecovery::Read(std::size_t position) {
+void PartitionRecovery::ReadSegment(std::size_t position) {
   Source& source = sources_[position];
   const proto::RecoverySegment& segment = request_.segments(static_cast<int>(position));
   if (segment.backups().empty()) {
-    Later(&PartitionRecovery::ReadMore);
+    RetryLater(&PartitionRecovery::ReadRemaining);
     return;
   }
   if (!AcquireReadSlot()) {
@@ -114,11 +115,11 @@
   source.reading = true;
   CallPeer<proto::GetRecoveryDataResponse>(
       environment_, endpoint, "backup.GetRecoveryData", MakeReadRequest(segment), kReadDeadline,
-      [weak = weak_from_this(), reads = reads_,
+      [weak = weak_from_this(), read_limit = read_limit_,
        position](Result<proto::GetRecoveryDataResponse> result) {
-        reads->Release();
+        read_limit->Release();
         if (const auto self = weak.lock()) {
-          self->HandleRead(position, std::move(result));
+          self->HandleSegmentRead(position, std::move(result));
         }
       });
 }
@@ -135,18 +136,18 @@
 }
 
 bool PartitionRecovery::AcquireReadSlot() {
-  const bool taken = reads_->Acquire([weak = weak_from_this()] {
+  const bool taken = read_limit_->Acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->waits_for_read_slot_ = false;
-      self->ReadMore();
+      self->ReadRemaining();
     }
   });
   waits_for_read_slot_ = !taken;
   return taken;
 }
 
-void PartitionRecovery::HandleRead(std::size_t position,
-                                   Result<proto::GetRecoveryDataResponse> result) {
+void PartitionRecovery::HandleSegmentRead(std::size_t position,
+                                          Result<proto::GetRecoveryDataResponse> result) {
   Source& source = sources_[position];
   source.reading = false;
   if (!result.ok()) {
@@ -155,17 +156,17 @@
         {{"dead_node", request_.dead_node_id()},
          {"segment", request_.segments(static_cast<int>(position)).segment_id()},
          {"status", result.status().ToString()}});
-    Later(&PartitionRecovery::ReadMore);
+    RetryLater(&PartitionRecovery::ReadRemaining);
     return;
   }
   source.read = true;
   for (proto::LogEntry& entry : *result->mutable_entries()) {
     source.entries.push_back(std::move(entry));
   }
-  ReadMore();
+  ReadRemaining();
 }
 
-void PartitionRecovery::Sort() {
+void PartitionRecovery::SortEntries() {
   sorted_ = true;
   std::map<std::uint64_t, PartitionReplay> replays;
   for (Source& source : sources_) {
@@ -183,8 +184,8 @@
   }
 }
 
-std::vector<proto::LogEntry> PartitionRecovery::NextChunk(PartitionId partition,
-                                                          RecoveringPartition& recovering) const {
+std::vector<proto::LogEntry> PartitionRecovery::MakeNextChunk(
+    PartitionId partition, RecoveringPartition& recovering) const {
   std::vector<proto::LogEntry> chunk;
   std::size_t bytes = 0;
   if (recovering.logged == 0) {
@@ -201,23 +202,23 @@
   return chunk;
 }
 
-void PartitionRecovery::LogMore() {
+void PartitionRecovery::LogRemaining() {
   if (logging_ || !sorted_) {
     return;
   }
   for (auto& [partition, recovering] : recovering_) {
-    if (!recovering.held) {
+    if (!recovering.durable) {
       LogChunk(partition, recovering);
       return;
     }
   }
-  Report();
+  ReportRecovered();
 }
 
 void PartitionRecovery::LogChunk(PartitionId partition, RecoveringPartition& recovering) {
   logging_ = true;
   const std::size_t before = recovering.logged;
-  auto chunk = std::make_shared<std::vector<proto::LogEntry>>(NextChunk(partition, recovering));
+  auto chunk = std::make_shared<std::vector<proto::LogEntry>>(MakeNextChunk(partition, recovering));
   log_.Append(*chunk, [weak = weak_from_this(), partition, before, chunk](const Status& status) {
     if (const auto self = weak.lock()) {
       self->HandleLogged(partition, before, chunk, status);
@@ -237,13 +238,13 @@
     return;  // This life is over.
   }
   if (!status.ok()) {
-    Later(&PartitionRecovery::LogMore);
+    RetryLater(&PartitionRecovery::LogRemaining);
     return;
   }
   if (found != recovering_.end()) {
     ApplyChunk(found->second, *chunk);
   }
-  LogMore();
+  LogRemaining();
 }
 
 void PartitionRecovery::ApplyChunk(RecoveringPartition& recovering,
@@ -255,14 +256,14 @@
       environment_.metrics().Increment("queue_recovery_corrupt_entries_total");
     }
   }
-  recovering.held = recovering.logged == recovering.entries.size();
-  if (recovering.held) {
+  recovering.durable = recovering.logged == recovering.entries.size();
+  if (recovering.durable) {
     recovering.entries.clear();
     recovering.logged = 0;
   }
 }
 
-void PartitionRecovery::Report() {
+void PartitionRecovery::ReportRecovered() {
   if (reporting_ || reported_ || recovering_.empty()) {
     return;
   }
@@ -277,12 +278,12 @@
       "coordinator.FinishAssignment", request, kReportDeadline,
       [weak = weak_from_this()](const Result<proto::FinishAssignmentResponse>& result) {
         if (const auto self = weak.lock()) {
-          self->HandleReport(result.status());
+          self->HandleReportAnswer(result.status());
         }
       });
 }
 
-void PartitionRecovery::HandleReport(const Status& status) {
+void PartitionRecovery::HandleReportAnswer(const Status& status) {
   reporting_ = false;
   switch (status.code()) {
     case StatusCode::kOk:
@@ -291,7 +292,7 @@
           {{"dead_node", request_.dead_node_id()}, {"partitions", recovering_.size()}});
       return;
     case StatusCode::kFenced:
-      fenced_("coordinators refused a recovery: " + status.message());
+      on_fenced_("coordinators refused a recovery: " + status.message());
       return;
     case StatusCode::kConflict:
     case StatusCode::kNotFound:
@@ -303,7 +304,7 @@
       Log(LogLevel::kWarning, "recovery_report_refused", {{"status", status.ToString()}});
       return;
     default:
-      Later(&PartitionRecovery::Report);
+      RetryLater(&PartitionRecovery::ReportRecovered);
   }
 }
 
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
 /// Recovery of some partitions of one dead queue node by this one (RAMCloud page, recovery steps 5
-/// and 6): reads their entries from the backups, logs them anew, and when they are held reports to
-/// the coordinators. Until the coordinators commit this node as the owner, nothing of it counts.
+/// and 6): read_limit their entries from the backups, logs them anew, and when they are held
+/// reports to the coordinators. Until the coordinators commit this node as the owner, nothing of it
+/// counts.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -23,12 +24,12 @@
 
 class PartitionRecovery : public std::enable_shared_from_this<PartitionRecovery> {
  public:
-  /// @param reads shared by all recoveries of this node.
+  /// @param read_limit shared by all recoveries of this node.
   /// @param partitions of `request` that this recovery takes on.
   PartitionRecovery(Environment& environment, NodeAgent& agent, SegmentLog& log,
-                    std::shared_ptr<ReadLimit> reads, proto::RecoverPartitionsRequest request,
+                    std::shared_ptr<ReadLimit> read_limit, proto::RecoverPartitionsRequest request,
                     const std::vector<PartitionId>& partitions,
-                    std::function<void(const std::string&)> fenced);
+                    std::function<void(const std::string&)> on_fenced);
 
   void Start();
   /// The coordinators asked again: their list of backups may be newer.
@@ -41,7 +42,7 @@
   /// @return the partition's batches once its entries are held, else nullptr. Taking ends its part.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
   /// Whether no partition is left to it.
-  bool Over() const { return recovering_.empty(); }
+  bool IsFinished() const { return recovering_.empty(); }
   /// @return marks of the partitions whose entries are held.
   std::vector<proto::LogEntry> Watermarks() const;
 
@@ -52,7 +53,7 @@
     std::size_t logged = 0;
     PartitionSequence next_sequence;
     std::unique_ptr<BatchStore> store;
-    bool held = false;
+    bool durable = false;
   };
   struct Source {
     std::size_t attempts = 0;
@@ -61,35 +62,35 @@
     std::vector<proto::LogEntry> entries;
   };
 
-  void ReadMore();
-  void Read(std::size_t position);
+  void ReadRemaining();
+  void ReadSegment(std::size_t position);
   proto::GetRecoveryDataRequest MakeReadRequest(const proto::RecoverySegment& segment) const;
-  /// @return whether a read may begin now; if not, `ReadMore` runs again later.
+  /// @return whether a read may begin now; if not, `ReadRemaining` runs again later.
   bool AcquireReadSlot();
-  void HandleRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
-  void Sort();
-  void LogMore();
-  std::vector<proto::LogEntry> NextChunk(PartitionId partition,
-                                         RecoveringPartition& recovering) const;
+  void HandleSegmentRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
+  void SortEntries();
+  void LogRemaining();
+  std::vector<proto::LogEntry> MakeNextChunk(PartitionId partition,
+                                             RecoveringPartition& recovering) const;
   void LogChunk(PartitionId partition, RecoveringPartition& recovering);
   /// @param logged_before how much of the partition was logged without this chunk.
   void HandleLogged(PartitionId partition, std::size_t logged_before,
                     const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
                     const Status& status);
   void ApplyChunk(RecoveringPartition& recovering, std::vector<proto::LogEntry>& chunk);
-  void Report();
-  void HandleReport(const Status& status);
-  void Later(void (PartitionRecovery::*step)());
+  void ReportRecovered();
+  void HandleReportAnswer(const Status& status);
+  void RetryLater(void (PartitionRecovery::*step)());
 
   Environment& environment_;
   NodeAgent& agent_;
   SegmentLog& log_;
-  std::shared_ptr<ReadLimit> reads_;
+  std::shared_ptr<ReadLimit> read_limit_;
   proto::RecoverPartitionsRequest request_;
-  std::function<void(const std::string&)> fenced_;
+  std::function<void(const std::string&)> on_fenced_;
   std::map<PartitionId, RecoveringPartition> recovering_;
   std::vector<Source> sources_;       ///< One a segment of the request.
-  bool waits_for_read_slot_ = false;  ///< `reads_` calls back.
+  bool waits_for_read_slot_ = false;  ///< `read_limit_` calls back.
   bool sorted_ = false;
   bool logging_ = false;
   bool reporting_ = false;
--- a/src/queue/queue_node_incarnation.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -49,7 +49,7 @@
       environment_, agent_, quota_owner_,
       [this](PartitionId partition, const std::string& tenant, const std::string& route) {
         const auto owned = ownership_.Find(partition);
-        return owned == nullptr ? 0 : owned->OpenTokens(tenant, route);
+        return owned == nullptr ? 0 : owned->CountOpenTokens(tenant, route);
       });
 }
 
--- a/src/queue/read_limit.h
+++ b/src/queue/read_limit.h
@@ -13,12 +13,12 @@
 
 class ReadLimit {
  public:
-  explicit ReadLimit(std::size_t most) : most_(most) {}
+  explicit ReadLimit(std::size_t max_parallel) : max_parallel_(max_parallel) {}
 
   /// @return whether a read may begin. If not, `on_capacity` runs once after one has ended.
   bool Acquire(std::function<void()> on_capacity) {
-    if (used_ < most_) {
-      ++used_;
+    if (active_ < max_parallel_) {
+      ++active_;
       return true;
     }
     waiting_.push_back(std::move(on_capacity));
@@ -26,15 +26,15 @@
   }
   /// A read has ended.
   void Release() {
-    --used_;
+    --active_;
     for (const std::function<void()>& on_capacity : std::exchange(waiting_, {})) {
       on_capacity();
     }
   }
 
  private:
-  const std::size_t most_;
-  std::size_t used_ = 0;
+  const std::size_t max_parallel_;
+  std::size_t active_ = 0;
   std::vector<std::function<void()>> waiting_;
 };
 
--- a/src/queue/recovery_runner.cc
+++ b/src/queue/recovery_runner.cc
@@ -74,7 +74,7 @@
 }
 
 void RecoveryRunner::EraseFinished() {
-  std::erase_if(recoveries_, [](const auto& recovery) { return recovery->Over(); });
+  std::erase_if(recoveries_, [](const auto& recovery) { return recovery->IsFinished(); });
 }
 
 }  // namespace cloverbank
--- a/src/queue/retention_sweeper.cc
+++ b/src/queue/retention_sweeper.cc
@@ -41,7 +41,7 @@
 
 void RetentionSweeper::RemoveFinished(OwnedPartition& partition, std::int64_t cutoff_ms) {
   std::vector<proto::LogEntry> entries;
-  for (std::string& batch_id : partition.store().FinishedUpTo(cutoff_ms)) {
+  for (std::string& batch_id : partition.store().FindFinishedBy(cutoff_ms)) {
     if (entries.size() < kRemovedPerSweep) {
       entries.emplace_back().mutable_batch_removed()->set_batch_id(std::move(batch_id));
     }
--- a/src/queue/token_request_handler.cc
+++ b/src/queue/token_request_handler.cc
@@ -35,7 +35,7 @@
     if (partition.ok()) {
       proto::OpenTokens& count = *response.add_counts();
       count.set_partition_id(id);
-      count.set_tokens((*partition)->OpenTokens(request.tenant(), request.route()));
+      count.set_tokens((*partition)->CountOpenTokens(request.tenant(), request.route()));
       reserver_.RecordCount(PartitionId(id), request.tenant(), request.route(), count.tokens());
     }
   }
--- a/src/token_quota/drain_rate.cc
+++ b/src/token_quota/drain_rate.cc
@@ -6,8 +6,8 @@
 namespace {
 
 /// Counts further apart tell nothing of how fast it goes now.
-constexpr Duration kLongestInterval = seconds(1);
-constexpr double kNewestWeight = 0.3;
+constexpr Duration kMaxInterval = seconds(1);
+constexpr double kSmoothingFactor = 0.3;
 
 }  // namespace
 
@@ -15,20 +15,20 @@
   const Duration interval = now - counted_at_;
   const std::uint64_t before = open_.value_or(0) + granted;
   const std::uint64_t finished = open_ ? before - std::min(before, open) : 0;
-  if (open_ && interval > kLongestInterval) {
+  if (open_ && interval > kMaxInterval) {
     tokens_per_second_ = 0;
   } else if (open_ && interval > Duration::zero()) {
-    const double seen =
+    const double measured =
         static_cast<double>(finished) / std::chrono::duration<double>(interval).count();
-    const double weight = tokens_per_second_ > 0 ? kNewestWeight : 1;
-    tokens_per_second_ += weight * (seen - tokens_per_second_);
+    const double weight = tokens_per_second_ > 0 ? kSmoothingFactor : 1;
+    tokens_per_second_ += weight * (measured - tokens_per_second_);
   }
   open_ = open;
   counted_at_ = now;
   return finished;
 }
 
-std::optional<Duration> DrainRate::TimeFor(std::uint64_t tokens) const {
+std::optional<Duration> DrainRate::EstimateTime(std::uint64_t tokens) const {
   if (tokens_per_second_ <= 0) {
     return std::nullopt;
   }
--- a/src/token_quota/drain_rate.h
+++ b/src/token_quota/drain_rate.h
@@ -16,7 +16,7 @@
   /// @return how many were finished since the count before; 0 at the first one.
   std::uint64_t Update(std::uint64_t open, std::uint64_t granted, TimePoint now);
   /// @return how long it takes to finish that many; nothing while the rate is not known.
-  std::optional<Duration> TimeFor(std::uint64_t tokens) const;
+  std::optional<Duration> EstimateTime(std::uint64_t tokens) const;
 
  private:
   std::optional<std::uint64_t> open_;  ///< At the last count.
--- a/src/token_quota/quota_wait_queue.cc
+++ b/src/token_quota/quota_wait_queue.cc
@@ -9,18 +9,18 @@
 void QuotaWaitQueue::Enter(const std::string& batch, std::uint64_t tokens) {
   const auto found = by_batch_.find(batch);
   if (found != by_batch_.end()) {
-    found->second->kept_until.reset();
+    found->second->reserved_until.reset();
     return;
   }
   entries_.push_back({batch, tokens, ++last_position_, std::nullopt});
   by_batch_[batch] = std::prev(entries_.end());
-  wanted_ += tokens;
+  requested_ += tokens;
 }
 
 void QuotaWaitQueue::ReserveUntil(const std::string& batch, TimePoint until) {
   const auto found = by_batch_.find(batch);
   if (found != by_batch_.end()) {
-    found->second->kept_until = until;
+    found->second->reserved_until = until;
   }
 }
 
@@ -30,38 +30,38 @@
     return;
   }
   // It took what was kept for it, not what is kept for those before it.
-  const std::uint64_t for_others = std::min(kept_, TokensBefore(batch));
+  const std::uint64_t for_others = std::min(reserved_, TokensBefore(batch));
   const std::uint64_t tokens = found->second->tokens;
-  kept_ = std::max(for_others, kept_ - std::min(kept_, tokens));
+  reserved_ = std::max(for_others, reserved_ - std::min(reserved_, tokens));
   Remove(found->second);
 }
 
 void QuotaWaitQueue::Remove(std::list<Entry>::iterator entry) {
-  wanted_ -= entry->tokens;
-  kept_ = std::min(kept_, wanted_);
+  requested_ -= entry->tokens;
+  reserved_ = std::min(reserved_, requested_);
   by_batch_.erase(entry->batch);
   entries_.erase(entry);
 }
 
 void QuotaWaitQueue::RecordFreed(std::uint64_t tokens) {
-  kept_ += std::min(tokens, wanted_ - kept_);
+  reserved_ += std::min(tokens, requested_ - reserved_);
 }
 
-std::uint64_t QuotaWaitQueue::KeptBefore(const std::string& batch) const {
+std::uint64_t QuotaWaitQueue::ReservedBefore(const std::string& batch) const {
   std::uint64_t present = 0;
   for (const Entry& entry : entries_) {
     if (entry.batch == batch) {
       break;
     }
-    present += entry.kept_until ? 0 : entry.tokens;
+    present += entry.reserved_until ? 0 : entry.tokens;
   }
-  return std::min(kept_, present);
+  return std::min(reserved_, present);
 }
 
-void QuotaWaitQueue::DropOverdue(TimePoint now) {
+void QuotaWaitQueue::DropExpired(TimePoint now) {
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     const auto next = std::next(entry);
-    if (entry->kept_until && *entry->kept_until < now) {
+    if (entry->reserved_until && *entry->reserved_until < now) {
       Remove(entry);
     }
     entry = next;
@@ -79,7 +79,7 @@
   return tokens;
 }
 
-std::uint64_t QuotaWaitQueue::PositionOf(const std::string& batch) const {
+std::uint64_t QuotaWaitQueue::FindPosition(const std::string& batch) const {
   const auto found = by_batch_.find(batch);
   return found == by_batch_.end() ? std::numeric_limits<std::uint64_t>::max()
                                   : found->second->position;
--- a/src/token_quota/quota_wait_queue.h
+++ b/src/token_quota/quota_wait_queue.h
@@ -27,21 +27,21 @@
   /// So many tokens were finished: their room is kept for the line, as far as it wants it.
   void RecordFreed(std::uint64_t tokens);
   /// Gives up the places of those that did not come in time.
-  void DropOverdue(TimePoint now);
+  void DropExpired(TimePoint now);
 
   /// @return the tokens of all batches before this one; of all there are if it has no place.
   std::uint64_t TokensBefore(const std::string& batch) const;
   /// @return how much of the room that those before the batch want is kept for them.
-  std::uint64_t KeptBefore(const std::string& batch) const;
+  std::uint64_t ReservedBefore(const std::string& batch) const;
   /// @return a number that rises along the line; the largest there is for a batch without a place.
-  std::uint64_t PositionOf(const std::string& batch) const;
+  std::uint64_t FindPosition(const std::string& batch) const;
 
  private:
   struct Entry {
     std::string batch;
     std::uint64_t tokens = 0;
     std::uint64_t position = 0;
-    std::optional<TimePoint> kept_until;  ///< While its client is away.
+    std::optional<TimePoint> reserved_until;  ///< While its client is away.
   };
 
   void Remove(std::list<Entry>::iterator entry);
@@ -49,8 +49,8 @@
   std::list<Entry> entries_;
   std::unordered_map<std::string, std::list<Entry>::iterator> by_batch_;
   std::uint64_t last_position_ = 0;
-  std::uint64_t wanted_ = 0;  ///< Tokens of all places.
-  std::uint64_t kept_ = 0;    ///< At most `wanted_`.
+  std::uint64_t requested_ = 0;  ///< Tokens of all places.
+  std::uint64_t reserved_ = 0;   ///< At most `requested_`.
 };
 
 }  // namespace cloverbank
--- a/src/token_quota/token_allowance.cc
+++ b/src/token_quota/token_allowance.cc
@@ -5,14 +5,14 @@
 namespace cloverbank {
 
 void TokenAllowance::RecordGrant(std::uint64_t tokens) {
-  if (allowed_) {
-    *allowed_ += tokens;
+  if (granted_) {
+    *granted_ += tokens;
   }
 }
 
-std::uint64_t TokenAllowance::Spare(std::uint64_t open) const {
-  const std::uint64_t allowed = allowed_.value_or(0);
-  return allowed - std::min(allowed, open);
+std::uint64_t TokenAllowance::Remaining(std::uint64_t open) const {
+  const std::uint64_t granted = granted_.value_or(0);
+  return granted - std::min(granted, open);
 }
 
 void TokenAllowances::Drop(PartitionId partition) {
--- a/src/token_quota/token_allowance.h
+++ b/src/token_quota/token_allowance.h
@@ -21,14 +21,14 @@
 class TokenAllowance {
  public:
   /// The owner tells the keeper that so many tokens are open.
-  void RecordCount(std::uint64_t open) { allowed_ = open; }
+  void RecordCount(std::uint64_t open) { granted_ = open; }
   /// The keeper granted so many more, those that it lent included.
   void RecordGrant(std::uint64_t tokens);
   /// @return what may be taken beside `open` tokens; 0 before the first count.
-  std::uint64_t Spare(std::uint64_t open) const;
+  std::uint64_t Remaining(std::uint64_t open) const;
 
  private:
-  std::optional<std::uint64_t> allowed_;
+  std::optional<std::uint64_t> granted_;
 };
 
 /// A route as used by one tenant in one partition.
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -13,20 +13,20 @@
 
 constexpr Duration kCountDeadline = milliseconds(300);
 /// A count that began within this time is not repeated.
-constexpr Duration kCountAge = milliseconds(100);
+constexpr Duration kMaxCountAge = milliseconds(100);
 /// While less than this part of a limit is open, the rest of the part is lent to the owners.
 constexpr std::uint64_t kAllowanceDivisor = 2;
 /// How long a request waits until all partitions can be counted.
-constexpr Duration kLongestWait = milliseconds(1200);
+constexpr Duration kCountTimeout = milliseconds(1200);
 
 /// Bounds of what a refused batch is told to wait.
-constexpr Duration kSoonestReturn = milliseconds(200);
-constexpr Duration kLatestReturn = seconds(1);
+constexpr Duration kMinRetryAfter = milliseconds(200);
+constexpr Duration kMaxRetryAfter = seconds(1);
 /// Clients come somewhat later than they are told.
-constexpr Duration kReturnMargin = milliseconds(500);
+constexpr Duration kRetryMargin = milliseconds(500);
 
 /// @return what names a batch in the line: requests without a name are all different.
-std::string PlaceOf(const proto::ReserveTokensRequest& request) {
+std::string MakeBatchName(const proto::ReserveTokensRequest& request) {
   if (!request.batch().empty()) {
     return request.batch();
   }
@@ -35,35 +35,35 @@
 
 }  // namespace
 
-TokenQuotaOwner::TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountOwn count_own)
-    : environment_(environment), agent_(agent), count_own_(std::move(count_own)) {}
+TokenQuotaOwner::TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountLocal count_local)
+    : environment_(environment), agent_(agent), count_local_(std::move(count_local)) {}
 
-bool TokenQuotaOwner::Grant(Limit& limit, const proto::ReserveTokensRequest& request,
-                            std::uint64_t allowance) {
+bool TokenQuotaOwner::TryGrant(Limit& limit, const proto::ReserveTokensRequest& request,
+                               std::uint64_t allowance) {
   const std::uint64_t tokens = request.tokens() + allowance;
-  const std::uint64_t kept = limit.wait_queue.KeptBefore(PlaceOf(request));
-  if (limit.usage.UpperBound() + kept + tokens > request.limit()) {
+  const std::uint64_t reserved = limit.wait_queue.ReservedBefore(MakeBatchName(request));
+  if (limit.usage.UpperBound() + reserved + tokens > request.limit()) {
     return false;
   }
-  limit.wait_queue.Leave(PlaceOf(request));
+  limit.wait_queue.Leave(MakeBatchName(request));
   limit.usage.AddGrant({PartitionId(request.requester_partition_id()),
                         NodeId(request.owner_node_id()), request.sequence(), tokens});
-  limit.granted += request.tokens();
-  limit.allowance = limit.allowance || allowance > 0;
+  limit.granted_since_count += request.tokens();
+  limit.lent_allowance = limit.lent_allowance || allowance > 0;
   return true;
 }
 
-std::uint64_t TokenQuotaOwner::AllowanceFor(const Limit& limit,
-                                            const proto::ReserveTokensRequest& request) const {
-  const std::uint64_t taken = limit.usage.UpperBound() + request.tokens();
-  const std::uint64_t lendable = request.limit() / kAllowanceDivisor;
-  const std::uint64_t left = lendable - std::min(lendable, taken);
-  const std::uint64_t allowance = limit.waiting.empty() ? left / agent_.partition_count() : 0;
+std::uint64_t TokenQuotaOwner::ComputeAllowance(const Limit& limit,
+                                                const proto::ReserveTokensRequest& request) const {
+  const std::uint64_t open = limit.usage.UpperBound() + request.tokens();
+  const std::uint64_t allowance_pool = request.limit() / kAllowanceDivisor;
+  const std::uint64_t unlent = allowance_pool - std::min(allowance_pool, open);
+  const std::uint64_t allowance = limit.waiting.empty() ? unlent / agent_.partition_count() : 0;
   return allowance - std::min(allowance, request.spare());
 }
 
-bool TokenQuotaOwner::Complete(const Limit& limit) const {
-  return limit.usage.Complete(agent_.partition_count());
+bool TokenQuotaOwner::IsFullyCounted(const Limit& limit) const {
+  return limit.usage.IsComplete(agent_.partition_count());
 }
 
 TokenQuotaOwner::LimitPtr& TokenQuotaOwner::GetLimit(const QuotaKey& key, PartitionId partition) {
@@ -79,67 +79,69 @@
   const QuotaKey key{request.tenant(), request.route()};
   const LimitPtr& limit = GetLimit(key, PartitionId(request.partition_id()));
   const TimePoint now = environment_.Now();
-  limit->wait_queue.DropOverdue(now);
+  limit->wait_queue.DropExpired(now);
   if (request.tokens() <= request.limit()) {
-    limit->wait_queue.Enter(PlaceOf(request), request.tokens());
+    limit->wait_queue.Enter(MakeBatchName(request), request.tokens());
   }
   proto::ReserveTokensResponse response;
-  response.set_allowance(AllowanceFor(*limit, request));
-  if (Complete(*limit) && Grant(*limit, request, response.allowance())) {
+  response.set_allowance(ComputeAllowance(*limit, request));
+  if (IsFullyCounted(*limit) && TryGrant(*limit, request, response.allowance())) {
     reply(std::move(response));
     return;
   }
   const bool fresh = HasFreshCount(*limit, now);
   if (fresh && !limit->counting && !ShouldWait(*limit, request)) {
-    Refuse(*limit, request, reply);
+    Reject(*limit, request, reply);
     return;
   }
   limit->waiting.push_back(
-      {request, std::move(reply), now + kLongestWait, now + milliseconds(request.wait_ms())});
+      {request, std::move(reply), now + kCountTimeout, now + milliseconds(request.wait_ms())});
   if (fresh) {
-    CountSoon(key, limit);
+    ScheduleCount(key, limit);
   } else if (!limit->counting) {
-    BeginCount(key, limit);
+    StartCount(key, limit);
   }
 }
 
 bool TokenQuotaOwner::HasFreshCount(const Limit& limit, TimePoint now) const {
-  return Complete(limit) && !limit.allowance && now - limit.counted_at <= kCountAge;
+  return IsFullyCounted(limit) && !limit.lent_allowance &&
+         now - limit.last_count_started_at <= kMaxCountAge;
 }
 
 bool TokenQuotaOwner::ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request) {
   if (request.wait_ms() == 0 || request.tokens() > request.limit()) {
     return false;
   }
-  const std::optional<Duration> time = limit.drain_rate.TimeFor(Missing(limit, request));
+  const std::optional<Duration> time =
+      limit.drain_rate.EstimateTime(ComputeShortfall(limit, request));
   return !time || *time <= milliseconds(request.wait_ms());
 }
 
-std::uint64_t TokenQuotaOwner::Missing(const Limit& limit,
-                                       const proto::ReserveTokensRequest& request) {
-  const std::uint64_t before = limit.wait_queue.TokensBefore(PlaceOf(request));
+std::uint64_t TokenQuotaOwner::ComputeShortfall(const Limit& limit,
+                                                const proto::ReserveTokensRequest& request) {
+  const std::uint64_t before = limit.wait_queue.TokensBefore(MakeBatchName(request));
   const std::uint64_t needed = limit.usage.UpperBound() + before + request.tokens();
   return needed - std::min(needed, request.limit());
 }
 
-void TokenQuotaOwner::Refuse(Limit& limit, const proto::ReserveTokensRequest& request,
+void TokenQuotaOwner::Reject(Limit& limit, const proto::ReserveTokensRequest& request,
                              const Reply& reply) {
   const std::uint64_t open = limit.usage.UpperBound();
   const Duration expected =
-      limit.drain_rate.TimeFor(Missing(limit, request)).value_or(kLatestReturn);
-  const Duration wait = std::clamp(expected, kSoonestReturn, kLatestReturn);
-  limit.wait_queue.ReserveUntil(PlaceOf(request), environment_.Now() + wait + kReturnMargin);
+      limit.drain_rate.EstimateTime(ComputeShortfall(limit, request)).value_or(kMaxRetryAfter);
+  const Duration wait = std::clamp(expected, kMinRetryAfter, kMaxRetryAfter);
+  limit.wait_queue.ReserveUntil(MakeBatchName(request), environment_.Now() + wait + kRetryMargin);
   reply(RejectForOverload("route " + request.route() + " has " + std::to_string(open) +
                               " tokens waiting and may have " + std::to_string(request.limit()) +
                               "; submit again when some are finished",
                           wait));
 }
 
-void TokenQuotaOwner::CountSoon(const QuotaKey& key, const LimitPtr& limit) {
-  environment_.ScheduleAfter(kCountAge, [weak = weak_from_this(), key, limit] {
+void TokenQuotaOwner::ScheduleCount(const QuotaKey& key, const LimitPtr& limit) {
+  environment_.ScheduleAfter(kMaxCountAge, [weak = weak_from_this(), key, limit] {
     const auto self = weak.lock();
     if (self != nullptr && !limit->counting && !limit->waiting.empty()) {
-      self->BeginCount(key, limit);
+      self->StartCount(key, limit);
     }
   });
 }
@@ -158,12 +160,12 @@
   return requests;
 }
 
-void TokenQuotaOwner::BeginCount(const QuotaKey& key, const LimitPtr& limit) {
+void TokenQuotaOwner::StartCount(const QuotaKey& key, const LimitPtr& limit) {
   const std::map<NodeId, proto::CountOpenTokensRequest> requests = MakeCountRequests(key);
   limit->counting = true;
-  limit->allowance = false;
-  limit->count_began = environment_.Now();
-  limit->awaited = static_cast<int>(requests.size()) + 1;
+  limit->lent_allowance = false;
+  limit->count_started_at = environment_.Now();
+  limit->pending_answers = static_cast<int>(requests.size()) + 1;
   environment_.metrics().Increment("queue_token_counts_total");
   for (const auto& [owner, request] : requests) {
     RequestCount(key, limit, owner, request);
@@ -175,7 +177,7 @@
 void TokenQuotaOwner::RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
                                    const proto::CountOpenTokensRequest& request) {
   if (owner == agent_.node_id()) {
-    HandleCounts(key, limit, count_own_(request));
+    HandleCounts(key, limit, count_local_(request));
     return;
   }
   const auto server = agent_.fleet().servers.find(owner);
@@ -205,39 +207,39 @@
                                {counts->pending().begin(), counts->pending().end()}});
     }
   }
-  if (--limit->awaited == 0) {
+  if (--limit->pending_answers == 0) {
     CompleteCount(key, limit);
   }
 }
 
 void TokenQuotaOwner::CompleteCount(const QuotaKey& key, const LimitPtr& limit) {
   limit->counting = false;
-  limit->counted_at = limit->count_began;
+  limit->last_count_started_at = limit->count_started_at;
   const std::uint64_t finished = limit->drain_rate.Update(
-      limit->usage.UpperBound(), std::exchange(limit->granted, 0), environment_.Now());
+      limit->usage.UpperBound(), std::exchange(limit->granted_since_count, 0), environment_.Now());
   limit->wait_queue.RecordFreed(finished);
   AnswerWaiting(key, limit);
 }
 
 void TokenQuotaOwner::AnswerWaiting(const QuotaKey& key, const LimitPtr& limit) {
-  const bool complete = Complete(*limit);
+  const bool complete = IsFullyCounted(*limit);
   const TimePoint now = environment_.Now();
   std::list<Waiting> still_waiting;
-  limit->wait_queue.DropOverdue(now);
+  limit->wait_queue.DropExpired(now);
   limit->waiting.sort([&wait_queue = limit->wait_queue](const Waiting& one, const Waiting& other) {
-    return wait_queue.PositionOf(PlaceOf(one.request)) <
-           wait_queue.PositionOf(PlaceOf(other.request));
+    return wait_queue.FindPosition(MakeBatchName(one.request)) <
+           wait_queue.FindPosition(MakeBatchName(other.request));
   });
   for (Waiting& waiting : std::exchange(limit->waiting, {})) {
     const TimePoint give_up_at = complete ? waiting.wait_until : waiting.deadline;
-    if (complete && Grant(*limit, waiting.request, /*allowance=*/0)) {
+    if (complete && TryGrant(*limit, waiting.request, /*allowance=*/0)) {
       waiting.reply(proto::ReserveTokensResponse());
     } else if (now < give_up_at) {
       still_waiting.push_back(std::move(waiting));
     } else if (complete) {
-      Refuse(*limit, waiting.request, waiting.reply);
+      Reject(*limit, waiting.request, waiting.reply);
     } else {
-      limit->wait_queue.Leave(PlaceOf(waiting.request));
+      limit->wait_queue.Leave(MakeBatchName(waiting.request));
       waiting.reply(Status(StatusCode::kUnavailable, "not all partitions can be counted now"));
     }
   }
@@ -245,7 +247,7 @@
   if (limit->waiting.empty()) {
     return;
   }
-  CountSoon(key, limit);
+  ScheduleCount(key, limit);
 }
 
 void TokenQuotaOwner::Drop(PartitionId partition) {
--- a/src/token_quota/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -32,10 +32,10 @@
  public:
   using Reply = std::function<void(Result<proto::ReserveTokensResponse>)>;
   /// Counts at this node's own partitions.
-  using CountOwn =
+  using CountLocal =
       std::function<proto::CountOpenTokensResponse(const proto::CountOpenTokensRequest& request)>;
 
-  TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountOwn count_own);
+  TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountLocal count_local);
 
   /// Refuses kResourceExhausted over the limit, and kUnavailable while it can not be told what is
   /// open. The partition of the request must be owned by this node.
@@ -62,12 +62,12 @@
     std::list<Waiting> waiting;
     QuotaWaitQueue wait_queue;  ///< Of those that wait, and of the refused that may come again.
     DrainRate drain_rate;
-    std::uint64_t granted = 0;  ///< Since the last count.
-    bool allowance = false;     ///< Since the last count began; a new one takes it back.
+    std::uint64_t granted_since_count = 0;  ///< Since the last count.
+    bool lent_allowance = false;  ///< Since the last count began; a new one takes it back.
     bool counting = false;
-    int awaited = 0;  ///< Owners that have not answered the count under way.
-    TimePoint count_began{};
-    TimePoint counted_at{};  ///< When the last count that has ended began.
+    int pending_answers = 0;  ///< Owners that have not answered the count under way.
+    TimePoint count_started_at{};
+    TimePoint last_count_started_at{};  ///< When the last count that has ended began.
   };
   using LimitPtr = std::shared_ptr<Limit>;
 
@@ -76,18 +76,20 @@
   /// Whether a count that has just ended already says all that a new one could.
   bool HasFreshCount(const Limit& limit, TimePoint now) const;
   /// Grants if there is room for the request and for all that stand before it.
-  static bool Grant(Limit& limit, const proto::ReserveTokensRequest& request,
-                    std::uint64_t allowance);
+  static bool TryGrant(Limit& limit, const proto::ReserveTokensRequest& request,
+                       std::uint64_t allowance);
   /// @return how many tokens must be finished first.
-  static std::uint64_t Missing(const Limit& limit, const proto::ReserveTokensRequest& request);
-  void Refuse(Limit& limit, const proto::ReserveTokensRequest& request, const Reply& reply);
+  static std::uint64_t ComputeShortfall(const Limit& limit,
+                                        const proto::ReserveTokensRequest& request);
+  void Reject(Limit& limit, const proto::ReserveTokensRequest& request, const Reply& reply);
   /// @return what the holder should get beside what it asks for; nothing while others wait.
-  std::uint64_t AllowanceFor(const Limit& limit, const proto::ReserveTokensRequest& request) const;
-  bool Complete(const Limit& limit) const;
+  std::uint64_t ComputeAllowance(const Limit& limit,
+                                 const proto::ReserveTokensRequest& request) const;
+  bool IsFullyCounted(const Limit& limit) const;
   /// Whether room for the request is likely to come before it gives up waiting.
   static bool ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request);
-  void CountSoon(const QuotaKey& key, const LimitPtr& limit);
-  void BeginCount(const QuotaKey& key, const LimitPtr& limit);
+  void ScheduleCount(const QuotaKey& key, const LimitPtr& limit);
+  void StartCount(const QuotaKey& key, const LimitPtr& limit);
   /// @return what each owner of partitions is asked.
   std::map<NodeId, proto::CountOpenTokensRequest> MakeCountRequests(const QuotaKey& key) const;
   void RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
@@ -99,7 +101,7 @@
 
   Environment& environment_;
   NodeAgent& agent_;
-  CountOwn count_own_;
+  CountLocal count_local_;
   std::map<QuotaKey, LimitPtr> limits_;
 };
 
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -9,13 +9,13 @@
 namespace {
 
 /// Longer than a keeper waits for its counts.
-constexpr Duration kDeadline = milliseconds(1600);
+constexpr Duration kReserveDeadline = milliseconds(1600);
 /// A keeper that is silent for so long, beyond what it may let a batch wait, may be gone.
 constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
 constexpr Duration kWatchInterval = milliseconds(100);
 
-Status QuotaOwnerUnavailable(const std::string& why) {
-  return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + why,
+Status QuotaOwnerUnavailable(const std::string& reason) {
+  return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + reason,
           std::string(kQuotaOwnerUnavailableDetail)};
 }
 
@@ -31,7 +31,7 @@
 
 void TokenReserver::Reserve(PartitionId partition, const proto::SubmitBatch& batch,
                             const TokenReservation& reservation, Done done) {
-  const std::uint64_t sequence = next_++;
+  const std::uint64_t sequence = next_sequence_++;
   Pending& pending = pending_[sequence];
   const std::string& name = batch.batch_id().empty() ? batch.idempotency_key() : batch.batch_id();
   pending = {{partition, batch.tenant(), batch.route()},
@@ -40,7 +40,7 @@
              std::make_shared<Done>(std::move(done))};
   const proto::ReserveTokensRequest request =
       MakeRequest(sequence, pending, reservation, batch.open_token_limit());
-  WatchQuotaOwner(sequence, reservation.longest_wait + kQuotaOwnerTimeout);
+  WatchQuotaOwner(sequence, reservation.max_wait + kQuotaOwnerTimeout);
   SendRequest(request);
 }
 
@@ -56,27 +56,27 @@
   request.set_limit(limit);
   request.set_tokens(pending.tokens);
   request.set_wait_ms(static_cast<std::uint32_t>(
-      std::chrono::duration_cast<milliseconds>(reservation.longest_wait).count()));
+      std::chrono::duration_cast<milliseconds>(reservation.max_wait).count()));
   request.set_requester_partition_id(key.partition.value());
   request.set_owner_node_id(agent_.node_id().value());
   request.set_sequence(sequence);
   request.set_batch(pending.batch);
-  request.set_spare(Spare(key));
+  request.set_spare(RemainingAllowance(key));
   return request;
 }
 
 void TokenReserver::SendRequest(const proto::ReserveTokensRequest& request) {
   const proto::Server* server = agent_.fleet().OwnerOf(PartitionId(request.partition_id()));
   if (server == nullptr) {
-    TakeAnswer(request.sequence(),
-               Status(StatusCode::kUnavailable, "its partition has no owner now"));
+    HandleAnswer(request.sequence(),
+                 Status(StatusCode::kUnavailable, "its partition has no owner now"));
     return;
   }
   const auto finish = [weak = weak_from_this(), sequence = request.sequence(),
                        done = pending_.at(request.sequence()).done](
                           const Result<proto::ReserveTokensResponse>& answer) {
     if (const auto self = weak.lock()) {
-      self->TakeAnswer(sequence, answer);
+      self->HandleAnswer(sequence, answer);
     } else {
       CallOnce(*done, QuotaOwnerUnavailable("this queue node's life ended"));
     }
@@ -88,43 +88,44 @@
   const proto::Endpoint& endpoint = server->peer_endpoint();
   CallPeer<proto::ReserveTokensResponse>(
       environment_, {endpoint.host(), static_cast<std::uint16_t>(endpoint.port())},
-      "queue.ReserveTokens", request, kDeadline, finish);
+      "queue.ReserveTokens", request, kReserveDeadline, finish);
 }
 
-void TokenReserver::TakeAnswer(std::uint64_t sequence,
-                               const Result<proto::ReserveTokensResponse>& answer) {
+void TokenReserver::HandleAnswer(std::uint64_t sequence,
+                                 const Result<proto::ReserveTokensResponse>& answer) {
   const auto found = pending_.find(sequence);
   if (found == pending_.end()) {
     return;  // Taken within the allowance meanwhile.
   }
   if (answer.ok()) {
     allowances_[found->second.key].RecordGrant(found->second.tokens + answer->allowance());
-    Finish(sequence, Status::Ok());
+    Complete(sequence, Status::Ok());
   } else if (answer.status().code() == StatusCode::kResourceExhausted) {
-    Finish(sequence, answer.status());
+    Complete(sequence, answer.status());
   } else {
-    Finish(sequence, Allowed(found->second) ? Status::Ok()
-                                            : QuotaOwnerUnavailable(answer.status().ToString()));
+    Complete(sequence, FitsAllowance(found->second)
+                           ? Status::Ok()
+                           : QuotaOwnerUnavailable(answer.status().ToString()));
   }
 }
 
-void TokenReserver::WatchQuotaOwner(std::uint64_t sequence, Duration patience) {
-  environment_.ScheduleAfter(patience, [weak = weak_from_this(), sequence] {
+void TokenReserver::WatchQuotaOwner(std::uint64_t sequence, Duration timeout) {
+  environment_.ScheduleAfter(timeout, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     const bool pending = self != nullptr && self->pending_.contains(sequence);
     if (!pending) {
       return;
     }
-    if (self->Allowed(self->pending_.at(sequence))) {
-      self->Finish(sequence, Status::Ok());
+    if (self->FitsAllowance(self->pending_.at(sequence))) {
+      self->Complete(sequence, Status::Ok());
     } else {
       self->WatchQuotaOwner(sequence, kWatchInterval);
     }
   });
 }
 
-std::uint64_t TokenReserver::Spare(const AllowanceKey& key) {
-  return allowances_[key].Spare(count_open_(key.partition, key.tenant, key.route));
+std::uint64_t TokenReserver::RemainingAllowance(const AllowanceKey& key) {
+  return allowances_[key].Remaining(count_open_(key.partition, key.tenant, key.route));
 }
 
 void TokenReserver::RecordCount(PartitionId partition, const std::string& tenant,
@@ -140,7 +141,7 @@
   return sequences;
 }
 
-void TokenReserver::Finish(std::uint64_t sequence, const Status& status) {
+void TokenReserver::Complete(std::uint64_t sequence, const Status& status) {
   // It stays pending until its tokens count as open, so that no count between the two misses it.
   const std::shared_ptr<Done> done = pending_.at(sequence).done;
   CallOnce(*done, status);
--- a/src/token_quota/token_reserver.h
+++ b/src/token_quota/token_reserver.h
@@ -23,7 +23,7 @@
 /// What a batch needs of its route's limit.
 struct TokenReservation {
   std::uint64_t tokens = 0;  ///< Of all its items.
-  Duration longest_wait{};   ///< For room.
+  Duration max_wait{};       ///< For room.
 };
 
 class TokenReserver : public std::enable_shared_from_this<TokenReserver> {
@@ -47,7 +47,7 @@
   /// The partition has another owner now.
   void Drop(PartitionId partition) { allowances_.Drop(partition); }
   /// All requests with a lower sequence are over, but for those of `PendingRequests`.
-  std::uint64_t completed_below() const { return next_; }
+  std::uint64_t completed_below() const { return next_sequence_; }
   std::vector<std::uint64_t> PendingRequests() const;
 
  private:
@@ -61,12 +61,14 @@
   proto::ReserveTokensRequest MakeRequest(std::uint64_t sequence, const Pending& pending,
                                           const TokenReservation& reservation, std::uint64_t limit);
   void SendRequest(const proto::ReserveTokensRequest& request);
-  void TakeAnswer(std::uint64_t sequence, const Result<proto::ReserveTokensResponse>& answer);
+  void HandleAnswer(std::uint64_t sequence, const Result<proto::ReserveTokensResponse>& answer);
   /// Takes the batch within the allowance as soon as that has room, while no answer comes.
-  void WatchQuotaOwner(std::uint64_t sequence, Duration patience);
-  std::uint64_t Spare(const AllowanceKey& key);
-  bool Allowed(const Pending& pending) { return pending.tokens <= Spare(pending.key); }
-  void Finish(std::uint64_t sequence, const Status& status);
+  void WatchQuotaOwner(std::uint64_t sequence, Duration timeout);
+  std::uint64_t RemainingAllowance(const AllowanceKey& key);
+  bool FitsAllowance(const Pending& pending) {
+    return pending.tokens <= RemainingAllowance(pending.key);
+  }
+  void Complete(std::uint64_t sequence, const Status& status);
   static void CallOnce(Done& done, const Status& status);
 
   Environment& environment_;
@@ -74,7 +76,7 @@
   std::shared_ptr<TokenQuotaOwner> local_quota_owner_;
   CountOpen count_open_;
   TokenAllowances allowances_;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_sequence_ = 1;
   std::map<std::uint64_t, Pending> pending_;
 };
 
--- a/src/token_quota/token_usage.cc
+++ b/src/token_quota/token_usage.cc
@@ -15,7 +15,7 @@
   return true;
 }
 
-bool TokenUsage::Count::Settles(const Grant& grant) const {
+bool TokenUsage::Count::Includes(const Grant& grant) const {
   // What an earlier owner logged is in the partition that the present one recovered.
   return grant.owner != owner ||
          (grant.sequence < completed_below && !pending.contains(grant.sequence));
@@ -33,11 +33,11 @@
   }
   usage.counted = count.tokens;
   std::erase_if(grants_, [&count](const Grant& grant) {
-    return grant.partition == count.partition && count.Settles(grant);
+    return grant.partition == count.partition && count.Includes(grant);
   });
 }
 
-bool TokenUsage::Complete(std::uint32_t partition_count) const {
+bool TokenUsage::IsComplete(std::uint32_t partition_count) const {
   const auto counted = std::count_if(partitions_.begin(), partitions_.end(), [](const auto& entry) {
     return entry.second.counted.has_value();
   });
--- a/src/token_quota/token_usage.h
+++ b/src/token_quota/token_usage.h
@@ -38,14 +38,14 @@
     std::uint64_t completed_below = 0;
     std::set<std::uint64_t> pending;
 
-    bool Settles(const Grant& grant) const;
+    bool Includes(const Grant& grant) const;
   };
 
   void AddGrant(const Grant& grant);
   /// Counts of an owner after which another one was heard of are passed over.
   void ApplyCount(const Count& count);
   /// Whether each of so many partitions was counted at least once.
-  bool Complete(std::uint32_t partition_count) const;
+  bool IsComplete(std::uint32_t partition_count) const;
   std::uint64_t UpperBound() const;
 
  private:
--- a/src/work_dispatch/batch_canceller.cc
+++ b/src/work_dispatch/batch_canceller.cc
@@ -72,7 +72,7 @@
   const auto from = completion_allowed_from_.find(batch.partition);
   return from != completion_allowed_from_.end() && environment_.Now() >= from->second &&
          !unknown_->HasItemsOf(batch) && !completing_.contains(batch) &&
-         leases_->CountOf(batch.partition, batch.batch_id) == 0;
+         leases_->CountLeases(batch.partition, batch.batch_id) == 0;
 }
 
 void BatchCanceller::CompleteDue() {
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -6,13 +6,13 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kLargestGrants = 1000;
+constexpr std::size_t kMaxGrants = 1000;
 /// An answer ends once its items hold this many bytes.
-constexpr std::size_t kLargestGrantBytes = 4U << 20U;
-constexpr Duration kLongestHold = seconds(5);
+constexpr std::size_t kMaxGrantBytes = 4U << 20U;
+constexpr Duration kMaxHold = seconds(5);
 /// A held question older than this is answered empty instead of with work, so that its gateway asks
 /// again: it may be gone, and what is granted to nobody ends as unknown if it must not repeat.
-constexpr Duration kFreshQuestion = milliseconds(20);
+constexpr Duration kMaxFreshAge = milliseconds(20);
 /// So many times the room that waiting items need is woken at once: some gateways are gone, and
 /// some have used their room meanwhile.
 constexpr std::size_t kWakeFactor = 2;
@@ -31,16 +31,16 @@
 void WorkGranter::Acquire(const proto::AcquireWorkRequest& request, Reply reply) {
   pending_.push_back({request, environment_.Now(), std::move(reply), 0});
   const auto pending = std::prev(pending_.end());
-  const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kLongestHold);
+  const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kMaxHold);
   pending->timer = environment_.ScheduleAfter(hold, [weak = weak_from_this(), pending] {
     if (const auto self = weak.lock()) {
-      self->ExpirePending(pending);
+      self->AnswerEmpty(pending);
     }
   });
   ServePending();
 }
 
-void WorkGranter::ExpirePending(std::list<PendingAcquire>::iterator pending) {
+void WorkGranter::AnswerEmpty(std::list<PendingAcquire>::iterator pending) {
   const Reply reply = std::move(pending->reply);
   pending_.erase(pending);
   reply(proto::AcquireWorkResponse());
@@ -76,22 +76,22 @@
     }
     pending = next;
   }
-  WakePending();
+  WakeStaleRequests();
 }
 
 bool WorkGranter::IsFresh(const PendingAcquire& pending) const {
-  return environment_.Now() - pending.arrived <= kFreshQuestion;
+  return environment_.Now() - pending.arrived <= kMaxFreshAge;
 }
 
-void WorkGranter::WakePending() {
+void WorkGranter::WakeStaleRequests() {
   const TimePoint now = environment_.Now();
   if (queue_->waiting_count() == 0 || pending_.empty() || wake_scheduled_) {
     return;
   }
   if (now >= next_wake_) {
     const std::size_t wanted = kWakeFactor * queue_->waiting_count();
-    const std::size_t near = WakeZone(/*own=*/true, 0, wanted);
-    WakeZone(/*own=*/false, near, wanted);
+    const std::size_t woken_slots = WakeStaleInZone(/*own=*/true, 0, wanted);
+    WakeStaleInZone(/*own=*/false, woken_slots, wanted);
     next_wake_ = now + kWakeInterval;
   }
   wake_scheduled_ = true;
@@ -103,7 +103,7 @@
   });
 }
 
-std::size_t WorkGranter::UsableSlots(const proto::AcquireWorkRequest& request) const {
+std::size_t WorkGranter::CountUsableSlots(const proto::AcquireWorkRequest& request) const {
   std::size_t slots = 0;
   for (const proto::BackendCapacity& capacity : request.capacity()) {
     slots += queue_->HasWaiting(capacity.backend()) ? capacity.slots() : 0;
@@ -111,15 +111,15 @@
   return slots;
 }
 
-std::size_t WorkGranter::WakeZone(bool own, std::size_t capacity, std::size_t wanted) {
+std::size_t WorkGranter::WakeStaleInZone(bool own, std::size_t capacity, std::size_t wanted) {
   for (auto pending = pending_.begin(); pending != pending_.end() && capacity < wanted;) {
     const auto next = std::next(pending);
-    const std::size_t usable = UsableSlots(pending->request);
+    const std::size_t usable = CountUsableSlots(pending->request);
     const bool in_zone = pending->request.zone() == agent_.zone();
     if (!IsFresh(*pending) && in_zone == own && usable > 0) {
       capacity += usable;
       environment_.CancelTimer(pending->timer);
-      ExpirePending(pending);
+      AnswerEmpty(pending);
     }
     pending = next;
   }
@@ -132,9 +132,9 @@
   std::size_t bytes = 0;
   for (const proto::BackendCapacity& capacity : request.capacity()) {
     std::size_t slots = capacity.slots();
-    while (slots > 0 && items.size() < kLargestGrants && bytes < kLargestGrantBytes) {
-      const std::size_t asked = std::min(slots, FairQueue::kLongestRun);
-      const auto picked = queue_->Pick(capacity.backend(), asked);
+    while (slots > 0 && items.size() < kMaxGrants && bytes < kMaxGrantBytes) {
+      const std::size_t run = std::min(slots, FairQueue::kLongestRun);
+      const auto picked = queue_->Pick(capacity.backend(), run);
       if (picked.empty()) {
         break;
       }
@@ -175,13 +175,13 @@
     SendGrants(grants);
     return;
   }
-  grants->logs_under_way = starts->size();
+  grants->pending_logs = starts->size();
   for (auto& [id, entries] : *starts) {
     queue_->FindPartition(id)->Log(
         std::move(entries), [weak = weak_from_this(), grants, id = id](const Status& status) {
           if (const auto self = weak.lock()) {
             self->HandleStartsLogged(grants, id, status);
-          } else if (--grants->logs_under_way == 0) {
+          } else if (--grants->pending_logs == 0) {
             grants->pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
           }
         });
@@ -202,7 +202,7 @@
       return true;
     });
   }
-  if (--grants->logs_under_way == 0) {
+  if (--grants->pending_logs == 0) {
     SendGrants(grants);
   }
 }
--- a/src/work_dispatch/work_granter.h
+++ b/src/work_dispatch/work_granter.h
@@ -47,19 +47,19 @@
   struct PendingGrants {
     PendingAcquire pending;
     std::vector<WorkItemKey> items;
-    std::size_t logs_under_way = 0;
+    std::size_t pending_logs = 0;
   };
   using PendingGrantsPtr = std::shared_ptr<PendingGrants>;
   using StartEntries = std::map<PartitionId, std::vector<proto::LogEntry>>;
 
   /// Answers some of the questions that were held for long, so that their gateways ask again.
-  void WakePending();
+  void WakeStaleRequests();
   /// Answers such questions of the own zone, or of others, until their room reaches `wanted`.
-  std::size_t WakeZone(bool own, std::size_t capacity, std::size_t wanted);
+  std::size_t WakeStaleInZone(bool own, std::size_t capacity, std::size_t wanted);
   bool IsFresh(const PendingAcquire& pending) const;
   /// @return the slots of the request for which items wait.
-  std::size_t UsableSlots(const proto::AcquireWorkRequest& request) const;
-  void ExpirePending(std::list<PendingAcquire>::iterator pending);
+  std::size_t CountUsableSlots(const proto::AcquireWorkRequest& request) const;
+  void AnswerEmpty(std::list<PendingAcquire>::iterator pending);
   /// @return the items taken for the request, leased.
   std::vector<WorkItemKey> SelectItems(const proto::AcquireWorkRequest& request,
                                        StartEntries* starts);
--- a/src/work_dispatch/work_leases.cc
+++ b/src/work_dispatch/work_leases.cc
@@ -21,7 +21,7 @@
       found->second.incarnation != incarnation) {
     return nullptr;
   }
-  found->second.heard = now;
+  found->second.last_heard = now;
   return &found->second;
 }
 
@@ -30,8 +30,8 @@
   return found == by_item_.end() ? nullptr : &by_id_.at(found->second);
 }
 
-ReportAction WorkLeases::Decide(const proto::WorkReport& report, const WorkItemKey& item,
-                                bool has_result) const {
+ReportAction WorkLeases::EvaluateReport(const proto::WorkReport& report, const WorkItemKey& item,
+                                        bool has_result) const {
   const WorkLease* lease = Find(item);
   if (has_result) {
     return ReportAction::kDrop;
@@ -60,7 +60,7 @@
   }
   WorkLease& lease = by_id_.at(found->second);
   lease.reporting = reporting;
-  lease.heard = now;
+  lease.last_heard = now;
 }
 
 void WorkLeases::End(const WorkItemKey& item) {
@@ -75,7 +75,7 @@
 std::vector<WorkLease> WorkLeases::EndExpired(TimePoint now) {
   std::vector<WorkLease> ended;
   for (const auto& [id, lease] : by_id_) {
-    if (!lease.reporting && now - lease.heard >= kWorkLeaseTimeout) {
+    if (!lease.reporting && now - lease.last_heard >= kWorkLeaseTimeout) {
       ended.push_back(lease);
     }
   }
@@ -93,7 +93,7 @@
   }
 }
 
-std::size_t WorkLeases::CountOf(PartitionId partition, const std::string& batch_id) const {
+std::size_t WorkLeases::CountLeases(PartitionId partition, const std::string& batch_id) const {
   std::size_t count = 0;
   for (auto item = by_item_.lower_bound({partition, batch_id, 0});
        item != by_item_.end() && item->first.partition == partition &&
--- a/src/work_dispatch/work_leases.h
+++ b/src/work_dispatch/work_leases.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Rights to start batch items, as the partition's owner keeps them: who holds which item and when
-/// it was last heard of. Not durable: after a recovery no lease is known, and items that must not
-/// repeat are told from the log's ItemStarted entries.
+/// it was last last_heard of. Not durable: after a recovery no lease is known, and items that must
+/// not repeat are told from the log's ItemStarted entries.
 ///
 /// Pure: the time comes with each call. Threads: none of its own.
 
@@ -49,7 +49,7 @@
   std::uint64_t gateway_node_id = 0;  ///< 0: adopted after a recovery, holder not known.
   Incarnation incarnation;            ///< Of the gateway.
   bool idempotent = false;
-  TimePoint heard;         ///< Last sign of life of its holder.
+  TimePoint last_heard;    ///< Last sign of life of its holder.
   bool reporting = false;  ///< Its result is being logged: silence no longer counts.
 };
 
@@ -76,8 +76,8 @@
   /// @return the current lease of `item`, or nullptr.
   const WorkLease* Find(const WorkItemKey& item) const;
   /// @return what a report under `lease` means, given whether the item `has_result`.
-  ReportAction Decide(const proto::WorkReport& report, const WorkItemKey& item,
-                      bool has_result) const;
+  ReportAction EvaluateReport(const proto::WorkReport& report, const WorkItemKey& item,
+                              bool has_result) const;
 
   /// Marks that the item's result is on its way to the log (true), or was refused by it (false).
   void SetReporting(const WorkItemKey& item, bool reporting, TimePoint now);
@@ -89,7 +89,7 @@
   void EndPartition(PartitionId partition);
 
   /// @return how many items of the batch are leased.
-  std::size_t CountOf(PartitionId partition, const std::string& batch_id) const;
+  std::size_t CountLeases(PartitionId partition, const std::string& batch_id) const;
   std::size_t size() const { return by_id_.size(); }
 
  private:
--- a/src/work_dispatch/work_reporter.cc
+++ b/src/work_dispatch/work_reporter.cc
@@ -8,15 +8,15 @@
 namespace cloverbank {
 namespace {
 
-WorkItemKey KeyOf(const proto::WorkReport& report) {
+WorkItemKey MakeItemKey(const proto::WorkReport& report) {
   return {PartitionId(report.partition_id()), report.batch_id(),
           static_cast<std::uint32_t>(report.item_index())};
 }
 
 /// Longest output and error kept; a longer result could not be logged.
-constexpr std::size_t kLargestOutputBytes = 512U << 10U;
+constexpr std::size_t kMaxOutputBytes = 512U << 10U;
 /// Items finished as unknown in one go.
-constexpr std::size_t kUnknownPerTick = 1000;
+constexpr std::size_t kMaxUnknownBeingLogged = 1000;
 
 /// @return the items whose results the ItemFinished entries are.
 std::vector<WorkItemKey> FinishedItems(PartitionId partition,
@@ -49,8 +49,8 @@
   return Status::Ok();
 }
 
-void WorkReporter::Renew(const proto::ReportWorkRequest& request,
-                         proto::ReportWorkResponse* response) {
+void WorkReporter::RenewLeases(const proto::ReportWorkRequest& request,
+                               proto::ReportWorkResponse* response) {
   for (const std::uint64_t id : request.running_lease_ids()) {
     const WorkLease* lease = leases_->Renew(WorkLeaseId(id), request.gateway_node_id(),
                                             Incarnation(request.incarnation()), environment_.Now());
@@ -64,7 +64,7 @@
 void WorkReporter::Report(const proto::ReportWorkRequest& request, Reply reply) {
   auto pending = std::make_shared<PendingReport>();
   pending->reply = std::move(reply);
-  Renew(request, &pending->response);
+  RenewLeases(request, &pending->response);
   if (Status status = CheckReports(request); !status.ok()) {
     pending->reply(std::move(status));
     return;
@@ -80,7 +80,7 @@
     Answer(pending);
     return;
   }
-  pending->logs_under_way = results.size();
+  pending->pending_logs = results.size();
   for (auto& [partition, entries] : results) {
     LogResults(pending, partition, std::move(entries));
   }
@@ -88,14 +88,14 @@
 
 std::optional<proto::LogEntry> WorkReporter::HandleReport(const proto::WorkReport& report,
                                                           PendingReport* pending) {
-  const WorkItemKey item = KeyOf(report);
+  const WorkItemKey item = MakeItemKey(report);
   const StoredBatch* batch = queue_->FindBatch(item);
   if (batch == nullptr) {
     return std::nullopt;  // Removed since.
   }
   const bool has_result = batch->phases[item.index] == ItemPhase::kFinished;
   proto::LogEntry entry;
-  switch (leases_->Decide(report, item, has_result)) {
+  switch (leases_->EvaluateReport(report, item, has_result)) {
     case ReportAction::kDrop:
       return std::nullopt;
     case ReportAction::kWait:
@@ -127,7 +127,7 @@
 
 proto::LogEntry WorkReporter::MakeResult(const WorkItemKey& item,
                                          const proto::WorkReport& report) const {
-  if (report.output().size() + report.error().size() > kLargestOutputBytes) {
+  if (report.output().size() + report.error().size() > kMaxOutputBytes) {
     proto::LogEntry entry = MakeFinished(item, proto::ITEM_OUTCOME_FAILED);
     entry.mutable_item_finished()->set_error("the output is too large to be kept");
     return entry;
@@ -161,7 +161,7 @@
         if (!status.ok()) {
           pending->status = status;
         }
-        if (--pending->logs_under_way == 0) {
+        if (--pending->pending_logs == 0) {
           Answer(pending);
         }
       });
@@ -209,15 +209,15 @@
   if (route == nullptr || route->batch_target_ms() == 0 || batch.cancelled) {
     return;
   }
-  const std::int64_t taken = environment_.WallMilliseconds() - batch.accepted.accepted_at_ms();
-  if (taken <= route->batch_target_ms()) {
+  const std::int64_t elapsed_ms = environment_.WallMilliseconds() - batch.accepted.accepted_at_ms();
+  if (elapsed_ms <= route->batch_target_ms()) {
     return;
   }
   environment_.metrics().Increment("queue_results_late_total", {{"route", route->name()}});
   Log(LogLevel::kInfo, "result_late",
       {{"route", route->name()},
        {"batch", batch.accepted.batch_id()},
-       {"taken_ms", taken},
+       {"taken_ms", elapsed_ms},
        {"target_ms", route->batch_target_ms()},
        {"open_items", batch.open_items()},
        {"waiting_items", queue_->waiting_count()}});
@@ -246,10 +246,10 @@
 void WorkReporter::LogUnknown() {
   std::map<PartitionId, std::vector<proto::LogEntry>> results;
   for (const WorkItemKey& item : unknown_->items()) {
-    if (unknown_under_way_.size() >= kUnknownPerTick) {
+    if (unknown_being_logged_.size() >= kMaxUnknownBeingLogged) {
       break;
     }
-    if (unknown_under_way_.insert(item).second) {
+    if (unknown_being_logged_.insert(item).second) {
       results[item.partition].push_back(MakeFinished(item, proto::ITEM_OUTCOME_UNKNOWN));
     }
   }
@@ -267,7 +267,7 @@
 void WorkReporter::HandleUnknownLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
                                        const Status& status) {
   for (const WorkItemKey& item : items) {
-    unknown_under_way_.erase(item);
+    unknown_being_logged_.erase(item);
   }
   HandleResultsLogged(partition, items, status);
 }
--- a/src/work_dispatch/work_reporter.h
+++ b/src/work_dispatch/work_reporter.h
@@ -53,12 +53,12 @@
     Reply reply;
     proto::ReportWorkResponse response;
     Status status;
-    std::size_t logs_under_way = 0;
+    std::size_t pending_logs = 0;
   };
   using PendingReportPtr = std::shared_ptr<PendingReport>;
 
   Status CheckReports(const proto::ReportWorkRequest& request) const;
-  void Renew(const proto::ReportWorkRequest& request, proto::ReportWorkResponse* response);
+  void RenewLeases(const proto::ReportWorkRequest& request, proto::ReportWorkResponse* response);
   /// Handles one report. @return the entry of its result to log, if it has one.
   std::optional<proto::LogEntry> HandleReport(const proto::WorkReport& report,
                                               PendingReport* pending);
@@ -82,7 +82,7 @@
   std::shared_ptr<UnknownItems> unknown_;
   std::shared_ptr<WorkGranter> granter_;
   std::shared_ptr<BatchCanceller> canceller_;
-  std::set<WorkItemKey> unknown_under_way_;
+  std::set<WorkItemKey> unknown_being_logged_;
 };
 
 }  // namespace cloverbank
--- a/tests/batches/batch_store_test.cc
+++ b/tests/batches/batch_store_test.cc
@@ -69,7 +69,7 @@
   ASSERT_NE(store_.Find("b1"), nullptr);
   EXPECT_EQ(store_.FindByKey("studio", "key-b1"), store_.Find("b1"));
   EXPECT_EQ(store_.FindByKey("other", "key-b1"), nullptr);
-  EXPECT_EQ(store_.OpenItems("studio"), 3U);
+  EXPECT_EQ(store_.CountOpenItems("studio"), 3U);
   EXPECT_EQ(store_.Find("b1")->state(), proto::BATCH_STATE_RUNNING);
 }
 
@@ -133,8 +133,8 @@
   }
   const auto first = store_.ListBatches("studio", "", 1);
   Apply(writer_.Finished("b0", 0, ""));
-  EXPECT_EQ(store_.FinishedUpTo(50), std::vector<std::string>{"b0"});
-  EXPECT_TRUE(store_.FinishedUpTo(49).empty());
+  EXPECT_EQ(store_.FindFinishedBy(50), std::vector<std::string>{"b0"});
+  EXPECT_TRUE(store_.FindFinishedBy(49).empty());
   proto::LogEntry removed = writer_.Next();
   removed.mutable_batch_removed()->set_batch_id("b0");
   Apply(removed);
@@ -164,7 +164,7 @@
   EXPECT_EQ(list->results(3).item_index(), 2U);
   EXPECT_EQ(list->results(3).outcome(), proto::ITEM_OUTCOME_CANCELLED);
   EXPECT_EQ(store_.Find("b1")->ToStatus().cancelled(), 2U);
-  EXPECT_EQ(store_.OpenItems("studio"), 0U);
+  EXPECT_EQ(store_.CountOpenItems("studio"), 0U);
 }
 
 TEST_F(BatchStoreTest, EntriesAppliedTwiceChangeNothing) {
@@ -191,19 +191,19 @@
   proto::LogEntry accepted = writer_.Accepted("b1", "host", 3);
   accepted.mutable_batch_accepted()->set_route("r");
   Apply(accepted);
-  EXPECT_EQ(store_.OpenTokens("host", "r"), 300U);
-  EXPECT_EQ(store_.OpenTokens("host", "other"), 0U);
-  ASSERT_TRUE(store_.OpenItem("b1", "item1").ok());
-  EXPECT_EQ(store_.OpenItem("b1", "item1")->forwarded().body(), "body of item1");
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 300U);
+  EXPECT_EQ(store_.CountOpenTokens("host", "other"), 0U);
+  ASSERT_TRUE(store_.FindOpenItem("b1", "item1").ok());
+  EXPECT_EQ(store_.FindOpenItem("b1", "item1")->forwarded().body(), "body of item1");
   Apply(writer_.Finished("b1", 1, "text"));
-  EXPECT_EQ(store_.OpenTokens("host", "r"), 200U);
-  EXPECT_EQ(store_.OpenItem("b1", "item1").status().code(), StatusCode::kNotFound);
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 200U);
+  EXPECT_EQ(store_.FindOpenItem("b1", "item1").status().code(), StatusCode::kNotFound);
   proto::LogEntry cancelled = writer_.Next();
   cancelled.mutable_batch_cancelled()->set_batch_id("b1");
   Apply(cancelled);
-  EXPECT_EQ(store_.OpenTokens("host", "r"), 0U);
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 0U);
   Apply(writer_.Finished("b1", 2, "text"));
-  EXPECT_EQ(store_.OpenTokens("host", "r"), 0U);
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 0U);
   EXPECT_EQ(store_.ListResults("b1", "", 0)->total(), 3U);
 }
 
@@ -223,7 +223,7 @@
     Apply(entry);
   }
   EXPECT_LT(bytes, 1500U);
-  EXPECT_EQ(store_.OpenItem("b1", "item1")->forwarded().body().size(), 1000U);
+  EXPECT_EQ(store_.FindOpenItem("b1", "item1")->forwarded().body().size(), 1000U);
   EXPECT_EQ(store_.ListResults("b1", "", 0)->results(0).output(), "text");
 }
 
--- a/tests/token_quota/drain_rate_test.cc
+++ b/tests/token_quota/drain_rate_test.cc
@@ -10,15 +10,15 @@
 TEST(DrainRateTest, IsNotKnownFromOneCount) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
-  EXPECT_FALSE(rate.TimeFor(100).has_value());
+  EXPECT_FALSE(rate.EstimateTime(100).has_value());
 }
 
 TEST(DrainRateTest, CountsWhatWasFinishedBesideWhatWasGranted) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   rate.Update(1'000, 50, kStart + milliseconds(100));
-  ASSERT_TRUE(rate.TimeFor(500).has_value());
-  EXPECT_EQ(*rate.TimeFor(500), seconds(1));
+  ASSERT_TRUE(rate.EstimateTime(500).has_value());
+  EXPECT_EQ(*rate.EstimateTime(500), seconds(1));
 }
 
 TEST(DrainRateTest, FollowsAChangeStepByStep) {
@@ -31,22 +31,22 @@
     now += milliseconds(100);
     rate.Update(open, 0, now);
   }
-  EXPECT_EQ(*rate.TimeFor(1'000), seconds(1));
+  EXPECT_EQ(*rate.EstimateTime(1'000), seconds(1));
   for (int count = 0; count < 20; ++count) {
     open -= 200;
     now += milliseconds(100);
     rate.Update(open, 0, now);
   }
-  EXPECT_NEAR(std::chrono::duration<double>(*rate.TimeFor(1'000)).count(), 0.5, 0.01);
+  EXPECT_NEAR(std::chrono::duration<double>(*rate.EstimateTime(1'000)).count(), 0.5, 0.01);
 }
 
 TEST(DrainRateTest, ForgetsWhatItKnewOverALongPause) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   rate.Update(900, 0, kStart + milliseconds(100));
-  EXPECT_TRUE(rate.TimeFor(100).has_value());
+  EXPECT_TRUE(rate.EstimateTime(100).has_value());
   rate.Update(0, 0, kStart + seconds(10));
-  EXPECT_FALSE(rate.TimeFor(100).has_value());
+  EXPECT_FALSE(rate.EstimateTime(100).has_value());
 }
 
 }  // namespace
--- a/tests/token_quota/token_allowance_test.cc
+++ b/tests/token_quota/token_allowance_test.cc
@@ -15,17 +15,17 @@
 TEST(TokenAllowanceTest, NothingIsSpareBeforeTheFirstCount) {
   TokenAllowance allowance;
   allowance.RecordGrant(50);
-  EXPECT_EQ(allowance.Spare(0), 0U);
+  EXPECT_EQ(allowance.Remaining(0), 0U);
 }
 
 TEST(TokenAllowanceTest, WhatWasFinishedOrLentSinceTheCountIsSpare) {
   TokenAllowance allowance;
   allowance.RecordCount(100);
-  EXPECT_EQ(allowance.Spare(100), 0U);
-  EXPECT_EQ(allowance.Spare(70), 30U);
+  EXPECT_EQ(allowance.Remaining(100), 0U);
+  EXPECT_EQ(allowance.Remaining(70), 30U);
   allowance.RecordGrant(25);
-  EXPECT_EQ(allowance.Spare(100), 25U);
-  EXPECT_EQ(allowance.Spare(130), 0U);
+  EXPECT_EQ(allowance.Remaining(100), 25U);
+  EXPECT_EQ(allowance.Remaining(130), 0U);
 }
 
 TEST(TokenAllowanceTest, ACountTakesBackWhatWasLent) {
@@ -33,7 +33,7 @@
   allowance.RecordCount(0);
   allowance.RecordGrant(40);
   allowance.RecordCount(10);
-  EXPECT_EQ(allowance.Spare(10), 0U);
+  EXPECT_EQ(allowance.Remaining(10), 0U);
 }
 
 TEST(TokenAllowanceTest, APartitionThatIsGivenUpLosesItsAllowances) {
@@ -41,8 +41,8 @@
   allowances[{PartitionId(1), "studio", "audit"}].RecordCount(10);
   allowances[{PartitionId(2), "studio", "audit"}].RecordCount(10);
   allowances.Drop(PartitionId(1));
-  EXPECT_EQ((allowances[{PartitionId(1), "studio", "audit"}].Spare(0)), 0U);
-  EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Spare(0)), 10U);
+  EXPECT_EQ((allowances[{PartitionId(1), "studio", "audit"}].Remaining(0)), 0U);
+  EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Remaining(0)), 10U);
 }
 
 /// An owner and a keeper between which answers get lost or come late. Whatever is taken within the
@@ -63,8 +63,8 @@
         open_ -= std::min<std::uint64_t>(open_, random_() % 50);
         return;
       default:
-        const std::uint64_t spare = allowance_.Spare(open_);
-        open_ += spare == 0 ? 0 : random_() % (spare + 1);
+        const std::uint64_t remaining = allowance_.Remaining(open_);
+        open_ += remaining == 0 ? 0 : random_() % (remaining + 1);
     }
   }
   std::uint64_t open() const { return open_; }
--- a/tests/token_quota/token_usage_test.cc
+++ b/tests/token_quota/token_usage_test.cc
@@ -22,8 +22,8 @@
 };
 
 TEST_F(TokenUsageTest, IsCompleteOnceEveryPartitionWasCounted) {
-  EXPECT_TRUE(usage_.Complete(2));
-  EXPECT_FALSE(usage_.Complete(3));
+  EXPECT_TRUE(usage_.IsComplete(2));
+  EXPECT_FALSE(usage_.IsComplete(3));
   EXPECT_EQ(usage_.UpperBound(), 150U);
 }
 
--- a/tests/work_dispatch/work_leases_test.cc
+++ b/tests/work_dispatch/work_leases_test.cc
@@ -21,8 +21,8 @@
   WorkLeaseId Grant(bool idempotent) {
     return leases_.Grant(item, kGateway, incarnation, idempotent, now_).id;
   }
-  ReportAction Decide(WorkLeaseId lease, proto::WorkDisposition disposition) {
-    return leases_.Decide(Report(lease, disposition), item, false);
+  ReportAction Evaluate(WorkLeaseId lease, proto::WorkDisposition disposition) {
+    return leases_.EvaluateReport(Report(lease, disposition), item, false);
   }
 
   WorkLeases leases_{WorkLeaseId(100)};
@@ -47,22 +47,22 @@
 
 TEST_F(WorkLeasesTest, DecidesReportsOfTheCurrentLease) {
   const WorkLeaseId id = Grant(false);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kLogUnknown);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kLogUnknown);
   leases_.End(item);
   const WorkLeaseId again = Grant(true);
-  EXPECT_EQ(Decide(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
+  EXPECT_EQ(Evaluate(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
 }
 
 TEST_F(WorkLeasesTest, LateReportsCountOnlyWhenTheyBringTheResult) {
   const WorkLeaseId old = Grant(true);
   leases_.End(item);
   Grant(true);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
-  EXPECT_EQ(leases_.Decide(Report(old, proto::WORK_DISPOSITION_FINISHED), item, true),
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
+  EXPECT_EQ(leases_.EvaluateReport(Report(old, proto::WORK_DISPOSITION_FINISHED), item, true),
             ReportAction::kDrop);
 }
 
@@ -70,7 +70,7 @@
   const WorkLeaseId id = Grant(true);
   leases_.SetReporting(item, true, now_);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
   leases_.SetReporting(item, false, now_ + seconds(60));
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(64)).empty());
   EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
@@ -79,9 +79,9 @@
 TEST_F(WorkLeasesTest, EndsAPartitionsLeasesOnly) {
   Grant(true);
   leases_.Grant({PartitionId(3), "b2", 0}, kGateway, incarnation, true, now_);
-  EXPECT_EQ(leases_.CountOf(PartitionId(2), "b1"), 1U);
+  EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 1U);
   leases_.EndPartition(PartitionId(2));
-  EXPECT_EQ(leases_.CountOf(PartitionId(2), "b1"), 0U);
+  EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 0U);
   EXPECT_EQ(leases_.size(), 1U);
 }
 
