--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -171,7 +171,7 @@
   }
   proto::BatchItem& item = batch.items[result.item_index];
   ReleaseTokens(batch, item.tokens());
-  item.clear_forwarded();  // Never needed again: large, and there may be very many.
+  item.clear_forwarded();  // Large and not needed any more.
   batch.results.push_back(std::move(result));
   --open_items_;
   --tenants_[batch.accepted.tenant()].open_items;
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -2,9 +2,8 @@
 /// @file
 /// The batches of one partition: a pure state machine over the partition's log entries. `Apply` is
 /// the only mutation and depends on nothing but the entries, so the same entries always give the
-/// same state, also after a recovery. Only entries that are held by the backups are applied, in
-/// order of sequence; therefore a list never shows what could still be lost, and never changes
-/// where it was read.
+/// same state, also after a recovery. Only durable entries are applied, in order of sequence;
+/// therefore a list never shows what could still be lost, and its positions never change.
 ///
 /// Threads: none of its own.
 
@@ -23,20 +22,20 @@
 
 namespace cloverbank {
 
-/// Entries a page holds when the request names no limit, and at most.
+/// Entries of a page where the request sets no limit, and at most.
 inline constexpr std::uint32_t kDefaultPageEntries = 100;
 inline constexpr std::uint32_t kMaxPageEntries = 1000;
-/// A page of results ends early once it holds this many bytes of output.
+/// Bytes of output and error of a page of results.
 inline constexpr std::size_t kMaxPageBytes = 1U << 20U;
 
 class BatchStore {
  public:
-  /// Applies one held entry. Entries whose sequence was applied before are skipped, and so are
-  /// second results of an item. @return kCorrupt for an entry that no correct log holds (state
+  /// Applies one durable entry. Entries whose sequence was applied before are skipped, and so are
+  /// second results of an item. @return kCorrupt for an entry that no correct log contains (state
   /// unchanged).
   Status Apply(proto::LogEntry entry);
 
-  /// Forgets the items of a batch whose BatchAccepted was never logged.
+  /// Drops the items of a batch whose BatchAccepted was never logged.
   void DropUnaccepted(const std::string& batch_id);
 
   /// @return nullptr if there is no such batch.
@@ -45,9 +44,8 @@
   const StoredBatch* FindByKey(const std::string& tenant, const std::string& idempotency_key) const;
 
   /// A page of the tenant's batches after `cursor` (empty: from the start), in the order in which
-  /// they were accepted. A cursor at or beyond the end gives an empty page and can be requested
-  /// again.
-  /// @return kInvalidArgument for a cursor that was never given out.
+  /// they were accepted. A cursor at the end gives an empty page and can be used again later.
+  /// @return kInvalidArgument for a cursor that no list returned.
   Result<proto::BatchList> ListBatches(const std::string& tenant, const std::string& cursor,
                                        std::uint32_t limit) const;
   /// A page of a batch's results after `cursor`, in order of logging; kNotFound, kInvalidArgument.
@@ -57,13 +55,12 @@
   /// Items without a result, of one tenant and of all.
   std::uint64_t CountOpenItems(const std::string& tenant) const;
   std::uint64_t open_items() const { return open_items_; }
-  /// Tokens of items without a result of one tenant's batches on one route, cancelled ones left
-  /// out.
+  /// Tokens of the tenant's items on one route that have no result, without cancelled batches.
   std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
   /// @return an item of a batch that has no result yet; kNotFound for any other.
   Result<proto::BatchItem> FindOpenItem(const std::string& batch_id,
                                         const std::string& custom_id) const;
-  /// @return ids of batches that had all results at or before `wall_ms`, in order of acceptance.
+  /// @return ids of batches that finished at or before `wall_ms`, in order of acceptance.
   std::vector<std::string> FindFinishedBy(std::int64_t wall_ms) const;
   /// Runs `visit` for every batch, in order of acceptance.
   void ForEach(const std::function<void(const StoredBatch&)>& visit) const;
@@ -92,7 +89,7 @@
   void ApplyCancelled(const proto::BatchCancelled& cancelled);
   void ApplyCancellationCompleted(const proto::BatchCancellationCompleted& completed);
   void ApplyRemoved(const std::string& batch_id);
-  /// Takes tokens of a batch off what its tenant has open.
+  /// Subtracts tokens from the open tokens of the batch and its tenant.
   void ReleaseTokens(StoredBatch& batch, std::uint64_t tokens);
   void AddResult(StoredBatch& batch, StoredResult result, std::int64_t wall_ms);
   StoredBatch* FindMutable(const std::string& batch_id);
--- a/src/batches/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A partition that this queue node owns: its batches, and the one way to change them, which is to
-/// log entries under the partition's next sequences and to apply them once they are held.
+/// log entries under the partition's next sequences and to apply them once they are durable.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -35,33 +35,33 @@
   PartitionId id() const { return id_; }
   const BatchStore& store() const { return *store_; }
 
-  /// Logs the entries together. `done` runs later, after they were applied (OK), or as
-  /// `SegmentLog::Append` says; kUnknownOutcome also when the partition was given up meanwhile.
+  /// Logs the entries together. `done` runs later: OK after they were applied, errors of
+  /// `SegmentLog::Append`, kUnknownOutcome also if the partition was deactivated meanwhile.
   void Log(std::vector<proto::LogEntry> entries, Done done);
 
-  /// Forgets the logged items of a batch that was then refused.
+  /// Drops the logged items of a batch that was then rejected.
   void DropUnaccepted(const std::string& batch_id) { store_->DropUnaccepted(batch_id); }
 
-  /// Items of submissions that are on their way to the log; they count for the tenant's limit.
+  /// Items of submissions that are being logged; they count for the tenant's limit.
   void ReserveItems(const std::string& tenant, std::uint64_t count);
   void ReleaseItems(const std::string& tenant, std::uint64_t count);
   std::uint64_t CountOpenItems(const std::string& tenant) const;
-  /// The same of tokens, which count for the limit of a route.
+  /// The same for tokens, which count for the limit of a route.
   void ReserveTokens(const std::string& tenant, const std::string& route, std::uint64_t count);
   void ReleaseTokens(const std::string& tenant, const std::string& route, std::uint64_t count);
   std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
 
-  /// The node no longer owns it: nothing is answered from it any more.
+  /// The node no longer owns it: pending `Log` calls fail with kUnknownOutcome.
   void Deactivate() { active_ = false; }
 
-  /// @return where the partition stands, for the start of a segment.
+  /// @return the watermark of the partition, for the start of a segment.
   proto::LogEntry Watermark() const;
 
  private:
   PartitionId id_;
   std::unique_ptr<BatchStore> store_;
   SegmentLog& log_;
-  PartitionSequence next_sequence_;  ///< For the next entry; those before may be under way.
+  PartitionSequence next_sequence_;  ///< Of the next entry; earlier ones may still be being logged.
   std::map<std::string, std::uint64_t> reserved_items_;
   std::map<TenantRoute, std::uint64_t> reserved_tokens_;
   bool active_ = true;
@@ -74,7 +74,8 @@
 /// does not own.
 Status MakeNotOwnerStatus(PartitionId partition);
 
-/// @return an entry that says where a partition stands.
+/// @return a PartitionWatermark entry.
+/// @param discard_earlier whether entries before it in the log are void.
 proto::LogEntry MakePartitionWatermark(PartitionId partition, PartitionSequence next,
                                        bool discard_earlier);
 
--- a/src/batches/partition_replay.h
+++ b/src/batches/partition_replay.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Puts the entries that a dead node's log holds of one partition in order, for a recovery: the
-/// partition's own sequence decides, second copies of an entry are dropped, and so is everything
-/// that is void or dead. What is left is what the new owner logs anew, under the same sequences.
+/// Orders the entries of one partition found in a dead node's log, for a recovery: sorts by the
+/// partition's own sequence and drops duplicates and entries that are void or dead. The new owner
+/// logs the rest again, under the same sequences.
 ///
 /// Pure. Threads: none of its own.
 
@@ -16,17 +16,17 @@
 
 class PartitionReplay {
  public:
-  /// Takes an entry of the partition. Entries must come in log order.
+  /// Adds an entry of the partition. Entries must come in log order.
   void Add(proto::LogEntry entry);
 
   /// @return the live entries by rising sequence. Call it once, at the end.
   std::vector<proto::LogEntry> TakeEntries();
-  /// The new owner's entries begin here: above everything seen, dead entries included.
+  /// First sequence of the new owner: above all entries added, dead ones included.
   PartitionSequence next_sequence() const { return next_sequence_; }
 
  private:
-  /// Requests of items that have their result are never needed again: logging them anew would only
-  /// make the recovery longer.
+  /// Items that have a result do not need their request any more; logging it again would only
+  /// prolong the recovery.
   void DropFinishedRequests();
 
   std::map<PartitionSequence, proto::LogEntry> entries_;
--- a/src/batches/stored_batch.h
+++ b/src/batches/stored_batch.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// One accepted batch as its partition's owner holds it in memory. Rebuilt from log entries alone.
+/// An accepted batch in the memory of its partition's owner. Built from log entries alone.
 
 #include <cstdint>
 #include <string>
@@ -17,7 +17,7 @@
   kFinished,  ///< Has its one result.
 };
 
-/// The one result of an item. Its place in `StoredBatch::results` never changes.
+/// The result of an item. Its position in `StoredBatch::results` never changes.
 struct StoredResult {
   std::uint32_t item_index = 0;
   proto::ItemOutcome outcome = proto::ITEM_OUTCOME_UNSPECIFIED;
@@ -27,7 +27,7 @@
 
 struct StoredBatch {
   proto::BatchAccepted accepted;
-  /// Sequence of its BatchAccepted entry: its place in its tenant's list.
+  /// Sequence of its BatchAccepted entry: its position in its tenant's list.
   PartitionSequence position;
   std::vector<proto::BatchItem> items;
   std::vector<ItemPhase> phases;
@@ -37,7 +37,7 @@
   std::uint64_t unknown = 0;
   std::uint64_t cancelled_items = 0;
   bool cancelled = false;
-  /// Tokens of items that have no result; 0 from the moment the batch is cancelled.
+  /// Tokens of items that have no result; 0 once the batch is cancelled.
   std::uint64_t open_tokens = 0;
   std::int64_t finished_at_ms = 0;  ///< 0 until every item has its result.
 
--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -10,9 +10,9 @@
 namespace cloverbank {
 namespace {
 
-/// Items are logged in entries of about this many bytes.
+/// Size of one BatchItems entry.
 constexpr std::size_t kMaxItemsEntryBytes = 128U << 10U;
-/// Entries of a large batch that are logged together, so that other entries come between.
+/// Appended together; entries of other batches may be logged between two appends of a large batch.
 constexpr std::size_t kMaxEntriesPerAppend = 8;
 
 Status MakeInvalidStatus(const std::string& message) {
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Takes in submitted batches: checks them, logs the items in pieces and BatchAccepted last, and
-/// answers when that is held. A resent submission (same tenant and idempotency key) meets its first
-/// one, whether that is accepted or still on its way to the log.
+/// Intake of submitted batches: validates them, logs their items in several entries and
+/// BatchAccepted last, and answers once that entry is durable. A resent submission (same tenant and
+/// idempotency key) joins the first one, whether that is accepted or still being logged.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -27,24 +27,26 @@
   using Reply = std::function<void(Result<proto::SubmitBatchResponse>)>;
   using OnAccepted = std::function<void(OwnedPartition&, const StoredBatch&)>;
 
-  /// Asks whether a batch's tokens may be open; `done` gets what `TokenReserver::Reserve` says.
+  /// Reserves the batch's tokens within its route's limit; `done` gets the result of
+  /// `TokenReserver::Reserve`.
   using ReserveTokens =
       std::function<void(PartitionId partition, const proto::SubmitBatch& batch,
                          const TokenReservation& reservation, std::function<void(Status)> done)>;
 
-  /// @param on_accepted runs when a new batch is held and applied, before its submission is
+  /// @param on_accepted runs when a new batch is durable and applied, before its submission is
   /// answered.
   BatchIntake(Environment& environment, NodeAgent& agent, SegmentLog& log,
               ReserveTokens reserve_tokens, OnAccepted on_accepted);
 
-  /// Refuses kInvalidArgument (malformed), kConflict (key used for another body, or detail
-  /// `kQuotaOwnerUnavailableDetail`), kResourceExhausted (the tenant's or the route's limit),
-  /// kUnavailable (the log takes nothing now): certainly not accepted.
+  /// Accepts the batch, or rejects it with kInvalidArgument (malformed), kConflict (key used for
+  /// another body, or detail `kQuotaOwnerUnavailableDetail`), kResourceExhausted (the tenant's or
+  /// the route's limit), or kUnavailable (the log accepts no entries now). After any of these the
+  /// batch is certainly not accepted.
   void Submit(const std::shared_ptr<OwnedPartition>& partition, proto::SubmitBatchRequest request,
               Reply reply);
 
  private:
-  /// What a resent submission has in common with its first one.
+  /// Identifies a submission and its resends.
   struct SubmissionKey {
     PartitionId partition;
     std::string tenant;
@@ -52,29 +54,30 @@
     // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
     auto operator<=>(const SubmissionKey&) const = default;
   };
-  /// One batch on its way to the log.
+  /// One batch that is being logged.
   struct Submission {
     std::shared_ptr<OwnedPartition> partition;
     proto::SubmitBatch batch;
     proto::BatchAccepted accepted;
     TokenReservation reservation;
-    bool tokens_reserved = false;  ///< They count as open at the partition.
+    bool tokens_reserved = false;  ///< The partition counts them as open.
     int next_item = 0;
     std::vector<Reply> replies;
   };
   using SubmissionPtr = std::shared_ptr<Submission>;
 
   Status CheckContent(const proto::SubmitBatch& batch) const;
-  /// @return why the batch can not be accepted now, or OK.
+  /// @return OK, or the error with which the batch is rejected.
   Status CheckAcceptable(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   Status CheckItemLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
-  /// @return whether the request met an earlier submission and needs nothing more.
+  /// Answers a resent submission, or adds its reply to the pending one.
+  /// @return false if there is no earlier submission.
   bool JoinEarlier(OwnedPartition& partition, const SubmissionKey& key, std::uint64_t checksum,
                    Reply& reply);
   SubmissionPtr StartSubmission(const std::shared_ptr<OwnedPartition>& partition,
                                 proto::SubmitBatchRequest request, std::uint64_t checksum);
   std::string NewBatchId(const OwnedPartition& partition);
-  /// Logs the batch once the keeper of its route's limit has given room.
+  /// Logs the batch once its tokens are reserved at the route's quota owner.
   void LogWithinLimit(const SubmissionPtr& submission);
   void HandleTokensReserved(const SubmissionPtr& submission, const Status& status);
   void LogNextItems(const SubmissionPtr& submission);
--- a/src/queue/partition_ownership.h
+++ b/src/queue/partition_ownership.h
@@ -34,9 +34,10 @@
   PartitionOwnership(NodeAgent& agent, SegmentLog& log, RecoveryRunner& recoveries,
                      Observers observers);
 
-  /// Takes over what the fleet view says of owners.
+  /// Activates and deactivates partitions as the fleet view names their owners.
   void Sync();
-  /// Makes all partitions inactive: nothing is answered from them any more.
+  /// Deactivates all partitions without notifying the observers: nothing is answered from them any
+  /// more.
   void DeactivateAll();
   /// Answers a coordinator's request to recover partitions: starts recovery of those not owned yet.
   /// kConflict if the request is for another node id.
@@ -48,7 +49,7 @@
   /// @return the partition if this node may answer for it now; kUnavailable without the lease,
   /// kConflict (`MakeNotOwnerStatus`) for one that it does not own.
   Result<std::shared_ptr<OwnedPartition>> Require(std::uint64_t partition_id) const;
-  /// @return the partition, or nullptr if it is not owned. Asks for no lease.
+  /// @return the partition, or nullptr if it is not owned. Does not check the lease.
   std::shared_ptr<OwnedPartition> Find(PartitionId partition) const;
   const PartitionMap& partitions() const { return partitions_; }
   /// @return watermarks of owned and of recovered partitions, for the start of a segment.
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -13,7 +13,7 @@
 constexpr Duration kReadDeadline = seconds(3);
 constexpr Duration kReportDeadline = seconds(2);
 constexpr Duration kRetryDelay = milliseconds(100);
-/// Entries are logged in pieces of about this many bytes.
+/// Size of one append.
 constexpr std::size_t kChunkBytes = 2U << 20U;
 
 }  // namespace
@@ -235,7 +235,7 @@
     found->second.logged = logged_before;
   }
   if (status.code() == StatusCode::kUnknownOutcome) {
-    return;  // This life is over.
+    return;  // The incarnation has ended.
   }
   if (!status.ok()) {
     RetryLater(&PartitionRecovery::LogRemaining);
@@ -297,9 +297,8 @@
     case StatusCode::kConflict:
     case StatusCode::kNotFound:
     case StatusCode::kInvalidArgument:
-      // Given to another node, as it seems. What is held here is dropped only when the fleet view
-      // names that owner: a store thrown away too early would make a recovered partition look
-      // unused.
+      // Probably assigned to another node. The batches are dropped only when the fleet view names
+      // that owner: dropping them too early would make a recovered partition look unused.
       reported_ = true;
       Log(LogLevel::kWarning, "recovery_report_refused", {{"status", status.ToString()}});
       return;
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Recovery of some partitions of one dead queue node by this one (RAMCloud page, recovery steps 5
-/// and 6): read_limit their entries from the backups, logs them anew, and when they are held
-/// reports to the coordinators. Until the coordinators commit this node as the owner, nothing of it
-/// counts.
+/// Recovery of some partitions of one dead queue node at this one (RAMCloud page, recovery steps 5
+/// and 6): reads their entries from the backups, logs them again, and reports to the coordinators
+/// when they are durable. None of it is visible until the coordinators commit this node as the
+/// partitions' owner.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -25,25 +25,28 @@
 class PartitionRecovery : public std::enable_shared_from_this<PartitionRecovery> {
  public:
   /// @param read_limit shared by all recoveries of this node.
-  /// @param partitions of `request` that this recovery takes on.
+  /// @param partitions of `request` to recover.
+  /// @param on_fenced runs when the coordinators reject this node id as dead.
   PartitionRecovery(Environment& environment, NodeAgent& agent, SegmentLog& log,
                     std::shared_ptr<ReadLimit> read_limit, proto::RecoverPartitionsRequest request,
                     const std::vector<PartitionId>& partitions,
                     std::function<void(const std::string&)> on_fenced);
 
   void Start();
-  /// The coordinators asked again: their list of backups may be newer.
+  /// Handles a repeated request: the list of backups may have changed, and the report is sent
+  /// again.
   void UpdateSources(const proto::RecoverPartitionsRequest& request);
 
   NodeId dead_node() const { return NodeId(request_.dead_node_id()); }
   bool Covers(PartitionId partition) const { return recovering_.contains(partition); }
-  /// Gives the partition up (it is recovered from another log now).
+  /// Abandons the partition: it is recovered from another log now, or has another owner.
   void Drop(PartitionId partition);
-  /// @return the partition's batches once its entries are held, else nullptr. Taking ends its part.
+  /// @return the partition's batches once its entries are durable, else nullptr. The partition is
+  /// no longer part of this recovery then.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
-  /// Whether no partition is left to it.
+  /// Whether no partition remains to be recovered or taken.
   bool IsFinished() const { return recovering_.empty(); }
-  /// @return marks of the partitions whose entries are held.
+  /// @return watermarks of the partitions whose entries are durable.
   std::vector<proto::LogEntry> Watermarks() const;
 
  private:
@@ -53,7 +56,7 @@
     std::size_t logged = 0;
     PartitionSequence next_sequence;
     std::unique_ptr<BatchStore> store;
-    bool durable = false;
+    bool durable = false;  ///< All entries are logged again and applied to `store`.
   };
   struct Source {
     std::size_t attempts = 0;
@@ -65,7 +68,7 @@
   void ReadRemaining();
   void ReadSegment(std::size_t position);
   proto::GetRecoveryDataRequest MakeReadRequest(const proto::RecoverySegment& segment) const;
-  /// @return whether a read may begin now; if not, `ReadRemaining` runs again later.
+  /// @return whether a read may start now; if not, `ReadRemaining` runs when one has ended.
   bool AcquireReadSlot();
   void HandleSegmentRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
   void SortEntries();
@@ -89,8 +92,8 @@
   proto::RecoverPartitionsRequest request_;
   std::function<void(const std::string&)> on_fenced_;
   std::map<PartitionId, RecoveringPartition> recovering_;
-  std::vector<Source> sources_;       ///< One a segment of the request.
-  bool waits_for_read_slot_ = false;  ///< `read_limit_` calls back.
+  std::vector<Source> sources_;       ///< One for each segment of the request.
+  bool waits_for_read_slot_ = false;  ///< `read_limit_` will call back.
   bool sorted_ = false;
   bool logging_ = false;
   bool reporting_ = false;
--- a/src/queue/queue_node_incarnation.h
+++ b/src/queue/queue_node_incarnation.h
@@ -30,9 +30,9 @@
 
 struct QueueOptions {
   SegmentLogOptions log;
-  Duration tick = milliseconds(250);              ///< Between looks at silent leases and cancels.
-  Duration retention_sweep = seconds(30);         ///< Between looks for batches to remove.
-  Duration default_retention = seconds(604'800);  ///< Where the configuration names none.
+  Duration tick = milliseconds(250);              ///< Between checks of leases and cancellations.
+  Duration retention_sweep = seconds(30);         ///< Between removals of old batches.
+  Duration default_retention = seconds(604'800);  ///< Used where the configuration sets none.
 };
 
 class QueueNodeIncarnation : public std::enable_shared_from_this<QueueNodeIncarnation> {
@@ -41,11 +41,12 @@
                        std::function<void(const std::string& reason)> on_fenced);
 
   void Start();
-  /// Ends it: what waits for the log gets kUnknownOutcome, what waits for work kUnavailable.
+  /// Ends the incarnation: pending appends fail with kUnknownOutcome, pending AcquireWork requests
+  /// with kUnavailable.
   void Stop();
   void OnFleet();
   void OnConfiguration();
-  /// Whether some of the log has fewer copies than wanted.
+  /// Whether some log segment has fewer replicas than configured.
   bool degraded() const { return log_.degraded(); }
 
   BatchRequestHandler& batch_requests() { return batch_requests_; }
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -55,7 +55,7 @@
   const std::shared_ptr<QueueNodeIncarnation> ended = std::move(incarnation_);
   incarnation_ = nullptr;
   ended->Stop();
-  // It may be on the stack now, and its log's last answers are still to come.
+  // It may be on the call stack now, and its log still answers pending appends.
   environment_.ScheduleAfter(Duration::zero(), [ended] {});
 }
 
--- a/src/queue/queue_service.h
+++ b/src/queue/queue_service.h
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// A queue node (RAMCloud's master): owner of batch partitions. Serves the `queue.*` calls of
-/// batch.proto and log.proto. Each registration begins a new life under a fresh node id with an
-/// empty log
-/// (`QueueNodeIncarnation`); when the id is declared dead, everything waiting ends and the state is
-/// dropped.
+/// A queue node (RAMCloud's master): owner of batch partitions. Serves the `queue.*` methods of
+/// batch.proto and log.proto. Each registration starts a new `QueueNodeIncarnation` under a fresh
+/// node id with an empty log; when the id is declared dead, all pending requests fail and the state
+/// is dropped.
 ///
 /// Threads: the environment's event loop only.
 
@@ -26,10 +25,10 @@
   QueueService(const QueueService&) = delete;
   QueueService& operator=(const QueueService&) = delete;
 
-  /// Begins to serve; lives begin with the agent's registrations. Call it once, before the agent
-  /// starts.
+  /// Registers the peer methods and starts an incarnation at each registration of the agent. Call
+  /// it once, before the agent starts.
   void Start();
-  /// Whether its log is not open, or some of it has fewer copies than wanted.
+  /// Whether the node is not registered, or some log segment has fewer replicas than configured.
   bool degraded() const { return incarnation_ == nullptr || incarnation_->degraded(); }
 
  private:
@@ -39,7 +38,7 @@
   void ServeTokens();
   void ServeWork();
   void ServeRecovery();
-  /// Answers `method` with a call of the present incarnation's handler; kUnavailable without one.
+  /// Routes `method` to a handler of the current incarnation; kUnavailable if there is none.
   template <typename Handler, typename Request, typename Response>
   void Serve(std::string_view method, Handler& (QueueNodeIncarnation::*get_handler)(),
              void (Handler::*handle)(const Request&, const std::function<void(Result<Response>)>&));
--- a/src/queue/read_limit.h
+++ b/src/queue/read_limit.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// How many segments one queue node reads at once, over all its recoveries: with too many on one
-/// link each of them takes longer than its deadline, and none ever ends. Threads: the owner's event
-/// loop only.
+/// Limits how many segments a queue node reads in parallel over all its recoveries. Too many reads
+/// on one link would all exceed their deadlines, and no recovery would end.
+///
+/// Threads: the owner's event loop only.
 
 #include <cstddef>
 #include <functional>
@@ -15,7 +16,8 @@
  public:
   explicit ReadLimit(std::size_t max_parallel) : max_parallel_(max_parallel) {}
 
-  /// @return whether a read may begin. If not, `on_capacity` runs once after one has ended.
+  /// @return whether a read may start. If not, `on_capacity` runs once after a running read has
+  /// ended.
   bool Acquire(std::function<void()> on_capacity) {
     if (active_ < max_parallel_) {
       ++active_;
@@ -24,7 +26,7 @@
     waiting_.push_back(std::move(on_capacity));
     return false;
   }
-  /// A read has ended.
+  /// Call it when a read that `Acquire` allowed has ended.
   void Release() {
     --active_;
     for (const std::function<void()>& on_capacity : std::exchange(waiting_, {})) {
--- a/src/queue/recovery_runner.h
+++ b/src/queue/recovery_runner.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs the partition recoveries of one incarnation of a queue node, at most one for each dead
-/// node's log and set of partitions, and bounds how many segments all of them read at once.
+/// The partition recoveries of one incarnation of a queue node. A partition is recovered from one
+/// dead node's log at a time; all recoveries share a limit of parallel segment reads.
 ///
 /// Threads: the owner's event loop only.
 
@@ -22,7 +22,7 @@
 
 class RecoveryRunner {
  public:
-  /// @param on_fenced runs when the coordinators refuse this node id as dead.
+  /// @param on_fenced runs when the coordinators reject this node id as dead.
   RecoveryRunner(Environment& environment, NodeAgent& agent, SegmentLog& log,
                  std::function<void(const std::string& reason)> on_fenced);
 
--- a/src/scheduler/fair_queue.h
+++ b/src/scheduler/fair_queue.h
@@ -53,14 +53,14 @@
   /// Adds a batch whose waiting items are `items`. `backend` is the model or service it runs on.
   QueuedBatchId AddBatch(const std::string& tenant, const std::string& backend,
                          std::vector<OrderedItem> items);
-  /// Takes the batch and its waiting items out; unknown ids are ignored.
+  /// Removes the batch and its waiting items; unknown ids are ignored.
   void RemoveBatch(QueuedBatchId batch);
-  /// Puts back an item that was picked; it goes before those that were never picked.
+  /// Queues an item that was picked again, ahead of those that were never picked.
   void ReturnItem(QueuedBatchId batch, std::uint32_t index);
   /// Moves the batch to another backend (its route was changed).
   void SetBackend(QueuedBatchId batch, const std::string& backend);
 
-  /// Takes up to `limit` items that run on `backend`.
+  /// Removes up to `limit` items that run on `backend`. @return them.
   std::vector<PickedItem> Pick(const std::string& backend, std::size_t limit);
 
   bool HasWaiting(const std::string& backend) const;
--- a/src/token_quota/drain_rate.cc
+++ b/src/token_quota/drain_rate.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Counts further apart tell nothing of how fast it goes now.
+/// Counts further apart than this say nothing about the current rate.
 constexpr Duration kMaxInterval = seconds(1);
 constexpr double kSmoothingFactor = 0.3;
 
--- a/src/token_quota/quota_wait_queue.h
+++ b/src/token_quota/quota_wait_queue.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The order in which submissions get the room that frees within a limit: that of their first
-/// attempts. A batch that was refused keeps its place for the short time within which its client
-/// comes again, but room is kept only for those that are there: who is away may never come again,
-/// and newcomers could have used the room in time. Room that was free when a batch was refused is
-/// anybody's: only what frees since then is kept for the line. Pure.
+/// First-come, first-served queue of the submissions that wait for capacity within a limit. A
+/// rejected batch keeps its position for a short time, in which its client is expected to retry.
+/// Capacity that is freed is reserved for waiting batches in order of their first attempts, but not
+/// for those whose clients are away: they may never retry, and newcomers could use the capacity
+/// meanwhile. Capacity that was free when a batch was rejected is not reserved. Pure.
 
 #include <cstdint>
 #include <list>
@@ -18,22 +18,23 @@
 
 class QuotaWaitQueue {
  public:
-  /// The batch is there to be taken: it stands at the end, or where it has stood before.
+  /// Adds a waiting batch at the end; a batch that has a position keeps it.
   void Enter(const std::string& batch, std::uint64_t tokens);
-  /// The batch was refused for now; its place is kept until then.
+  /// The batch was rejected; its position expires if its client does not retry by `until`.
   void ReserveUntil(const std::string& batch, TimePoint until);
-  /// The batch was taken, or will not come again.
+  /// The batch was accepted, or its client gave up.
   void Leave(const std::string& batch);
-  /// So many tokens were finished: their room is kept for the line, as far as it wants it.
+  /// Reserves freed tokens for the waiting batches, up to what they request.
   void RecordFreed(std::uint64_t tokens);
-  /// Gives up the places of those that did not come in time.
+  /// Removes rejected batches whose clients did not retry in time.
   void DropExpired(TimePoint now);
 
-  /// @return the tokens of all batches before this one; of all there are if it has no place.
+  /// @return the tokens that batches ahead of this one request; those of all batches if it is not
+  /// queued.
   std::uint64_t TokensBefore(const std::string& batch) const;
-  /// @return how much of the room that those before the batch want is kept for them.
+  /// @return the tokens reserved for batches ahead of this one.
   std::uint64_t ReservedBefore(const std::string& batch) const;
-  /// @return a number that rises along the line; the largest there is for a batch without a place.
+  /// @return a number that increases along the queue; the maximum for a batch that is not queued.
   std::uint64_t FindPosition(const std::string& batch) const;
 
  private:
@@ -41,7 +42,7 @@
     std::string batch;
     std::uint64_t tokens = 0;
     std::uint64_t position = 0;
-    std::optional<TimePoint> reserved_until;  ///< While its client is away.
+    std::optional<TimePoint> reserved_until;  ///< Set between rejection and retry.
   };
 
   void Remove(std::list<Entry>::iterator entry);
@@ -49,7 +50,7 @@
   std::list<Entry> entries_;
   std::unordered_map<std::string, std::list<Entry>::iterator> by_batch_;
   std::uint64_t last_position_ = 0;
-  std::uint64_t requested_ = 0;  ///< Tokens of all places.
+  std::uint64_t requested_ = 0;  ///< Tokens of all entries.
   std::uint64_t reserved_ = 0;   ///< At most `requested_`.
 };
 
--- a/src/token_quota/token_allowance.h
+++ b/src/token_quota/token_allowance.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// What the keeper of a route's limit believes to be open in one partition, as the partition's
-/// owner knows it. Up to that the owner may take batches while the keeper gives no answer. Pure.
+/// Tokens that the owner of a partition may use for new batches of a route while the quota owner
+/// does not answer. Pure.
 ///
-/// Invariant: the allowance is never above the keeper's belief. Both begin with the same count and
-/// grow by the same grants; a grant or count that only one side knows of leaves the owner's side
-/// lower. A keeper that is gone grants nothing more, and a new one counts first. So whatever is
-/// taken within allowances stays within the limit.
+/// Invariant: the allowance is never above the quota owner's upper bound for the partition. Both
+/// start from the same count and grow by the same grants; a grant or count that only one side has
+/// recorded leaves the partition's side lower. A quota owner that has failed grants nothing more,
+/// and its successor counts first. So all batches accepted within allowances stay within the limit.
 
 #include <compare>
 #include <cstdint>
@@ -20,11 +20,11 @@
 
 class TokenAllowance {
  public:
-  /// The owner tells the keeper that so many tokens are open.
+  /// The quota owner was sent a count of `open` tokens.
   void RecordCount(std::uint64_t open) { granted_ = open; }
-  /// The keeper granted so many more, those that it lent included.
+  /// The quota owner granted so many more, its extra allowance included.
   void RecordGrant(std::uint64_t tokens);
-  /// @return what may be taken beside `open` tokens; 0 before the first count.
+  /// @return the tokens that may be used beyond the `open` ones; 0 before the first count.
   std::uint64_t Remaining(std::uint64_t open) const;
 
  private:
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -12,20 +12,20 @@
 namespace {
 
 constexpr Duration kCountDeadline = milliseconds(300);
-/// A count that began within this time is not repeated.
+/// A count that started within this time is not repeated.
 constexpr Duration kMaxCountAge = milliseconds(100);
-/// While less than this part of a limit is open, the rest of the part is lent to the owners.
+/// Allowances are granted only from the first 1/kAllowanceDivisor of a limit.
 constexpr std::uint64_t kAllowanceDivisor = 2;
-/// How long a request waits until all partitions can be counted.
+/// Requests fail if not all partitions could be counted in this time.
 constexpr Duration kCountTimeout = milliseconds(1200);
 
-/// Bounds of what a refused batch is told to wait.
+/// Bounds of the retry delay sent with a rejection.
 constexpr Duration kMinRetryAfter = milliseconds(200);
 constexpr Duration kMaxRetryAfter = seconds(1);
-/// Clients come somewhat later than they are told.
+/// Clients retry somewhat later than requested.
 constexpr Duration kRetryMargin = milliseconds(500);
 
-/// @return what names a batch in the line: requests without a name are all different.
+/// @return the name of the batch in the wait queue, unique for requests without a name.
 std::string MakeBatchName(const proto::ReserveTokensRequest& request) {
   if (!request.batch().empty()) {
     return request.batch();
@@ -49,7 +49,7 @@
   limit.usage.AddGrant({PartitionId(request.requester_partition_id()),
                         NodeId(request.owner_node_id()), request.sequence(), tokens});
   limit.granted_since_count += request.tokens();
-  limit.lent_allowance = limit.lent_allowance || allowance > 0;
+  limit.allowance_granted = limit.allowance_granted || allowance > 0;
   return true;
 }
 
@@ -57,8 +57,8 @@
                                                 const proto::ReserveTokensRequest& request) const {
   const std::uint64_t open = limit.usage.UpperBound() + request.tokens();
   const std::uint64_t allowance_pool = request.limit() / kAllowanceDivisor;
-  const std::uint64_t unlent = allowance_pool - std::min(allowance_pool, open);
-  const std::uint64_t allowance = limit.waiting.empty() ? unlent / agent_.partition_count() : 0;
+  const std::uint64_t available = allowance_pool - std::min(allowance_pool, open);
+  const std::uint64_t allowance = limit.waiting.empty() ? available / agent_.partition_count() : 0;
   return allowance - std::min(allowance, request.spare());
 }
 
@@ -104,7 +104,7 @@
 }
 
 bool TokenQuotaOwner::HasFreshCount(const Limit& limit, TimePoint now) const {
-  return IsFullyCounted(limit) && !limit.lent_allowance &&
+  return IsFullyCounted(limit) && !limit.allowance_granted &&
          now - limit.last_count_started_at <= kMaxCountAge;
 }
 
@@ -163,14 +163,14 @@
 void TokenQuotaOwner::StartCount(const QuotaKey& key, const LimitPtr& limit) {
   const std::map<NodeId, proto::CountOpenTokensRequest> requests = MakeCountRequests(key);
   limit->counting = true;
-  limit->lent_allowance = false;
+  limit->allowance_granted = false;
   limit->count_started_at = environment_.Now();
   limit->pending_answers = static_cast<int>(requests.size()) + 1;
   environment_.metrics().Increment("queue_token_counts_total");
   for (const auto& [owner, request] : requests) {
     RequestCount(key, limit, owner, request);
   }
-  // Stands for the round itself, so that it never ends before all questions are asked.
+  // The count itself holds one pending answer, so it cannot complete before all owners are asked.
   HandleCounts(key, limit, proto::CountOpenTokensResponse());
 }
 
--- a/src/token_quota/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -1,13 +1,16 @@
 #pragma once
 /// @file
-/// Keeps the limit of open tokens of a tenant's routes over all partitions. The owner of the
-/// tenant's partition is the keeper; owners of other partitions ask it before they take a batch.
-/// Nothing of it is durable: a new keeper counts at all partitions before its first grant.
+/// Enforces the limit of open tokens of a tenant's routes over all partitions. The owner of the
+/// tenant's partition is the quota owner; owners of other partitions reserve tokens there before
+/// they accept a batch. Nothing of it is durable: a new quota owner counts open tokens at all
+/// partitions before its first grant.
+///
+/// A grant needs no count while the upper bound of open tokens leaves capacity. Otherwise all
+/// partition owners are asked for counts, at most once per `kMaxCountAge`. A request waits for
+/// capacity if the drain rate says that it will be free in time. Capacity is granted in the order
+/// of first attempts (`QuotaWaitQueue`); a rejected batch gets a retry delay and keeps its position
+/// until then.
 ///
-/// A grant needs no count while the upper bound leaves room. Otherwise all owners are asked, at
-/// most once in a short while. A request may wait for room if it is likely to come in time, as far
-/// as the rate at which tokens are finished tells. Room is given in the order of first attempts:
-/// a batch that was refused is told when to come again and keeps its place until then.
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
 #include <compare>
@@ -31,16 +34,18 @@
 class TokenQuotaOwner : public std::enable_shared_from_this<TokenQuotaOwner> {
  public:
   using Reply = std::function<void(Result<proto::ReserveTokensResponse>)>;
-  /// Counts at this node's own partitions.
+  /// Counts open tokens at this node's own partitions.
   using CountLocal =
       std::function<proto::CountOpenTokensResponse(const proto::CountOpenTokensRequest& request)>;
 
   TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountLocal count_local);
 
-  /// Refuses kResourceExhausted over the limit, and kUnavailable while it can not be told what is
-  /// open. The partition of the request must be owned by this node.
+  /// Grants the tokens, or rejects the request with kResourceExhausted (over the limit) or
+  /// kUnavailable (not all partitions can be counted). Requires that this node owns the partition
+  /// of the request.
   void Reserve(const proto::ReserveTokensRequest& request, Reply reply);
-  /// The node no longer owns the keeper's partition.
+  /// The node no longer owns the partition, and is no quota owner of its tenants any more: waiting
+  /// requests fail with kUnavailable.
   void Drop(PartitionId partition);
 
  private:
@@ -53,44 +58,44 @@
   struct Waiting {
     proto::ReserveTokensRequest request;
     Reply reply;
-    TimePoint deadline{};    ///< Until it can be told what is open.
-    TimePoint wait_until{};  ///< Until there is room.
+    TimePoint deadline{};    ///< For the counts of all partitions.
+    TimePoint wait_until{};  ///< For capacity.
   };
   struct Limit {
-    PartitionId partition;  ///< The keeper's.
+    PartitionId partition;  ///< Whose owner is the quota owner.
     TokenUsage usage;
     std::list<Waiting> waiting;
-    QuotaWaitQueue wait_queue;  ///< Of those that wait, and of the refused that may come again.
+    QuotaWaitQueue wait_queue;  ///< Waiting requests, and rejected ones that may be retried.
     DrainRate drain_rate;
-    std::uint64_t granted_since_count = 0;  ///< Since the last count.
-    bool lent_allowance = false;  ///< Since the last count began; a new one takes it back.
+    std::uint64_t granted_since_count = 0;
+    bool allowance_granted = false;  ///< Since the last count started, which revokes allowances.
     bool counting = false;
-    int pending_answers = 0;  ///< Owners that have not answered the count under way.
+    int pending_answers = 0;  ///< Of the running count.
     TimePoint count_started_at{};
-    TimePoint last_count_started_at{};  ///< When the last count that has ended began.
+    TimePoint last_count_started_at{};  ///< Of the last completed count.
   };
   using LimitPtr = std::shared_ptr<Limit>;
 
-  /// @return the state of the limit that the request is for, made at its first request.
+  /// @return the state of the limit, created at its first request.
   LimitPtr& GetLimit(const QuotaKey& key, PartitionId partition);
-  /// Whether a count that has just ended already says all that a new one could.
+  /// Whether a new count would say no more than the last one.
   bool HasFreshCount(const Limit& limit, TimePoint now) const;
-  /// Grants if there is room for the request and for all that stand before it.
+  /// Grants the request if there is capacity for it and for all batches ahead of it.
   static bool TryGrant(Limit& limit, const proto::ReserveTokensRequest& request,
                        std::uint64_t allowance);
-  /// @return how many tokens must be finished first.
+  /// @return the tokens that must be finished before the request can be granted.
   static std::uint64_t ComputeShortfall(const Limit& limit,
                                         const proto::ReserveTokensRequest& request);
   void Reject(Limit& limit, const proto::ReserveTokensRequest& request, const Reply& reply);
-  /// @return what the holder should get beside what it asks for; nothing while others wait.
+  /// @return the allowance granted in addition to the requested tokens; 0 while others wait.
   std::uint64_t ComputeAllowance(const Limit& limit,
                                  const proto::ReserveTokensRequest& request) const;
   bool IsFullyCounted(const Limit& limit) const;
-  /// Whether room for the request is likely to come before it gives up waiting.
+  /// Whether capacity is expected to be free before the request stops waiting.
   static bool ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request);
   void ScheduleCount(const QuotaKey& key, const LimitPtr& limit);
   void StartCount(const QuotaKey& key, const LimitPtr& limit);
-  /// @return what each owner of partitions is asked.
+  /// @return the count request for each owner of partitions.
   std::map<NodeId, proto::CountOpenTokensRequest> MakeCountRequests(const QuotaKey& key) const;
   void RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
                     const proto::CountOpenTokensRequest& request);
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -8,9 +8,10 @@
 namespace cloverbank {
 namespace {
 
-/// Longer than a keeper waits for its counts.
+/// Longer than the time in which a quota owner completes a count.
 constexpr Duration kReserveDeadline = milliseconds(1600);
-/// A keeper that is silent for so long, beyond what it may let a batch wait, may be gone.
+/// A quota owner that does not answer within this time, in addition to the time a batch may wait,
+/// is taken for failed.
 constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
 constexpr Duration kWatchInterval = milliseconds(100);
 
@@ -95,7 +96,7 @@
                                  const Result<proto::ReserveTokensResponse>& answer) {
   const auto found = pending_.find(sequence);
   if (found == pending_.end()) {
-    return;  // Taken within the allowance meanwhile.
+    return;  // Accepted within the allowance meanwhile.
   }
   if (answer.ok()) {
     allowances_[found->second.key].RecordGrant(found->second.tokens + answer->allowance());
--- a/src/token_quota/token_usage.h
+++ b/src/token_quota/token_usage.h
@@ -1,14 +1,12 @@
 #pragma once
 /// @file
-/// Pure core of `TokenQuotaOwner`: how many tokens of one route of one tenant may be open in all
-/// partitions together. What is open is what partitions counted, and what was granted to them
-/// since.
+/// Upper bound of the open tokens of one route of one tenant over all partitions: the last count of
+/// each partition, plus the grants made since. Pure core of `TokenQuotaOwner`.
 ///
-/// Invariant: `UpperBound()` is never below the truth once every partition was counted. Open tokens
-/// become more only by a grant, and a grant is forgotten only when a count has come that includes
-/// it or tells that nothing came of it. With each such count it is forgotten, whatever other
-/// requests of its holder are still under way: so the bound is above the truth by no more than what
-/// was granted or finished since the counts.
+/// Invariant: `UpperBound()` is never below the open tokens once every partition was counted. Open
+/// tokens increase only by grants, and a grant is removed only when a count has come that includes
+/// it or shows that it was not used, whatever other requests of its owner are pending. So the bound
+/// exceeds the open tokens by no more than what was granted or finished since the counts.
 
 #include <cstdint>
 #include <map>
@@ -22,15 +20,15 @@
 
 class TokenUsage {
  public:
-  /// A grant to the owner of a partition, named by the owner's own rising sequence.
+  /// A grant to the owner of a partition, identified by the owner's increasing sequence.
   struct Grant {
     PartitionId partition;
     NodeId owner;
     std::uint64_t sequence = 0;
     std::uint64_t tokens = 0;
   };
-  /// What the owner of a partition counted there. Its requests below `completed_below` that are not
-  /// `pending` are in the count, if anything came of them.
+  /// A count by the owner of a partition. It includes the effect of all its requests below
+  /// `completed_below` that are not `pending`.
   struct Count {
     PartitionId partition;
     NodeId owner;
@@ -42,23 +40,22 @@
   };
 
   void AddGrant(const Grant& grant);
-  /// Counts of an owner after which another one was heard of are passed over.
+  /// Counts by an owner that has been replaced are ignored.
   void ApplyCount(const Count& count);
-  /// Whether each of so many partitions was counted at least once.
+  /// Whether every partition was counted at least once.
   bool IsComplete(std::uint32_t partition_count) const;
   std::uint64_t UpperBound() const;
 
  private:
-  /// What is known of one partition. An owner that lost a partition never gets it back under the
-  /// same node id, but node ids of later owners may be lower.
+  /// State of one partition. An owner that lost a partition never gets it back under the same node
+  /// id, but node ids of later owners may be lower.
   struct PartitionUsage {
-    NodeId owner;  ///< Of whom was heard last.
+    NodeId owner;  ///< The latest known.
     std::set<NodeId> former_owners;
     std::optional<std::uint64_t> counted;
   };
 
-  /// @return whether `holder` is the owner of whom was heard last, which it is from now on if it
-  /// was not heard of before.
+  /// Makes `owner` the latest owner unless it has been replaced. @return whether it is the latest.
   static bool UpdateOwner(PartitionUsage& usage, NodeId owner);
 
   std::map<PartitionId, PartitionUsage> partitions_;
--- a/src/work_dispatch/batch_canceller.h
+++ b/src/work_dispatch/batch_canceller.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Cancels batches: logs the cancellation at once, and its completion when no item of the batch can
-/// run any more. Completion gives every item without a result the outcome cancelled.
+/// Cancellation of batches: logs the cancellation at once, and its completion when no item of the
+/// batch can be running any more. Completion gives every item without a result the outcome
+/// cancelled.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
--- a/src/work_dispatch/unknown_items.h
+++ b/src/work_dispatch/unknown_items.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Items that must not repeat and whose outcome nobody can know any more: their leases have ended
-/// without a result. They wait here to be finished as unknown. Pure.
+/// Items whose outcome is unknown: they must not repeat, and their leases ended without a result.
+/// They are due to be finished as unknown. Pure.
 
 #include <set>
 
--- a/src/work_dispatch/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Lease ids of different lives never meet.
+/// Lease ids of different incarnations are disjoint.
 WorkLeaseId FirstLeaseId(NodeId node) {
   constexpr unsigned kIncarnationShift = 32;
   return WorkLeaseId((node.value() << kIncarnationShift) + 1);
--- a/src/work_dispatch/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -35,11 +35,11 @@
 
   WorkDispatcher(Environment& environment, NodeAgent& agent);
 
-  /// Takes a partition's waiting items up. Items logged as started get the time of a silent lease
-  /// for a result to come in from the gateway that runs them, and are then finished as unknown.
+  /// Queues the partition's waiting items. Items logged as started get a lease of full length, in
+  /// which the gateway that runs them may report; after that they are finished as unknown.
   void AddPartition(const std::shared_ptr<OwnedPartition>& partition);
   void RemovePartition(PartitionId partition);
-  /// A batch was accepted.
+  /// Queues the items of a batch that was accepted.
   void AddBatch(OwnedPartition& partition, const StoredBatch& batch);
 
   /// As `WorkGranter::Acquire`.
@@ -51,15 +51,16 @@
               const CancelReply& reply);
 
   void OnConfiguration();
-  /// This life is over: gateways that wait for work are told so.
+  /// Ends dispatch: pending AcquireWork requests fail with kUnavailable.
   void Shutdown();
-  /// Ends silent leases and settles cancelled batches; call it a few times a second.
+  /// Ends expired leases, finishes unknown items and completes cancellations. Call it a few times a
+  /// second.
   void Tick();
 
   std::size_t leases() const { return leases_->size(); }
 
  private:
-  /// Leases the items that were logged as started to a gateway that is not known.
+  /// Grants leases without a gateway for the items that were logged as started.
   void AdoptStartedItems(PartitionId partition, const StoredBatch& batch);
 
   Environment& environment_;
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -7,16 +7,17 @@
 namespace {
 
 constexpr std::size_t kMaxGrants = 1000;
-/// An answer ends once its items hold this many bytes.
+/// Bytes of items in one answer.
 constexpr std::size_t kMaxGrantBytes = 4U << 20U;
 constexpr Duration kMaxHold = seconds(5);
-/// A held question older than this is answered empty instead of with work, so that its gateway asks
-/// again: it may be gone, and what is granted to nobody ends as unknown if it must not repeat.
+/// A pending request older than this is answered without grants, so that its gateway sends a new
+/// one: the gateway may have failed, and an item granted to a failed gateway ends as unknown if it
+/// must not repeat.
 constexpr Duration kMaxFreshAge = milliseconds(20);
-/// So many times the room that waiting items need is woken at once: some gateways are gone, and
-/// some have used their room meanwhile.
+/// Requests are woken for this multiple of the slots that waiting items need: some gateways have
+/// failed, others have used their slots meanwhile.
 constexpr std::size_t kWakeFactor = 2;
-/// For those that were woken to ask again.
+/// Time in which woken gateways send a new request.
 constexpr Duration kWakeInterval = milliseconds(10);
 
 }  // namespace
@@ -191,7 +192,7 @@
 void WorkGranter::HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
                                      const Status& status) {
   if (!status.ok()) {
-    // Certain that the grant did not leave: the items wait again.
+    // The grant was certainly not sent: the items wait again.
     std::erase_if(grants->items, [&](const WorkItemKey& item) {
       const StoredBatch* batch = item.partition == partition ? queue_->FindBatch(item) : nullptr;
       if (item.partition != partition || (batch != nullptr && batch->accepted.idempotent())) {
@@ -225,7 +226,7 @@
   grant.set_route(batch->accepted.route());
   grant.set_idempotent(batch->accepted.idempotent());
   grant.set_failed_runs(queue_->FailedRuns(item));
-  // Counts from when the request was sent, which was before it arrived and was held here.
+  // Counts from when the request was sent, which was before it arrived and became pending here.
   const auto window = std::chrono::duration_cast<milliseconds>(pending + kWorkLeaseStartWindow);
   grant.set_start_within_ms(static_cast<std::uint32_t>(window.count()));
   return grant;
--- a/src/work_dispatch/work_granter.h
+++ b/src/work_dispatch/work_granter.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Answers gateways that ask for work with items under leases. A request waits here until there are
-/// items for its free slots. An item that must not repeat is logged as started before its grant
-/// leaves.
+/// Answers AcquireWork requests of gateways with items under leases. A request is pending until
+/// there are items for its free slots. An item that must not repeat is logged as started before its
+/// grant is sent.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -28,15 +28,15 @@
   WorkGranter(Environment& environment, NodeAgent& agent, std::shared_ptr<WorkQueue> queue,
               std::shared_ptr<WorkLeases> leases);
 
-  /// Answers with grants as soon as there are any, or empty after the request's hold time.
+  /// Answers with grants as soon as there are any, or without grants after the request's hold time.
   void Acquire(const proto::AcquireWorkRequest& request, Reply reply);
-  /// Grants what waits to the requests that wait; call it when either may have changed.
+  /// Grants waiting items to pending requests; call it when either may have changed.
   void ServePending();
-  /// Answers all waiting requests with kUnavailable.
+  /// Fails all pending requests with kUnavailable.
   void Shutdown();
 
  private:
-  /// A held AcquireWork.
+  /// A pending AcquireWork (long poll).
   struct PendingAcquire {
     proto::AcquireWorkRequest request;
     TimePoint arrived;
@@ -52,15 +52,16 @@
   using PendingGrantsPtr = std::shared_ptr<PendingGrants>;
   using StartEntries = std::map<PartitionId, std::vector<proto::LogEntry>>;
 
-  /// Answers some of the questions that were held for long, so that their gateways ask again.
+  /// Answers some stale requests without grants, so that their gateways send new ones.
   void WakeStaleRequests();
-  /// Answers such questions of the own zone, or of others, until their room reaches `wanted`.
+  /// Does so for stale requests of this zone, or of others, until their slots reach `wanted`.
+  /// @return the slots, `capacity` included.
   std::size_t WakeStaleInZone(bool own, std::size_t capacity, std::size_t wanted);
   bool IsFresh(const PendingAcquire& pending) const;
-  /// @return the slots of the request for which items wait.
+  /// @return the slots of the request for which items are waiting.
   std::size_t CountUsableSlots(const proto::AcquireWorkRequest& request) const;
   void AnswerEmpty(std::list<PendingAcquire>::iterator pending);
-  /// @return the items taken for the request, leased.
+  /// Picks and leases items for the request; adds the ItemStarted entries to log first to `starts`.
   std::vector<WorkItemKey> SelectItems(const proto::AcquireWorkRequest& request,
                                        StartEntries* starts);
   bool LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
@@ -77,7 +78,7 @@
   std::shared_ptr<WorkQueue> queue_;
   std::shared_ptr<WorkLeases> leases_;
   std::list<PendingAcquire> pending_;
-  TimePoint next_wake_{};  ///< Before, those that were woken last are waited for.
+  TimePoint next_wake_{};  ///< Woken gateways have until then to send new requests.
   bool wake_scheduled_ = false;
 };
 
--- a/src/work_dispatch/work_leases.cc
+++ b/src/work_dispatch/work_leases.cc
@@ -40,7 +40,8 @@
     return ReportAction::kWait;
   }
   if (report.disposition() == proto::WORK_DISPOSITION_FINISHED) {
-    // Taken also from a lease that has ended: the work was done, and the first result logged wins.
+    // Accepted also from a lease that has ended: the work was done, and the first logged result
+    // wins.
     return ReportAction::kLogResult;
   }
   const bool current = lease != nullptr && lease->id == WorkLeaseId(report.lease_id());
--- a/src/work_dispatch/work_leases.h
+++ b/src/work_dispatch/work_leases.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Rights to start batch items, as the partition's owner keeps them: who holds which item and when
-/// it was last last_heard of. Not durable: after a recovery no lease is known, and items that must
-/// not repeat are told from the log's ItemStarted entries.
+/// Leases on batch items, as the partition's owner records them: which gateway may run which item,
+/// and when it last reported. Not durable: after a recovery no lease is known, and items that must
+/// not repeat are recognised by the log's ItemStarted entries.
 ///
 /// Pure: the time comes with each call. Threads: none of its own.
 
@@ -21,7 +21,7 @@
 
 namespace cloverbank {
 
-/// A lease that was neither renewed nor reported for this long is over.
+/// A lease ends if it is neither renewed nor reported for this long.
 inline constexpr Duration kWorkLeaseTimeout = seconds(5);
 /// An item must be started within this time of its grant.
 inline constexpr Duration kWorkLeaseStartWindow = seconds(2);
@@ -46,11 +46,11 @@
 struct WorkLease {
   WorkLeaseId id;
   WorkItemKey item;
-  std::uint64_t gateway_node_id = 0;  ///< 0: adopted after a recovery, holder not known.
+  std::uint64_t gateway_node_id = 0;  ///< 0: adopted after a recovery, gateway unknown.
   Incarnation incarnation;            ///< Of the gateway.
   bool idempotent = false;
-  TimePoint last_heard;    ///< Last sign of life of its holder.
-  bool reporting = false;  ///< Its result is being logged: silence no longer counts.
+  TimePoint last_heard;    ///< When its gateway renewed or reported it.
+  bool reporting = false;  ///< Its result is being logged: it does not expire.
 };
 
 /// What to do with one report.
@@ -59,18 +59,19 @@
   kLogResult,   ///< Log ItemFinished with the reported outcome.
   kLogUnknown,  ///< Log ItemFinished with ITEM_OUTCOME_UNKNOWN.
   kReturnItem,  ///< Let another gateway run it.
-  kWait,        ///< A result of the item is on its way to the log: to be asked again.
+  kWait,        ///< A result of the item is being logged: the gateway must retry.
 };
 
 class WorkLeases {
  public:
-  /// @param first ids are given out from here on; different for every life of every queue node.
+  /// @param first lease id; ranges of different incarnations must be disjoint.
   explicit WorkLeases(WorkLeaseId first) : next_id_(first) {}
 
-  /// Gives out `item`. Requires that it is not leased.
+  /// Grants a lease on `item`. Requires that it has none.
   const WorkLease& Grant(const WorkItemKey& item, std::uint64_t gateway_node_id,
                          Incarnation incarnation, bool idempotent, TimePoint now);
-  /// Renews a running lease. @return nullptr if it is not current: its holder should stop.
+  /// Renews a running lease. @return nullptr if it is not current: its gateway should stop the
+  /// item.
   const WorkLease* Renew(WorkLeaseId id, std::uint64_t gateway_node_id, Incarnation incarnation,
                          TimePoint now);
   /// @return the current lease of `item`, or nullptr.
@@ -79,11 +80,11 @@
   ReportAction EvaluateReport(const proto::WorkReport& report, const WorkItemKey& item,
                               bool has_result) const;
 
-  /// Marks that the item's result is on its way to the log (true), or was refused by it (false).
+  /// Records that the item's result is being logged (true), or was not logged (false).
   void SetReporting(const WorkItemKey& item, bool reporting, TimePoint now);
   /// Ends the item's lease, if any.
   void End(const WorkItemKey& item);
-  /// Ends and returns the leases that were silent for `kWorkLeaseTimeout`.
+  /// Ends and returns the leases that have expired (`kWorkLeaseTimeout`).
   std::vector<WorkLease> EndExpired(TimePoint now);
   /// Ends every lease of the partition (it went to another owner).
   void EndPartition(PartitionId partition);
--- a/src/work_dispatch/work_queue.h
+++ b/src/work_dispatch/work_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The owned partitions as dispatch sees them: their batches, and which of their items wait. The
-/// order of items is `FairQueue`'s; this class maps its batches to partitions and routes.
+/// Waiting items of the owned partitions. Wraps `FairQueue`, which decides the order, and maps its
+/// batches to partitions and routes.
 ///
 /// Threads: the owner's event loop only.
 
@@ -31,21 +31,21 @@
   std::shared_ptr<OwnedPartition> FindPartition(PartitionId partition) const;
   /// @return the batch if it has such an item, else nullptr.
   const StoredBatch* FindBatch(const WorkItemKey& item) const;
-  /// @return the route of that name in the configuration held, or nullptr.
+  /// @return the route of that name in the current configuration, or nullptr.
   const proto::Route* FindRoute(const std::string& name) const;
 
   /// Queues the items of the batch that wait.
   void Enqueue(const OwnedPartition& partition, const StoredBatch& batch);
   /// Removes the batch's items from the queue; those that were picked do not come back.
   void Dequeue(const BatchKey& batch);
-  /// @return up to `limit` items for the backend, taken off the queue.
+  /// Removes up to `limit` items for the backend from the queue. @return them.
   std::vector<WorkItemKey> Pick(const std::string& backend, std::size_t limit);
   /// Queues an item that was picked again, if its batch is still queued.
   void ReturnItem(const WorkItemKey& item);
   bool HasWaiting(const std::string& backend) const { return queue_.HasWaiting(backend); }
   std::size_t waiting_count() const { return queue_.waiting_count(); }
 
-  /// How often an item ran and failed before it was returned. Not logged: a new owner counts anew.
+  /// Failed runs of an item that was returned. Not logged: a new owner counts from 0.
   void SetFailedRuns(const WorkItemKey& item, std::uint32_t count) { failed_runs_[item] = count; }
   void ForgetFailedRuns(const WorkItemKey& item) { failed_runs_.erase(item); }
   std::uint32_t FailedRuns(const WorkItemKey& item) const;
--- a/src/work_dispatch/work_reporter.cc
+++ b/src/work_dispatch/work_reporter.cc
@@ -13,9 +13,9 @@
           static_cast<std::uint32_t>(report.item_index())};
 }
 
-/// Longest output and error kept; a longer result could not be logged.
+/// Bytes of output and error of one result; a larger one could not be logged.
 constexpr std::size_t kMaxOutputBytes = 512U << 10U;
-/// Items finished as unknown in one go.
+/// Unknown items being logged at the same time.
 constexpr std::size_t kMaxUnknownBeingLogged = 1000;
 
 /// @return the items whose results the ItemFinished entries are.
--- a/src/work_dispatch/work_reporter.h
+++ b/src/work_dispatch/work_reporter.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Takes reports of gateways on leased items: renews leases, logs results, returns items that did
-/// not run. Ends leases that were not renewed, and finishes items as unknown whose outcome nobody
-/// can report any more.
+/// Handles ReportWork requests of gateways on leased items: renews leases, logs results, returns
+/// items that did not run. Ends expired leases, and finishes items as unknown whose outcome no
+/// gateway can report any more.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -27,7 +27,7 @@
  public:
   using Reply = std::function<void(Result<proto::ReportWorkResponse>)>;
 
-  /// What dispatch shares between its parts.
+  /// The parts of dispatch that reports act on.
   struct Parts {
     std::shared_ptr<WorkQueue> queue;
     std::shared_ptr<WorkLeases> leases;
@@ -48,7 +48,7 @@
   void LogUnknown();
 
  private:
-  /// One ReportWork whose results are being logged.
+  /// A ReportWork whose results are being logged.
   struct PendingReport {
     Reply reply;
     proto::ReportWorkResponse response;
@@ -59,7 +59,7 @@
 
   Status CheckReports(const proto::ReportWorkRequest& request) const;
   void RenewLeases(const proto::ReportWorkRequest& request, proto::ReportWorkResponse* response);
-  /// Handles one report. @return the entry of its result to log, if it has one.
+  /// Handles one report. @return the ItemFinished entry to log, if any.
   std::optional<proto::LogEntry> HandleReport(const proto::WorkReport& report,
                                               PendingReport* pending);
   void ReturnItem(const WorkItemKey& item, const proto::WorkReport& report);
@@ -71,7 +71,7 @@
   void HandleUnknownLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
                            const Status& status);
   static void Answer(const PendingReportPtr& pending);
-  /// Counts and logs a result that is held later than its batch was due.
+  /// Records a result that became durable later than its batch was due.
   void RecordLateResult(const StoredBatch& batch) const;
   proto::LogEntry MakeFinished(const WorkItemKey& item, proto::ItemOutcome outcome) const;
   proto::LogEntry MakeResult(const WorkItemKey& item, const proto::WorkReport& report) const;
