--- a/tests/batches/batch_store_test.cc
+++ b/tests/batches/batch_store_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(store_.Find("b1")->state(), proto::BATCH_STATE_RUNNING);
 }
 
-TEST_F(BatchStoreTest, RefusesEntriesThatNoCorrectLogHolds) {
+TEST_F(BatchStoreTest, RejectsCorruptEntries) {
   Apply(writer_.Items("b1", 0, 2));
   EXPECT_EQ(store_.Apply(writer_.Items("b1", 5, 1)).code(), StatusCode::kCorrupt);
   EXPECT_EQ(store_.Apply(writer_.Accepted("b1", "studio", 9)).code(), StatusCode::kCorrupt);
@@ -146,7 +146,7 @@
   EXPECT_EQ(store_.open_items(), 2U);
 }
 
-TEST_F(BatchStoreTest, SettledCancelGivesEveryItemOneResult) {
+TEST_F(BatchStoreTest, CompletedCancelGivesEveryItemAResult) {
   Accept("b1", 4);
   Apply(writer_.Finished("b1", 1, "before"));
   proto::LogEntry cancelled = writer_.Next();
@@ -180,24 +180,34 @@
   EXPECT_EQ(store_.next_sequence(), PartitionSequence(40));
 }
 
-/// Items that are passed on unchanged: their tokens count until they have a result.
-TEST_F(BatchStoreTest, TokensCountUntilAResultOrACancelAndRequestsAreKeptUntilThen) {
-  proto::LogEntry items = writer_.Items("b1", 0, 3);
-  for (proto::BatchItem& item : *items.mutable_batch_items()->mutable_items()) {
-    item.set_tokens(100);
-    item.mutable_forwarded()->set_body("body of " + item.custom_id());
+/// Batches of items that are forwarded unchanged.
+class ForwardedBatchTest : public BatchStoreTest {
+ protected:
+  ForwardedBatchTest() {
+    proto::LogEntry items = writer_.Items("b1", 0, 3);
+    for (proto::BatchItem& item : *items.mutable_batch_items()->mutable_items()) {
+      item.set_tokens(100);
+      item.mutable_forwarded()->set_body("body of " + item.custom_id());
+    }
+    Apply(items);
+    proto::LogEntry accepted = writer_.Accepted("b1", "host", 3);
+    accepted.mutable_batch_accepted()->set_route("r");
+    Apply(accepted);
   }
-  Apply(items);
-  proto::LogEntry accepted = writer_.Accepted("b1", "host", 3);
-  accepted.mutable_batch_accepted()->set_route("r");
-  Apply(accepted);
-  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 300U);
-  EXPECT_EQ(store_.CountOpenTokens("host", "other"), 0U);
+};
+
+TEST_F(ForwardedBatchTest, OffersOpenItemsUntilTheirResult) {
   ASSERT_TRUE(store_.FindOpenItem("b1", "item1").ok());
   EXPECT_EQ(store_.FindOpenItem("b1", "item1")->forwarded().body(), "body of item1");
   Apply(writer_.Finished("b1", 1, "text"));
-  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 200U);
   EXPECT_EQ(store_.FindOpenItem("b1", "item1").status().code(), StatusCode::kNotFound);
+}
+
+TEST_F(ForwardedBatchTest, TokensAreOpenUntilAResultOrACancel) {
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 300U);
+  EXPECT_EQ(store_.CountOpenTokens("host", "other"), 0U);
+  Apply(writer_.Finished("b1", 1, "text"));
+  EXPECT_EQ(store_.CountOpenTokens("host", "r"), 200U);
   proto::LogEntry cancelled = writer_.Next();
   cancelled.mutable_batch_cancelled()->set_batch_id("b1");
   Apply(cancelled);
@@ -207,7 +217,7 @@
   EXPECT_EQ(store_.ListResults("b1", "", 0)->total(), 3U);
 }
 
-/// A recovery does not log anew what nobody needs: the store that comes of it is the same.
+/// A recovery does not log requests of finished items again; the resulting store is the same.
 TEST_F(BatchStoreTest, ReplayDropsRequestsOfFinishedItemsOnly) {
   PartitionReplay replay;
   proto::LogEntry items = writer_.Items("b1", 0, 2);
--- a/tests/batches/segment_usage_test.cc
+++ b/tests/batches/segment_usage_test.cc
@@ -34,7 +34,7 @@
   return entry;
 }
 
-TEST(SegmentUsageTest, TombstoneLivesAsLongAsWhatItKills) {
+TEST(SegmentUsageTest, TombstoneLivesAsLongAsItsTargets) {
   SegmentUsage usage;
   usage.AddEntry(SegmentId(1), Items("a"));
   usage.AddEntry(SegmentId(2), Items("a"));
@@ -58,22 +58,22 @@
   EXPECT_TRUE(usage.IsDead(SegmentId(3)));
 }
 
-TEST(SegmentUsageTest, DiscardingMarkKillsWhatIsBeforeIt) {
+TEST(SegmentUsageTest, DiscardingWatermarkVoidsEarlierEntries) {
   SegmentUsage usage;
   usage.AddEntry(SegmentId(1), Items("a"));
   usage.AddEntry(SegmentId(2), Watermark(true));
   usage.AddEntry(SegmentId(2), Items("a"));
   usage.AddEntry(SegmentId(3), Items("a"));
   EXPECT_TRUE(usage.IsDead(SegmentId(1)));
-  EXPECT_FALSE(usage.IsDead(SegmentId(3)));  // Logged anew after the mark.
+  EXPECT_FALSE(usage.IsDead(SegmentId(3)));  // Logged again after the watermark.
   usage.AddEntry(SegmentId(4), Removed("a"));
   EXPECT_TRUE(usage.IsDead(SegmentId(3)));
-  EXPECT_FALSE(usage.IsDead(SegmentId(2)));  // Its mark still voids segment 1.
+  EXPECT_FALSE(usage.IsDead(SegmentId(2)));  // Its watermark still voids segment 1.
   usage.Forget(SegmentId(1));
   EXPECT_TRUE(usage.IsDead(SegmentId(2)));
 }
 
-TEST(PartitionReplayTest, OrdersAndDropsWhatIsDeadVoidOrDouble) {
+TEST(PartitionReplayTest, OrdersEntriesAndDropsDeadOnes) {
   PartitionReplay replay;
   replay.Add(Accepted("void", 90));
   replay.Add(Watermark(true));
@@ -92,7 +92,7 @@
   EXPECT_EQ(replay.next_sequence(), PartitionSequence(7));
 }
 
-TEST(PartitionReplayTest, NumbersOfCleanedEntriesAreNotUsedAgain) {
+TEST(PartitionReplayTest, SequencesOfCleanedEntriesAreNotReused) {
   PartitionReplay replay;
   replay.Add(Accepted("a", 2));
   replay.Add(Watermark(false, 40));
--- a/tests/queue/batch_workload.cc
+++ b/tests/queue/batch_workload.cc
@@ -60,15 +60,15 @@
       [this, request](const Result<proto::SubmitBatchResponse>& result) {
         if (result.ok()) {
           --pending_submissions_;
-          TakeAccepted(*request, result->status());
+          HandleAccepted(*request, result->status());
         } else {
           world_.ScheduleAfter(milliseconds(50), [this, request] { Submit(request); });
         }
       });
 }
 
-void BatchWorkload::TakeAccepted(const proto::SubmitBatchRequest& request,
-                                 const proto::BatchStatus& status) {
+void BatchWorkload::HandleAccepted(const proto::SubmitBatchRequest& request,
+                                   const proto::BatchStatus& status) {
   if (accepted_.contains(status.batch_id())) {
     Violation("batch " + status.batch_id() + " accepted twice");
   }
@@ -212,14 +212,14 @@
       [this, store, sent](const Result<proto::AcquireWorkResponse>& result) {
         if (result.ok()) {
           for (const proto::WorkGrant& grant : result->grants()) {
-            TakeGrant(grant, sent);
+            HandleGrant(grant, sent);
           }
         }
         world_.ScheduleAfter(milliseconds(20), [this, store] { AcquireLoop(store); });
       });
 }
 
-void BatchWorkload::TakeGrant(const proto::WorkGrant& grant, TimePoint sent) {
+void BatchWorkload::HandleGrant(const proto::WorkGrant& grant, TimePoint sent) {
   Run run;
   run.grant = grant;
   const bool late = world_.Now() >= sent + milliseconds(grant.start_within_ms());
--- a/tests/queue/batch_workload.h
+++ b/tests/queue/batch_workload.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Clients and a gateway's worker over a `FleetWorld`, and the promises they check all the time: an
-/// accepted batch stays listed at its place, results never move, an item that must not repeat is
+/// accepted batch stays listed at its position, results never move, an item that must not repeat is
 /// started once, nothing of a cancelled batch starts 3 s after the acknowledgement, and in the end
 /// every item of every accepted batch has exactly one result.
 
@@ -90,7 +90,12 @@
     std::string output;
     bool reporting = false;
   };
-  using ItemKey = std::pair<std::string, std::uint64_t>;
+  struct ItemKey {
+    std::string batch_id;
+    std::uint64_t index = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
+    auto operator<=>(const ItemKey&) const = default;
+  };
 
   void Violation(const std::string& what) { violations_.push_back(what); }
   template <typename Response, typename Request>
@@ -106,7 +111,7 @@
   void Configure();
   void SubmitLoop();
   void Submit(const std::shared_ptr<proto::SubmitBatchRequest>& request);
-  void TakeAccepted(const proto::SubmitBatchRequest& request, const proto::BatchStatus& status);
+  void HandleAccepted(const proto::SubmitBatchRequest& request, const proto::BatchStatus& status);
   void Cancel(const std::string& batch_id);
   void ListLoop();
   void CheckList(const std::string& tenant, const proto::BatchList& list,
@@ -114,7 +119,7 @@
   void ListTenant(const std::string& tenant);
   void ListResults(const std::string& store, const std::string& batch_id);
   void AcquireLoop(const std::string& store);
-  void TakeGrant(const proto::WorkGrant& grant, TimePoint sent);
+  void HandleGrant(const proto::WorkGrant& grant, TimePoint sent);
   void ReportLoop();
   void Report(const std::string& store);
 
--- a/tests/queue/durability_simulation_test.cc
+++ b/tests/queue/durability_simulation_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The whole batch fleet under seeded faults. A failing seed replays exactly.
+/// A complete batch fleet under seeded faults. A failing seed replays exactly.
 
 #include <gtest/gtest.h>
 
@@ -34,7 +34,7 @@
     return milliseconds(fleet.world.RandomBelow(limit_ms));
   }
 
-  /// @return what the coordinators say is wrong.
+  /// @return the coordinators' fleet status as text.
   std::string FleetProblems() {
     std::string problems;
     for (const std::string& front : fleet.fronts) {
@@ -50,8 +50,8 @@
     return problems;
   }
 
-  /// Ends the faults, lets everything finish and checks what must hold.
-  void Conclude(std::size_t least_accepted) {
+  /// Ends the faults, waits until all batches have finished and checks the promises.
+  void HealAndVerify(std::size_t least_accepted) {
     fleet.world.HealAll();
     fleet.world.network() = NetworkBehaviour();
     fleet.StartAll();
@@ -73,7 +73,7 @@
 
 TEST_P(DurabilityTest, CalmFleetFinishesEverything) {
   fleet.world.RunFor(seconds(5));
-  Conclude(10);
+  HealAndVerify(10);
   EXPECT_EQ(workload.CountOutcome(proto::ITEM_OUTCOME_UNKNOWN), 0U);
 }
 
@@ -83,18 +83,18 @@
   if (!fleet.FullConfiguration()) {
     ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   }
-  const std::uint64_t kept = fleet.world.RandomBelow(3);
+  const std::uint64_t survivor = fleet.world.RandomBelow(3);
   for (std::uint64_t i = 0; i < 3; ++i) {
-    if (i != kept) {
+    if (i != survivor) {
       Machine(fleet.stores[i]).LoseDisk();
       StartLater(fleet.stores[i], seconds(1) + RandomTime(8000));
     }
   }
   fleet.world.RunFor(seconds(15));
-  Conclude(10);
+  HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, OneDiskAfterTheOtherOnceRepaired) {
+TEST_P(DurabilityTest, DisksLostOneAfterTheOther) {
   for (int round = 0; round < 3; ++round) {
     ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(60)));
     const std::string first = RandomOf(fleet.stores);
@@ -102,10 +102,10 @@
     StartLater(first, RandomTime(6000));
     fleet.world.RunFor(seconds(7));
   }
-  Conclude(20);
+  HealAndVerify(20);
 }
 
-TEST_P(DurabilityTest, AnIsolatedStoreAndThenBothOthersLost) {
+TEST_P(DurabilityTest, IsolatedStoreThenBothOthersLost) {
   ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   const std::string isolated = RandomOf(fleet.stores);
   fleet.world.Isolate(isolated);
@@ -119,10 +119,10 @@
   }
   fleet.world.Heal(isolated);
   fleet.world.RunFor(seconds(15));
-  Conclude(10);
+  HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, EverythingLosesPowerTogether) {
+TEST_P(DurabilityTest, AllMachinesLosePower) {
   std::vector<std::string> machines = fleet.stores;
   for (int round = 0; round < 2; ++round) {
     fleet.world.RunFor(RandomTime(3000));
@@ -136,10 +136,10 @@
     EXPECT_TRUE(fleet.world.RunUntil([&] { return workload.ServedSince(back); }, seconds(12)))
         << FleetProblems();
   }
-  Conclude(10);
+  HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, RetiredStoreIsEmptiedAndThenLost) {
+TEST_P(DurabilityTest, RetiredStoreIsDrainedThenLost) {
   ASSERT_TRUE(fleet.world.RunUntil([this] { return fleet.FullConfiguration(); }, seconds(20)));
   const std::string retired = RandomOf(fleet.stores);
   proto::RetireServerRequest request;
@@ -151,7 +151,7 @@
     }
   };
   ask();
-  const auto emptied = [&] {
+  const auto drained = [&] {
     bool empty = false;
     fleet.world.CallPeer(Machine(retired).endpoint(), "backup.ListSegments", "", seconds(1),
                          [&](const PeerReply& reply) {
@@ -163,7 +163,7 @@
     return empty;
   };
   int seconds_left = 60;
-  while (!emptied() && --seconds_left > 0) {
+  while (!drained() && --seconds_left > 0) {
   }
   EXPECT_GT(seconds_left, 0) << FleetProblems();
   Machine(retired).LoseDisk();
@@ -171,10 +171,10 @@
   Machine(second).LoseDisk();
   StartLater(second, seconds(2));
   fleet.world.RunFor(seconds(8));
-  Conclude(10);
+  HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, DisksFillAndHaveRoomAgain) {
+TEST_P(DurabilityTest, DisksFillUpAndAreFreed) {
   constexpr std::uint64_t kFull = 1;
   constexpr std::uint64_t kAmple = 1ULL << 40U;
   constexpr int kRounds = 4;
@@ -184,7 +184,7 @@
     }
     if (round == kRounds - 1) {
       for (const std::string& name : fleet.stores) {
-        Machine(name).SetDiskLimit(kFull);  // No new batch can be held anywhere.
+        Machine(name).SetDiskLimit(kFull);  // No backup can store a new batch.
       }
     }
     fleet.world.RunFor(seconds(3) + RandomTime(3000));
@@ -199,10 +199,10 @@
   const TimePoint space_available_at = fleet.world.Now();
   EXPECT_TRUE(
       fleet.world.RunUntil([&] { return workload.ServedSince(space_available_at); }, seconds(10)));
-  Conclude(20);
+  HealAndVerify(20);
 }
 
-TEST_P(DurabilityTest, RandomKillsFreezesAndCuts) {
+TEST_P(DurabilityTest, RandomKillsFreezesAndPartitions) {
   fleet.world.network().request_loss = 0.003;
   fleet.world.network().reply_loss = 0.003;
   fleet.world.network().request_duplication = 0.01;
@@ -232,7 +232,7 @@
     fleet.world.RunFor(RandomTime(6000));
   }
   fleet.world.RunFor(seconds(25));
-  Conclude(10);
+  HealAndVerify(10);
 }
 
 /// Finished batches are removed and the log is cleaned, over recoveries.
@@ -250,7 +250,7 @@
       StartLater(store, RandomTime(5000));
     }
   }
-  Conclude(20);
+  HealAndVerify(20);
 }
 
 /// More seeds for longer trials: CLOVERBANK_SEEDS=200 test_queue --gtest_filter=...
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -1,5 +1,5 @@
 // Batches under a limit of open tokens, spread over the partitions of a whole fleet under seeded
-// faults: the limit holds whichever queue nodes die, and all of its room comes back.
+// faults: the limit holds whichever queue nodes die, and all of it becomes free again.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -16,7 +16,7 @@
 constexpr std::uint64_t kLimit = 20'000;
 constexpr std::uint64_t kItemTokens = 100;
 constexpr std::uint64_t kGateway = 1'000'000;
-/// The gateway is slower than the clients, so that the limit is met.
+/// The gateway is slower than the clients, so that the limit is reached.
 constexpr std::uint32_t kWorkSlots = 4;
 constexpr Duration kWorkPause = milliseconds(60);
 constexpr const char* kHost = "shop.example";
@@ -93,7 +93,7 @@
     return request;
   }
 
-  /// Sends a batch again until its outcome is known, or it is over the limit.
+  /// Resends a batch until its outcome is known, or it is over the limit.
   void Submit(const std::shared_ptr<proto::SubmitBatchRequest>& request) {
     Call<proto::SubmitBatchResponse>(
         AnyStore(), "queue.SubmitBatch", *request, seconds(3),
@@ -146,7 +146,7 @@
       report.set_output("done");
     }
   }
-  /// Reports come again until they are taken, at whichever store owns the partition by then.
+  /// Resends reports until the owner of their partition has accepted them.
   void ReportLoop() {
     std::map<std::uint64_t, proto::ReportWorkRequest> requests;  // By partition.
     for (const auto& [lease, report] : reports_) {
@@ -159,9 +159,9 @@
       for (const std::string& store : fleet_.stores) {
         Call<proto::ReportWorkResponse>(
             store, "queue.ReportWork", request, seconds(2),
-            [this, request](const Result<proto::ReportWorkResponse>& taken) {
+            [this, request](const Result<proto::ReportWorkResponse>& answer) {
               for (const proto::WorkReport& report : request.reports()) {
-                if (taken.ok()) {
+                if (answer.ok()) {
                   reports_.erase(report.lease_id());
                 }
               }
@@ -180,25 +180,25 @@
     return true;
   }
 
-  /// Ends the faults and checks that the limit held and all of its room is free again.
-  void Conclude() {
+  /// Ends the faults and checks that the limit was never exceeded and all of it is free again.
+  void HealAndVerify() {
     world_.HealAll();
     fleet_.StartAll();
     submitting_ = false;
     EXPECT_TRUE(world_.RunUntil([this] { return AllFinished(); }, seconds(60)));
     EXPECT_LE(most_open_, kLimit + kLimit / 10);
-    EXPECT_GT(over_limit_, 0) << "the limit was never met";
+    EXPECT_GT(over_limit_, 0) << "the limit was never reached";
     EXPECT_GT(accepted_items_.size(), 20U);
     world_.RunFor(seconds(20));  // Leases of work whose report was lost run out.
     // Nothing is open any more: a batch of the whole limit fits, at the latest when every count
-    // that was under way has ended.
-    const std::string whole = "whole";
+    // that was running has ended.
+    const std::string full = "full";
     bool fits = false;
     for (int attempt = 0; attempt < 3 && !fits; ++attempt) {
-      Submit(std::make_shared<proto::SubmitBatchRequest>(MakeBatch(whole, kLimit / kItemTokens)));
-      fits = world_.RunUntil([&] { return accepted_items_.contains(whole); }, seconds(5));
+      Submit(std::make_shared<proto::SubmitBatchRequest>(MakeBatch(full, kLimit / kItemTokens)));
+      fits = world_.RunUntil([&] { return accepted_items_.contains(full); }, seconds(5));
     }
-    EXPECT_TRUE(fits) << "room was lost";
+    EXPECT_TRUE(fits) << "capacity was lost";
   }
 
   FleetWorld fleet_;
@@ -209,16 +209,16 @@
   std::uint64_t most_open_ = 0;
   std::map<std::string, std::uint64_t> accepted_items_;
   std::map<std::string, std::set<std::uint64_t>> finished_;
-  std::map<std::uint64_t, proto::WorkReport> reports_;  ///< Not taken yet, by lease.
+  std::map<std::uint64_t, proto::WorkReport> reports_;  ///< Not accepted yet, by lease.
 };
 
-TEST_P(LimitedBatchesTest, CalmFleet) {
+TEST_P(LimitedBatchesTest, CalmFleetStaysWithinTheLimit) {
   Start();
   world_.RunFor(seconds(8));
-  Conclude();
+  HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, QueueNodesAreKilledOneAfterTheOther) {
+TEST_P(LimitedBatchesTest, QueueNodesKilledOneAfterTheOther) {
   Start();
   for (const std::string& store : fleet_.stores) {
     world_.RunFor(seconds(3));
@@ -227,10 +227,10 @@
     world_.machine(store).Start();
     world_.RunFor(seconds(4));
   }
-  Conclude();
+  HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, AllLosePower) {
+TEST_P(LimitedBatchesTest, AllMachinesLosePower) {
   Start();
   world_.RunFor(seconds(4));
   for (const std::vector<std::string>* machines : {&fleet_.fronts, &fleet_.stores}) {
@@ -241,10 +241,10 @@
   world_.RunFor(seconds(1));
   fleet_.StartAll();
   world_.RunFor(seconds(10));
-  Conclude();
+  HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, AQueueNodeFreezesAndWakes) {
+TEST_P(LimitedBatchesTest, QueueNodeFreezesAndResumes) {
   Start();
   world_.RunFor(seconds(3));
   const std::string& store = AnyStore();
@@ -252,7 +252,7 @@
   world_.RunFor(seconds(5));
   world_.machine(store).Wake();
   world_.RunFor(seconds(5));
-  Conclude();
+  HealAndVerify();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, LimitedBatchesTest, testing::Range(1, 6));
--- a/tests/queue/pending_acquire_test.cc
+++ b/tests/queue/pending_acquire_test.cc
@@ -1,4 +1,4 @@
-// Gateways whose questions for work are held, and which of them are woken when work comes.
+// Pending AcquireWork requests: which gateways are woken when there is work.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// Many gateways, each of which asks again as soon as it was answered.
+/// Many gateways, each of which sends a new request as soon as it was answered without grants.
 class PendingAcquireTest : public testing::Test {
  protected:
   PendingAcquireTest() : world(21) {
@@ -20,16 +20,16 @@
   static constexpr std::uint32_t kSlots = 2;
   static constexpr std::uint64_t kFirstGatewayId = 1000;
 
-  void AskAll(const std::string& backend = "model") {
+  void SendAll(const std::string& backend = "model") {
     for (int gateway = 0; gateway < kGateways; ++gateway) {
       // A third of them are in the queue node's zone.
       SendRequest(gateway, gateway % 3 == 0 ? "zone-b1" : "zone-b2", backend);
     }
     world.world.RunFor(seconds(1));
-    asked_ = 0;
+    sent_ = 0;
   }
   void SendRequest(int gateway, const std::string& zone, const std::string& backend) {
-    ++asked_;
+    ++sent_;
     proto::AcquireWorkRequest request;
     request.set_gateway_node_id(kFirstGatewayId + static_cast<std::uint64_t>(gateway));
     request.set_zone(zone);
@@ -50,39 +50,39 @@
   }
 
   QueueWorld world;
-  int asked_ = 0;  ///< Questions since all were held.
+  int sent_ = 0;  ///< Requests since all were pending.
   int granted_ = 0;
   int granted_in_zone_ = 0;
 };
 
-TEST_F(PendingAcquireTest, ABatchWakesAsManyGatewaysAsHaveRoomForIt) {
-  AskAll();
+TEST_F(PendingAcquireTest, WakesOnlyAsManyGatewaysAsNeeded) {
+  SendAll();
   world.Accept("q1", "key", 6);
   world.world.RunFor(milliseconds(100));
   EXPECT_EQ(granted_, 6);
-  EXPECT_LE(asked_, 12) << "twice the room of 6 items, not all 60 gateways";
+  EXPECT_LE(sent_, 12) << "twice the slots for 6 items, not all 60 gateways";
 }
 
-TEST_F(PendingAcquireTest, GatewaysOfTheOwnZoneAreWokenFirst) {
-  AskAll();
+TEST_F(PendingAcquireTest, WakesGatewaysOfItsZoneFirst) {
+  SendAll();
   world.Accept("q1", "key", 10);
   world.world.RunFor(milliseconds(100));
   EXPECT_EQ(granted_, 10);
   EXPECT_EQ(granted_in_zone_, 10);
 }
 
-TEST_F(PendingAcquireTest, ALargeBatchReachesAllThatHaveRoom) {
-  AskAll();
+TEST_F(PendingAcquireTest, LargeBatchReachesAllGateways) {
+  SendAll();
   world.Accept("q1", "key", 2 * kGateways * static_cast<int>(kSlots));
   world.world.RunFor(milliseconds(300));
   EXPECT_EQ(granted_, kGateways * static_cast<int>(kSlots));
 }
 
-TEST_F(PendingAcquireTest, GatewaysWithRoomForOtherBackEndsAreLeftAlone) {
-  AskAll("other");
+TEST_F(PendingAcquireTest, DoesNotWakeGatewaysOfOtherBackends) {
+  SendAll("other");
   world.Accept("q1", "key", 6);
   world.world.RunFor(seconds(1));
-  EXPECT_EQ(asked_, 0);
+  EXPECT_EQ(sent_, 0);
 }
 
 }  // namespace
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -1,5 +1,6 @@
 #include "queue/queue_service.h"
 
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <optional>
@@ -23,19 +24,24 @@
   QueueWorld world;
 };
 
-TEST_F(QueueServiceTest, AcceptedBatchIsListedAndAResentOneMeetsIt) {
+TEST_F(QueueServiceTest, AnswersResendWithTheAcceptedBatch) {
   const std::string id = world.Accept("q1", "key", 20);
   EXPECT_EQ(world.BatchIds("q1"), std::vector<std::string>{id});
   const auto resent = world.Submit("q1", QueueWorld::MakeBatch("key", 20));
   ASSERT_TRUE(resent.ok());
   EXPECT_TRUE(resent->resent());
   EXPECT_EQ(resent->status().batch_id(), id);
+  EXPECT_EQ(world.BatchIds("q1").size(), 1U);
+}
+
+TEST_F(QueueServiceTest, RejectsReusedKeyOfAnotherBatch) {
+  world.Accept("q1", "key", 20);
   const auto other = world.Submit("q1", QueueWorld::MakeBatch("key", 21));
-  EXPECT_EQ(other.status().code(), StatusCode::kConflict);
+  EXPECT_THAT(other, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(world.BatchIds("q1").size(), 1U);
 }
 
-TEST_F(QueueServiceTest, SubmissionsAtTheSameTimeBecomeOneBatch) {
+TEST_F(QueueServiceTest, ConcurrentResendsBecomeOneBatch) {
   std::set<std::string> ids;
   int answers = 0;
   int resent = 0;
@@ -56,32 +62,35 @@
   EXPECT_EQ(resent, 2);
 }
 
-TEST_F(QueueServiceTest, RefusesMalformedBatchesAndOtherPartitions) {
+TEST_F(QueueServiceTest, RejectsDuplicateCustomIds) {
   auto twice = QueueWorld::MakeBatch("key", 2);
   twice.mutable_batch()->mutable_items(1)->set_custom_id("item0");
-  EXPECT_EQ(world.Submit("q1", twice).status().code(), StatusCode::kInvalidArgument);
+  EXPECT_THAT(world.Submit("q1", twice), FailsWith(StatusCode::kInvalidArgument));
+}
+
+TEST_F(QueueServiceTest, RejectsPartitionsItDoesNotOwn) {
   auto elsewhere = QueueWorld::MakeBatch("key", 2);
   elsewhere.set_partition_id(5);
   const auto refused = world.Submit("q1", elsewhere);
-  EXPECT_EQ(refused.status().code(), StatusCode::kConflict);
+  EXPECT_THAT(refused, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(refused.status().detail(), kNotOwnerDetail);
 }
 
-TEST_F(QueueServiceTest, TenantsLimitCountsUnfinishedItems) {
+TEST_F(QueueServiceTest, TenantLimitCountsUnfinishedItems) {
   proto::Tenant* tenant = world.coordinator.configuration.add_tenants();
   tenant->set_name("studio");
   tenant->set_max_open_items(10);
   world.PublishConfiguration();
   world.Accept("q1", "first", 8);
-  EXPECT_EQ(world.Submit("q1", QueueWorld::MakeBatch("second", 3)).status().code(),
-            StatusCode::kResourceExhausted);
+  EXPECT_THAT(world.Submit("q1", QueueWorld::MakeBatch("second", 3)),
+              FailsWith(StatusCode::kResourceExhausted));
   for (const auto& grant : world.Acquire("q1", 1)) {
     EXPECT_TRUE(world.Finish("q1", grant).ok());
   }
   EXPECT_TRUE(world.Submit("q1", QueueWorld::MakeBatch("second", 3)).ok());
 }
 
-TEST_F(QueueServiceTest, WorksABatchOffWithOneResultAnItem) {
+TEST_F(QueueServiceTest, RecordsOneResultPerItem) {
   const std::string id = world.Accept("q1", "key", 10, "unlock");
   std::set<std::uint64_t> seen;
   for (int round = 0; round < 5; ++round) {
@@ -103,7 +112,7 @@
   EXPECT_TRUE(world.Acquire("q1", 5).empty());
 }
 
-TEST_F(QueueServiceTest, NewBatchEndsAHeldRequestAndTheNextOneGetsWork) {
+TEST_F(QueueServiceTest, NewBatchWakesAPendingAcquire) {
   proto::AcquireWorkRequest request;
   request.add_capacity()->set_backend("model");
   request.mutable_capacity(0)->set_slots(3);
@@ -122,7 +131,7 @@
   EXPECT_FALSE(response.has_value());
   world.Accept("q1", "key", 5);
   ASSERT_TRUE(world.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
-  EXPECT_EQ(response->grants_size(), 0) << "its gateway may be gone since it asked";
+  EXPECT_EQ(response->grants_size(), 0) << "its gateway may have failed meanwhile";
   ask();
   ASSERT_TRUE(world.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
   ASSERT_EQ(response->grants_size(), 3);
@@ -130,7 +139,7 @@
   EXPECT_LE(response->grants(0).start_within_ms(), 2100U);
 }
 
-TEST_F(QueueServiceTest, SilentLeaseOfARepeatableItemIsGrantedAgain) {
+TEST_F(QueueServiceTest, ExpiredLeaseOfIdempotentItemIsRegranted) {
   world.Accept("q1", "key", 1);
   const auto first = world.Acquire("q1", 1);
   ASSERT_EQ(first.size(), 1U);
@@ -145,7 +154,7 @@
   EXPECT_EQ(world.Report("q1", {}, first)->ended_lease_ids_size(), 1);
 }
 
-TEST_F(QueueServiceTest, SilentLeaseOfAnotherItemEndsAsUnknown) {
+TEST_F(QueueServiceTest, ExpiredLeaseOfOtherItemEndsAsUnknown) {
   const std::string id = world.Accept("q1", "key", 1, "unlock");
   const auto grants = world.Acquire("q1", 1);
   world.world.RunFor(seconds(6));
@@ -155,7 +164,7 @@
   EXPECT_EQ(world.Results("q1", id), std::vector<std::string>{"0:3:"});
 }
 
-TEST_F(QueueServiceTest, ItemGivenBackIsGrantedAgain) {
+TEST_F(QueueServiceTest, ReturnedItemIsGrantedAgain) {
   world.Accept("q1", "key", 1, "unlock");
   const auto first = world.Acquire("q1", 1);
   ASSERT_TRUE(
@@ -165,7 +174,7 @@
   EXPECT_EQ(second[0].item_index(), first[0].item_index());
 }
 
-TEST_F(QueueServiceTest, NothingIsGrantedAfterACancelAndEveryItemGetsOneResult) {
+TEST_F(QueueServiceTest, CancelStopsGrantsAndFinishesItems) {
   const std::string id = world.Accept("q1", "key", 4, "unlock");
   const auto grants = world.Acquire("q1", 2);
   ASSERT_EQ(grants.size(), 2U);
@@ -184,7 +193,7 @@
   EXPECT_TRUE(world.Call<proto::CancelBatchResponse>("q1", "queue.CancelBatch", cancel).ok());
 }
 
-TEST_F(QueueServiceTest, NothingIsGrantedWhilePaused) {
+TEST_F(QueueServiceTest, GrantsNothingWhilePaused) {
   world.Accept("q1", "key", 2);
   world.coordinator.configuration.mutable_batch()->set_paused(true);
   world.PublishConfiguration();
@@ -194,19 +203,19 @@
   EXPECT_EQ(world.Acquire("q1", 2).size(), 2U);
 }
 
-TEST_F(QueueServiceTest, AnswersNothingWithoutItsLease) {
+TEST_F(QueueServiceTest, RejectsRequestsWithoutItsLease) {
   const std::string id = world.Accept("q1", "key", 1);
   world.world.Cut("q1", "control");
   world.world.RunFor(seconds(4));
   proto::GetBatchRequest get;
   get.set_batch_id(id);
-  EXPECT_EQ(world.Call<proto::GetBatchResponse>("q1", "queue.GetBatch", get).status().code(),
-            StatusCode::kUnavailable);
-  EXPECT_EQ(world.Submit("q1", QueueWorld::MakeBatch("new", 1)).status().code(),
-            StatusCode::kUnavailable);
+  EXPECT_THAT(world.Call<proto::GetBatchResponse>("q1", "queue.GetBatch", get),
+              FailsWith(StatusCode::kUnavailable));
+  EXPECT_THAT(world.Submit("q1", QueueWorld::MakeBatch("new", 1)),
+              FailsWith(StatusCode::kUnavailable));
 }
 
-TEST_F(QueueServiceTest, RemovesBatchesAfterTheirRetentionAndNeverReusesPositions) {
+TEST_F(QueueServiceTest, NeverReusesPositionsOfRemovedBatches) {
   world.AddQueue("q2");
   world.AddQueue("q3");
   const std::string old_id = world.Accept("q1", "old", 1);
@@ -236,9 +245,22 @@
     }
     return ids;
   }
+  /// Kills q1. q2 replays its partition, but its report never arrives; q3 becomes the owner.
+  void FailOverToQ3WhileQ2ReplaysInVain() {
+    const std::uint64_t dead = world.QueueId("q1");
+    world.world.machine("q1").Kill();
+    world.coordinator.DeclareDead(dead);
+    world.world.Cut("q2", "control");
+    ASSERT_TRUE(world.StartRecovery(dead, "q2").ok());
+    world.world.RunFor(milliseconds(500));
+    ASSERT_TRUE(world.StartRecovery(dead, "q3").ok());
+    ASSERT_TRUE(world.world.RunUntil([&] { return world.Owns("q3"); }, seconds(5)));
+    world.world.HealAll();
+    world.world.RunFor(milliseconds(300));
+  }
 };
 
-TEST_F(QueueRecoveryTest, ListsAndResultsGoOnAtTheNextOwner) {
+TEST_F(QueueRecoveryTest, KeepsListsAndResultsAtTheNextOwner) {
   const std::vector<std::string> ids = AcceptMany(5, 10);
   for (const auto& grant : world.Acquire("q1", 12)) {
     EXPECT_TRUE(world.Finish("q1", grant, "before").ok());
@@ -259,7 +281,7 @@
   EXPECT_TRUE(world.Submit("q2", QueueWorld::MakeBatch("key3", 10))->resent());
 }
 
-TEST_F(QueueRecoveryTest, StartedItemsThatMustNotRepeatEndAsUnknownOrWithALateResult) {
+TEST_F(QueueRecoveryTest, StartedItemsEndAsUnknownOrWithLateResult) {
   const std::string id = world.Accept("q1", "key", 3, "unlock");
   const auto grants = world.Acquire("q1", 2);
   ASSERT_EQ(grants.size(), 2U);
@@ -274,40 +296,22 @@
             (std::vector<std::string>{"1:1:ran at the old owner", "2:1:done", "0:3:"}));
 }
 
-TEST_F(QueueRecoveryTest, AReplayThatIsGivenUpLeavesNothing) {
+TEST_F(QueueRecoveryTest, AbandonedReplayLeavesNothing) {
   std::vector<std::string> ids = AcceptMany(4, 5);
-  const std::uint64_t first = world.QueueId("q1");
-  world.world.machine("q1").Kill();
-  world.coordinator.DeclareDead(first);
-  // q2 replays, but its report never arrives; q3 is given the partition and then dies too.
-  world.world.Cut("q2", "control");
-  ASSERT_TRUE(world.StartRecovery(first, "q2").ok());
-  world.world.RunFor(milliseconds(500));
-  ASSERT_TRUE(world.StartRecovery(first, "q3").ok());
-  ASSERT_TRUE(world.world.RunUntil([&] { return world.Owns("q3"); }, seconds(5)));
-  world.world.HealAll();
-  world.world.RunFor(milliseconds(300));
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
   ids.push_back(world.Accept("q3", "late", 5));
   EXPECT_EQ(world.BatchIds("q3"), ids);
   proto::GetBatchRequest get;
   get.set_batch_id(ids[0]);
-  EXPECT_EQ(world.Call<proto::GetBatchResponse>("q2", "queue.GetBatch", get).status().code(),
-            StatusCode::kConflict);
+  EXPECT_THAT(world.Call<proto::GetBatchResponse>("q2", "queue.GetBatch", get),
+              FailsWith(StatusCode::kConflict));
 }
 
-TEST_F(QueueRecoveryTest, ReplayAfterAnEarlierOneIntoTheSameLogIsExact) {
-  std::vector<std::string> ids = {world.Accept("q1", "first", 5)};
-  const std::uint64_t first = world.QueueId("q1");
-  world.world.machine("q1").Kill();
-  world.coordinator.DeclareDead(first);
-  // q2 replays in vain: the partition goes to q3, where the batch is worked off and removed.
-  world.world.Cut("q2", "control");
-  ASSERT_TRUE(world.StartRecovery(first, "q2").ok());
-  world.world.RunFor(milliseconds(500));
-  ASSERT_TRUE(world.StartRecovery(first, "q3").ok());
-  ASSERT_TRUE(world.world.RunUntil([&] { return world.Owns("q3"); }, seconds(5)));
-  world.world.HealAll();
-  world.world.RunFor(milliseconds(300));
+TEST_F(QueueRecoveryTest, SecondReplayIntoTheSameLogIsExact) {
+  const std::string first = world.Accept("q1", "first", 5);
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
+  // At q3 the batch is finished and removed.
+  EXPECT_EQ(world.BatchIds("q3"), std::vector<std::string>{first});
   for (const auto& grant : world.Acquire("q3", 5)) {
     EXPECT_TRUE(world.Finish("q3", grant).ok());
   }
@@ -315,7 +319,7 @@
   world.PublishConfiguration();
   ASSERT_TRUE(world.world.RunUntil([&] { return world.BatchIds("q3").empty(); }, seconds(60)));
   const std::string second = world.Accept("q3", "second", 2);
-  // Then q2 gets it after all, and its own log is replayed at the end.
+  // Then q2 becomes the owner after all, and its own log is replayed at the end.
   world.FailOver("q3", "q2");
   EXPECT_EQ(world.BatchIds("q2"), std::vector<std::string>{second});
   world.world.machine("q1").Start();
@@ -325,7 +329,7 @@
   EXPECT_EQ(world.Acquire("q1", 10).size(), 2U);
 }
 
-TEST_F(QueueRecoveryTest, AFencedOwnerStopsAndComesBackEmpty) {
+TEST_F(QueueRecoveryTest, FencedOwnerRegistersAgainAndEmpty) {
   world.Accept("q1", "key", 2);
   const std::uint64_t first = world.QueueId("q1");
   world.world.machine("q1").Freeze();
--- a/tests/queue/queue_world.h
+++ b/tests/queue/queue_world.h
@@ -3,6 +3,8 @@
 /// Queue nodes in a `LogWorld`, and a client, a gateway and a coordinator's recovery as tests play
 /// them.
 
+#include <gmock/gmock.h>
+
 #include <memory>
 #include <string>
 #include <vector>
@@ -12,6 +14,17 @@
 
 namespace cloverbank {
 
+/// Matches a `Result` that succeeded.
+MATCHER(IsOk, "succeeded") {
+  *result_listener << "status " << arg.status().ToString();
+  return arg.ok();
+}
+/// Matches a `Result` that failed with this code.
+MATCHER_P(FailsWith, code, "failed with " + std::string(StatusCodeName(code))) {
+  *result_listener << "status " << arg.status().ToString();
+  return arg.status().code() == code;
+}
+
 struct QueueProcess {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<QueueService> service;
@@ -36,7 +49,7 @@
     route->set_idempotent(idempotent);
     route->set_accepts_batches(true);
   }
-  /// Makes the present content of `coordinator.configuration` known.
+  /// Publishes the present content of `coordinator.configuration`.
   void PublishConfiguration() {
     coordinator.configuration.set_version(coordinator.configuration.version() + 1);
     world.RunFor(milliseconds(100));
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -1,4 +1,5 @@
 // The limit of a route's open tokens over partitions of several queue nodes.
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -29,7 +30,7 @@
   }
 
   static std::string Name(std::uint64_t partition) { return "q" + std::to_string(partition); }
-  static std::uint64_t Keeper() { return PartitionOfTenant("studio", kPartitions).value(); }
+  static std::uint64_t QuotaOwner() { return PartitionOfTenant("studio", kPartitions).value(); }
 
   Result<proto::SubmitBatchResponse> Submit(std::uint64_t partition, const std::string& key,
                                             int items, std::uint64_t limit = kLimit) {
@@ -46,7 +47,7 @@
     }
     return request;
   }
-  /// Submits a batch that may wait for room, without waiting for its answer.
+  /// Submits a batch that may wait for capacity, without waiting for its answer.
   void SubmitWaiting(std::uint64_t partition, const std::string& key, int items, Duration wait) {
     proto::SubmitBatchRequest request = MakeBatch(partition, key, items, kLimit);
     request.set_wait_ms(
@@ -61,13 +62,13 @@
     StatusCode code = StatusCode::kOk;
     TimePoint at;
   };
-  /// Waits a while and looks whether the batch was refused, and when after `sent`.
-  void ExpectRefused(const std::string& key, TimePoint sent, Duration least, Duration most) {
+  /// Runs for a second and checks that the batch was rejected, and how long after `sent`.
+  void ExpectRefused(const std::string& key, TimePoint sent, Duration earliest, Duration latest) {
     world_.world.RunFor(seconds(1));
     ASSERT_TRUE(answers_.contains(key));
     EXPECT_EQ(answers_[key].code, StatusCode::kResourceExhausted);
-    EXPECT_GE(answers_[key].at - sent, least);
-    EXPECT_LE(answers_[key].at - sent, most);
+    EXPECT_GE(answers_[key].at - sent, earliest);
+    EXPECT_LE(answers_[key].at - sent, latest);
   }
 
   void FinishAll(std::uint64_t partition) {
@@ -80,29 +81,29 @@
   std::map<std::string, Answer> answers_;
 };
 
-TEST_F(TokenLimitTest, HoldsOverAllPartitionsTogether) {
-  EXPECT_TRUE(Submit(0, "a", 4).ok());
-  EXPECT_TRUE(Submit(1, "b", 4).ok());
-  EXPECT_EQ(Submit(2, "c", 3).status().code(), StatusCode::kResourceExhausted);
-  EXPECT_TRUE(Submit(2, "d", 2).ok());
-  EXPECT_EQ(Submit(0, "e", 1).status().code(), StatusCode::kResourceExhausted);
+TEST_F(TokenLimitTest, LimitsTheSumOverAllPartitions) {
+  EXPECT_THAT(Submit(0, "a", 4), IsOk());
+  EXPECT_THAT(Submit(1, "b", 4), IsOk());
+  EXPECT_THAT(Submit(2, "c", 3), FailsWith(StatusCode::kResourceExhausted));
+  EXPECT_THAT(Submit(2, "d", 2), IsOk());
+  EXPECT_THAT(Submit(0, "e", 1), FailsWith(StatusCode::kResourceExhausted));
 }
 
-TEST_F(TokenLimitTest, WhatIsFinishedAnywhereMakesRoom) {
-  EXPECT_TRUE(Submit(1, "a", 10).ok());
-  EXPECT_EQ(Submit(2, "b", 5).status().code(), StatusCode::kResourceExhausted);
+TEST_F(TokenLimitTest, FinishedItemsFreeCapacityEverywhere) {
+  EXPECT_THAT(Submit(1, "a", 10), IsOk());
+  EXPECT_THAT(Submit(2, "b", 5), FailsWith(StatusCode::kResourceExhausted));
   FinishAll(1);
   world_.world.RunFor(milliseconds(200));
-  EXPECT_TRUE(Submit(2, "b", 5).ok());
+  EXPECT_THAT(Submit(2, "b", 5), IsOk());
 }
 
-TEST_F(TokenLimitTest, ARefusedBatchTakesNoRoom) {
-  EXPECT_TRUE(Submit(0, "a", 6).ok());
-  EXPECT_EQ(Submit(1, "b", 5).status().code(), StatusCode::kResourceExhausted);
-  EXPECT_TRUE(Submit(2, "c", 4).ok());
+TEST_F(TokenLimitTest, RejectedBatchUsesNoCapacity) {
+  EXPECT_THAT(Submit(0, "a", 6), IsOk());
+  EXPECT_THAT(Submit(1, "b", 5), FailsWith(StatusCode::kResourceExhausted));
+  EXPECT_THAT(Submit(2, "c", 4), IsOk());
 }
 
-TEST_F(TokenLimitTest, ManyAtTheSameMomentStayWithinIt) {
+TEST_F(TokenLimitTest, ConcurrentBatchesStayWithinTheLimit) {
   int accepted = 0;
   int answers = 0;
   for (int batch = 0; batch < 30; ++batch) {
@@ -119,7 +120,7 @@
   EXPECT_EQ(accepted, 10);
 }
 
-TEST_F(TokenLimitTest, ASubmissionThatComesAgainMeetsTheOneThatWaitsForRoom) {
+TEST_F(TokenLimitTest, ResendJoinsTheWaitingSubmission) {
   int accepted = 0;
   int answers = 0;
   for (int copy = 0; copy < 3; ++copy) {
@@ -132,11 +133,11 @@
   }
   ASSERT_TRUE(world_.world.RunUntil([&] { return answers == 3; }, seconds(10)));
   EXPECT_EQ(accepted, 3);
-  EXPECT_TRUE(Submit(0, "other", 4).ok()) << "its tokens count once";
+  EXPECT_THAT(Submit(0, "other", 4), IsOk()) << "its tokens count once";
 }
 
-TEST_F(TokenLimitTest, ABatchWaitsForRoomThatComesInTime) {
-  EXPECT_TRUE(Submit(1, "a", 10).ok());
+TEST_F(TokenLimitTest, AcceptsWaitingBatchOnceCapacityIsFree) {
+  EXPECT_THAT(Submit(1, "a", 10), IsOk());
   SubmitWaiting(2, "b", 5, milliseconds(600));
   world_.world.RunFor(milliseconds(200));
   EXPECT_FALSE(answers_.contains("b"));
@@ -146,23 +147,23 @@
   EXPECT_EQ(answers_["b"].code, StatusCode::kOk);
 }
 
-TEST_F(TokenLimitTest, ABatchIsRefusedWhenItsWaitForRoomIsOver) {
-  EXPECT_TRUE(Submit(1, "a", 10).ok());
+TEST_F(TokenLimitTest, RejectsBatchWhenItsWaitTimeIsOver) {
+  EXPECT_THAT(Submit(1, "a", 10), IsOk());
   const TimePoint sent = world_.world.Now();
   SubmitWaiting(2, "b", 5, milliseconds(300));
   ExpectRefused("b", sent, milliseconds(300), milliseconds(450));
 }
 
-TEST_F(TokenLimitTest, ABatchThatNeverFitsDoesNotWait) {
-  EXPECT_TRUE(Submit(1, "a", 10).ok());
-  EXPECT_EQ(Submit(2, "counted", 5).status().code(), StatusCode::kResourceExhausted);
+TEST_F(TokenLimitTest, RejectsBatchAboveTheLimitAtOnce) {
+  EXPECT_THAT(Submit(1, "a", 10), IsOk());
+  EXPECT_THAT(Submit(2, "counted", 5), FailsWith(StatusCode::kResourceExhausted));
   const TimePoint sent = world_.world.Now();
   SubmitWaiting(2, "b", 11, milliseconds(300));
   ExpectRefused("b", sent, Duration::zero(), milliseconds(50));
 }
 
-TEST_F(TokenLimitTest, ManyThatWaitStayWithinTheLimitAndAllAreAnswered) {
-  EXPECT_TRUE(Submit(1, "a", 10).ok());
+TEST_F(TokenLimitTest, WaitingBatchesStayWithinTheLimit) {
+  EXPECT_THAT(Submit(1, "a", 10), IsOk());
   for (std::uint64_t batch = 0; batch < 12; ++batch) {
     SubmitWaiting(batch % kPartitions, "w" + std::to_string(batch), 2, milliseconds(600));
   }
@@ -176,113 +177,112 @@
   EXPECT_EQ(accepted, 5);
 }
 
-TEST_F(TokenLimitTest, ABatchThatComesAgainIsTakenBeforeNewcomers) {
-  EXPECT_TRUE(Submit(1, "a", 5).ok());
-  EXPECT_TRUE(Submit(2, "b", 5).ok());
-  const auto refused = Submit(0, "returns", 5);
+TEST_F(TokenLimitTest, RetriedBatchGoesBeforeNewcomers) {
+  EXPECT_THAT(Submit(1, "a", 5), IsOk());
+  EXPECT_THAT(Submit(2, "b", 5), IsOk());
+  const auto refused = Submit(0, "retried", 5);
   ASSERT_EQ(refused.status().code(), StatusCode::kResourceExhausted);
   ASSERT_TRUE(RetryAfter(refused.status()).has_value());
   world_.world.RunFor(*RetryAfter(refused.status()));
   SubmitWaiting(2, "newcomer", 5, milliseconds(600));
   world_.world.RunFor(milliseconds(20));
-  SubmitWaiting(0, "returns", 5, milliseconds(600));
+  SubmitWaiting(0, "retried", 5, milliseconds(600));
   world_.world.RunFor(milliseconds(20));
   FinishAll(1);
   world_.world.RunFor(milliseconds(300));
-  EXPECT_TRUE(answers_.contains("returns"));
-  EXPECT_EQ(answers_["returns"].code, StatusCode::kOk);
+  EXPECT_TRUE(answers_.contains("retried"));
+  EXPECT_EQ(answers_["retried"].code, StatusCode::kOk);
   EXPECT_FALSE(answers_.contains("newcomer"));
 }
 
-TEST_F(TokenLimitTest, TheRoomOfABatchThatDoesNotComeAgainIsGivenToOthers) {
-  EXPECT_TRUE(Submit(1, "a", 5).ok());
-  EXPECT_TRUE(Submit(2, "b", 5).ok());
-  EXPECT_FALSE(Submit(0, "gone", 5).ok());
+TEST_F(TokenLimitTest, AbandonedBatchReservesNoCapacity) {
+  EXPECT_THAT(Submit(1, "a", 5), IsOk());
+  EXPECT_THAT(Submit(2, "b", 5), IsOk());
+  EXPECT_FALSE(Submit(0, "abandoned", 5).ok());
   FinishAll(1);
   world_.world.RunFor(milliseconds(200));
-  EXPECT_TRUE(Submit(2, "newcomer", 5).ok());
+  EXPECT_THAT(Submit(2, "newcomer", 5), IsOk());
 }
 
-TEST_F(TokenLimitTest, SmallNewcomersDoNotKeepALargeBatchOut) {
-  EXPECT_TRUE(Submit(1, "a", 4).ok());
-  EXPECT_TRUE(Submit(2, "b", 6).ok());
+TEST_F(TokenLimitTest, SmallNewcomersDoNotStarveALargeBatch) {
+  EXPECT_THAT(Submit(1, "a", 4), IsOk());
+  EXPECT_THAT(Submit(2, "b", 6), IsOk());
   SubmitWaiting(0, "large", 9, milliseconds(900));
   world_.world.RunFor(milliseconds(50));
   FinishAll(1);
   world_.world.RunFor(milliseconds(200));
-  EXPECT_FALSE(Submit(1, "small", 1).ok()) << "what frees is kept for the one that waits";
+  EXPECT_FALSE(Submit(1, "small", 1).ok()) << "freed capacity is reserved for the waiting batch";
   FinishAll(2);
   world_.world.RunFor(milliseconds(300));
   EXPECT_EQ(answers_["large"].code, StatusCode::kOk);
 }
 
-TEST_F(TokenLimitTest, ANewKeeperCountsBeforeItGrants) {
-  EXPECT_TRUE(Submit((Keeper() + 1) % kPartitions, "a", 8).ok());
-  const std::uint64_t heir = (Keeper() + 2) % kPartitions;
-  world_.FailOver(Name(Keeper()), Name(heir), Keeper());
+TEST_F(TokenLimitTest, NewQuotaOwnerCountsBeforeItGrants) {
+  EXPECT_THAT(Submit((QuotaOwner() + 1) % kPartitions, "a", 8), IsOk());
+  const std::uint64_t successor = (QuotaOwner() + 2) % kPartitions;
+  world_.FailOver(Name(QuotaOwner()), Name(successor), QuotaOwner());
   world_.world.RunFor(seconds(3));
-  EXPECT_EQ(Submit(heir, "b", 3).status().code(), StatusCode::kResourceExhausted);
-  EXPECT_TRUE(Submit(heir, "c", 2).ok());
+  EXPECT_THAT(Submit(successor, "b", 3), FailsWith(StatusCode::kResourceExhausted));
+  EXPECT_THAT(Submit(successor, "c", 2), IsOk());
 }
 
-TEST_F(TokenLimitTest, NothingIsTakenWhileThereIsNoKeeperAndTheCallerMayComeAgainAtOnce) {
-  const std::uint64_t other = (Keeper() + 1) % kPartitions;
-  world_.world.machine(Name(Keeper())).Kill();
+TEST_F(TokenLimitTest, RejectsBatchesWithoutAQuotaOwner) {
+  const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
+  world_.world.machine(Name(QuotaOwner())).Kill();
   const auto refused = Submit(other, "a", 1);
-  EXPECT_EQ(refused.status().code(), StatusCode::kConflict);
+  EXPECT_THAT(refused, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(refused.status().detail(), kQuotaOwnerUnavailableDetail);
-  proto::GetBatchRequest question;
-  question.set_partition_id(other);
-  question.set_batch_id("a");
-  EXPECT_EQ(
-      world_.Call<proto::GetBatchResponse>(Name(other), "queue.GetBatch", question).status().code(),
-      StatusCode::kNotFound);
+  proto::GetBatchRequest request;
+  request.set_partition_id(other);
+  request.set_batch_id("a");
+  EXPECT_THAT(world_.Call<proto::GetBatchResponse>(Name(other), "queue.GetBatch", request),
+              FailsWith(StatusCode::kNotFound));
 }
 
-TEST_F(TokenLimitTest, WhatWasLentIsTakenWhileTheKeeperIsGone) {
-  const std::uint64_t other = (Keeper() + 1) % kPartitions;
-  EXPECT_TRUE(Submit(other, "counted", 1).ok());
-  EXPECT_TRUE(Submit(other, "a", 1).ok());
-  world_.world.machine(Name(Keeper())).Kill();
-  EXPECT_TRUE(Submit(other, "b", 1).ok());
+TEST_F(TokenLimitTest, UsesAllowanceWithoutAQuotaOwner) {
+  const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
+  EXPECT_THAT(Submit(other, "counted", 1), IsOk());
+  EXPECT_THAT(Submit(other, "a", 1), IsOk());
+  world_.world.machine(Name(QuotaOwner())).Kill();
+  EXPECT_THAT(Submit(other, "b", 1), IsOk());
   const auto beyond = Submit(other, "c", 1);
-  EXPECT_EQ(beyond.status().detail(), kQuotaOwnerUnavailableDetail) << "more than was lent";
+  EXPECT_EQ(beyond.status().detail(), kQuotaOwnerUnavailableDetail) << "beyond the allowance";
 }
 
-TEST_F(TokenLimitTest, WhatIsFinishedMakesRoomInItsPartitionWhileTheKeeperIsGone) {
-  const std::uint64_t other = (Keeper() + 1) % kPartitions;
-  EXPECT_TRUE(Submit(other, "a", 10).ok());
-  EXPECT_EQ(Submit(other, "b", 5).status().code(), StatusCode::kResourceExhausted);
-  world_.world.machine(Name(Keeper())).Kill();
+TEST_F(TokenLimitTest, FinishedItemsRefillTheAllowance) {
+  const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
+  EXPECT_THAT(Submit(other, "a", 10), IsOk());
+  EXPECT_THAT(Submit(other, "b", 5), FailsWith(StatusCode::kResourceExhausted));
+  world_.world.machine(Name(QuotaOwner())).Kill();
   EXPECT_FALSE(Submit(other, "b", 5).ok());
   FinishAll(other);
-  EXPECT_TRUE(Submit(other, "b", 5).ok());
+  EXPECT_THAT(Submit(other, "b", 5), IsOk());
   EXPECT_FALSE(Submit(other, "c", 6).ok());
 }
 
-TEST_F(TokenLimitTest, WhatOwnersTakeWithoutAKeeperStaysWithinTheLimitForTheNextOne) {
-  const std::uint64_t other = (Keeper() + 1) % kPartitions;
-  const std::uint64_t heir = (Keeper() + 2) % kPartitions;
+TEST_F(TokenLimitTest, AllowancesStayWithinTheLimit) {
+  const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
+  const std::uint64_t successor = (QuotaOwner() + 2) % kPartitions;
   std::uint64_t accepted = Submit(other, "a", 1).ok() ? 1 : 0;
-  accepted += Submit(heir, "b", 1).ok() ? 1 : 0;
-  world_.world.machine(Name(Keeper())).Kill();
+  accepted += Submit(successor, "b", 1).ok() ? 1 : 0;
+  world_.world.machine(Name(QuotaOwner())).Kill();
   for (int batch = 0; batch < 12; ++batch) {
     accepted += Submit(other, "o" + std::to_string(batch), 1).ok() ? 1 : 0;
-    accepted += Submit(heir, "h" + std::to_string(batch), 1).ok() ? 1 : 0;
+    accepted += Submit(successor, "h" + std::to_string(batch), 1).ok() ? 1 : 0;
   }
   EXPECT_GT(accepted, 2U);
-  world_.FailOver(Name(Keeper()), Name(heir), Keeper());
+  world_.FailOver(Name(QuotaOwner()), Name(successor), QuotaOwner());
   world_.world.RunFor(seconds(3));
   for (int batch = 0; batch < 12; ++batch) {
-    accepted += Submit(heir, "n" + std::to_string(batch), 1).ok() ? 1 : 0;
+    accepted += Submit(successor, "n" + std::to_string(batch), 1).ok() ? 1 : 0;
   }
   EXPECT_EQ(accepted * kItemTokens, kLimit);
 }
 
-TEST_F(TokenLimitTest, ARouteWithoutALimitNeedsNoKeeper) {
-  const std::uint64_t other = (Keeper() + 1) % kPartitions;
-  world_.world.machine(Name(Keeper())).Kill();
-  EXPECT_TRUE(Submit(other, "a", 50, 0).ok());
+TEST_F(TokenLimitTest, UnlimitedRouteNeedsNoQuotaOwner) {
+  const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
+  world_.world.machine(Name(QuotaOwner())).Kill();
+  EXPECT_THAT(Submit(other, "a", 50, 0), IsOk());
 }
 
 }  // namespace
--- a/tests/scheduler/fair_queue_test.cc
+++ b/tests/scheduler/fair_queue_test.cc
@@ -13,7 +13,7 @@
       [](std::uint32_t) { return true; });
 }
 
-TEST(GroupByPrefixTest, PutsItemsOfOnePrefixTogetherInOrderOfFirstItem) {
+TEST(GroupByPrefixTest, GroupsItemsByPrefixInOrderOfFirst) {
   const std::vector<std::string> keys = {"a", "b", "a", "c", "b", "a"};
   const auto items = GroupByPrefix(
       6, [&](std::uint32_t index) { return std::string_view{keys[index]}; },
@@ -28,7 +28,7 @@
   EXPECT_EQ(starts, (std::vector<std::uint32_t>{1, 0, 1, 0, 1}));
 }
 
-TEST(FairQueueTest, SharesByWeightWhateverTheBacklog) {
+TEST(FairQueueTest, SharesByWeightForAnyBacklog) {
   FairQueue queue;
   queue.SetTenantWeight("heavy", 3);
   const QueuedBatchId large = queue.AddBatch("light", "model", PlainItems(420'000));
@@ -43,7 +43,7 @@
   EXPECT_EQ(served[large], 100);
 }
 
-TEST(FairQueueTest, SharesAmongBatchesOfATenant) {
+TEST(FairQueueTest, SharesEquallyAmongBatchesOfATenant) {
   FairQueue queue;
   const QueuedBatchId first = queue.AddBatch("tenant", "model", PlainItems(1000));
   std::ignore = queue.Pick("model", 500);
@@ -68,7 +68,7 @@
   EXPECT_EQ(late_served, 80);
 }
 
-TEST(FairQueueTest, GivesEachItemOnceAndReturnedOnesFirst) {
+TEST(FairQueueTest, PicksEachItemOnceAndReturnedFirst) {
   FairQueue queue;
   const QueuedBatchId batch = queue.AddBatch("tenant", "model", PlainItems(20));
   std::set<std::uint32_t> seen;
--- a/tests/token_quota/drain_rate_test.cc
+++ b/tests/token_quota/drain_rate_test.cc
@@ -7,13 +7,13 @@
 
 constexpr TimePoint kStart{seconds(100)};
 
-TEST(DrainRateTest, IsNotKnownFromOneCount) {
+TEST(DrainRateTest, IsUnknownAfterOneCount) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   EXPECT_FALSE(rate.EstimateTime(100).has_value());
 }
 
-TEST(DrainRateTest, CountsWhatWasFinishedBesideWhatWasGranted) {
+TEST(DrainRateTest, CountsFinishedAndGrantedTokens) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   rate.Update(1'000, 50, kStart + milliseconds(100));
@@ -21,7 +21,7 @@
   EXPECT_EQ(*rate.EstimateTime(500), seconds(1));
 }
 
-TEST(DrainRateTest, FollowsAChangeStepByStep) {
+TEST(DrainRateTest, SmoothsAChangeOfRate) {
   DrainRate rate;
   std::uint64_t open = 100'000;
   TimePoint now = kStart;
@@ -40,7 +40,7 @@
   EXPECT_NEAR(std::chrono::duration<double>(*rate.EstimateTime(1'000)).count(), 0.5, 0.01);
 }
 
-TEST(DrainRateTest, ForgetsWhatItKnewOverALongPause) {
+TEST(DrainRateTest, IsUnknownAfterALongPause) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   rate.Update(900, 0, kStart + milliseconds(100));
--- a/tests/token_quota/quota_wait_queue_test.cc
+++ b/tests/token_quota/quota_wait_queue_test.cc
@@ -1,4 +1,3 @@
-// The order in which submissions get room.
 #include "token_quota/quota_wait_queue.h"
 
 #include <gtest/gtest.h>
@@ -17,24 +16,25 @@
   QuotaWaitQueue queue_;
 };
 
-TEST_F(QuotaWaitQueueTest, ANewcomerStandsBehindAll) {
+TEST_F(QuotaWaitQueueTest, NewBatchIsLast) {
   EXPECT_EQ(queue_.TokensBefore("first"), 0U);
   EXPECT_EQ(queue_.TokensBefore("second"), 10U);
-  EXPECT_EQ(queue_.TokensBefore("nobody"), 30U);
+  EXPECT_EQ(queue_.TokensBefore("not queued"), 30U);
   EXPECT_LT(queue_.FindPosition("first"), queue_.FindPosition("second"));
-  EXPECT_GT(queue_.FindPosition("nobody"), queue_.FindPosition("second"));
+  EXPECT_GT(queue_.FindPosition("not queued"), queue_.FindPosition("second"));
 }
 
-TEST_F(QuotaWaitQueueTest, WhoComesAgainInTimeStandsWhereItStood) {
+TEST_F(QuotaWaitQueueTest, RetryInTimeKeepsItsPosition) {
   queue_.ReserveUntil("first", kStart);
   queue_.DropExpired(kStart);
   queue_.Enter("first", 10);
   EXPECT_EQ(queue_.TokensBefore("second"), 10U);
   queue_.DropExpired(kStart + seconds(10));
-  EXPECT_EQ(queue_.TokensBefore("second"), 10U) << "it is there, so its place has no end";
+  EXPECT_EQ(queue_.TokensBefore("second"), 10U)
+      << "it was retried, so its position does not expire";
 }
 
-TEST_F(QuotaWaitQueueTest, WhoDoesNotComeLosesItsPlace) {
+TEST_F(QuotaWaitQueueTest, LateRetryLosesItsPosition) {
   queue_.ReserveUntil("first", kStart);
   queue_.DropExpired(kStart + milliseconds(1));
   EXPECT_EQ(queue_.TokensBefore("second"), 0U);
@@ -42,38 +42,38 @@
   EXPECT_EQ(queue_.TokensBefore("first"), 20U);
 }
 
-TEST_F(QuotaWaitQueueTest, OnlyWhatFreesIsKept) {
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 0U);
+TEST_F(QuotaWaitQueueTest, ReservesOnlyFreedTokens) {
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 0U);
   queue_.RecordFreed(15);
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 15U);
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 15U);
   EXPECT_EQ(queue_.ReservedBefore("second"), 10U);
   queue_.RecordFreed(100);
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 30U) << "no more than the line wants";
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 30U) << "no more than the batches request";
 }
 
-TEST_F(QuotaWaitQueueTest, WhoLeavesTakesItsOwnPartOnly) {
+TEST_F(QuotaWaitQueueTest, LeavingUsesOnlyItsOwnReservation) {
   queue_.RecordFreed(15);
   queue_.Enter("third", 40);
-  queue_.Leave("third");  // Taken out of other room.
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 15U);
+  queue_.Leave("third");  // Accepted within capacity that was not reserved.
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 15U);
   queue_.Leave("first");
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 5U);
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 5U);
   queue_.Leave("second");
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 0U);
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 0U);
 }
 
-TEST_F(QuotaWaitQueueTest, NothingIsKeptForThoseThatAreAwayUntilTheyComeAgain) {
+TEST_F(QuotaWaitQueueTest, ReservesNothingBetweenRejectionAndRetry) {
   queue_.RecordFreed(30);
   queue_.ReserveUntil("first", kStart);
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 20U);
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 20U);
   queue_.Enter("first", 10);
-  EXPECT_EQ(queue_.ReservedBefore("nobody"), 30U);
-  EXPECT_EQ(queue_.ReservedBefore("second"), 10U) << "it stands where it stood";
+  EXPECT_EQ(queue_.ReservedBefore("not queued"), 30U);
+  EXPECT_EQ(queue_.ReservedBefore("second"), 10U) << "it has its old position";
 }
 
-TEST_F(QuotaWaitQueueTest, WhoWasTakenLeaves) {
+TEST_F(QuotaWaitQueueTest, AcceptedBatchLeaves) {
   queue_.Leave("first");
-  queue_.Leave("nobody");
+  queue_.Leave("not queued");
   EXPECT_EQ(queue_.TokensBefore("second"), 0U);
 }
 
--- a/tests/token_quota/token_allowance_test.cc
+++ b/tests/token_quota/token_allowance_test.cc
@@ -1,4 +1,3 @@
-// What an owner may take without its keeper, against a keeper's belief.
 #include "token_quota/token_allowance.h"
 
 #include <gtest/gtest.h>
@@ -12,13 +11,13 @@
 namespace cloverbank {
 namespace {
 
-TEST(TokenAllowanceTest, NothingIsSpareBeforeTheFirstCount) {
+TEST(TokenAllowanceTest, IsZeroBeforeTheFirstCount) {
   TokenAllowance allowance;
   allowance.RecordGrant(50);
   EXPECT_EQ(allowance.Remaining(0), 0U);
 }
 
-TEST(TokenAllowanceTest, WhatWasFinishedOrLentSinceTheCountIsSpare) {
+TEST(TokenAllowanceTest, GrowsByFinishedAndGrantedTokens) {
   TokenAllowance allowance;
   allowance.RecordCount(100);
   EXPECT_EQ(allowance.Remaining(100), 0U);
@@ -28,7 +27,7 @@
   EXPECT_EQ(allowance.Remaining(130), 0U);
 }
 
-TEST(TokenAllowanceTest, ACountTakesBackWhatWasLent) {
+TEST(TokenAllowanceTest, CountRevokesGrants) {
   TokenAllowance allowance;
   allowance.RecordCount(0);
   allowance.RecordGrant(40);
@@ -36,7 +35,7 @@
   EXPECT_EQ(allowance.Remaining(10), 0U);
 }
 
-TEST(TokenAllowanceTest, APartitionThatIsGivenUpLosesItsAllowances) {
+TEST(TokenAllowanceTest, DropRemovesOnlyThatPartition) {
   TokenAllowances allowances;
   allowances[{PartitionId(1), "studio", "audit"}].RecordCount(10);
   allowances[{PartitionId(2), "studio", "audit"}].RecordCount(10);
@@ -45,8 +44,8 @@
   EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Remaining(0)), 10U);
 }
 
-/// An owner and a keeper between which answers get lost or come late. Whatever is taken within the
-/// allowance, the keeper's bound never falls below what is open.
+/// A partition owner and a quota owner between which answers are lost or late. Whatever is accepted
+/// within the allowance, the upper bound never falls below the open tokens.
 class Exchange {
  public:
   explicit Exchange(std::uint64_t seed) : random_(seed) { Count(); }
@@ -71,7 +70,7 @@
   std::uint64_t bound() const { return usage_.UpperBound(); }
 
  private:
-  struct OnItsWay {
+  struct PendingAnswer {
     std::uint64_t sequence;
     std::uint64_t tokens;
     std::uint64_t allowance;
@@ -79,15 +78,15 @@
   void Count() {
     allowance_.RecordCount(open_);
     std::set<std::uint64_t> pending;
-    for (const OnItsWay& answer : answers_) {
+    for (const PendingAnswer& answer : answers_) {
       pending.insert(answer.sequence);
     }
-    if (random_() % 4 != 0) {  // Else the answer gets lost.
+    if (random_() % 4 != 0) {  // Else the answer is lost.
       usage_.ApplyCount({PartitionId(0), NodeId(1), open_, next_, pending});
     }
   }
   void Grant() {
-    const OnItsWay answer{next_++, random_() % 100, random_() % 30};
+    const PendingAnswer answer{next_++, random_() % 100, random_() % 30};
     usage_.AddGrant({PartitionId(0), NodeId(1), answer.sequence, answer.tokens + answer.allowance});
     answers_.push_back(answer);
   }
@@ -96,7 +95,7 @@
       return;
     }
     const auto chosen = answers_.begin() + static_cast<std::ptrdiff_t>(random_() % answers_.size());
-    if (random_() % 4 != 0) {  // Else the request was given up before.
+    if (random_() % 4 != 0) {  // Else the request has timed out.
       allowance_.RecordGrant(chosen->tokens + chosen->allowance);
       open_ += chosen->tokens;
     }
@@ -108,10 +107,10 @@
   TokenAllowance allowance_;
   std::uint64_t open_ = 0;
   std::uint64_t next_ = 1;
-  std::vector<OnItsWay> answers_;
+  std::vector<PendingAnswer> answers_;
 };
 
-TEST(TokenAllowanceTest, TheKeepersBoundIsNeverBelowWhatIsOpen) {
+TEST(TokenAllowanceTest, UpperBoundNeverFallsBelowOpenTokens) {
   for (const std::uint64_t seed : TestSeeds(20)) {
     Exchange exchange(seed);
     for (int step = 0; step < 2000; ++step) {
--- a/tests/token_quota/token_usage_test.cc
+++ b/tests/token_quota/token_usage_test.cc
@@ -1,4 +1,3 @@
-// The limit of open tokens over all partitions, as a pure core.
 #include "token_quota/token_usage.h"
 
 #include <gtest/gtest.h>
@@ -27,7 +26,7 @@
   EXPECT_EQ(usage_.UpperBound(), 150U);
 }
 
-TEST_F(TokenUsageTest, AGrantCountsUntilACountIncludesIt) {
+TEST_F(TokenUsageTest, GrantCountsUntilACountIncludesIt) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   EXPECT_EQ(usage_.UpperBound(), 180U);
   usage_.ApplyCount(
@@ -39,32 +38,32 @@
   EXPECT_EQ(usage_.UpperBound(), 140U);
 }
 
-TEST_F(TokenUsageTest, AGrantIsSettledWhileEarlierRequestsOfItsHolderStillWait) {
+TEST_F(TokenUsageTest, CountIncludesGrantDespiteEarlierPending) {
   usage_.AddGrant({kFirst, kOwner, 5, 30});
   usage_.ApplyCount({kFirst, kOwner, 130, 6, {4}});
-  EXPECT_EQ(usage_.UpperBound(), 180U) << "request 4 waits; request 5 is in the count";
+  EXPECT_EQ(usage_.UpperBound(), 180U) << "request 4 is pending; the count includes request 5";
 }
 
-TEST_F(TokenUsageTest, AGrantThatIsStillUnderWayCountsBesideLaterOnes) {
+TEST_F(TokenUsageTest, PendingGrantCountsBesideLaterOnes) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   usage_.AddGrant({kFirst, kOwner, 5, 20});
   usage_.ApplyCount({kFirst, kOwner, 120, 6, {4}});
   EXPECT_EQ(usage_.UpperBound(), 200U);
 }
 
-TEST_F(TokenUsageTest, ACountOfOnePartitionSaysNothingOfGrantsToAnother) {
+TEST_F(TokenUsageTest, CountLeavesGrantsOfOtherPartitions) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   usage_.ApplyCount({kSecond, kOwner, 50, 9, {}});
   EXPECT_EQ(usage_.UpperBound(), 180U);
 }
 
-TEST_F(TokenUsageTest, GrantsToAnOwnerThatWasReplacedAreInTheCountOfItsSuccessor) {
+TEST_F(TokenUsageTest, SuccessorsCountIncludesEarlierGrants) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   usage_.ApplyCount({kFirst, kLaterOwner, 130, 1, {}});
   EXPECT_EQ(usage_.UpperBound(), 180U);
 }
 
-TEST_F(TokenUsageTest, ALateCountOfTheReplacedOwnerIsPassedOver) {
+TEST_F(TokenUsageTest, IgnoresLateCountOfAReplacedOwner) {
   usage_.ApplyCount({kFirst, kLaterOwner, 130, 1, {}});
   usage_.AddGrant({kFirst, kLaterOwner, 1, 30});
   usage_.ApplyCount({kFirst, kOwner, 0, 9, {}});
--- a/tests/work_dispatch/work_leases_test.cc
+++ b/tests/work_dispatch/work_leases_test.cc
@@ -29,7 +29,7 @@
   TimePoint now_{seconds(10)};
 };
 
-TEST_F(WorkLeasesTest, SilenceEndsALeaseAndRenewalKeepsIt) {
+TEST_F(WorkLeasesTest, LeaseExpiresUnlessRenewed) {
   const WorkLeaseId id = Grant(true);
   EXPECT_NE(leases_.Renew(id, kGateway, incarnation, now_ + seconds(4)), nullptr);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(8)).empty());
@@ -39,13 +39,13 @@
   EXPECT_EQ(leases_.Renew(id, kGateway, incarnation, now_ + seconds(9)), nullptr);
 }
 
-TEST_F(WorkLeasesTest, OnlyItsHolderRenews) {
+TEST_F(WorkLeasesTest, OnlyItsGatewayRenews) {
   const WorkLeaseId id = Grant(true);
   EXPECT_EQ(leases_.Renew(id, kGateway + 1, incarnation, now_), nullptr);
   EXPECT_EQ(leases_.Renew(id, kGateway, Incarnation(78), now_), nullptr);
 }
 
-TEST_F(WorkLeasesTest, DecidesReportsOfTheCurrentLease) {
+TEST_F(WorkLeasesTest, EvaluatesReportsOfTheCurrentLease) {
   const WorkLeaseId id = Grant(false);
   EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
   EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
@@ -55,7 +55,7 @@
   EXPECT_EQ(Evaluate(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
 }
 
-TEST_F(WorkLeasesTest, LateReportsCountOnlyWhenTheyBringTheResult) {
+TEST_F(WorkLeasesTest, LateReportsCountOnlyWithAResult) {
   const WorkLeaseId old = Grant(true);
   leases_.End(item);
   Grant(true);
@@ -66,7 +66,7 @@
             ReportAction::kDrop);
 }
 
-TEST_F(WorkLeasesTest, SilenceDoesNotEndALeaseWhoseResultIsBeingLogged) {
+TEST_F(WorkLeasesTest, ReportingLeaseDoesNotExpire) {
   const WorkLeaseId id = Grant(true);
   leases_.SetReporting(item, true, now_);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
@@ -76,7 +76,7 @@
   EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
 }
 
-TEST_F(WorkLeasesTest, EndsAPartitionsLeasesOnly) {
+TEST_F(WorkLeasesTest, EndsOnlyLeasesOfThatPartition) {
   Grant(true);
   leases_.Grant({PartitionId(3), "b2", 0}, kGateway, incarnation, true, now_);
   EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 1U);
