--- a/tests/token_quota/token_allowance_test.cc
+++ b/tests/token_quota/token_allowance_test.cc
@@ -1,4 +1,3 @@
-// What an owner may take without its keeper, against a keeper's belief.
 #include "token_quota/token_allowance.h"
 
 #include <gtest/gtest.h>
@@ -12,41 +11,41 @@
 namespace cloverbank {
 namespace {
 
-TEST(TokenAllowanceTest, NothingIsSpareBeforeTheFirstCount) {
+TEST(TokenAllowanceTest, IsZeroBeforeTheFirstCount) {
   TokenAllowance allowance;
   allowance.RecordGrant(50);
-  EXPECT_EQ(allowance.Spare(0), 0U);
+  EXPECT_EQ(allowance.Remaining(0), 0U);
 }
 
-TEST(TokenAllowanceTest, WhatWasFinishedOrLentSinceTheCountIsSpare) {
+TEST(TokenAllowanceTest, GrowsByFinishedAndGrantedTokens) {
   TokenAllowance allowance;
   allowance.RecordCount(100);
-  EXPECT_EQ(allowance.Spare(100), 0U);
-  EXPECT_EQ(allowance.Spare(70), 30U);
+  EXPECT_EQ(allowance.Remaining(100), 0U);
+  EXPECT_EQ(allowance.Remaining(70), 30U);
   allowance.RecordGrant(25);
-  EXPECT_EQ(allowance.Spare(100), 25U);
-  EXPECT_EQ(allowance.Spare(130), 0U);
+  EXPECT_EQ(allowance.Remaining(100), 25U);
+  EXPECT_EQ(allowance.Remaining(130), 0U);
 }
 
-TEST(TokenAllowanceTest, ACountTakesBackWhatWasLent) {
+TEST(TokenAllowanceTest, CountRevokesGrants) {
   TokenAllowance allowance;
   allowance.RecordCount(0);
   allowance.RecordGrant(40);
   allowance.RecordCount(10);
-  EXPECT_EQ(allowance.Spare(10), 0U);
+  EXPECT_EQ(allowance.Remaining(10), 0U);
 }
 
-TEST(TokenAllowanceTest, APartitionThatIsGivenUpLosesItsAllowances) {
+TEST(TokenAllowanceTest, DropRemovesOnlyThatPartition) {
   TokenAllowances allowances;
   allowances[{PartitionId(1), "studio", "audit"}].RecordCount(10);
   allowances[{PartitionId(2), "studio", "audit"}].RecordCount(10);
   allowances.Drop(PartitionId(1));
-  EXPECT_EQ((allowances[{PartitionId(1), "studio", "audit"}].Spare(0)), 0U);
-  EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Spare(0)), 10U);
+  EXPECT_EQ((allowances[{PartitionId(1), "studio", "audit"}].Remaining(0)), 0U);
+  EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Remaining(0)), 10U);
 }
 
-/// An owner and a keeper between which answers get lost or come late. Whatever is taken within the
-/// allowance, the keeper's bound never falls below what is open.
+/// A partition owner and a quota owner between which answers are lost or late. Whatever is accepted
+/// within the allowance, the upper bound never falls below the open tokens.
 class Exchange {
  public:
   explicit Exchange(std::uint64_t seed) : random_(seed) { Count(); }
@@ -63,15 +62,15 @@
         open_ -= std::min<std::uint64_t>(open_, random_() % 50);
         return;
       default:
-        const std::uint64_t spare = allowance_.Spare(open_);
-        open_ += spare == 0 ? 0 : random_() % (spare + 1);
+        const std::uint64_t remaining = allowance_.Remaining(open_);
+        open_ += remaining == 0 ? 0 : random_() % (remaining + 1);
     }
   }
   std::uint64_t open() const { return open_; }
   std::uint64_t bound() const { return usage_.UpperBound(); }
 
  private:
-  struct OnItsWay {
+  struct PendingAnswer {
     std::uint64_t sequence;
     std::uint64_t tokens;
     std::uint64_t allowance;
@@ -79,15 +78,15 @@
   void Count() {
     allowance_.RecordCount(open_);
     std::set<std::uint64_t> pending;
-    for (const OnItsWay& answer : answers_) {
+    for (const PendingAnswer& answer : answers_) {
       pending.insert(answer.sequence);
     }
-    if (random_() % 4 != 0) {  // Else the answer gets lost.
+    if (random_() % 4 != 0) {  // Else the answer is lost.
       usage_.ApplyCount({PartitionId(0), NodeId(1), open_, next_, pending});
     }
   }
   void Grant() {
-    const OnItsWay answer{next_++, random_() % 100, random_() % 30};
+    const PendingAnswer answer{next_++, random_() % 100, random_() % 30};
     usage_.AddGrant({PartitionId(0), NodeId(1), answer.sequence, answer.tokens + answer.allowance});
     answers_.push_back(answer);
   }
@@ -96,7 +95,7 @@
       return;
     }
     const auto chosen = answers_.begin() + static_cast<std::ptrdiff_t>(random_() % answers_.size());
-    if (random_() % 4 != 0) {  // Else the request was given up before.
+    if (random_() % 4 != 0) {  // Else the request has timed out.
       allowance_.RecordGrant(chosen->tokens + chosen->allowance);
       open_ += chosen->tokens;
     }
@@ -108,10 +107,10 @@
   TokenAllowance allowance_;
   std::uint64_t open_ = 0;
   std::uint64_t next_ = 1;
-  std::vector<OnItsWay> answers_;
+  std::vector<PendingAnswer> answers_;
 };
 
-TEST(TokenAllowanceTest, TheKeepersBoundIsNeverBelowWhatIsOpen) {
+TEST(TokenAllowanceTest, UpperBoundNeverFallsBelowOpenTokens) {
   for (const std::uint64_t seed : TestSeeds(20)) {
     Exchange exchange(seed);
     for (int step = 0; step < 2000; ++step) {
--- a/tests/work_dispatch/work_leases_test.cc
+++ b/tests/work_dispatch/work_leases_test.cc
@@ -21,15 +21,15 @@
   WorkLeaseId Grant(bool idempotent) {
     return leases_.Grant(item, kGateway, incarnation, idempotent, now_).id;
   }
-  ReportAction Decide(WorkLeaseId lease, proto::WorkDisposition disposition) {
-    return leases_.Decide(Report(lease, disposition), item, false);
+  ReportAction Evaluate(WorkLeaseId lease, proto::WorkDisposition disposition) {
+    return leases_.EvaluateReport(Report(lease, disposition), item, false);
   }
 
   WorkLeases leases_{WorkLeaseId(100)};
   TimePoint now_{seconds(10)};
 };
 
-TEST_F(WorkLeasesTest, SilenceEndsALeaseAndRenewalKeepsIt) {
+TEST_F(WorkLeasesTest, LeaseExpiresUnlessRenewed) {
   const WorkLeaseId id = Grant(true);
   EXPECT_NE(leases_.Renew(id, kGateway, incarnation, now_ + seconds(4)), nullptr);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(8)).empty());
@@ -39,49 +39,49 @@
   EXPECT_EQ(leases_.Renew(id, kGateway, incarnation, now_ + seconds(9)), nullptr);
 }
 
-TEST_F(WorkLeasesTest, OnlyItsHolderRenews) {
+TEST_F(WorkLeasesTest, OnlyItsGatewayRenews) {
   const WorkLeaseId id = Grant(true);
   EXPECT_EQ(leases_.Renew(id, kGateway + 1, incarnation, now_), nullptr);
   EXPECT_EQ(leases_.Renew(id, kGateway, Incarnation(78), now_), nullptr);
 }
 
-TEST_F(WorkLeasesTest, DecidesReportsOfTheCurrentLease) {
+TEST_F(WorkLeasesTest, EvaluatesReportsOfTheCurrentLease) {
   const WorkLeaseId id = Grant(false);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kLogUnknown);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kLogUnknown);
   leases_.End(item);
   const WorkLeaseId again = Grant(true);
-  EXPECT_EQ(Decide(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
+  EXPECT_EQ(Evaluate(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
 }
 
-TEST_F(WorkLeasesTest, LateReportsCountOnlyWhenTheyBringTheResult) {
+TEST_F(WorkLeasesTest, LateReportsCountOnlyWithAResult) {
   const WorkLeaseId old = Grant(true);
   leases_.End(item);
   Grant(true);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
-  EXPECT_EQ(Decide(old, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
-  EXPECT_EQ(leases_.Decide(Report(old, proto::WORK_DISPOSITION_FINISHED), item, true),
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
+  EXPECT_EQ(leases_.EvaluateReport(Report(old, proto::WORK_DISPOSITION_FINISHED), item, true),
             ReportAction::kDrop);
 }
 
-TEST_F(WorkLeasesTest, SilenceDoesNotEndALeaseWhoseResultIsBeingLogged) {
+TEST_F(WorkLeasesTest, ReportingLeaseDoesNotExpire) {
   const WorkLeaseId id = Grant(true);
   leases_.SetReporting(item, true, now_);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
-  EXPECT_EQ(Decide(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
+  EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
   leases_.SetReporting(item, false, now_ + seconds(60));
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(64)).empty());
   EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
 }
 
-TEST_F(WorkLeasesTest, EndsAPartitionsLeasesOnly) {
+TEST_F(WorkLeasesTest, EndsOnlyLeasesOfThatPartition) {
   Grant(true);
   leases_.Grant({PartitionId(3), "b2", 0}, kGateway, incarnation, true, now_);
-  EXPECT_EQ(leases_.CountOf(PartitionId(2), "b1"), 1U);
+  EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 1U);
   leases_.EndPartition(PartitionId(2));
-  EXPECT_EQ(leases_.CountOf(PartitionId(2), "b1"), 0U);
+  EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 0U);
   EXPECT_EQ(leases_.size(), 1U);
 }
 
