--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -10,7 +10,7 @@
 constexpr Duration kPaceWindow = milliseconds(500);
 constexpr double kPaceMemory = 0.5;  // Share of the past in the moving average.
 
-int UrgencyOf(proto::Priority priority) {
+int UrgencyFor(proto::Priority priority) {
   return priority == proto::PRIORITY_UNSPECIFIED ? proto::PRIORITY_STANDARD : priority;
 }
 
@@ -44,7 +44,7 @@
     TokenBucket& bucket = buckets_[tenant->name()];
     const Duration wait = bucket.Acquire(tenant->calls_per_second(), options_.burst, now);
     if (wait > Duration::zero()) {
-      return RefusalNotice{Refusal::kTenantRate, std::max(wait, options_.least_retry_after)};
+      return RefusalNotice{Refusal::kTenantRate, std::max(wait, options_.minimum_retry_after)};
     }
   }
   ++in_flight;
@@ -65,10 +65,10 @@
                                                        std::vector<WaitId>* displaced) {
   Queue& queue = queues_[call.backend];
   WaitingCall bounded = call;
-  bounded.give_up_at = std::min(call.give_up_at, now + options_.longest_wait);
-  const Rank rank = RankOf(bounded);
+  bounded.wait_deadline = std::min(call.wait_deadline, now + options_.longest_wait);
+  const Rank rank = MakeRank(bounded);
   const std::optional<Duration> wait = ExpectedWait(queue, rank);
-  if (wait && now + *wait >= bounded.give_up_at) {
+  if (wait && now + *wait >= bounded.wait_deadline) {
     return RefusalNotice{Refusal::kQueueTooSlow, RetryAfter(call.backend)};
   }
   if (!DisplaceLowerRanked(queue, rank, call.bytes, displaced)) {
@@ -80,7 +80,7 @@
     queue.window_start = now;
   }
   queue.ranks.insert(rank);
-  expiries_.insert({bounded.give_up_at, bounded.id});
+  expiries_.insert({bounded.wait_deadline, bounded.id});
   waiting_.emplace(bounded.id, bounded);
   waiting_bytes_ += bounded.bytes;
   return std::nullopt;
@@ -133,8 +133,8 @@
     return false;
   }
   const WaitingCall& call = found->second;
-  queues_[call.backend].ranks.erase(RankOf(call));
-  expiries_.erase({call.give_up_at, id});
+  queues_[call.backend].ranks.erase(MakeRank(call));
+  expiries_.erase({call.wait_deadline, id});
   waiting_bytes_ -= call.bytes;
   waiting_.erase(found);
   return true;
@@ -198,10 +198,10 @@
   }
   const double length = static_cast<double>(found->second.ranks.size());
   const Duration drain = FromSeconds(length / found->second.served_per_second);
-  return std::clamp(drain, options_.least_retry_after, options_.longest_retry_after);
+  return std::clamp(drain, options_.minimum_retry_after, options_.maximum_retry_after);
 }
 
-void AdmissionControl::Tidy(const proto::RoutingConfiguration& configuration, TimePoint now) {
+void AdmissionControl::RemoveIdle(const proto::RoutingConfiguration& configuration, TimePoint now) {
   std::unordered_map<std::string_view, std::uint32_t> rates;
   for (const proto::Tenant& tenant : configuration.tenants()) {
     rates.emplace(tenant.name(), tenant.calls_per_second());
@@ -209,13 +209,13 @@
   std::erase_if(buckets_, [&](const auto& entry) {
     const auto rate = rates.find(entry.first);
     const bool limited = rate != rates.end() && rate->second != 0;
-    return !limited || entry.second.Full(rate->second, options_.burst, now);
+    return !limited || entry.second.IsFull(rate->second, options_.burst, now);
   });
   std::erase_if(queues_, [&](const auto& entry) { return entry.second.ranks.empty(); });
 }
 
-AdmissionControl::Rank AdmissionControl::RankOf(const WaitingCall& call) {
-  return {UrgencyOf(call.priority), call.give_up_at, call.id};
+AdmissionControl::Rank AdmissionControl::MakeRank(const WaitingCall& call) {
+  return {UrgencyFor(call.priority), call.wait_deadline, call.id};
 }
 
 std::optional<Duration> AdmissionControl::ExpectedWait(const Queue& queue, const Rank& rank) const {
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -30,7 +30,7 @@
   kQueueFull,     ///< The queue is full of calls that go first (503).
   kQueueTooSlow,  ///< It would not reach a replica in time (503).
   kDisplaced,     ///< Was waiting and had to make room for a more urgent call (503).
-  kWaitExpired,   ///< Waited as long as it may (503).
+  kWaitExpired,   ///< EnqueueResult as long as it may (503).
 };
 
 /// @return the stable snake_case name, for metrics and error codes.
@@ -48,8 +48,8 @@
   std::size_t total_queue_length = 1024;             ///< Most calls waiting at this gateway.
   Duration longest_wait = seconds(3);                ///< Even if the deadline allows more.
   Duration burst = seconds(1);                       ///< Of a tenant's rate that may come at once.
-  Duration least_retry_after = milliseconds(200);
-  Duration longest_retry_after = seconds(10);
+  Duration minimum_retry_after = milliseconds(200);
+  Duration maximum_retry_after = seconds(10);
 };
 
 using WaitId = std::uint64_t;
@@ -59,8 +59,8 @@
   WaitId id = 0;
   std::string backend;
   proto::Priority priority = proto::PRIORITY_STANDARD;
-  TimePoint give_up_at;   ///< When it must have left the queue.
-  std::size_t bytes = 0;  ///< Of its request.
+  TimePoint wait_deadline;  ///< When it must have left the queue.
+  std::size_t bytes = 0;    ///< Of its request.
 };
 
 class AdmissionControl {
@@ -95,13 +95,13 @@
   /// @return when a refused call should come back, from the length and pace of the queue.
   Duration RetryAfter(const std::string& backend) const;
   /// Forgets what idle tenants have left behind; to be called now and then.
-  void Tidy(const proto::RoutingConfiguration& configuration, TimePoint now);
+  void RemoveIdle(const proto::RoutingConfiguration& configuration, TimePoint now);
 
  private:
   /// Place in a queue. First served first: urgent, then early deadline, then early arrival.
   struct Rank {
     int urgency = 0;  ///< Lower is served first.
-    TimePoint give_up_at{};
+    TimePoint wait_deadline{};
     WaitId id = 0;
     friend auto operator<=>(const Rank&, const Rank&) = default;
   };
@@ -119,7 +119,7 @@
     TimePoint window_start{};
   };
 
-  static Rank RankOf(const WaitingCall& call);
+  static Rank MakeRank(const WaitingCall& call);
   std::optional<Duration> ExpectedWait(const Queue& queue, const Rank& rank) const;
   bool HasCapacity(const Queue& queue, std::size_t bytes) const;
   bool DisplaceLowerRanked(Queue& queue, const Rank& rank, std::size_t bytes,
--- a/src/admission/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -10,7 +10,7 @@
 /// gives (slow start, pauses after refusals).
 constexpr Duration kTick = milliseconds(20);
 /// How many waiting calls may find no room before the rest of the queue is let be.
-constexpr std::size_t kMisses = 4;
+constexpr std::size_t kMaximumMisses = 4;
 
 }  // namespace
 
@@ -22,27 +22,27 @@
   environment_.CancelTimer(tick_timer_);
 }
 
-CallQueue::Waited CallQueue::Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner) {
+CallQueue::EnqueueResult CallQueue::Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner) {
   call.id = next_id_++;
   std::vector<WaitId> displaced;
   std::optional<RefusalNotice> refusal = admission_.Enqueue(call, environment_.Now(), &displaced);
   for (const WaitId id : displaced) {
-    GiveUp(id, Refusal::kDisplaced);
+    Refuse(id, Refusal::kDisplaced);
   }
   if (refusal) {
     return {0, refusal};
   }
   waiters_.emplace(call.id, Waiter{std::move(owner), call.backend});
-  Refresh();
+  ScheduleTick();
   return {call.id, std::nullopt};
 }
 
-void CallQueue::Leave(WaitId id) {
+void CallQueue::Remove(WaitId id) {
   admission_.Remove(id);
   waiters_.erase(id);
 }
 
-void CallQueue::DispatchSoon() {
+void CallQueue::ScheduleDispatch() {
   if (dispatch_timer_ != 0 || admission_.waiting() == 0) {
     return;
   }
@@ -58,14 +58,14 @@
 
 void CallQueue::Dispatch() {
   for (const WaitId id : admission_.TakeExpired(environment_.Now())) {
-    GiveUp(id, Refusal::kWaitExpired);
+    Refuse(id, Refusal::kWaitExpired);
   }
   for (const std::string& backend : admission_.BackendsWithWaiting()) {
     DispatchBackend(backend);
   }
   environment_.metrics().SetGauge("gateway_waiting_calls",
                                   static_cast<double>(admission_.waiting()));
-  Refresh();
+  ScheduleTick();
 }
 
 void CallQueue::DispatchBackend(const std::string& backend) {
@@ -75,7 +75,7 @@
 
 bool CallQueue::ServeFirst(const std::string& backend) {
   bool served = false;
-  for (const WaitId id : admission_.FirstWaiting(backend, kMisses)) {
+  for (const WaitId id : admission_.FirstWaiting(backend, kMaximumMisses)) {
     const auto found = waiters_.find(id);
     const std::shared_ptr<WaitingCallOwner> owner =
         found == waiters_.end() ? nullptr : found->second.owner.lock();
@@ -83,25 +83,25 @@
       continue;
     }
     admission_.Serve(id, environment_.Now());
-    Leave(id);
+    Remove(id);
     served = true;
   }
   return served;
 }
 
-void CallQueue::GiveUp(WaitId id, Refusal refusal) {
+void CallQueue::Refuse(WaitId id, Refusal refusal) {
   const auto found = waiters_.find(id);
   if (found == waiters_.end()) {
     return;
   }
   const Waiter waiter = found->second;
-  Leave(id);
+  Remove(id);
   if (const std::shared_ptr<WaitingCallOwner> owner = waiter.owner.lock()) {
-    owner->OnGivenUp({refusal, admission_.RetryAfter(waiter.backend)});
+    owner->OnQueueRefusal({refusal, admission_.RetryAfter(waiter.backend)});
   }
 }
 
-void CallQueue::Refresh() {
+void CallQueue::ScheduleTick() {
   if (tick_timer_ != 0 || admission_.waiting() == 0) {
     return;
   }
--- a/src/admission/call_queue.h
+++ b/src/admission/call_queue.h
@@ -29,7 +29,7 @@
   /// Room may have appeared: send now if there is.
   virtual ServeResult ServeFromQueue() = 0;
   /// It has left the queue and must be answered now.
-  virtual void OnGivenUp(const RefusalNotice& notice) = 0;
+  virtual void OnQueueRefusal(const RefusalNotice& notice) = 0;
 };
 
 class CallQueue {
@@ -41,18 +41,18 @@
 
   AdmissionControl& admission() { return admission_; }
 
-  struct Waited {
+  struct EnqueueResult {
     WaitId id = 0;
     std::optional<RefusalNotice> refusal;
   };
   /// Queues a call, whose `id` is chosen here. @return its id, or the refusal.
-  Waited Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner);
+  EnqueueResult Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner);
   /// The owner left by itself.
-  void Leave(WaitId id);
+  void Remove(WaitId id);
   std::size_t Waiting(const std::string& backend) const { return admission_.Waiting(backend); }
 
   /// Offers room to the waiting calls soon (once, however often it is asked).
-  void DispatchSoon();
+  void ScheduleDispatch();
   Duration RetryAfter(const std::string& backend) const;
 
  private:
@@ -65,8 +65,8 @@
   void DispatchBackend(const std::string& backend);
   /// Offers room to the first few. @return whether any of them left the queue.
   bool ServeFirst(const std::string& backend);
-  void GiveUp(WaitId id, Refusal refusal);
-  void Refresh();
+  void Refuse(WaitId id, Refusal refusal);
+  void ScheduleTick();
 
   Environment& environment_;
   AdmissionControl admission_;
--- a/src/admission/token_bucket.cc
+++ b/src/admission/token_bucket.cc
@@ -24,7 +24,7 @@
   return FromSeconds((1 - tokens_) / per_second) + Duration(1);
 }
 
-bool TokenBucket::Full(double per_second, Duration burst, TimePoint now) const {
+bool TokenBucket::IsFull(double per_second, Duration burst, TimePoint now) const {
   const double capacity = std::max(1.0, per_second * ToSeconds(burst));
   return Level(per_second, capacity, now) >= capacity;
 }
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -12,7 +12,7 @@
   /// Takes one token. @return 0, or how long until there is one.
   Duration Acquire(double per_second, Duration burst, TimePoint now);
   /// Whether it is as good as new, so that it need not be kept.
-  bool Full(double per_second, Duration burst, TimePoint now) const;
+  bool IsFull(double per_second, Duration burst, TimePoint now) const;
 
  private:
   double Level(double per_second, double capacity, TimePoint now) const;
--- a/src/batch_work/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -43,9 +43,9 @@
 void CheckName(const std::string& place, const std::string& name, ProblemList& problems) {
   if (name.empty()) {
     problems.Add(place, "is missing");
-  } else if (name.size() > kLongestName) {
+  } else if (name.size() > kMaximumNameBytes) {
     problems.Add(place, "has " + std::to_string(name.size()) + " bytes, at most " +
-                            std::to_string(kLongestName) + " are allowed");
+                            std::to_string(kMaximumNameBytes) + " are allowed");
   }
 }
 
@@ -79,9 +79,9 @@
   if (batch.items().empty()) {
     problems.Add("items", "is empty; a batch has at least one item");
   }
-  if (batch.items_size() > kLargestBatchItems) {
+  if (batch.items_size() > kMaximumBatchItems) {
     problems.Add("items", "has " + std::to_string(batch.items_size()) + " items, at most " +
-                              std::to_string(kLargestBatchItems) + " are allowed");
+                              std::to_string(kMaximumBatchItems) + " are allowed");
     return;
   }
   std::unordered_map<std::string, int> first_use;
@@ -91,7 +91,7 @@
     CheckName(place, id, problems);
     const auto [first, fresh] = first_use.emplace(id, index);
     if (!fresh && !id.empty()) {
-      problems.Add(place, "\"" + id.substr(0, kLongestName) + "\" is used by items[" +
+      problems.Add(place, "\"" + id.substr(0, kMaximumNameBytes) + "\" is used by items[" +
                               std::to_string(first->second) + "] already");
     }
   }
@@ -114,7 +114,8 @@
   return problems.Take();
 }
 
-Result<PartitionId> PartitionOfBatch(const std::string& batch_id, std::uint32_t partition_count) {
+Result<PartitionId> ParseBatchPartition(const std::string& batch_id,
+                                        std::uint32_t partition_count) {
   std::uint64_t partition = 0;
   const char* end = batch_id.data() + batch_id.size();
   const auto [stop, error] = std::from_chars(batch_id.data(), end, partition);
--- a/src/batch_work/batch_validation.h
+++ b/src/batch_work/batch_validation.h
@@ -13,8 +13,8 @@
 
 namespace cloverbank {
 
-inline constexpr int kLargestBatchItems = 100'000;
-inline constexpr std::size_t kLongestName = 256;  ///< Bytes of a custom id, tenant or key.
+inline constexpr int kMaximumBatchItems = 100'000;
+inline constexpr std::size_t kMaximumNameBytes = 256;  ///< Bytes of a custom id, tenant or key.
 
 /// @return the route of that name, or nullptr.
 const proto::Route* FindRouteNamed(const proto::RoutingConfiguration& configuration,
@@ -27,6 +27,6 @@
 
 /// @return the partition in a batch id ("<partition>-<hexadecimal number>"), or kNotFound for text
 /// that is no id of a partition below `partition_count`.
-Result<PartitionId> PartitionOfBatch(const std::string& batch_id, std::uint32_t partition_count);
+Result<PartitionId> ParseBatchPartition(const std::string& batch_id, std::uint32_t partition_count);
 
 }  // namespace cloverbank
--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -43,9 +43,9 @@
       caller_(caller),
       options_(options),
       work_items_(options.limits),
-      offers_(options.offers),
+      acquire_planner_(options.acquire),
       reporter_(environment, agent, work_items_,
-                {options.renewal, options.report_deadline, options.retry_delay},
+                {options.renewal_interval, options.report_deadline, options.retry_delay},
                 {[this](WorkLeaseId lease) { EndLease(lease); }, [this] { RequestRun(); }}) {}
 
 BatchWorker::~BatchWorker() {
@@ -72,20 +72,21 @@
 void BatchWorker::Run() {
   run_requested_ = false;
   environment_.CancelTimer(tick_timer_);
-  StartWaiting();
+  StartWaitingItems();
   reporter_.SendDue();
   Acquire();
-  environment_.metrics().SetGauge("batch_worker_pending_items", static_cast<double>(held()));
+  environment_.metrics().SetGauge("batch_worker_pending_items", static_cast<double>(pending()));
   environment_.metrics().SetGauge("batch_worker_unreported_results",
                                   static_cast<double>(unreported()));
-  tick_timer_ = environment_.ScheduleAfter(options_.tick, lifetime_.Wrap([this] { Run(); }));
+  tick_timer_ =
+      environment_.ScheduleAfter(options_.run_interval, lifetime_.Wrap([this] { Run(); }));
 }
 
 StartConditions BatchWorker::Conditions() const {
   return {environment_.Now(), agent_.LeaseValid(), &agent_.configuration()};
 }
 
-void BatchWorker::StartWaiting() {
+void BatchWorker::StartWaitingItems() {
   const std::vector<WorkLeaseId> waiting = work_items_.Waiting();
   if (waiting.empty()) {
     return;
@@ -108,7 +109,7 @@
       StartItem(lease, *route);
       return;
     }
-    if (conditions.now - work_items_.ArrivedAt(lease) < options_.grant_patience) {
+    if (conditions.now - work_items_.ArrivedAt(lease) < options_.grant_wait) {
       return;
     }
     refusal = StartRefusal::kNoCapacity;
@@ -153,18 +154,18 @@
     paused_backends_[backend] = environment_.Now() + options_.retry_delay;
   }
   const Duration elapsed = environment_.Now() - work_items_.ArrivedAt(lease);
-  work_items_.Finish(lease, outcome, elapsed < options_.grant_patience);
+  work_items_.Finish(lease, outcome, elapsed < options_.grant_wait);
   environment_.metrics().Increment("batch_items_finished_total",
                                    {{"executed", proto::Executed_Name(outcome.executed)}});
   RequestRun();
 }
 
 BatchCapacity BatchWorker::FreeCapacity() const {
-  std::map<std::string, std::uint32_t> not_left;
-  for (const auto& [route_name, count] : work_items_.NotYetLeftByRoute()) {
+  std::map<std::string, std::uint32_t> not_dispatched;
+  for (const auto& [route_name, count] : work_items_.NotDispatchedByRoute()) {
     const proto::Route* route = FindRouteNamed(agent_.configuration(), route_name);
     if (route != nullptr) {
-      not_left[route->backend()] += count;
+      not_dispatched[route->backend()] += count;
     }
   }
   BatchCapacity free;
@@ -174,7 +175,7 @@
     }
     if (!free.contains(route.backend())) {
       const std::uint32_t slots = caller_.FreeBatchSlots(route.backend());
-      free[route.backend()] = slots - std::min(slots, not_left[route.backend()]);
+      free[route.backend()] = slots - std::min(slots, not_dispatched[route.backend()]);
     }
   }
   return free;
@@ -209,7 +210,7 @@
 }
 
 bool BatchWorker::ShouldAcquire() const {
-  return !draining_ && agent_.LeaseValid() && !work_items_.Full() &&
+  return !draining_ && agent_.LeaseValid() && !work_items_.IsFull() &&
          !agent_.configuration().batch().paused();
 }
 
@@ -217,29 +218,29 @@
   if (!ShouldAcquire()) {
     return;
   }
-  for (const WorkOffer& offer :
-       offers_.Next(environment_.Now(), OwningNodes(), UnclaimedCapacity())) {
-    AcquireWork(offer, agent_.fleet().servers.at(offer.node));
+  for (const AcquirePlan& plan :
+       acquire_planner_.PlanRequests(environment_.Now(), OwningNodes(), UnclaimedCapacity())) {
+    AcquireWork(plan, agent_.fleet().servers.at(plan.node));
   }
 }
 
-void BatchWorker::AcquireWork(const WorkOffer& offer, const proto::Server& server) {
+void BatchWorker::AcquireWork(const AcquirePlan& plan, const proto::Server& server) {
   proto::AcquireWorkRequest request;
   request.set_gateway_node_id(agent_.node_id().value());
   request.set_incarnation(agent_.incarnation().value());
-  for (const auto& [backend, slots] : offer.capacity) {
+  for (const auto& [backend, slots] : plan.capacity) {
     proto::BackendCapacity* capacity = request.add_capacity();
     capacity->set_backend(backend);
     capacity->set_slots(slots);
   }
-  request.set_hold_ms(ToMilliseconds(offer.hold));
+  request.set_hold_ms(ToMilliseconds(plan.long_poll_time));
   request.set_configuration_version(agent_.configuration().version());
   request.set_zone(agent_.zone());
   const TimePoint sent = environment_.Now();
   CallPeer<proto::AcquireWorkResponse>(
       environment_, PeerEndpointFor(server), "queue.AcquireWork", request,
-      offer.hold + options_.acquire_grace,
-      lifetime_.Wrap([this, sent, node = offer.node, gateway = agent_.node_id()](
+      plan.long_poll_time + options_.acquire_timeout,
+      lifetime_.Wrap([this, sent, node = plan.node, gateway = agent_.node_id()](
                          const Result<proto::AcquireWorkResponse>& result) {
         OnAcquired(node, gateway, sent, result);
       }));
@@ -248,11 +249,12 @@
 void BatchWorker::OnAcquired(NodeId node, NodeId gateway, TimePoint sent,
                              const Result<proto::AcquireWorkResponse>& result) {
   if (!result.ok()) {
-    offers_.Failed(node, environment_.Now() + options_.retry_delay);
+    acquire_planner_.RecordFailure(node, environment_.Now() + options_.retry_delay);
     RecordQueueNodeFailure(environment_, agent_, "AcquireWork", node, result.status());
     return;
   }
-  offers_.Answered(node, static_cast<std::size_t>(result->grants_size()), environment_.Now());
+  acquire_planner_.RecordResponse(node, static_cast<std::size_t>(result->grants_size()),
+                                  environment_.Now());
   HandleGrants(*result, gateway, sent);
   RequestRun();
 }
@@ -267,7 +269,7 @@
 }
 
 void BatchWorker::EndLease(WorkLeaseId lease) {
-  if (work_items_.End(lease) != EndedAction::kWithdraw) {
+  if (work_items_.End(lease) != EndedAction::kCancel) {
     return;
   }
   const auto call = calls_.find(lease);
@@ -275,7 +277,7 @@
     call->second->Cancel();
     calls_.erase(call);
   }
-  work_items_.FinishWithdrawn(lease);
+  work_items_.FinishCancelled(lease);
   environment_.metrics().Increment("batch_items_withdrawn_total");
 }
 
--- a/src/batch_work/batch_worker.h
+++ b/src/batch_work/batch_worker.h
@@ -3,7 +3,7 @@
 /// Runs batch items in the room that live work leaves: asks the queue nodes for work, starts
 /// granted items while every right to do so holds, renews the leases of running ones and hands in
 /// results until an owner of the partition has answered. Decisions are made in `WorkItemTable`
-/// and `WorkOffers`.
+/// and `AcquirePlanner`.
 ///
 /// A grant's time to start counts from when the question for work was *sent*, so a worker that
 /// froze finds old grants void. Threads: the owner's event loop only.
@@ -13,7 +13,7 @@
 #include <string>
 #include <vector>
 
-#include "batch_work/batch_work_offers.h"
+#include "batch_work/acquire_planner.h"
 #include "batch_work/queue_node_call.h"
 #include "batch_work/work_item_table.h"
 #include "batch_work/work_reporter.h"
@@ -25,16 +25,16 @@
 
 struct BatchWorkerOptions {
   WorkItemTableLimits limits;
-  WorkOfferOptions offers;
-  Duration tick = milliseconds(50);
-  Duration renewal = milliseconds(500);  ///< Between renewals of running items.
+  AcquirePlannerOptions acquire;
+  Duration run_interval = milliseconds(50);
+  Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
   /// For an answer, beyond the hold. Longer than a work lease: a grant that comes late is given
   /// back, one that is never read leaves an item that must not repeat unknown.
-  Duration acquire_grace = seconds(6);
+  Duration acquire_timeout = seconds(6);
   Duration report_deadline = milliseconds(1500);
   Duration retry_delay = milliseconds(200);  ///< After a call that failed.
   /// For room, before a grant is given back: that costs its queue node a write and another grant.
-  Duration grant_patience = milliseconds(300);
+  Duration grant_wait = milliseconds(300);
   Duration default_item_deadline = seconds(60);  ///< For routes that set none.
 };
 
@@ -52,14 +52,14 @@
   void Drain() { draining_ = true; }
 
   /// @return leases of items that are waiting or running.
-  std::size_t held() const { return work_items_.held(); }
+  std::size_t pending() const { return work_items_.pending(); }
   /// @return results that no owner has answered yet.
   std::size_t unreported() const { return work_items_.unreported(); }
 
  private:
   void RequestRun();
   void Run();
-  void StartWaiting();
+  void StartWaitingItems();
   /// Starts the item, gives it back, or leaves it waiting. @param free is reduced by a start.
   void StartOrRefuse(WorkLeaseId lease, BatchCapacity* free);
   void StartItem(WorkLeaseId lease, const proto::Route& route);
@@ -67,7 +67,7 @@
   void FinishItem(WorkLeaseId lease, const std::string& backend, const BackendOutcome& outcome);
   bool ShouldAcquire() const;
   void Acquire();
-  void AcquireWork(const WorkOffer& offer, const proto::Server& server);
+  void AcquireWork(const AcquirePlan& plan, const proto::Server& server);
   void OnAcquired(NodeId node, NodeId gateway, TimePoint sent,
                   const Result<proto::AcquireWorkResponse>& result);
   void HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway, TimePoint sent);
@@ -86,7 +86,7 @@
   BackendCaller& caller_;
   BatchWorkerOptions options_;
   WorkItemTable work_items_;
-  WorkOffers offers_;
+  AcquirePlanner acquire_planner_;
   WorkReporter reporter_;
   std::map<WorkLeaseId, std::shared_ptr<BackendCall>> calls_;
   /// Back ends that turned an item away lately get no further ones until then.
--- a/src/batch_work/start_refusal.cc
+++ b/src/batch_work/start_refusal.cc
@@ -6,7 +6,7 @@
   switch (refusal) {
     case StartRefusal::kNone:
       return "none";
-    case StartRefusal::kWindowOver:
+    case StartRefusal::kWindowExpired:
       return "window_over";
     case StartRefusal::kNodeLease:
       return "node_lease";
--- a/src/batch_work/start_refusal.h
+++ b/src/batch_work/start_refusal.h
@@ -11,7 +11,7 @@
 /// Why an item may not start now.
 enum class StartRefusal : std::uint8_t {
   kNone,           ///< It may start.
-  kWindowOver,     ///< The grant's time to start has run out.
+  kWindowExpired,  ///< The grant's time to start has run out.
   kNodeLease,      ///< The gateway may not act.
   kNoCapacity,     ///< Live work took the room back.
   kPaused,         ///< Operators stopped batch work.
--- a/src/batch_work/work_item_table.cc
+++ b/src/batch_work/work_item_table.cc
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-std::size_t SizeOf(const proto::WorkReport& report) {
+std::size_t CountBytes(const proto::WorkReport& report) {
   return report.output().size() + report.error().size();
 }
 
@@ -35,7 +35,7 @@
     return StartRefusal::kLeaseEnded;
   }
   if (conditions.now >= item->start_by) {
-    return StartRefusal::kWindowOver;
+    return StartRefusal::kWindowExpired;
   }
   if (!conditions.node_lease_valid) {
     return StartRefusal::kNodeLease;
@@ -61,7 +61,7 @@
 void WorkItemTable::RecordDispatched(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item != nullptr && item->phase == Phase::kRunning) {
-    item->phase = Phase::kLeft;
+    item->phase = Phase::kDispatched;
   }
 }
 
@@ -119,15 +119,15 @@
     Refuse(lease, StartRefusal::kLeaseEnded);
     return EndedAction::kNothing;
   }
-  return item->phase == Phase::kLeft ? EndedAction::kRunOn : EndedAction::kWithdraw;
+  return item->phase == Phase::kDispatched ? EndedAction::kContinue : EndedAction::kCancel;
 }
 
-void WorkItemTable::FinishWithdrawn(WorkLeaseId lease) {
+void WorkItemTable::FinishCancelled(WorkLeaseId lease) {
   Item* item = Find(lease);
   if (item == nullptr || IsDone(*item)) {
     return;
   }
-  const bool left = item->phase == Phase::kLeft;
+  const bool left = item->phase == Phase::kDispatched;
   Complete(*item, left ? proto::WORK_DISPOSITION_UNKNOWN : proto::WORK_DISPOSITION_NOT_RUN,
            proto::ITEM_OUTCOME_UNSPECIFIED, "", "withdrawn: its work lease ended");
 }
@@ -152,7 +152,7 @@
   return item == nullptr ? nullptr : &item->grant;
 }
 
-std::map<std::string, std::uint32_t> WorkItemTable::NotYetLeftByRoute() const {
+std::map<std::string, std::uint32_t> WorkItemTable::NotDispatchedByRoute() const {
   std::map<std::string, std::uint32_t> counts;
   for (const auto& [lease, item] : items_) {
     if (item.phase == Phase::kRunning) {
@@ -162,11 +162,11 @@
   return counts;
 }
 
-std::vector<ReportAddress> WorkItemTable::Addresses(const OwnerLookup& owner_of,
-                                                    bool running_too) const {
+std::vector<ReportAddress> WorkItemTable::FindReportAddresses(const OwnerLookup& owner_of,
+                                                              bool include_running) const {
   std::set<ReportAddress> addresses;
   for (const auto& [lease, item] : items_) {
-    const bool counts = item.phase == Phase::kDone || (running_too && !IsDone(item));
+    const bool counts = item.phase == Phase::kDone || (include_running && !IsDone(item));
     if (!counts) {
       continue;
     }
@@ -196,25 +196,25 @@
       continue;
     }
     item.phase = Phase::kReporting;
-    bytes += SizeOf(item.report);
+    bytes += CountBytes(item.report);
     *request.add_reports() = item.report;
   }
   return request;
 }
 
-void WorkItemTable::Reported(const proto::ReportWorkRequest& request) {
+void WorkItemTable::RecordConfirmed(const proto::ReportWorkRequest& request) {
   for (const proto::WorkReport& report : request.reports()) {
     const auto found = items_.find(WorkLeaseId(report.lease_id()));
     if (found == items_.end() || found->second.phase != Phase::kReporting) {
       continue;
     }
-    unreported_bytes_ -= SizeOf(found->second.report);
+    unreported_bytes_ -= CountBytes(found->second.report);
     --unreported_;
     items_.erase(found);
   }
 }
 
-void WorkItemTable::ReportFailed(const proto::ReportWorkRequest& request) {
+void WorkItemTable::RecordReportFailed(const proto::ReportWorkRequest& request) {
   for (const proto::WorkReport& report : request.reports()) {
     Item* item = Find(WorkLeaseId(report.lease_id()));
     if (item != nullptr && item->phase == Phase::kReporting) {
@@ -223,7 +223,7 @@
   }
 }
 
-bool WorkItemTable::Full() const {
+bool WorkItemTable::IsFull() const {
   return items_.size() >= limits_.maximum_items ||
          unreported_bytes_ >= limits_.largest_unreported_bytes;
 }
@@ -259,7 +259,7 @@
   item.report.set_output(output);
   item.report.set_error(error);
   ++unreported_;
-  unreported_bytes_ += SizeOf(item.report);
+  unreported_bytes_ += CountBytes(item.report);
 }
 
 }  // namespace cloverbank
--- a/src/batch_work/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -41,8 +41,8 @@
 /// cancelled batch would show it as never started.
 enum class EndedAction : std::uint8_t {
   kNothing,   ///< Not held, or its result is known already.
-  kWithdraw,  ///< It has not left: cancel the call; the item is reported as not run.
-  kRunOn,     ///< It left.
+  kCancel,    ///< It has not left: cancel the call; the item is reported as not run.
+  kContinue,  ///< It left.
 };
 
 struct WorkItemTableLimits {
@@ -84,7 +84,7 @@
   /// The queue node ended the lease.
   EndedAction End(WorkLeaseId lease);
   /// The call of an ended lease was cancelled: whether it ran is known only if it never left.
-  void FinishWithdrawn(WorkLeaseId lease);
+  void FinishCancelled(WorkLeaseId lease);
 
   /// @return leases granted and not yet running, in order of arrival.
   std::vector<WorkLeaseId> Waiting() const;
@@ -92,27 +92,28 @@
   TimePoint ArrivedAt(WorkLeaseId lease) const;
   const proto::WorkGrant* FindGrant(WorkLeaseId lease) const;
   /// @return items handed to the caller whose request has not left, by route name.
-  std::map<std::string, std::uint32_t> NotYetLeftByRoute() const;
+  std::map<std::string, std::uint32_t> NotDispatchedByRoute() const;
 
   /// Finds the owner of a partition; an invalid id while there is none.
   using OwnerLookup = std::function<NodeId(PartitionId)>;
   /// @return every address that has reports or running items now. Those without an owner wait.
-  /// @param running_too also addresses that only have leases to renew.
-  std::vector<ReportAddress> Addresses(const OwnerLookup& owner_of, bool running_too) const;
+  /// @param include_running also addresses that only have leases to renew.
+  std::vector<ReportAddress> FindReportAddresses(const OwnerLookup& owner_of,
+                                                 bool include_running) const;
   /// @return the call to make to `address`, within the limits; its reports count as under way.
   proto::ReportWorkRequest TakeReports(const ReportAddress& address, const OwnerLookup& owner_of);
   /// The owner answered: its reports are done with.
-  void Reported(const proto::ReportWorkRequest& request);
+  void RecordConfirmed(const proto::ReportWorkRequest& request);
   /// No answer came: its reports wait again.
-  void ReportFailed(const proto::ReportWorkRequest& request);
+  void RecordReportFailed(const proto::ReportWorkRequest& request);
 
   /// Whether so much is held or unreported that nothing further should be acquired.
-  bool Full() const;
+  bool IsFull() const;
   std::size_t unreported() const { return unreported_; }
-  std::size_t held() const { return items_.size() - unreported_; }
+  std::size_t pending() const { return items_.size() - unreported_; }
 
  private:
-  enum class Phase : std::uint8_t { kWaiting, kRunning, kLeft, kDone, kReporting };
+  enum class Phase : std::uint8_t { kWaiting, kRunning, kDispatched, kDone, kReporting };
   struct Item {
     proto::WorkGrant grant;
     NodeId gateway;
--- a/src/batch_work/work_reporter.cc
+++ b/src/batch_work/work_reporter.cc
@@ -21,12 +21,13 @@
 
 void WorkReporter::SendDue() {
   const TimePoint now = environment_.Now();
-  const std::vector<ReportAddress> with_results = work_items_.Addresses(OwnerLookup(), false);
-  for (const ReportAddress& address : work_items_.Addresses(OwnerLookup(), true)) {
+  const std::vector<ReportAddress> with_results =
+      work_items_.FindReportAddresses(OwnerLookup(), false);
+  for (const ReportAddress& address : work_items_.FindReportAddresses(OwnerLookup(), true)) {
     const ReportState& state = reports_[address];
     const bool has_results = std::binary_search(with_results.begin(), with_results.end(), address);
     const bool due = has_results || now >= state.next_renewal;
-    if (due && !state.under_way && now >= state.retry_at) {
+    if (due && !state.in_flight && now >= state.retry_at) {
       Send(address);
     }
   }
@@ -35,7 +36,7 @@
 
 void WorkReporter::RemoveUnknownOwners() {
   std::erase_if(reports_, [this](const auto& entry) {
-    return !entry.second.under_way && !agent_.fleet().servers.contains(entry.first.owner);
+    return !entry.second.in_flight && !agent_.fleet().servers.contains(entry.first.owner);
   });
 }
 
@@ -45,8 +46,8 @@
       std::make_shared<proto::ReportWorkRequest>(work_items_.TakeReports(address, OwnerLookup()));
   request->set_incarnation(agent_.incarnation().value());
   ReportState& state = reports_[address];
-  state.under_way = true;
-  state.next_renewal = environment_.Now() + options_.renewal;
+  state.in_flight = true;
+  state.next_renewal = environment_.Now() + options_.renewal_interval;
   CallPeer<proto::ReportWorkResponse>(
       environment_, PeerEndpointFor(server->second), "queue.ReportWork", *request,
       options_.deadline,
@@ -58,14 +59,14 @@
 void WorkReporter::OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
                               const Result<proto::ReportWorkResponse>& result) {
   ReportState& state = reports_[address];
-  state.under_way = false;
+  state.in_flight = false;
   if (!result.ok()) {
     state.retry_at = environment_.Now() + options_.retry_delay;
-    work_items_.ReportFailed(request);
+    work_items_.RecordReportFailed(request);
     RecordQueueNodeFailure(environment_, agent_, "ReportWork", address.owner, result.status());
     return;
   }
-  work_items_.Reported(request);
+  work_items_.RecordConfirmed(request);
   for (const std::uint64_t lease : result->ended_lease_ids()) {
     events_.on_lease_ended(WorkLeaseId(lease));
   }
--- a/src/batch_work/work_reporter.h
+++ b/src/batch_work/work_reporter.h
@@ -14,7 +14,7 @@
 namespace cloverbank {
 
 struct WorkReporterOptions {
-  Duration renewal = milliseconds(500);  ///< Between renewals of running items.
+  Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
   Duration deadline = milliseconds(1500);
   Duration retry_delay = milliseconds(200);  ///< After a call that failed.
 };
@@ -37,7 +37,7 @@
 
  private:
   struct ReportState {
-    bool under_way = false;
+    bool in_flight = false;
     TimePoint next_renewal;
     TimePoint retry_at;
   };
--- a/src/calls/attempt_session.cc
+++ b/src/calls/attempt_session.cc
@@ -9,9 +9,9 @@
 }
 
 bool AttemptSession::CanSend() {
-  asked_ = true;
-  withheld_ = done_ || !request_.may_send();
-  return !withheld_;
+  send_checked_ = true;
+  send_denied_ = done_ || !request_.may_send();
+  return !send_denied_;
 }
 
 void AttemptSession::Release(CallEnd health) {
@@ -22,13 +22,13 @@
 }
 
 FailureReading AttemptSession::ClassifyNoResponse(const HttpOutcome& outcome,
-                                                  bool head_came) const {
-  NoResponseContext facts;
-  facts.withheld = withheld_;
-  facts.head_came = head_came;
-  facts.deadline_reached = context_.environment.Now() >= request_.deadline;
-  facts.patience = request_.deadline - sent_at_;
-  return ClassifyTimeout(outcome, facts, context_.options);
+                                                  bool head_received) const {
+  NoResponseContext known;
+  known.send_denied = send_denied_;
+  known.head_received = head_received;
+  known.deadline_reached = context_.environment.Now() >= request_.deadline;
+  known.time_allowed = request_.deadline - sent_at_;
+  return ClassifyTimeout(outcome, known, context_.options);
 }
 
 }  // namespace cloverbank
--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -28,22 +28,22 @@
   bool done() const { return done_; }
   /// @return how far the attempt is, for one that is being cancelled.
   CancelledWhen cancelled_when() const {
-    return asked_ && !withheld_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
+    return send_checked_ && !send_denied_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
   }
 
   /// @return time since `Begin`.
   Duration Elapsed() const { return context_.environment.Now() - sent_at_; }
   /// Classifies a call that ended without a complete response.
-  /// @param head_came whether the replica had begun to respond.
-  FailureReading ClassifyNoResponse(const HttpOutcome& outcome, bool head_came) const;
+  /// @param head_received whether the replica had begun to respond.
+  FailureReading ClassifyNoResponse(const HttpOutcome& outcome, bool head_received) const;
 
  private:
   const AttemptContext& context_;
   const AttemptRequest& request_;
   std::weak_ptr<const void> pool_lifetime_;
   TimePoint sent_at_;
-  bool asked_ = false;  ///< Whether `CanSend` was asked: nothing was sent before.
-  bool withheld_ = false;
+  bool send_checked_ = false;  ///< Whether `CanSend` ran: nothing is sent before.
+  bool send_denied_ = false;
   bool released_ = false;
   bool done_ = false;
 };
--- a/src/calls/backend_caller.h
+++ b/src/calls/backend_caller.h
@@ -49,12 +49,12 @@
   virtual std::uint32_t FreeBatchSlots(const std::string& backend) const = 0;
 
   /// Runs one batch item at a replica of `route.backend()`. Never retries a route that must not
-  /// repeat once bytes went out. `may_start` is asked immediately before the request leaves; false
+  /// repeat once bytes went out. `can_start` is asked immediately before the request leaves; false
   /// gives the outcome `executed: no`.
   virtual std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                                     const proto::CallRequest& request,
                                                     Duration deadline,
-                                                    std::function<bool()> may_start,
+                                                    std::function<bool()> can_start,
                                                     std::function<void(BackendOutcome)> done) = 0;
 };
 
--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -12,7 +12,7 @@
 constexpr int kFirstClientError = 400;
 constexpr int kFirstServerError = 500;
 
-proto::CallError ErrorOf(const std::string& code, const std::string& message) {
+proto::CallError MakeError(const std::string& code, const std::string& message) {
   proto::CallError error;
   error.set_code(code);
   error.set_message(message);
@@ -32,13 +32,13 @@
   if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
     reading.health = CallEnd::kRefused;
     reading.result.end = ran ? AttemptEnd::kUnknown : AttemptEnd::kNotRun;
-    reading.result.error = ErrorOf("replica_refused", message);
+    reading.result.error = MakeError("replica_refused", message);
     return reading;
   }
   if (status >= kFirstClientError && status < kFirstServerError && !ran) {
     reading.health = CallEnd::kSuccess;
     reading.result.end = AttemptEnd::kRejected;
-    reading.result.error = ErrorOf("replica_rejected", message);
+    reading.result.error = MakeError("replica_rejected", message);
     return reading;
   }
   reading.health = CallEnd::kFailed;
@@ -48,28 +48,29 @@
   } else if (told == proto::EXECUTED_YES) {
     reading.result.end = AttemptEnd::kFailed;
   }
-  reading.result.error = ErrorOf("replica_failed", message);
+  reading.result.error = MakeError("replica_failed", message);
   return reading;
 }
 
-FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& facts,
+FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
                                const CallOptions& options) {
   FailureReading reading;
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
-    const bool hurried = facts.deadline_reached && facts.patience < options.least_patience;
-    reading.health = facts.withheld || hurried ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
+    const bool hurried =
+        known.deadline_reached && known.time_allowed < options.minimum_response_time;
+    reading.health = known.send_denied || hurried ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
     reading.result.end = AttemptEnd::kNotRun;
-    const std::string code = facts.withheld ? "right_ended" : "replica_unreachable";
-    reading.result.error = ErrorOf(code, "nothing was sent: " + outcome.reason);
+    const std::string code = known.send_denied ? "right_ended" : "replica_unreachable";
+    reading.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
     return reading;
   }
   // A deadline too short for any replica, or one that cuts off a running answer, blames nobody.
-  const bool hurried = facts.head_came || facts.patience < options.least_patience;
-  const bool blameless = facts.deadline_reached && hurried;
+  const bool hurried = known.head_received || known.time_allowed < options.minimum_response_time;
+  const bool blameless = known.deadline_reached && hurried;
   reading.health = blameless ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
   reading.result.end = AttemptEnd::kUnknown;
   reading.result.error =
-      ErrorOf("replica_silent", "the replica gave no whole answer: " + outcome.reason);
+      MakeError("replica_silent", "the replica gave no whole answer: " + outcome.reason);
   return reading;
 }
 
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -25,7 +25,7 @@
   proto::BackendKind kind = proto::BACKEND_KIND_UNSPECIFIED;
   TimePoint deadline;
   /// Whether another replica could be tried now, after a silence; empty means never.
-  std::function<bool()> may_go_elsewhere;
+  std::function<bool()> can_retry_elsewhere;
   /// Asked immediately before the first byte leaves. False: certainly not run.
   std::function<bool()> may_send;
 };
@@ -92,14 +92,14 @@
 FailureReading ReadRefusal(int status, const std::string& body);
 /// What is known of a call that ended without a whole answer.
 struct NoResponseContext {
-  bool withheld = false;   ///< `may_send` said no.
-  bool head_came = false;  ///< The replica had begun to answer.
+  bool send_denied = false;    ///< `may_send` said no.
+  bool head_received = false;  ///< The replica had begun to answer.
   bool deadline_reached = false;
-  Duration patience{};  ///< How long the replica had.
+  Duration time_allowed{};  ///< How long the replica had.
 };
 
 /// Reads a call that ended without a whole answer.
-FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& facts,
+FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
                                const CallOptions& options);
 /// @return the request to `path` at a replica.
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
--- a/src/calls/call_exchange.h
+++ b/src/calls/call_exchange.h
@@ -21,7 +21,7 @@
 struct ExchangeEvents {
   /// Something of the answer is with the caller, and no other replica could go on from there: from
   /// now on nothing may be retried.
-  std::function<void()> on_passed_on;
+  std::function<void()> on_committed;
   /// Runs exactly once unless the attempt is cancelled.
   std::function<void(AttemptResult)> on_done;
 };
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-int HttpStatusOf(proto::Executed executed) {
+int HttpStatusForExecuted(proto::Executed executed) {
   switch (executed) {
     case proto::EXECUTED_NO:
       return kHttpUnavailable;
@@ -63,7 +63,7 @@
   done_ = true;
   context_.attempt.environment.CancelTimer(timer_);
   if (wait_id_ != 0) {
-    context_.queue.Leave(wait_id_);
+    context_.queue.Remove(wait_id_);
   }
   const bool under_way = attempt_ != nullptr && attempt_->Cancel() == CancelledWhen::kMaybeSent;
   return under_way ? proto::EXECUTED_UNKNOWN : retry_.executed();
@@ -80,7 +80,7 @@
 }
 
 CallRunner::Placement CallRunner::AttemptForward() {
-  const proto::Route* route = FindRoute(context_.right.configuration(), spec_.route);
+  const proto::Route* route = FindRoute(context_.permission.configuration(), spec_.route);
   if (const std::optional<CallFailure> obstacle = FindObstacle(route)) {
     FinishWith(*obstacle);
     return Placement::kEnded;
@@ -108,7 +108,7 @@
   if (context_.attempt.environment.Now() >= spec_.deadline) {
     return CallFailure::kDeadlineReached;
   }
-  if (!context_.right.Valid()) {
+  if (!context_.permission.IsValid()) {
     return CallFailure::kLeaseExpired;
   }
   if (!context_.attempt.pool.list_loaded()) {
@@ -117,7 +117,7 @@
   if (route == nullptr) {
     return CallFailure::kUnknownRoute;
   }
-  if (spec_.may_start && !spec_.may_start()) {
+  if (spec_.can_start && !spec_.can_start()) {
     return CallFailure::kStartWithdrawn;
   }
   return std::nullopt;
@@ -125,19 +125,19 @@
 
 RoutingQuery CallRunner::MakeRoutingQuery(const proto::Route& route) const {
   RoutingQuery query;
-  query.configuration = &context_.right.configuration();
+  query.configuration = &context_.permission.configuration();
   query.route = &route;
   query.backend = spec_.backend;
   query.prefix_key = spec_.exchange->prefix_key();
   query.prompt = spec_.exchange->prompt();
-  query.excluded = &tried_;
+  query.excluded = &attempted_;
   query.work = spec_.work;
   query.tie_breaker = context_.attempt.environment.Random();
   return query;
 }
 
 void CallRunner::Send(const ReplicaRecord& replica, const proto::Route& route) {
-  tried_.push_back(replica.id);
+  attempted_.push_back(replica.id);
   route_idempotent_ = route.idempotent();
   retry_.OnAttempt();
   attempt_ = spec_.exchange->NewAttempt(context_.attempt, MakeAttemptRequest(replica, route),
@@ -155,9 +155,9 @@
   request.kind = route.backend_kind();
   request.deadline = spec_.deadline;
   const std::weak_ptr<CallRunner> weak = weak_from_this();
-  request.may_go_elsewhere = [weak] {
+  request.can_retry_elsewhere = [weak] {
     const auto self = weak.lock();
-    return self != nullptr && self->RepeatableNow() && self->retry_.CanRetry();
+    return self != nullptr && self->IsRepeatableNow() && self->retry_.CanRetry();
   };
   request.may_send = [weak, use = request.use] {
     const auto self = weak.lock();
@@ -169,9 +169,9 @@
 ExchangeEvents CallRunner::MakeExchangeEvents() {
   const std::weak_ptr<CallRunner> weak = weak_from_this();
   ExchangeEvents events;
-  events.on_passed_on = [weak] {
+  events.on_committed = [weak] {
     if (const auto self = weak.lock()) {
-      self->retry_.OnPassedOn();
+      self->retry_.OnCommitted();
     }
   };
   events.on_done = [weak](const AttemptResult& result) {
@@ -183,10 +183,10 @@
 }
 
 bool CallRunner::CanSendNow(const ReplicaUse& use) const {
-  const proto::Route* route = FindRoute(context_.right.configuration(), spec_.route);
+  const proto::Route* route = FindRoute(context_.permission.configuration(), spec_.route);
   const bool in_time = context_.attempt.environment.Now() < spec_.deadline;
-  const bool entitled = !spec_.may_start || spec_.may_start();
-  return !done_ && in_time && entitled && context_.right.Valid() && route != nullptr &&
+  const bool entitled = !spec_.can_start || spec_.can_start();
+  return !done_ && in_time && entitled && context_.permission.IsValid() && route != nullptr &&
          context_.attempt.pool.CanSend(use, *route);
 }
 
@@ -195,15 +195,15 @@
     FinishWith(CallFailure::kNoCapacity);
     return;
   }
-  tried_.clear();
+  attempted_.clear();
   WaitingCall waiting;
   waiting.backend = spec_.backend;
   waiting.priority = spec_.priority;
-  waiting.give_up_at = std::min(spec_.deadline, spec_.wait_until);
+  waiting.wait_deadline = std::min(spec_.deadline, spec_.wait_until);
   waiting.bytes = spec_.exchange->request_bytes();
-  const CallQueue::Waited waited = context_.queue.Wait(std::move(waiting), weak_from_this());
+  const CallQueue::EnqueueResult waited = context_.queue.Wait(std::move(waiting), weak_from_this());
   if (waited.refusal) {
-    OnGivenUp(*waited.refusal);
+    OnQueueRefusal(*waited.refusal);
     return;
   }
   wait_id_ = waited.id;
@@ -220,7 +220,7 @@
   return ServeResult::kServed;
 }
 
-void CallRunner::OnGivenUp(const RefusalNotice& notice) {
+void CallRunner::OnQueueRefusal(const RefusalNotice& notice) {
   wait_id_ = 0;
   FinishWith(RefusalName(notice.refusal),
              "too many calls for the replicas there are; come back later", notice.retry_after);
@@ -237,7 +237,7 @@
     return;
   }
   Environment& environment = context_.attempt.environment;
-  const bool repeatable = RepeatableNow() && !result.final;
+  const bool repeatable = IsRepeatableNow() && !result.final;
   const RetryDecision decision = retry_.Decide(result.end, repeatable, environment.Random());
   environment.metrics().Increment(
       "gateway_attempt_failures_total",
@@ -309,7 +309,7 @@
   result.error.set_code(std::string(code));
   result.error.set_message(std::string(message));
   result.error.set_executed(executed);
-  result.http_status = HttpStatusOf(executed);
+  result.http_status = HttpStatusForExecuted(executed);
   if (executed == proto::EXECUTED_NO && retry_after > Duration::zero()) {
     result.error.set_retry_after_ms(
         JitteredRetryAfterMs(retry_after, context_.attempt.environment.Random()));
@@ -326,13 +326,13 @@
   events_(std::move(result));
 }
 
-bool CallRunner::Repeatable(const proto::Route& route) const {
+bool CallRunner::IsRepeatable(const proto::Route& route) const {
   return spec_.idempotent && route.idempotent();
 }
 
-bool CallRunner::RepeatableNow() const {
-  const proto::Route* route = FindRoute(context_.right.configuration(), spec_.route);
-  return route_idempotent_ && route != nullptr && Repeatable(*route);
+bool CallRunner::IsRepeatableNow() const {
+  const proto::Route* route = FindRoute(context_.permission.configuration(), spec_.route);
+  return route_idempotent_ && route != nullptr && IsRepeatable(*route);
 }
 
 }  // namespace cloverbank
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -18,7 +18,7 @@
 #include "calls/call_exchange.h"
 #include "calls/call_failure.h"
 #include "calls/retry_policy.h"
-#include "calls/serving_right.h"
+#include "calls/serving_permission.h"
 
 namespace cloverbank {
 
@@ -32,7 +32,7 @@
   TimePoint deadline;
   TimePoint wait_until;  ///< Longest wait for room; a call that is not let wait has none.
   WorkKind work = WorkKind::kLive;
-  std::function<bool()> may_start;  ///< Batch items: their work lease. Empty means always.
+  std::function<bool()> can_start;  ///< Batch items: their work lease. Empty means always.
 };
 
 struct CallResult {
@@ -44,12 +44,12 @@
 using CallDone = std::function<void(CallResult)>;
 
 /// @return the HTTP status of a call that failed, by what its caller may assume.
-int HttpStatusOf(proto::Executed executed);
+int HttpStatusForExecuted(proto::Executed executed);
 
 /// What runners need of the gateway.
 struct CallContext {
   AttemptContext attempt;
-  const ServingRight& right;
+  const ServingPermission& permission;
   CallQueue& queue;
   RetryBudget& retry_budget;
   const RetryOptions& retry_options;
@@ -71,7 +71,7 @@
 
   // WaitingCallOwner
   ServeResult ServeFromQueue() override;
-  void OnGivenUp(const RefusalNotice& notice) override;
+  void OnQueueRefusal(const RefusalNotice& notice) override;
 
   const std::string& call_id() const { return spec_.exchange->call_id(); }
 
@@ -100,17 +100,17 @@
                               Duration retry_after) const;
   void Finish(CallResult result);
   /// Whether the call may be carried out twice, as far as `route` says.
-  bool Repeatable(const proto::Route& route) const;
+  bool IsRepeatable(const proto::Route& route) const;
   /// Whether an attempt that may have run may be followed by another one.
-  bool RepeatableNow() const;
+  bool IsRepeatableNow() const;
 
   CallContext context_;
   CallSpec spec_;
   CallDone events_;
   const RetryOptions retry_options_;  ///< With the attempts that the call may have.
   RetryState retry_;
-  const std::uint64_t split_draw_;  ///< Which share of a split route it belongs to.
-  std::vector<std::string> tried_;  ///< Replicas tried since the last wait.
+  const std::uint64_t split_draw_;      ///< Which share of a split route it belongs to.
+  std::vector<std::string> attempted_;  ///< Replicas tried since the last wait.
   std::shared_ptr<CallAttempt> attempt_;
   WaitId wait_id_ = 0;
   TimerId timer_ = 0;
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -26,9 +26,9 @@
   /// @return the next whole event, or nothing while it is not complete.
   std::optional<StreamEvent> Next();
   /// Whether the event that is coming in is larger than allowed.
-  bool TooLarge() const { return buffer_.size() > largest_event_; }
+  bool IsTooLarge() const { return buffer_.size() > largest_event_; }
   /// Whether bytes of an event that is not complete are left.
-  bool Partial() const { return !buffer_.empty(); }
+  bool HasPartial() const { return !buffer_.empty(); }
 
  private:
   std::size_t largest_event_;
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -123,17 +123,17 @@
   };
   // To a caller that waits, silence is no reason to end an answer before its deadline.
   const Duration idle_limit =
-      exchange_->call().judge_failures ? context_.options.batch_idle_limit : Duration::zero();
+      exchange_->call().classify_failures ? context_.options.batch_idle_limit : Duration::zero();
   call_ = context_.client.Stream(request_.endpoint, std::move(http), remaining, idle_limit,
                                  std::move(callbacks));
-  if (!exchange_->call().judge_failures) {
+  if (!exchange_->call().classify_failures) {
     ArmResponseTimer();
   }
 }
 
 void ForwardAttempt::ArmResponseTimer() {
   const Duration patience =
-      std::max(context_.options.patience_before_repeat, 2 * exchange_->call().target);
+      std::max(context_.options.response_timeout, 2 * exchange_->call().target);
   response_timer_ = context_.environment.ScheduleAfter(patience, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->response_timer_ = 0;
@@ -146,11 +146,11 @@
   if (session_.done()) {
     return;
   }
-  const bool heard = std::exchange(heard_, false);
-  const bool elsewhere = request_.may_go_elsewhere && request_.may_go_elsewhere();
+  const bool heard = std::exchange(received_since_check_, false);
+  const bool elsewhere = request_.can_retry_elsewhere && request_.can_retry_elsewhere();
   // A slow replica is waited for; one that is silent to everybody here is left.
-  if (!heard && elsewhere && !event_under_way_ && context_.pool.Stalled(request_.use)) {
-    BreakOff(ResponseFault::kNoResponse);
+  if (!heard && elsewhere && !event_in_flight_ && context_.pool.IsStalled(request_.use)) {
+    AbortResponse(ResponseFault::kNoResponse);
     return;
   }
   ArmResponseTimer();
@@ -172,7 +172,7 @@
   if (session_.done()) {
     return;
   }
-  heard_ = true;
+  received_since_check_ = true;
   status_ = status;
   headers_ = headers;
   const ReplicaHeaderNames& names = exchange_->names();
@@ -180,10 +180,10 @@
              (IsRejection(status) && !FindHeader(headers, names.not_run).empty());
   const std::string_view echoed = FindHeader(headers, names.call_id);
   if (!not_run_ && echoed != exchange_->call_id()) {
-    BreakOff(ResponseFault::kOtherCall);
+    AbortResponse(ResponseFault::kOtherCall);
     return;
   }
-  context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
+  context_.pool.OnResponseHead(request_.use, headers, session_.Elapsed());
   if (!not_run_) {
     const bool events = exchange_->call().streamed && IsSuccess(status);
     reading_ = events ? Reading::kEvents : Reading::kComplete;
@@ -194,19 +194,19 @@
   if (session_.done()) {
     return;
   }
-  heard_ = true;
-  context_.pool.OnHeard(request_.use);
+  received_since_check_ = true;
+  context_.pool.OnBytesReceived(request_.use);
   if (reading_ == Reading::kEvents) {
     splitter_.Append(bytes);
-    read_on_ = std::move(more);
+    read_more_ = std::move(more);
     Advance();
     return;
   }
   if (reading_ == Reading::kComplete) {
     body_ += bytes;
   }
-  if (body_.size() > context_.options.largest_answer) {
-    BreakOff(ResponseFault::kTooLarge);
+  if (body_.size() > context_.options.maximum_response_bytes) {
+    AbortResponse(ResponseFault::kTooLarge);
     return;
   }
   more();
@@ -236,36 +236,36 @@
 }
 
 bool ForwardAttempt::Step() {
-  if (session_.done() || event_under_way_) {
+  if (session_.done() || event_in_flight_) {
     return false;
   }
   if (std::optional<StreamEvent> event = splitter_.Next()) {
     Forward(std::move(*event));
     return true;
   }
-  if (splitter_.TooLarge()) {
-    BreakOff(ResponseFault::kEventTooLarge);
+  if (splitter_.IsTooLarge()) {
+    AbortResponse(ResponseFault::kEventTooLarge);
     return false;
   }
   if (outcome_) {
     Complete();
     return false;
   }
-  if (!read_on_) {
+  if (!read_more_) {
     return false;
   }
-  std::exchange(read_on_, nullptr)();
-  return read_on_ != nullptr || outcome_.has_value();
+  std::exchange(read_more_, nullptr)();
+  return read_more_ != nullptr || outcome_.has_value();
 }
 
-bool ForwardAttempt::Follows(const StreamEvent& event) const {
+bool ForwardAttempt::IsNextEvent(const StreamEvent& event) const {
   const std::optional<std::uint64_t> last = exchange_->last_event();
   return !exchange_->started() || !last || (event.id && *event.id == *last + 1);
 }
 
 void ForwardAttempt::Forward(StreamEvent event) {
-  if (!Follows(event)) {
-    BreakOff(ResponseFault::kGap);
+  if (!IsNextEvent(event)) {
+    AbortResponse(ResponseFault::kGap);
     return;
   }
   if (!exchange_->started()) {
@@ -274,13 +274,13 @@
   }
   exchange_->RecordEvent(event);
   if (!exchange_->CanResume()) {
-    events_.on_passed_on();
+    events_.on_committed();
   }
-  event_under_way_ = true;
+  event_in_flight_ = true;
   exchange_->sink().OnEvent(std::move(event), [weak = weak_from_this()] {
     const auto self = weak.lock();
-    if (self != nullptr && self->event_under_way_) {
-      self->event_under_way_ = false;
+    if (self != nullptr && self->event_in_flight_) {
+      self->event_in_flight_ = false;
       self->Advance();
     }
   });
@@ -308,8 +308,8 @@
 }
 
 void ForwardAttempt::CompleteStream() {
-  if (splitter_.Partial() || !exchange_->started()) {
-    BreakOff(ResponseFault::kCutEvent);
+  if (splitter_.HasPartial() || !exchange_->started()) {
+    AbortResponse(ResponseFault::kCutEvent);
     return;
   }
   FinishSuccessfully();
@@ -324,13 +324,13 @@
     FinishReplicaFailure(std::move(response));
     return;
   }
-  if (!IsSuccess(status_) && exchange_->call().judge_failures) {
+  if (!IsSuccess(status_) && exchange_->call().classify_failures) {
     FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), MessageForStatus(status_),
                CallEnd::kSuccess);
     return;
   }
   if (exchange_->started()) {
-    BreakOff(ResponseFault::kNotResumed);
+    AbortResponse(ResponseFault::kNotResumed);
     return;
   }
   exchange_->sink().OnComplete(std::move(response));
@@ -354,7 +354,7 @@
   Finish(std::move(complete), CallEnd::kSuccess);
 }
 
-void ForwardAttempt::BreakOff(ResponseFault fault) {
+void ForwardAttempt::AbortResponse(ResponseFault fault) {
   const std::string_view name = ResponseFaultName(fault);
   context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", name}});
   Log(LogLevel::kInfo, "response_broken",
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -55,7 +55,7 @@
   void Advance();
   bool Step();
   void Forward(StreamEvent event);
-  bool Follows(const StreamEvent& event) const;
+  bool IsNextEvent(const StreamEvent& event) const;
   /// The body ended, or the connection did.
   void Complete();
   void CompleteWithoutResponse();
@@ -64,7 +64,7 @@
   void CompleteResponse();
   void FinishReplicaFailure(HttpResponse response);
   void FinishSuccessfully();
-  void BreakOff(ResponseFault fault);
+  void AbortResponse(ResponseFault fault);
   void FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
                   CallEnd health);
   void Finish(AttemptResult result, CallEnd health);
@@ -81,12 +81,12 @@
   int status_ = 0;  ///< 0 until the head came.
   HttpHeaders headers_;
   std::string body_;
-  std::function<void()> read_on_;
+  std::function<void()> read_more_;
   std::optional<HttpOutcome> outcome_;
   TimerId response_timer_ = 0;
-  bool heard_ = false;    ///< Whether anything came in since the last look.
-  bool not_run_ = false;  ///< The replica says that it did not run the request.
-  bool event_under_way_ = false;
+  bool received_since_check_ = false;  ///< Whether anything came in since the last look.
+  bool not_run_ = false;               ///< The replica says that it did not run the request.
+  bool event_in_flight_ = false;
   bool advancing_ = false;
 };
 
--- a/src/calls/forward_exchange.h
+++ b/src/calls/forward_exchange.h
@@ -44,9 +44,9 @@
   Duration longest_pause{};  ///< Of its route: between two events of a stream.
   bool resumable = false;    ///< A broken stream may go on at another replica.
   /// The caller can not be told a replica's own failure: it becomes the end of the attempt.
-  bool judge_failures = false;
+  bool classify_failures = false;
   /// Failures of replicas, by their own word, after which it is not tried further; 0 is no bound.
-  std::uint32_t most_failures = 0;
+  std::uint32_t maximum_failures = 0;
   std::uint32_t earlier_failures = 0;  ///< Before this exchange.
 };
 
@@ -87,7 +87,9 @@
   /// Failures of replicas that ran the request, by their own word.
   std::uint32_t failures() const { return failures_; }
   void CountFailure() { ++failures_; }
-  bool FailedForGood() const { return call_.most_failures > 0 && failures_ >= call_.most_failures; }
+  bool FailedForGood() const {
+    return call_.maximum_failures > 0 && failures_ >= call_.maximum_failures;
+  }
 
  private:
   const ForwardCall call_;
--- a/src/calls/gateway_options.h
+++ b/src/calls/gateway_options.h
@@ -46,18 +46,18 @@
   Duration stall_limit = milliseconds(350);
   /// A call that may be repeated is taken elsewhere after this silence before an answer, or twice
   /// its route's target if that is longer.
-  Duration patience_before_repeat = milliseconds(500);
+  Duration response_timeout = milliseconds(500);
   /// How long a call to be passed on waits for the first configuration of a gateway that has just
   /// started; never longer than half of its caller's patience.
   Duration control_wait = milliseconds(2500);
-  std::size_t most_waiting_for_control = 256;
+  std::size_t maximum_waiting_for_control = 256;
   /// The same of a batch item that is passed on: it may run elsewhere.
   Duration batch_idle_limit = milliseconds(2500);
   /// A shorter wait for a first byte says nothing about the replica's health.
-  Duration least_patience = seconds(1);
-  std::size_t largest_request = std::size_t{1} << 20U;
+  Duration minimum_response_time = seconds(1);
+  std::size_t maximum_request_bytes = std::size_t{1} << 20U;
   std::size_t maximum_chunk_bytes = std::size_t{256} << 10U;
-  std::size_t largest_answer = std::size_t{8} << 20U;
+  std::size_t maximum_response_bytes = std::size_t{8} << 20U;
 };
 
 struct GatewayOptions {
--- a/src/calls/idempotency_cache.cc
+++ b/src/calls/idempotency_cache.cc
@@ -26,7 +26,7 @@
 const CachedResponse* IdempotencyCache::Find(const std::string& key) const {
   const auto found = entries_.find(key);
   const bool finished = found != entries_.end() && !found->second.running;
-  return finished ? &found->second.kept : nullptr;
+  return finished ? &found->second.response : nullptr;
 }
 
 void IdempotencyCache::Join(const std::string& key, Waiter waiter) {
@@ -41,17 +41,17 @@
   Entry& entry = found->second;
   const std::vector<Waiter> waiters = std::exchange(entry.waiters, {});
   const CachedResponse complete = answer;
-  if (answer.answer.text().size() > options_.largest_answer) {
+  if (answer.answer.text().size() > options_.maximum_response_bytes) {
     answer.answer.clear_text();
-    answer.text_kept = false;
+    answer.text_cached = false;
   }
   entry.running = false;
   entry.bytes = kEntryOverhead + key.size() + answer.answer.text().size();
-  entry.kept = std::move(answer);
-  entry.kept_at = now;
+  entry.response = std::move(answer);
+  entry.stored_at = now;
   entry.position = finished_.insert(finished_.end(), key);
-  kept_bytes_ += entry.bytes;
-  while (kept_bytes_ > options_.largest_total) {
+  cached_bytes_ += entry.bytes;
+  while (cached_bytes_ > options_.maximum_total_bytes) {
     DropOldest();
   }
   for (const Waiter& waiter : waiters) {
@@ -74,12 +74,13 @@
 void IdempotencyCache::DropOldest() {
   const auto found = entries_.find(finished_.front());
   finished_.pop_front();
-  kept_bytes_ -= found->second.bytes;
+  cached_bytes_ -= found->second.bytes;
   entries_.erase(found);
 }
 
 void IdempotencyCache::DropOld(TimePoint now) {
-  while (!finished_.empty() && now - entries_.at(finished_.front()).kept_at >= options_.keep) {
+  while (!finished_.empty() &&
+         now - entries_.at(finished_.front()).stored_at >= options_.retention) {
     DropOldest();
   }
 }
--- a/src/calls/idempotency_cache.h
+++ b/src/calls/idempotency_cache.h
@@ -20,15 +20,15 @@
 namespace cloverbank {
 
 struct IdempotencyOptions {
-  Duration keep = seconds(600);
-  std::size_t largest_total = std::size_t{32} << 20U;  ///< Bytes over all kept answers.
-  std::size_t largest_answer = std::size_t{256} << 10U;
+  Duration retention = seconds(600);
+  std::size_t maximum_total_bytes = std::size_t{32} << 20U;  ///< Bytes over all kept answers.
+  std::size_t maximum_response_bytes = std::size_t{256} << 10U;
 };
 
 /// What a finished request is answered again.
 struct CachedResponse {
   bool succeeded = false;
-  bool text_kept = true;  ///< False if the answer was too large to be kept.
+  bool text_cached = true;  ///< False if the answer was too large to be kept.
   int http_status = 200;
   proto::CallAnswer answer;  ///< When succeeded.
   proto::CallError error;    ///< When not.
@@ -59,15 +59,15 @@
   void Forget(const std::string& key, const CachedResponse& answer);
 
   std::size_t size() const { return entries_.size(); }
-  std::size_t kept_bytes() const { return kept_bytes_; }
+  std::size_t cached_bytes() const { return cached_bytes_; }
 
  private:
   struct Entry {
     std::uint64_t fingerprint = 0;
     bool running = true;
-    CachedResponse kept;
+    CachedResponse response;
     std::size_t bytes = 0;
-    TimePoint kept_at{};
+    TimePoint stored_at{};
     std::vector<Waiter> waiters;
     std::list<std::string>::iterator position;  ///< In `finished_`, when not running.
   };
@@ -78,7 +78,7 @@
   IdempotencyOptions options_;
   std::unordered_map<std::string, Entry> entries_;
   std::list<std::string> finished_;  ///< Oldest first.
-  std::size_t kept_bytes_ = 0;
+  std::size_t cached_bytes_ = 0;
 };
 
 }  // namespace cloverbank
--- a/src/calls/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -17,7 +17,7 @@
   json.body.set_model(json.backend);
   JsonAttemptCallbacks callbacks;
   const std::weak_ptr<JsonExchange> weak = weak_from_this();
-  callbacks.on_chunk = [weak, events, largest = context.options.largest_answer](
+  callbacks.on_chunk = [weak, events, largest = context.options.maximum_response_bytes](
                            const proto::StreamChunk& chunk, std::function<void()> more) {
     if (const auto self = weak.lock()) {
       self->OnChunk(chunk, std::move(more), events, largest);
@@ -39,16 +39,16 @@
 }
 
 void JsonExchange::OnChunk(const proto::StreamChunk& chunk, std::function<void()> more,
-                           const ExchangeEvents& events, std::size_t largest_answer) {
+                           const ExchangeEvents& events, std::size_t maximum_response_bytes) {
   if (on_chunk_) {
-    events.on_passed_on();
+    events.on_committed();
     on_chunk_(chunk, std::move(more));
     return;
   }
   answer_.set_run_id(chunk.run_id());
   answer_.mutable_text()->append(chunk.text());
   answer_.set_tokens(answer_.tokens() + (chunk.text().empty() ? 0 : 1));
-  if (answer_.text().size() > largest_answer) {
+  if (answer_.text().size() > maximum_response_bytes) {
     FailAsTooLarge(events);
     return;
   }
--- a/src/calls/json_exchange.h
+++ b/src/calls/json_exchange.h
@@ -28,11 +28,11 @@
   std::size_t request_bytes() const override { return body_.ByteSizeLong(); }
 
   /// @return the whole answer of a call that succeeded, empty of text if pieces were handed on.
-  proto::CallAnswer TakeAnswer() { return std::move(answer_); }
+  proto::CallAnswer TakeResponse() { return std::move(answer_); }
 
  private:
   void OnChunk(const proto::StreamChunk& chunk, std::function<void()> more,
-               const ExchangeEvents& events, std::size_t largest_answer);
+               const ExchangeEvents& events, std::size_t maximum_response_bytes);
   void OnDone(AttemptResult result, const ExchangeEvents& events);
   void FailAsTooLarge(const ExchangeEvents& events);
 
--- a/src/calls/line_reader.h
+++ b/src/calls/line_reader.h
@@ -20,7 +20,7 @@
   /// @return what is left after the last line end, once the body has ended.
   std::string TakeRest();
   /// Whether the unfinished line is longer than allowed.
-  bool TooLong() const { return buffer_.size() - start_ > largest_line_; }
+  bool IsTooLong() const { return buffer_.size() - start_ > largest_line_; }
 
  private:
   std::size_t largest_line_;
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -13,14 +13,14 @@
 /// Between offers of room while calls are held back from cold replicas.
 constexpr Duration kSlowStartOfferInterval = milliseconds(20);
 
-RouterOptions OptionsOfRouter(const GatewayOptions& options) {
+RouterOptions MakeRouterOptions(const GatewayOptions& options) {
   RouterOptions router;
   router.zone = options.zone;
   router.load_reported = options.probe.enabled;
   return router;
 }
 
-ReplicaHealthOptions OptionsOfHealth(const GatewayOptions& options) {
+ReplicaHealthOptions MakeHealthOptions(const GatewayOptions& options) {
   ReplicaHealthOptions health = options.health;
   health.probed = options.probe.enabled;
   if (!health.probed) {
@@ -31,16 +31,16 @@
 
 }  // namespace
 
-ReplicaPool::ReplicaPool(Environment& environment, HttpClient& client, const ServingRight& right,
-                         const GatewayOptions& options)
+ReplicaPool::ReplicaPool(Environment& environment, HttpClient& client,
+                         const ServingPermission& permission, const GatewayOptions& options)
     : environment_(environment),
-      right_(right),
+      permission_(permission),
       own_zone_(options.zone),
       longest_start_delay_(options.sharing.longest_start_delay),
-      health_(OptionsOfHealth(options)),
-      slow_start_(right, directory_, GatewayQuota{options.zone}),
+      health_(MakeHealthOptions(options)),
+      slow_start_(permission, directory_, GatewayQuota{options.zone}),
       prefill_(options.prefill),
-      router_(OptionsOfRouter(options), directory_, health_, loads_, &slow_start_.slow_start(),
+      router_(MakeRouterOptions(options), directory_, health_, loads_, &slow_start_.slow_start(),
               &prefill_),
       poller_(environment, client, options.replica_list,
               [this](const proto::ReplicaList& list) { return OnList(list); }),
@@ -94,7 +94,7 @@
 }
 
 std::uint32_t ReplicaPool::FreeBatchSlots(const std::string& backend) const {
-  return router_.FreeBatchSlots(right_.configuration(), backend, environment_.Now());
+  return router_.FreeBatchSlots(permission_.configuration(), backend, environment_.Now());
 }
 
 bool ReplicaPool::CanSend(const ReplicaUse& use, const proto::Route& route) const {
@@ -105,7 +105,7 @@
   }
   const bool chosen =
       route.backend_kind() != proto::BACKEND_KIND_HTTP || AllowsBackend(route, record->backend);
-  return list_usable() && chosen && ZoneServes(right_.configuration(), route, record->zone);
+  return list_usable() && chosen && ZoneServes(permission_.configuration(), route, record->zone);
 }
 
 ReplicaUse ReplicaPool::MakeUse(const ReplicaRecord& replica, WorkKind work,
@@ -123,8 +123,8 @@
   return use;
 }
 
-void ReplicaPool::OnPromptOfOther(const std::string& replica, std::uint32_t tokens,
-                                  std::uint64_t key) {
+void ReplicaPool::OnRemotePrompt(const std::string& replica, std::uint32_t tokens,
+                                 std::uint64_t key) {
   if (directory_.Find(replica) != nullptr) {
     prefill_.OnStart(replica, tokens, key, environment_.Now());
   }
@@ -163,8 +163,8 @@
   NotifyCapacity();
 }
 
-void ReplicaPool::OnAnswerHead(const ReplicaUse& use, const HttpHeaders& headers,
-                               Duration latency) {
+void ReplicaPool::OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers,
+                                 Duration latency) {
   if (!IsCurrent(use.id, use.instance_id)) {
     return;
   }
@@ -178,11 +178,11 @@
   GrantAllowances(use.id);
 }
 
-bool ReplicaPool::Stalled(const ReplicaUse& use) const {
+bool ReplicaPool::IsStalled(const ReplicaUse& use) const {
   return !IsCurrent(use.id, use.instance_id) || health_.Stalled(use.id, environment_.Now());
 }
 
-void ReplicaPool::OnHeard(const ReplicaUse& use) {
+void ReplicaPool::OnBytesReceived(const ReplicaUse& use) {
   if (IsCurrent(use.id, use.instance_id)) {
     health_.OnHeard(use.id, environment_.Now());
   }
@@ -223,7 +223,7 @@
 
 void ReplicaPool::RefreshActive(const std::vector<std::string>& restarted) {
   const ActiveReplicas::Change change =
-      active_.Update(directory_, right_.configuration(), restarted);
+      active_.Update(directory_, permission_.configuration(), restarted);
   ResetHealth(change);
   if (probed_) {
     UpdateProbeTargets(change.added);
@@ -297,7 +297,7 @@
 }
 
 void ReplicaPool::GrantAllowances(const std::string& id) {
-  allowances_.OnLoadReport(*directory_.Find(id), right_.configuration(), loads_[id]);
+  allowances_.OnLoadReport(*directory_.Find(id), permission_.configuration(), loads_[id]);
 }
 
 void ReplicaPool::EvaluateHealth() {
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -12,7 +12,7 @@
 #include "calls/active_replicas.h"
 #include "calls/capacity_allowances.h"
 #include "calls/gateway_options.h"
-#include "calls/serving_right.h"
+#include "calls/serving_permission.h"
 #include "calls/slow_start_quota.h"
 #include "net/http_types.h"
 #include "replicas/replica_directory.h"
@@ -37,7 +37,7 @@
 
 class ReplicaPool {
  public:
-  ReplicaPool(Environment& environment, HttpClient& client, const ServingRight& right,
+  ReplicaPool(Environment& environment, HttpClient& client, const ServingPermission& permission,
               const GatewayOptions& options);
   ~ReplicaPool();
   ReplicaPool(const ReplicaPool&) = delete;
@@ -58,19 +58,19 @@
                      std::string_view prefix_key) const;
   void OnCallStarted(const ReplicaUse& use);
   /// Another gateway sent a prompt to the replica.
-  void OnPromptOfOther(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
+  void OnRemotePrompt(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
   /// Runs for each prompt that is sent from here.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
   void OnPrompt(PromptObserver observer) { on_prompt_ = std::move(observer); }
   void OnCallEnded(const ReplicaUse& use, CallEnd end);
   /// The head of an answer came, `latency` after the request was sent.
-  void OnAnswerHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
+  void OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
 
   /// Whether a replica has fallen silent while calls wait there, or is not the same any more.
-  bool Stalled(const ReplicaUse& use) const;
+  bool IsStalled(const ReplicaUse& use) const;
   /// Bytes of an answer came in.
-  void OnHeard(const ReplicaUse& use);
+  void OnBytesReceived(const ReplicaUse& use);
 
   /// Which part of what cold replicas bear and of the room for batch work is this gateway's.
   void SetQuota(const GatewayQuota& quota);
@@ -111,7 +111,7 @@
   }
 
   Environment& environment_;
-  const ServingRight& right_;
+  const ServingPermission& permission_;
   const std::string own_zone_;
   const Duration longest_start_delay_;
   ReplicaDirectory directory_;
--- a/src/calls/retry_policy.cc
+++ b/src/calls/retry_policy.cc
@@ -36,7 +36,7 @@
     case AttemptEnd::kRejected:
       return {};
     case AttemptEnd::kNotRun:
-      if (passed_on_) {
+      if (committed_) {
         return {};
       }
       if (attempts_left || attempts_since_wait_ < options_.maximum_refusals) {
@@ -62,7 +62,7 @@
   // Refusals do not count where a call has attempts of its own: nothing ran there.
   const bool counted = options_.maximum_refusals == 0;
   const bool attempts_left = !counted || attempts_since_wait_ < options_.maximum_attempts;
-  return !passed_on_ && attempts_left && retries_ + 1 < options_.maximum_attempts &&
+  return !committed_ && attempts_left && retries_ + 1 < options_.maximum_attempts &&
          (!options_.budgeted || budget_.HasRetry());
 }
 
@@ -70,7 +70,7 @@
   const std::uint32_t doubling = std::min(retries_, kLargestDoubling);
   const Duration longest =
       std::min(options_.maximum_backoff, options_.base_backoff * (std::int64_t{1} << doubling));
-  // Full jitter: spreads the retries of calls that failed together.
+  // IsFull jitter: spreads the retries of calls that failed together.
   const auto span = static_cast<std::uint64_t>(longest.count());
   return Duration(static_cast<std::int64_t>(random % (span + 1)));
 }
--- a/src/calls/retry_policy.h
+++ b/src/calls/retry_policy.h
@@ -74,7 +74,7 @@
   /// An attempt is about to be sent.
   void OnAttempt();
   /// A piece of the answer was handed to the caller: from now on nothing is retried.
-  void OnPassedOn() { passed_on_ = true; }
+  void OnCommitted() { committed_ = true; }
   /// An attempt ended. @param repeatable whether the route allows the call to be carried out twice.
   /// @param random for the jitter of the backoff.
   RetryDecision Decide(AttemptEnd end, bool repeatable, std::uint64_t random);
@@ -94,7 +94,7 @@
   std::uint32_t attempts_ = 0;
   std::uint32_t attempts_since_wait_ = 0;
   std::uint32_t retries_ = 0;
-  bool passed_on_ = false;
+  bool committed_ = false;
   proto::Executed executed_ = proto::EXECUTED_NO;
 };
 
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -56,16 +56,16 @@
       Finish(session_.ClassifyNoResponse(outcome, false));
       return;
     }
-    context_.pool.OnAnswerHead(request_.use, outcome.response.headers, session_.Elapsed());
+    context_.pool.OnResponseHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
       Finish(ReadRefusal(outcome.response.status, outcome.response.body));
       return;
     }
-    Finish(ReadAnswer(outcome.response.body));
+    Finish(ParseResponse(outcome.response.body));
   }
 
   /// A whole answer counts only if it is this call's.
-  FailureReading ReadAnswer(const std::string& body) const {
+  FailureReading ParseResponse(const std::string& body) const {
     FailureReading reading;
     const bool readable = FromJson(body, &reading.result.answer, UnknownFields::kIgnore).ok();
     if (readable && reading.result.answer.call_id() == request_.body.call_id()) {
--- a/src/calls/serving_right.h
+++ b/src/calls/serving_permission.h
@@ -7,11 +7,11 @@
 
 namespace cloverbank {
 
-class ServingRight {
+class ServingPermission {
  public:
-  virtual ~ServingRight() = default;
+  virtual ~ServingPermission() = default;
   /// Whether the node lease holds now. Asked immediately before each forward.
-  virtual bool Valid() const = 0;
+  virtual bool IsValid() const = 0;
   /// The newest configuration; version 0 until the first arrives.
   virtual const proto::RoutingConfiguration& configuration() const = 0;
 };
--- a/src/calls/slow_start_quota.cc
+++ b/src/calls/slow_start_quota.cc
@@ -40,7 +40,7 @@
 }
 
 double SlowStartQuota::RateFor(const ReplicaRecord& record) const {
-  const proto::Backend* backend = FindBackend(right_.configuration(), record.backend);
+  const proto::Backend* backend = FindBackend(permission_.configuration(), record.backend);
   if (backend == nullptr) {
     return 0;
   }
--- a/src/calls/slow_start_quota.h
+++ b/src/calls/slow_start_quota.h
@@ -4,7 +4,7 @@
 /// second that such a replica may get from all gateways together. Pure but for the configuration it
 /// reads.
 
-#include "calls/serving_right.h"
+#include "calls/serving_permission.h"
 #include "replicas/replica_directory.h"
 #include "replicas/slow_start.h"
 #include "routing/router.h"
@@ -14,8 +14,9 @@
 class SlowStartQuota {
  public:
   /// All references outlive it.
-  SlowStartQuota(const ServingRight& right, const ReplicaDirectory& directory, GatewayQuota quota)
-      : right_(right), directory_(directory), quota_(std::move(quota)) {}
+  SlowStartQuota(const ServingPermission& permission, const ReplicaDirectory& directory,
+                 GatewayQuota quota)
+      : permission_(permission), directory_(directory), quota_(std::move(quota)) {}
 
   /// This gateway's part of the rates changed. @return false if it is the same as before.
   bool SetQuota(const GatewayQuota& quota, TimePoint now);
@@ -32,7 +33,7 @@
   /// @return how many calls a second this gateway may send to a replica that warms up.
   double RateFor(const ReplicaRecord& record) const;
 
-  const ServingRight& right_;
+  const ServingPermission& permission_;
   const ReplicaDirectory& directory_;
   GatewayQuota quota_;
   SlowStart slow_start_;
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -72,7 +72,7 @@
       return;
     }
     status_ = status;
-    context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
+    context_.pool.OnResponseHead(request_.use, headers, session_.Elapsed());
   }
 
   void OnBytes(const std::string& bytes, std::function<void()> more) {
@@ -87,7 +87,7 @@
       return;
     }
     lines_.Append(bytes);
-    read_on_ = std::move(more);
+    read_more_ = std::move(more);
     Advance();
   }
 
@@ -131,27 +131,27 @@
       HandleLine(*line);
       return true;
     }
-    if (lines_.TooLong()) {
-      check_.Malformed();
-      BreakOff();
+    if (lines_.IsTooLong()) {
+      check_.RecordMalformed();
+      AbortResponse();
       return false;
     }
     if (outcome_) {
       Complete();
       return !session_.done();
     }
-    if (!read_on_) {
+    if (!read_more_) {
       return false;
     }
-    std::exchange(read_on_, nullptr)();
-    return read_on_ != nullptr || outcome_.has_value();
+    std::exchange(read_more_, nullptr)();
+    return read_more_ != nullptr || outcome_.has_value();
   }
 
   void HandleLine(const std::string& line) {
     proto::StreamChunk chunk;
     if (!FromJson(line, &chunk, UnknownFields::kIgnore).ok()) {
-      check_.Malformed();
-      BreakOff();
+      check_.RecordMalformed();
+      AbortResponse();
       return;
     }
     switch (check_.Check(chunk)) {
@@ -166,7 +166,7 @@
         FinishReported(chunk.error());
         break;
       case ChunkCheckResult::kBroken:
-        BreakOff();
+        AbortResponse();
         break;
     }
   }
@@ -200,10 +200,10 @@
       return;
     }
     check_.BodyEnded();
-    BreakOff();
+    AbortResponse();
   }
 
-  void BreakOff() {
+  void AbortResponse() {
     const std::string_view fault = StreamFaultName(check_.fault());
     context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", fault}});
     Log(LogLevel::kWarning, "stream_broken",
@@ -236,8 +236,8 @@
     if (outcome_) {
       session_.Release(CallEnd::kSuccess);
     }
-    if (read_on_) {
-      std::exchange(read_on_, nullptr)();
+    if (read_more_) {
+      std::exchange(read_more_, nullptr)();
     }
     JsonAttemptResult result;
     result.end = AttemptEnd::kComplete;
@@ -268,7 +268,7 @@
   std::shared_ptr<HttpCall> call_;
   int status_ = 0;  ///< 0 until the head came.
   std::string error_body_;
-  std::function<void()> read_on_;
+  std::function<void()> read_more_;
   std::optional<HttpOutcome> outcome_;
   bool chunk_in_flight_ = false;
   bool advancing_ = false;
--- a/src/calls/stream_check.cc
+++ b/src/calls/stream_check.cc
@@ -25,7 +25,7 @@
 }
 
 ChunkCheckResult StreamCheck::Check(const proto::StreamChunk& chunk) {
-  const StreamFault fault = FaultOf(chunk);
+  const StreamFault fault = FindFault(chunk);
   if (fault != StreamFault::kNone) {
     return Break(fault);
   }
@@ -34,11 +34,11 @@
   }
   ++next_sequence_;
   if (chunk.has_error()) {
-    over_ = true;
+    ended_ = true;
     return ChunkCheckResult::kReported;
   }
   if (chunk.end()) {
-    over_ = true;
+    ended_ = true;
     complete_ = true;
     return ChunkCheckResult::kEnd;
   }
@@ -46,22 +46,22 @@
 }
 
 bool StreamCheck::BodyEnded() {
-  if (!over_) {
+  if (!ended_) {
     Break(StreamFault::kNoEnd);
   }
   return complete_ && fault_ == StreamFault::kNone;
 }
 
 ChunkCheckResult StreamCheck::Break(StreamFault fault) {
-  over_ = true;
+  ended_ = true;
   if (fault_ == StreamFault::kNone) {
     fault_ = fault;
   }
   return ChunkCheckResult::kBroken;
 }
 
-StreamFault StreamCheck::FaultOf(const proto::StreamChunk& chunk) const {
-  if (over_) {
+StreamFault StreamCheck::FindFault(const proto::StreamChunk& chunk) const {
+  if (ended_) {
     return StreamFault::kAfterEnd;
   }
   if (chunk.call_id() != call_id_) {
--- a/src/calls/stream_check.h
+++ b/src/calls/stream_check.h
@@ -43,7 +43,7 @@
   /// The body ended. @return whether it ended whole, i.e. after the regular last piece.
   bool BodyEnded();
   /// Something that was not a piece arrived.
-  void Malformed() { Break(StreamFault::kMalformed); }
+  void RecordMalformed() { Break(StreamFault::kMalformed); }
 
   StreamFault fault() const { return fault_; }
   /// Whether the run is known to have produced anything.
@@ -54,12 +54,12 @@
 
  private:
   ChunkCheckResult Break(StreamFault fault);
-  StreamFault FaultOf(const proto::StreamChunk& chunk) const;
+  StreamFault FindFault(const proto::StreamChunk& chunk) const;
 
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  bool over_ = false;
+  bool ended_ = false;
   bool complete_ = false;
   StreamFault fault_ = StreamFault::kNone;
 };
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -141,7 +141,7 @@
     return false;
   }
   *batch_id = std::string(PathSegment(request.path, kBatchIdSegment));
-  const Result<PartitionId> found = PartitionOfBatch(*batch_id, agent_.partition_count());
+  const Result<PartitionId> found = ParseBatchPartition(*batch_id, agent_.partition_count());
   if (!found.ok()) {
     SendStatus(responder, found.status(), proto::EXECUTED_NO);
     return false;
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -12,29 +12,29 @@
 constexpr Duration kRetryDelay = milliseconds(100);
 
 /// What an answer says about going on.
-enum class ReplyMeaning : std::uint8_t {
+enum class ReplyOutcome : std::uint8_t {
   kFinal,  ///< The owner's answer.
   kNotCarriedOut,
-  kMayHaveBeen,
+  kMaybeCarriedOut,
 };
 
-ReplyMeaning Interpret(const Status& status) {
+ReplyOutcome ClassifyReply(const Status& status) {
   switch (status.code()) {
     case StatusCode::kUnavailable:
     case StatusCode::kNotLeader:
-      return ReplyMeaning::kNotCarriedOut;
+      return ReplyOutcome::kNotCarriedOut;
     case StatusCode::kConflict:
       return status.detail() == kNotOwnerDetail || status.detail() == kQuotaOwnerUnavailableDetail
-                 ? ReplyMeaning::kNotCarriedOut
-                 : ReplyMeaning::kFinal;
+                 ? ReplyOutcome::kNotCarriedOut
+                 : ReplyOutcome::kFinal;
     case StatusCode::kUnknownOutcome:
     case StatusCode::kFenced:
     case StatusCode::kStaleEpoch:
     case StatusCode::kLeaseExpired:
     case StatusCode::kCancelled:
-      return ReplyMeaning::kMayHaveBeen;
+      return ReplyOutcome::kMaybeCarriedOut;
     default:
-      return ReplyMeaning::kFinal;
+      return ReplyOutcome::kFinal;
   }
 }
 
@@ -63,7 +63,7 @@
   }
   const TimePoint now = environment_.Now();
   if (now >= end_) {
-    const bool unknown = outcome_unknown_ || asked_.valid();
+    const bool unknown = outcome_unknown_ || current_node_.valid();
     std::string message = unknown ? "the batch's queue node gave no answer in time"
                                   : "the batch's queue node can not be reached";
     if (!last_failure_.ok()) {
@@ -74,8 +74,8 @@
     return;
   }
   const proto::Server* server = agent_.fleet().OwnerOf(options_.partition);
-  const bool changed = server != nullptr && NodeId(server->node_id()) != asked_;
-  if (changed && (asked_.valid() || now >= retry_at_)) {
+  const bool changed = server != nullptr && NodeId(server->node_id()) != current_node_;
+  if (changed && (current_node_.valid() || now >= retry_at_)) {
     SendTo(*server);
   }
   environment_.ScheduleAfter(std::min(kCheckInterval, end_ - now),
@@ -83,8 +83,9 @@
 }
 
 void BatchOwnerCall::SendTo(const proto::Server& server) {
-  outcome_unknown_ = outcome_unknown_ || asked_.valid();  // Its earlier node may still do it.
-  asked_ = NodeId(server.node_id());
+  outcome_unknown_ =
+      outcome_unknown_ || current_node_.valid();  // Its earlier node may still do it.
+  current_node_ = NodeId(server.node_id());
   ++attempt_;
   const Endpoint endpoint{server.peer_endpoint().host(),
                           static_cast<std::uint16_t>(server.peer_endpoint().port())};
@@ -97,10 +98,10 @@
 }
 
 void BatchOwnerCall::HandleReply(std::uint64_t attempt, PeerReply reply) {
-  const ReplyMeaning meaning = Interpret(reply.status);
+  const ReplyOutcome outcome = ClassifyReply(reply.status);
   const bool current = attempt == attempt_;
   // An earlier owner that answers late was right if it succeeded; its refusals no longer count.
-  if (reply.status.ok() || (meaning == ReplyMeaning::kFinal && current)) {
+  if (reply.status.ok() || (outcome == ReplyOutcome::kFinal && current)) {
     Finish(std::move(reply));
     return;
   }
@@ -110,11 +111,11 @@
   const bool unreachable = reply.status.code() == StatusCode::kUnavailable ||
                            reply.status.code() == StatusCode::kUnknownOutcome;
   if (unreachable) {
-    agent_.ReportSuspect(asked_);
+    agent_.ReportSuspect(current_node_);
   }
-  outcome_unknown_ = outcome_unknown_ || meaning == ReplyMeaning::kMayHaveBeen;
+  outcome_unknown_ = outcome_unknown_ || outcome == ReplyOutcome::kMaybeCarriedOut;
   last_failure_ = reply.status;
-  asked_ = NodeId();
+  current_node_ = NodeId();
   retry_at_ = environment_.Now() + kRetryDelay;
 }
 
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -47,7 +47,7 @@
   PeerReplyCallback done_;
   TimePoint end_;
   TimePoint retry_at_;
-  NodeId asked_;               ///< The node whose answer is awaited; invalid if none.
+  NodeId current_node_;        ///< The node whose answer is awaited; invalid if none.
   std::uint64_t attempt_ = 0;  ///< Of earlier ones only success counts.
   bool outcome_unknown_ = false;
   Status last_failure_;
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -75,7 +75,7 @@
   return {StatusCode::kUnavailable, "this gateway has lost touch with control; try another one"};
 }
 
-std::uint64_t BatchService::PartitionOf(std::string_view host, std::string_view batch_id) const {
+std::uint64_t BatchService::FindPartition(std::string_view host, std::string_view batch_id) const {
   return PartitionOfNamedBatch(host, batch_id, agent_.partition_count()).value();
 }
 
@@ -86,7 +86,7 @@
     return;
   }
   proto::SubmitBatchRequest request;
-  request.set_partition_id(PartitionOf(submission.host, submission.batch_id));
+  request.set_partition_id(FindPartition(submission.host, submission.batch_id));
   request.set_idempotent(true);
   request.set_wait_ms(static_cast<std::uint32_t>(route.target_ms() * kSubmissionWaitRatio));
   proto::SubmitBatch& batch = *request.mutable_batch();
@@ -120,7 +120,7 @@
     return;
   }
   proto::ListResultsRequest request;
-  request.set_partition_id(PartitionOf(host, batch_id));
+  request.set_partition_id(FindPartition(host, batch_id));
   request.set_batch_id(batch_id);
   request.set_cursor(CursorAt(position));
   request.set_limit(kLargestPage);
@@ -142,7 +142,7 @@
     return;
   }
   proto::GetItemRequest request;
-  request.set_partition_id(PartitionOf(host, batch_id));
+  request.set_partition_id(FindPartition(host, batch_id));
   request.set_batch_id(batch_id);
   request.set_custom_id(item_id);
   owners_.Call<proto::GetItemResponse>(
@@ -163,7 +163,7 @@
     return;
   }
   proto::CancelBatchRequest request;
-  request.set_partition_id(PartitionOf(host, batch_id));
+  request.set_partition_id(FindPartition(host, batch_id));
   request.set_batch_id(batch_id);
   owners_.Call<proto::CancelBatchResponse>(
       "queue.CancelBatch", request, kChangeDeadline,
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -65,7 +65,7 @@
  private:
   /// Whether this gateway may ask on behalf of clients now.
   Status Serving() const;
-  std::uint64_t PartitionOf(std::string_view host, std::string_view batch_id) const;
+  std::uint64_t FindPartition(std::string_view host, std::string_view batch_id) const;
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -39,17 +39,17 @@
 
 const proto::Route* ForwardingService::FindRouteOf(std::string_view host,
                                                    std::string_view path) const {
-  return MatchRoute(context_.right.configuration(), host, path);
+  return MatchRoute(context_.permission.configuration(), host, path);
 }
 
 bool ForwardingService::CanServe() const {
-  return context_.right.configuration().label() != 0 && context_.right.Valid();
+  return context_.permission.configuration().label() != 0 && context_.permission.IsValid();
 }
 
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
   if (CanServe()) {
     Admit(std::move(call), responder);
-  } else if (waiting_.size() < options_.calls.most_waiting_for_control) {
+  } else if (waiting_.size() < options_.calls.maximum_waiting_for_control) {
     WaitForControl(std::move(call), responder);
   } else {
     RefuseWithoutControl(*responder);
@@ -57,9 +57,9 @@
 }
 
 void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  const Duration patience = call.patience.value_or(options_.calls.default_deadline);
-  const Duration wait = std::min(options_.calls.control_wait, patience / 2);
-  waiting_.Add(std::move(call), responder, wait, patience);
+  const Duration timeout = call.patience.value_or(options_.calls.default_deadline);
+  const Duration wait = std::min(options_.calls.control_wait, timeout / 2);
+  waiting_.Add(std::move(call), responder, wait, timeout);
 }
 
 void ForwardingService::OnConfiguration() {
@@ -110,7 +110,7 @@
   CallSpec spec = MakeSpec(route, call);
   const std::uint64_t number = next_call_++;
   auto live = std::make_shared<LiveForward>(
-      context_, responder, [this, number, name = route.name()] { OnCallOver(number, name); });
+      context_, responder, [this, number, name = route.name()] { OnCallFinished(number, name); });
   calls_.emplace(number, live);
   live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
 }
@@ -144,7 +144,7 @@
   SendRefusal(responder, http_status, error);
 }
 
-void ForwardingService::OnCallOver(std::uint64_t number, const std::string& route) {
+void ForwardingService::OnCallFinished(std::uint64_t number, const std::string& route) {
   context_.queue.admission().Finish(route);
   calls_.erase(number);
 }
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -51,7 +51,7 @@
   CallSpec MakeSpec(const proto::Route& route, const IncomingCall& call) const;
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
-  void OnCallOver(std::uint64_t number, const std::string& route);
+  void OnCallFinished(std::uint64_t number, const std::string& route);
 
   CallContext context_;
   const GatewayOptions& options_;
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -6,7 +6,7 @@
 #include "admission/call_queue.h"
 #include "batch_work/batch_worker.h"
 #include "calls/replica_pool.h"
-#include "calls/serving_right.h"
+#include "calls/serving_permission.h"
 #include "gateway/batch_api.h"
 #include "gateway/batch_service.h"
 #include "gateway/forwarding_service.h"
@@ -20,14 +20,15 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kTidyInterval = seconds(10);
+constexpr Duration kCleanupInterval = seconds(10);
 
 /// The node agent's lease and configuration.
-class AgentRight final : public ServingRight {
+class AgentServingPermission final : public ServingPermission {
  public:
-  AgentRight(const Environment& environment, const NodeAgent& agent, Duration longest_without)
+  AgentServingPermission(const Environment& environment, const NodeAgent& agent,
+                         Duration longest_without)
       : environment_(environment), agent_(agent), longest_without_(longest_without) {}
-  bool Valid() const override {
+  bool IsValid() const override {
     // An id that was fenced leaves no lease behind; its end counts all the same.
     last_lease_end_ = std::max(last_lease_end_, agent_.lease_end());
     return agent_.LeaseValid() || environment_.Now() < last_lease_end_ + longest_without_;
@@ -65,12 +66,15 @@
       : environment(environment_in),
         agent(agent_in),
         options(EnableListSharing(environment_in, agent_in, std::move(options_in))),
-        right(environment, agent, options.serve_without_control),
-        pool(environment, client, right, options),
+        permission(environment, agent, options.serve_without_control),
+        pool(environment, client, permission, options),
         queue(environment, options.admission),
         retry_budget(options.retry),
-        context{
-            {environment, client, pool, options.calls}, right, queue, retry_budget, options.retry},
+        context{{environment, client, pool, options.calls},
+                permission,
+                queue,
+                retry_budget,
+                options.retry},
         live(context, options),
         forwarding(context, options),
         batch_caller(context, options.forward_headers),
@@ -79,7 +83,7 @@
         gossip(
             environment, [this] { return agent.neighbours(); },
             [this](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
-              pool.OnPromptOfOther(replica, tokens, key);
+              pool.OnRemotePrompt(replica, tokens, key);
             }),
         batches(environment, router, agent),
         operators(router, agent),
@@ -88,22 +92,22 @@
     UpdateRank();
   }
 
-  ~State() { environment.CancelTimer(tidy_timer); }
+  ~State() { environment.CancelTimer(cleanup_timer); }
 
   void UpdateRank() {
     const GatewayRank place = agent.gateway_rank();
     pool.SetQuota({options.zone, place.index, place.count});
   }
 
-  void Tidy() {
-    queue.admission().Tidy(agent.configuration(), environment.Now());
-    tidy_timer = environment.ScheduleAfter(kTidyInterval, [this] { Tidy(); });
+  void RemoveIdle() {
+    queue.admission().RemoveIdle(agent.configuration(), environment.Now());
+    cleanup_timer = environment.ScheduleAfter(kCleanupInterval, [this] { RemoveIdle(); });
   }
 
   Environment& environment;
   NodeAgent& agent;
   GatewayOptions options;
-  AgentRight right;
+  AgentServingPermission permission;
   ReplicaPool pool;
   CallQueue queue;
   RetryBudget retry_budget;
@@ -117,7 +121,7 @@
   BatchApi batches;
   OperatorApi operators;
   StatusApi status;
-  TimerId tidy_timer = 0;
+  TimerId cleanup_timer = 0;
   bool draining = false;
   /// Observers of the agent outlive this service; they act only while it lives.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
@@ -132,7 +136,7 @@
       [state](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
         state->gossip.Announce(replica, tokens, key);
       });
-  state->pool.OnCapacity([state] { state->queue.DispatchSoon(); });
+  state->pool.OnCapacity([state] { state->queue.ScheduleDispatch(); });
   agent.OnGatewayRank([state, alive] {
     if (!alive.expired()) {
       state->UpdateRank();
@@ -142,7 +146,7 @@
     if (!alive.expired()) {
       state->pool.OnConfiguration();
       state->forwarding.OnConfiguration();
-      state->queue.DispatchSoon();
+      state->queue.ScheduleDispatch();
     }
   });
 }
@@ -152,7 +156,7 @@
 void GatewayService::Start() {
   state_->pool.Start();
   state_->batch_worker.Start();
-  state_->Tidy();
+  state_->RemoveIdle();
 }
 
 void GatewayService::Drain() {
@@ -163,7 +167,7 @@
 
 bool GatewayService::Drained() const {
   const bool batches_over =
-      state_->batch_worker.held() == 0 && state_->batch_worker.unreported() == 0;
+      state_->batch_worker.pending() == 0 && state_->batch_worker.unreported() == 0;
   return state_->draining && batches_over && calls_under_way() == 0;
 }
 
@@ -171,7 +175,7 @@
   const char* missing = nullptr;
   if (state_->draining) {
     missing = "the gateway is stopping";
-  } else if (!state_->right.Valid()) {
+  } else if (!state_->permission.IsValid()) {
     missing = "no lease from the coordinators";
   } else if (state_->agent.configuration().version() == 0) {
     missing = "no configuration yet";
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kLargestKeptStream = std::size_t{256} << 10U;
+constexpr std::size_t kMaximumCachedStreamBytes = std::size_t{256} << 10U;
 
 std::string ToLine(const proto::StreamChunk& chunk) { return ToJson(chunk) + "\n"; }
 
@@ -16,7 +16,7 @@
   return {{"Content-Type", "application/x-ndjson"}, {"X-Call-Id", call_id}};
 }
 
-void SendAnswer(HttpResponder& responder, const proto::CallAnswer& answer) {
+void SendResponse(HttpResponder& responder, const proto::CallAnswer& answer) {
   HttpResponse response;
   response.status = kHttpOk;
   response.headers = {{"Content-Type", "application/json"}, {"X-Call-Id", answer.call_id()}};
@@ -24,7 +24,7 @@
   responder.Send(std::move(response));
 }
 
-/// A kept answer as a stream of one text piece and the last one.
+/// A cached answer as a stream of one text piece and the last one.
 void SendAsStream(HttpResponder& responder, const proto::CallAnswer& answer) {
   proto::StreamChunk text;
   text.set_run_id(answer.run_id());
@@ -42,41 +42,41 @@
 
 }  // namespace
 
-void SendCached(HttpResponder& responder, const CachedResponse& kept, bool stream) {
-  if (!kept.succeeded) {
-    SendError(responder, kept.http_status, kept.error);
+void SendCached(HttpResponder& responder, const CachedResponse& cached, bool stream) {
+  if (!cached.succeeded) {
+    SendError(responder, cached.http_status, cached.error);
     return;
   }
-  if (!kept.text_kept) {
+  if (!cached.text_cached) {
     proto::CallError error;
     error.set_code("answer_not_kept");
     error.set_message("this request was answered before; the answer was too large to keep");
     error.set_executed(proto::EXECUTED_YES);
-    error.set_call_id(kept.answer.call_id());
+    error.set_call_id(cached.answer.call_id());
     SendError(responder, kHttpConflict, error);
     return;
   }
   if (stream) {
-    SendAsStream(responder, kept.answer);
+    SendAsStream(responder, cached.answer);
   } else {
-    SendAnswer(responder, kept.answer);
+    SendResponse(responder, cached.answer);
   }
 }
 
 CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer) {
-  CachedResponse kept;
-  kept.succeeded = result.succeeded;
-  kept.http_status = result.http_status;
-  kept.answer = answer;
-  kept.error = result.error;
-  return kept;
+  CachedResponse cached;
+  cached.succeeded = result.succeeded;
+  cached.http_status = result.http_status;
+  cached.answer = answer;
+  cached.error = result.error;
+  return cached;
 }
 
 LiveCall::LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder,
-                   Options options, IdempotencyCache& kept, FinishedHandler on_finished)
+                   Options options, IdempotencyCache& cached, FinishedHandler on_finished)
     : ClientCall(context, std::move(responder), std::move(on_finished)),
       options_(std::move(options)),
-      kept_(kept) {}
+      idempotency_cache_(cached) {}
 
 void LiveCall::Start(CallSpec spec, proto::CallRequest body) {
   call_id_ = body.call_id();
@@ -110,12 +110,12 @@
   }
   streamed_.set_run_id(chunk.run_id());
   streamed_.mutable_text()->append(chunk.text());
-  collecting_ = streamed_.text().size() <= kLargestKeptStream;
+  collecting_ = streamed_.text().size() <= kMaximumCachedStreamBytes;
 }
 
 void LiveCall::OnDone(const CallResult& result) {
   if (result.succeeded) {
-    answer_ = exchange_->TakeAnswer();
+    answer_ = exchange_->TakeResponse();
   }
   Remember(result);
   RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
@@ -129,7 +129,7 @@
   if (options_.stream && (stream_started() || result.succeeded)) {
     FinishStream(result);
   } else if (result.succeeded) {
-    SendAnswer(responder(), answer_);
+    SendResponse(responder(), answer_);
   } else {
     SendError(responder(), result.http_status, result.error);
   }
@@ -161,7 +161,7 @@
   left.error.set_message("the first request under this key was withdrawn by its caller");
   left.error.set_executed(executed);
   left.error.set_call_id(call_id_);
-  left.http_status = HttpStatusOf(executed);
+  left.http_status = HttpStatusForExecuted(executed);
   Remember(left);
   Finish();
 }
@@ -170,17 +170,17 @@
   if (options_.idempotency_key.empty()) {
     return;
   }
-  CachedResponse kept = ToCachedResponse(result, answer_);
+  CachedResponse cached = ToCachedResponse(result, answer_);
   if (!result.succeeded && result.error.executed() == proto::EXECUTED_NO) {
-    kept_.Forget(options_.idempotency_key, kept);
+    idempotency_cache_.Forget(options_.idempotency_key, cached);
     return;
   }
   if (result.succeeded && stream_started()) {
-    kept.answer = streamed_;
-    kept.answer.set_call_id(call_id_);
-    kept.text_kept = collecting_;
+    cached.answer = streamed_;
+    cached.answer.set_call_id(call_id_);
+    cached.text_cached = collecting_;
   }
-  kept_.Store(options_.idempotency_key, std::move(kept), environment().Now());
+  idempotency_cache_.Store(options_.idempotency_key, std::move(cached), environment().Now());
 }
 
 }  // namespace cloverbank
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -15,20 +15,20 @@
 
 namespace cloverbank {
 
-/// Sends what a kept or joined request ended with.
-void SendCached(HttpResponder& responder, const CachedResponse& kept, bool stream);
-/// @return what is kept of a finished call. @param answer of one that succeeded.
+/// Sends what a cached or joined request ended with.
+void SendCached(HttpResponder& responder, const CachedResponse& cached, bool stream);
+/// @return what is cached of a finished call. @param answer of one that succeeded.
 CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer);
 
 class LiveCall final : public ClientCall {
  public:
   struct Options {
     bool stream = false;
-    std::string idempotency_key;  ///< Full cache key; empty if the caller named none.
+    std::string idempotency_key;  ///< IsFull cache key; empty if the caller named none.
   };
 
   LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder, Options options,
-           IdempotencyCache& kept, FinishedHandler on_finished);
+           IdempotencyCache& cached, FinishedHandler on_finished);
 
   /// @param spec lacks its exchange, which is made of `body`.
   void Start(CallSpec spec, proto::CallRequest body);
@@ -45,13 +45,13 @@
   void Remember(const CallResult& result);
 
   Options options_;
-  IdempotencyCache& kept_;
+  IdempotencyCache& idempotency_cache_;
   std::shared_ptr<JsonExchange> exchange_;
   proto::CallAnswer answer_;  ///< Of a call that succeeded.
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  proto::CallAnswer streamed_;  ///< Text that went out, as far as it may be kept.
+  proto::CallAnswer streamed_;  ///< Text that went out, as far as it may be cached.
   bool collecting_ = true;
 };
 
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -63,7 +63,7 @@
 LiveCallHandler::LiveCallHandler(const CallContext& context, const GatewayOptions& options)
     : context_(context),
       options_(options),
-      kept_(options.idempotency),
+      idempotency_cache_(options.idempotency),
       id_prefix_(context.attempt.environment.Random()) {}
 
 LiveCallHandler::~LiveCallHandler() = default;
@@ -109,10 +109,10 @@
 
 std::optional<LiveCallHandler::RequestProblem> LiveCallHandler::FindProblem(
     const HttpRequest& request, const LiveCallHeaders& headers) const {
-  if (request.body.size() > options_.calls.largest_request) {
-    return RequestProblem{
-        kHttpTooLarge, "request_too_large",
-        "the body is larger than " + std::to_string(options_.calls.largest_request) + " bytes"};
+  if (request.body.size() > options_.calls.maximum_request_bytes) {
+    return RequestProblem{kHttpTooLarge, "request_too_large",
+                          "the body is larger than " +
+                              std::to_string(options_.calls.maximum_request_bytes) + " bytes"};
   }
   if (headers.has_deadline && !headers.deadline) {
     return RequestProblem{kHttpBadRequest, "invalid_deadline",
@@ -133,13 +133,13 @@
            "this gateway is stopping; try another one", kRetryAfter);
     return nullptr;
   }
-  if (!context_.right.Valid()) {
+  if (!context_.permission.IsValid()) {
     Refuse(responder, kHttpUnavailable, "lease_expired",
            "this gateway has lost touch with control; try another one", kRetryAfter);
     return nullptr;
   }
   const std::string_view name = PathSegment(request.path, kRouteSegment);
-  const proto::Route* route = FindRoute(context_.right.configuration(), name);
+  const proto::Route* route = FindRoute(context_.permission.configuration(), name);
   if (route == nullptr) {
     Refuse(responder, kHttpNotFound, "unknown_route",
            "there is no route \"" + std::string(name) + "\"", Duration::zero());
@@ -149,13 +149,13 @@
 
 bool LiveCallHandler::Admit(const proto::Route& route, std::string_view tenant_name,
                             const std::string& key, HttpResponder& responder) {
-  const proto::Tenant* tenant = FindTenant(context_.right.configuration(), tenant_name);
+  const proto::Tenant* tenant = FindTenant(context_.permission.configuration(), tenant_name);
   const auto refusal =
       context_.queue.admission().Admit(route, tenant, context_.attempt.environment.Now());
   if (!refusal) {
     return true;
   }
-  kept_.Forget(key, {});
+  idempotency_cache_.Forget(key, {});
   Refuse(responder, HttpStatusForRefusal(refusal->refusal),
          std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
          refusal->retry_after);
@@ -186,26 +186,26 @@
                                 LiveCall::Options options, proto::CallRequest body) {
   const std::string call_id = NewCallId();
   body.set_call_id(call_id);
-  auto call =
-      std::make_shared<LiveCall>(context_, responder, std::move(options), kept_,
-                                 [this, call_id, name = spec.route] { OnCallOver(call_id, name); });
+  auto call = std::make_shared<LiveCall>(
+      context_, responder, std::move(options), idempotency_cache_,
+      [this, call_id, name = spec.route] { OnCallFinished(call_id, name); });
   calls_.emplace(call_id, call);
   call->Start(std::move(spec), std::move(body));
 }
 
 bool LiveCallHandler::ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
                                  const Responder& responder) {
-  switch (kept_.Begin(key, fingerprint, context_.attempt.environment.Now())) {
+  switch (idempotency_cache_.Begin(key, fingerprint, context_.attempt.environment.Now())) {
     case KeyState::kNew:
       return true;
     case KeyState::kRunning:
-      kept_.Join(key, [responder, stream](const CachedResponse& kept) {
-        SendCached(*responder, kept, stream);
+      idempotency_cache_.Join(key, [responder, stream](const CachedResponse& cached) {
+        SendCached(*responder, cached, stream);
       });
       return false;
     case KeyState::kFinished:
       context_.attempt.environment.metrics().Increment("gateway_cached_responses_total");
-      SendCached(*responder, *kept_.Find(key), stream);
+      SendCached(*responder, *idempotency_cache_.Find(key), stream);
       return false;
     case KeyState::kMismatch:
       Refuse(*responder, kHttpKeyReused, "idempotency_key_reused",
@@ -231,7 +231,7 @@
 
 std::string LiveCallHandler::NewCallId() { return ToHex(id_prefix_) + "-" + ToHex(next_call_++); }
 
-void LiveCallHandler::OnCallOver(const std::string& call_id, const std::string& route) {
+void LiveCallHandler::OnCallFinished(const std::string& call_id, const std::string& route) {
   context_.queue.admission().Finish(route);
   calls_.erase(call_id);
 }
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -73,11 +73,11 @@
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
   std::string NewCallId();
-  void OnCallOver(const std::string& call_id, const std::string& route);
+  void OnCallFinished(const std::string& call_id, const std::string& route);
 
   CallContext context_;
   const GatewayOptions& options_;
-  IdempotencyCache kept_;
+  IdempotencyCache idempotency_cache_;
   std::unordered_map<std::string, std::shared_ptr<LiveCall>> calls_;  ///< By call id.
   std::uint64_t id_prefix_;
   std::uint64_t next_call_ = 1;
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -53,7 +53,7 @@
 }
 
 void LiveForward::Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names) {
-  timing_.emplace(AnswerTargets{call.target, call.longest_pause}, started_at());
+  timing_.emplace(ResponseTargets{call.target, call.longest_pause}, started_at());
   exchange_ = std::make_shared<ForwardExchange>(std::move(call), names, *this);
   spec.exchange = exchange_;
   Run(std::move(spec));
@@ -77,14 +77,14 @@
   RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
   RecordLateness();
   if (!result.succeeded) {
-    AnswerFailure(result);
+    SendFailure(result);
   } else if (stream_started()) {
     responder().FinishStream();
   }
   Finish();
 }
 
-void LiveForward::AnswerFailure(const CallResult& result) {
+void LiveForward::SendFailure(const CallResult& result) {
   if (stream_started()) {
     responder().Abort();  // Must not look whole.
     return;
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -9,8 +9,8 @@
 
 #include "calls/call_runner.h"
 #include "calls/forward_exchange.h"
-#include "gateway/answer_timing.h"
 #include "gateway/client_call.h"
+#include "gateway/response_timing.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
@@ -37,12 +37,12 @@
   void OnDone(const CallResult& result) override;
   void OnClientDisconnected() override;
 
-  void AnswerFailure(const CallResult& result);
+  void SendFailure(const CallResult& result);
   /// Counts and logs an answer that came late, with what made it so.
   void RecordLateness();
 
   std::shared_ptr<ForwardExchange> exchange_;
-  std::optional<AnswerTiming> timing_;  ///< From the start on.
+  std::optional<ResponseTiming> timing_;  ///< From the start on.
 };
 
 }  // namespace cloverbank
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -41,7 +41,7 @@
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::RunBatchItem(
     const proto::Route& route, const proto::CallRequest& request, Duration deadline,
-    std::function<bool()> may_start, std::function<void(BackendOutcome)> done) {
+    std::function<bool()> can_start, std::function<void(BackendOutcome)> done) {
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
@@ -51,13 +51,13 @@
   spec.deadline = context_.attempt.environment.Now() + deadline;
   spec.wait_until = spec.deadline;
   spec.work = WorkKind::kBatch;
-  spec.may_start = [this, backend = route.backend(), may_start = std::move(may_start)] {
-    return CanStartBatches(backend) && may_start();
+  spec.can_start = [this, backend = route.backend(), can_start = std::move(can_start)] {
+    return CanStartBatches(backend) && can_start();
   };
   ItemExchange item =
       request.has_forwarded() ? MakeForwardExchange(route, request) : MakeJsonExchange(request);
   spec.exchange = std::move(item.exchange);
-  return Run(std::move(spec), std::move(item.read_answer), std::move(done));
+  return Run(std::move(spec), std::move(item.read_outcome), std::move(done));
 }
 
 ReplicaBackendCaller::ItemExchange ReplicaBackendCaller::MakeJsonExchange(
@@ -65,7 +65,7 @@
   const auto exchange = std::make_shared<JsonExchange>(request, nullptr);
   return {exchange, [exchange](BackendOutcome* outcome) {
             if (outcome->succeeded) {
-              outcome->answer = exchange->TakeAnswer();
+              outcome->answer = exchange->TakeResponse();
             }
           }};
 }
@@ -81,8 +81,8 @@
   call.request = request.forwarded();
   call.streamed = true;
   call.resumable = true;
-  call.judge_failures = true;
-  call.most_failures = std::max(1U, route.attempts());
+  call.classify_failures = true;
+  call.maximum_failures = std::max(1U, route.attempts());
   call.earlier_failures = request.failed_runs();
   const auto collector = std::make_shared<EventCollector>();
   const auto exchange = std::make_shared<ForwardExchange>(std::move(call), names_, *collector);
@@ -96,13 +96,13 @@
           }};
 }
 
-std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, ReadAnswer read_answer,
+std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, OutcomeReader read_outcome,
                                                        std::function<void(BackendOutcome)> done) {
   const std::uint64_t id = next_item_++;
-  const auto finish = [this, id, read_answer = std::move(read_answer),
+  const auto finish = [this, id, read_outcome = std::move(read_outcome),
                        done = std::move(done)](CallResult result) {
     BackendOutcome outcome = ToOutcome(std::move(result));
-    read_answer(&outcome);
+    read_outcome(&outcome);
     const auto report = done;  // The next line may destroy this function.
     running_.erase(id);
     report(std::move(outcome));
@@ -118,9 +118,10 @@
 }
 
 bool ReplicaBackendCaller::CanStartBatches(const std::string& backend) const {
-  const bool paused = context_.right.configuration().batch().paused();
+  const bool paused = context_.permission.configuration().batch().paused();
   const bool live_waits = context_.queue.Waiting(backend) > 0;
-  return !paused && !live_waits && context_.right.Valid() && context_.attempt.pool.list_usable();
+  return !paused && !live_waits && context_.permission.IsValid() &&
+         context_.attempt.pool.list_usable();
 }
 
 }  // namespace cloverbank
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -23,23 +23,23 @@
   std::uint32_t FreeBatchSlots(const std::string& backend) const override;
   std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                             const proto::CallRequest& request, Duration deadline,
-                                            std::function<bool()> may_start,
+                                            std::function<bool()> can_start,
                                             std::function<void(BackendOutcome)> done) override;
 
  private:
   /// Fills in the outcome of a call that ended.
-  using ReadAnswer = std::function<void(BackendOutcome*)>;
+  using OutcomeReader = std::function<void(BackendOutcome*)>;
   /// What one item says to a replica, and how the response becomes its outcome.
   struct ItemExchange {
     std::shared_ptr<CallExchange> exchange;
-    ReadAnswer read_answer;
+    OutcomeReader read_outcome;
   };
 
   bool CanStartBatches(const std::string& backend) const;
   static ItemExchange MakeJsonExchange(const proto::CallRequest& request);
   ItemExchange MakeForwardExchange(const proto::Route& route,
                                    const proto::CallRequest& request) const;
-  std::shared_ptr<BackendCall> Run(CallSpec spec, ReadAnswer read_answer,
+  std::shared_ptr<BackendCall> Run(CallSpec spec, OutcomeReader read_outcome,
                                    std::function<void(BackendOutcome)> done);
 
   CallContext context_;
--- a/src/gateway/answer_timing.cc
+++ b/src/gateway/response_timing.cc
@@ -1,4 +1,4 @@
-#include "gateway/answer_timing.h"
+#include "gateway/response_timing.h"
 
 namespace cloverbank {
 
@@ -10,13 +10,13 @@
       return "first_chunk";
     case Lateness::kPause:
       return "pause";
-    case Lateness::kCompleteAnswer:
+    case Lateness::kCompleteResponse:
       return "complete_answer";
   }
   return "none";
 }
 
-void AnswerTiming::OnEvent(TimePoint now) {
+void ResponseTiming::OnEvent(TimePoint now) {
   if (events_ == 0) {
     first_after_ = now - started_;
   } else if (now - last_event_ > longest_pause_) {
@@ -27,15 +27,15 @@
   ++events_;
 }
 
-void AnswerTiming::OnComplete(TimePoint now) {
+void ResponseTiming::OnComplete(TimePoint now) {
   complete_ = true;
   first_after_ = now - started_;
 }
 
-Lateness AnswerTiming::lateness() const {
+Lateness ResponseTiming::lateness() const {
   const bool has_target = targets_.target > Duration::zero();
   if (has_target && first_after_ > targets_.target) {
-    return complete_ ? Lateness::kCompleteAnswer : Lateness::kFirstChunk;
+    return complete_ ? Lateness::kCompleteResponse : Lateness::kFirstChunk;
   }
   const bool has_pause = targets_.longest_pause > Duration::zero();
   return has_pause && longest_pause_ > targets_.longest_pause ? Lateness::kPause : Lateness::kNone;
--- a/src/gateway/answer_timing.h
+++ b/src/gateway/response_timing.h
@@ -14,23 +14,24 @@
 /// What made an answer late, if anything.
 enum class Lateness : std::uint8_t {
   kNone,
-  kFirstChunk,      ///< The first event of a stream came after the target.
-  kPause,           ///< Two events of a stream lay further apart than the route allows.
-  kCompleteAnswer,  ///< An answer in one piece came after the target.
+  kFirstChunk,        ///< The first event of a stream came after the target.
+  kPause,             ///< Two events of a stream lay further apart than the route allows.
+  kCompleteResponse,  ///< An answer in one piece came after the target.
 };
 
 /// @return the stable snake_case name, for metrics and logs.
 std::string_view LatenessName(Lateness lateness);
 
 /// What a route promises of an answer. Zero is no promise.
-struct AnswerTargets {
+struct ResponseTargets {
   Duration target{};         ///< Until the first event, or until an answer in one piece.
   Duration longest_pause{};  ///< Between two events.
 };
 
-class AnswerTiming {
+class ResponseTiming {
  public:
-  AnswerTiming(AnswerTargets targets, TimePoint started) : targets_(targets), started_(started) {}
+  ResponseTiming(ResponseTargets targets, TimePoint started)
+      : targets_(targets), started_(started) {}
 
   /// An event of a stream is there.
   void OnEvent(TimePoint now);
@@ -47,7 +48,7 @@
   std::uint32_t events() const { return events_; }
 
  private:
-  AnswerTargets targets_;
+  ResponseTargets targets_;
   TimePoint started_;
   TimePoint last_event_{};
   Duration first_after_{};
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -18,7 +18,7 @@
     void Cancel() override { cancelled = true; }
     proto::Route route;
     proto::CallRequest request;
-    std::function<bool()> may_start;
+    std::function<bool()> can_start;
     std::function<void(BackendOutcome)> done;
     bool sent = false;
     bool cancelled = false;
@@ -30,12 +30,12 @@
 
   std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                             const proto::CallRequest& request,
-                                            Duration /*deadline*/, std::function<bool()> may_start,
+                                            Duration /*deadline*/, std::function<bool()> can_start,
                                             std::function<void(BackendOutcome)> done) override {
     auto run = std::make_shared<Run>();
     run->route = route;
     run->request = request;
-    run->may_start = std::move(may_start);
+    run->can_start = std::move(can_start);
     run->done = std::move(done);
     runs.push_back(run);
     environment_.ScheduleAfter(connect, [this, run] { Send(run); });
@@ -58,7 +58,7 @@
     if (run->cancelled) {
       return;
     }
-    if (!run->may_start()) {
+    if (!run->can_start()) {
       BackendOutcome refused;
       refused.executed = proto::EXECUTED_NO;
       run->done(refused);
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -13,7 +13,7 @@
   EXPECT_EQ(gateway->backend.runs.size(), 20U);
   EXPECT_EQ(q1.reports.at(7).outcome(), proto::ITEM_OUTCOME_SUCCEEDED);
   EXPECT_EQ(q1.reports.at(7).output(), "done");
-  EXPECT_EQ(gateway->worker.held(), 0U);
+  EXPECT_EQ(gateway->worker.pending(), 0U);
   EXPECT_EQ(gateway->worker.unreported(), 0U);
 }
 
@@ -202,29 +202,29 @@
   }
 }
 
-TEST(WorkOffersTest, IdleNodesShareTheRoomAndBusyOnesGetAllOfIt) {
+TEST(AcquirePlannerTest, IdleNodesShareTheRoomAndBusyOnesGetAllOfIt) {
   const std::vector<NodeId> nodes = {NodeId(1), NodeId(2), NodeId(3)};
   const BatchCapacity free = {{"model", 6}};
-  WorkOffers offers;
+  AcquirePlanner planner;
   TimePoint now{};
   std::uint32_t offered = 0;
-  for (const WorkOffer& offer : offers.Next(now, nodes, free)) {
-    offered += offer.capacity.at("model");
-    EXPECT_GT(offer.hold, Duration::zero());
+  for (const AcquirePlan& plan : planner.PlanRequests(now, nodes, free)) {
+    offered += plan.capacity.at("model");
+    EXPECT_GT(plan.long_poll_time, Duration::zero());
   }
   EXPECT_EQ(offered, 6U);
-  EXPECT_TRUE(offers.Next(now, nodes, free).empty()) << "one question a node at a time";
+  EXPECT_TRUE(planner.PlanRequests(now, nodes, free).empty()) << "one question a node at a time";
 
   now += seconds(1);
-  offers.Answered(NodeId(1), 2, now);
-  offers.Answered(NodeId(2), 0, now);
-  offers.Failed(NodeId(3), now + seconds(1));
-  for (const WorkOffer& offer : offers.Next(now, nodes, free)) {
-    ASSERT_NE(offer.node, NodeId(3)) << "not before its retry time";
-    EXPECT_EQ(offer.capacity.at("model"), offer.node == NodeId(1) ? 6U : 2U);
-    EXPECT_EQ(offer.hold == Duration::zero(), offer.node == NodeId(1));
+  planner.RecordResponse(NodeId(1), 2, now);
+  planner.RecordResponse(NodeId(2), 0, now);
+  planner.RecordFailure(NodeId(3), now + seconds(1));
+  for (const AcquirePlan& plan : planner.PlanRequests(now, nodes, free)) {
+    ASSERT_NE(plan.node, NodeId(3)) << "not before its retry time";
+    EXPECT_EQ(plan.capacity.at("model"), plan.node == NodeId(1) ? 6U : 2U);
+    EXPECT_EQ(plan.long_poll_time == Duration::zero(), plan.node == NodeId(1));
   }
-  EXPECT_TRUE(offers.Next(now + seconds(2), nodes, {{"model", 0}}).empty());
+  EXPECT_TRUE(planner.PlanRequests(now + seconds(2), nodes, {{"model", 0}}).empty());
 }
 
 }  // namespace
--- a/tests/calls/event_stream_test.cc
+++ b/tests/calls/event_stream_test.cc
@@ -25,7 +25,7 @@
     EXPECT_EQ(events[1].id, 1U);
     EXPECT_EQ(events[0].data, "a");
     EXPECT_EQ(events[1].data, "b\nc");
-    EXPECT_FALSE(splitter.Partial());
+    EXPECT_FALSE(splitter.HasPartial());
   }
 }
 
@@ -33,8 +33,8 @@
   EventSplitter splitter(10);
   splitter.Append("id: 0\ndata: a\n");
   EXPECT_FALSE(splitter.Next());
-  EXPECT_TRUE(splitter.Partial());
-  EXPECT_TRUE(splitter.TooLarge());
+  EXPECT_TRUE(splitter.HasPartial());
+  EXPECT_TRUE(splitter.IsTooLarge());
 }
 
 TEST(HttpHeadersTest, DropsWhatConcernsOneConnection) {
--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -11,7 +11,7 @@
 namespace cloverbank {
 
 /// Keeps the one answer to a request.
-struct RecordedAnswer : HttpResponder {
+struct RecordedResponse : HttpResponder {
   void Send(HttpResponse sent) override {
     ++count;
     response = std::move(sent);
@@ -45,10 +45,10 @@
     routes_.Add(method, pattern, std::move(handler));
   }
 
-  std::shared_ptr<RecordedAnswer> Send(const std::string& method, const std::string& path,
-                                       const std::string& body = {}, HttpHeaders headers = {},
-                                       HttpHeaders query = {}) {
-    auto answer = std::make_shared<RecordedAnswer>();
+  std::shared_ptr<RecordedResponse> Send(const std::string& method, const std::string& path,
+                                         const std::string& body = {}, HttpHeaders headers = {},
+                                         HttpHeaders query = {}) {
+    auto answer = std::make_shared<RecordedResponse>();
     const RouteTable::Match match = routes_.Find(method, path);
     EXPECT_NE(match.handler, nullptr) << method << " " << path;
     HttpRequest request;
--- a/tests/gateway/admission_test.cc
+++ b/tests/gateway/admission_test.cc
@@ -101,14 +101,14 @@
     }
     WaitingCall call = Waiting(id, static_cast<proto::Priority>(random() % 4), {});
     call.backend = random() % 2 == 0 ? "model" : "other";
-    call.give_up_at = now + milliseconds(1 + random() % 5000);
+    call.wait_deadline = now + milliseconds(1 + random() % 5000);
     std::vector<WaitId> displaced;
     const auto refused = admission.Enqueue(call, now, &displaced);
     for (const WaitId gone : displaced) {
       ASSERT_EQ(inside.erase(gone), 1U);
     }
     if (!refused) {
-      inside[id] = std::min(call.give_up_at, now + options.longest_wait);
+      inside[id] = std::min(call.wait_deadline, now + options.longest_wait);
     }
     if (random() % 8 == 0) {
       for (const WaitId first : admission.FirstWaiting(call.backend, 1)) {
@@ -136,7 +136,7 @@
     for (int attempt = 0; attempt < 10; ++attempt) {
       state.OnAttempt();
       if (random() % 10 == 0) {
-        state.OnPassedOn();
+        state.OnCommitted();
         may_have_run = true;
       }
       const auto end = static_cast<AttemptEnd>(random() % 5);
@@ -172,8 +172,8 @@
 
 TEST(IdempotencyCacheTest, KeepsAnswersWithinItsBounds) {
   IdempotencyOptions options;
-  options.largest_total = 10'000;
-  options.largest_answer = 1000;
+  options.maximum_total_bytes = 10'000;
+  options.maximum_response_bytes = 1000;
   IdempotencyCache cache(options);
   TimePoint now = start_time;
   int waited = 0;
@@ -187,19 +187,19 @@
     ASSERT_EQ(cache.Begin(name, 2, now), KeyState::kMismatch);
     cache.Join(name, [&](const CachedResponse&) { ++waited; });
     cache.Store(name, answer, now);
-    ASSERT_LE(cache.kept_bytes(), options.largest_total);
+    ASSERT_LE(cache.cached_bytes(), options.maximum_total_bytes);
   }
   EXPECT_EQ(waited, 100);
   EXPECT_EQ(cache.Begin("99", 1, now), KeyState::kFinished);
   EXPECT_EQ(cache.Begin("0", 1, now), KeyState::kNew);  // Dropped for room.
   answer.answer.set_text(std::string(2000, 'x'));
   cache.Store("0", answer, now);
-  EXPECT_FALSE(cache.Find("0")->text_kept);
-  now += options.keep;
+  EXPECT_FALSE(cache.Find("0")->text_cached);
+  now += options.retention;
   EXPECT_EQ(cache.Begin("99", 1, now), KeyState::kNew);
   cache.Forget("99", {});
   EXPECT_EQ(cache.size(), 0U);
-  EXPECT_EQ(cache.kept_bytes(), 0U);
+  EXPECT_EQ(cache.cached_bytes(), 0U);
 }
 
 TEST(LineReaderTest, CutsLinesHoweverTheyArrive) {
@@ -214,13 +214,13 @@
       }
     }
     EXPECT_EQ(lines, (std::vector<std::string>{"one", "two"}));
-    EXPECT_FALSE(reader.TooLong());
+    EXPECT_FALSE(reader.IsTooLong());
     EXPECT_EQ(reader.TakeRest(), "three");
   }
   LineReader reader(4);
   reader.Append("12345");
   EXPECT_FALSE(reader.Next().has_value());
-  EXPECT_TRUE(reader.TooLong());
+  EXPECT_TRUE(reader.IsTooLong());
 }
 
 }  // namespace
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -137,12 +137,12 @@
         },
         seconds(5)));
   }
-  std::shared_ptr<RecordedAnswer> Finish(std::shared_ptr<RecordedAnswer> answer) {
+  std::shared_ptr<RecordedResponse> Finish(std::shared_ptr<RecordedResponse> answer) {
     world.RunUntil([&answer] { return answer->count > 0; }, seconds(12));
     EXPECT_EQ(answer->count, 1);
     return answer;
   }
-  std::shared_ptr<RecordedAnswer> Submit(const std::string& body = kBatch) {
+  std::shared_ptr<RecordedResponse> Submit(const std::string& body = kBatch) {
     return gateway->http.Send("POST", "/v1/batches", body);
   }
 
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -16,11 +16,11 @@
     h.AddRoute("audit", proto::BACKEND_KIND_MODEL, false);
     h.options.sharing.initial_batch_quota = 1;
   }
-  std::shared_ptr<BackendCall> Run(bool may_start = true) {
+  std::shared_ptr<BackendCall> Run(bool can_start = true) {
     proto::CallRequest request;
     request.set_call_id("item-" + std::to_string(started_++));
     return h.batch->RunBatchItem(
-        h.right.held.routes(0), request, seconds(5), [may_start] { return may_start; },
+        h.permission.stored.routes(0), request, seconds(5), [can_start] { return can_start; },
         [this](const BackendOutcome& outcome) { outcomes_.push_back(outcome); });
   }
 
@@ -46,11 +46,11 @@
   FakeReplica& replica = h.AddReplica("m1", "a", 8);
   h.StartWarm();
   Run(false);
-  h.right.held.mutable_batch()->set_paused(true);
+  h.permission.stored.mutable_batch()->set_paused(true);
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
   Run();
   h.world.RunFor(seconds(1));
-  h.right.held.mutable_batch()->set_paused(false);
+  h.permission.stored.mutable_batch()->set_paused(false);
   replica.report_running = 6;  // Above 70 in 100 of 8.
   h.world.RunFor(seconds(2));
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
@@ -97,14 +97,14 @@
   h.AddReplica("m2", "b", 8);
   h.StartWarm();
   ASSERT_GE(h.batch->FreeBatchSlots("model"), 1U);
-  h.right.held.mutable_routes(0)->add_zones("a");
+  h.permission.stored.mutable_routes(0)->add_zones("a");
   for (int call = 0; call < 3; ++call) {
     h.Call("audit");
   }
   h.world.RunFor(milliseconds(100));
   ASSERT_EQ(h.queue->Waiting("model"), 1U);
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
-  h.right.held.mutable_routes(0)->clear_zones();
+  h.permission.stored.mutable_routes(0)->clear_zones();
   Run();  // In the same turn, before the waiting call is offered the room.
   h.world.RunFor(seconds(1));
   ASSERT_EQ(outcomes_.size(), 1U);
@@ -133,7 +133,7 @@
         proto::CallRequest request;
         request.set_call_id("item-" + std::to_string(started_++));
         plane->batch->RunBatchItem(
-            h.right.held.routes(0), request, seconds(5), [] { return true; },
+            h.permission.stored.routes(0), request, seconds(5), [] { return true; },
             [](const BackendOutcome&) {});
       }
     }
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -41,8 +41,8 @@
   }
 
   void CheckArrival(const FakeReplica& replica) {
-    EXPECT_TRUE(h_.right.valid) << "a call left without a lease";
-    const proto::Zone* zone = FindZone(h_.right.held, replica.entry.zone());
+    EXPECT_TRUE(h_.permission.valid) << "a call left without a lease";
+    const proto::Zone* zone = FindZone(h_.permission.stored, replica.entry.zone());
     EXPECT_EQ(zone->state(), proto::ZONE_STATE_OPEN);
     const auto drained = drained_at_.find(replica.entry.id());
     if (drained != drained_at_.end()) {
@@ -85,7 +85,8 @@
   void Fault() {
     switch (h_.world.RandomBelow(8)) {
       case 0: {
-        proto::Zone* zone = h_.right.held.mutable_zones(static_cast<int>(h_.world.RandomBelow(3)));
+        proto::Zone* zone =
+            h_.permission.stored.mutable_zones(static_cast<int>(h_.world.RandomBelow(3)));
         const bool open = zone->state() == proto::ZONE_STATE_OPEN;
         zone->set_state(open ? proto::ZONE_STATE_DRAINED : proto::ZONE_STATE_OPEN);
         for (const auto& plane : h_.planes) {
@@ -94,7 +95,7 @@
         break;
       }
       case 1:
-        h_.right.valid = !h_.right.valid;
+        h_.permission.valid = !h_.permission.valid;
         break;
       case 2:
         h_.client->connect_time = milliseconds(1 + h_.world.RandomBelow(100));
@@ -114,13 +115,13 @@
   }
 
   void Heal() {
-    h_.right.valid = true;
+    h_.permission.valid = true;
     drained_at_.clear();
     for (auto& [id, replica] : h_.replicas) {
       replica.mode = FakeReplica::Mode::kServe;
       h_.SetState(replica, proto::REPLICA_STATE_READY);
     }
-    for (proto::Zone& zone : *h_.right.held.mutable_zones()) {
+    for (proto::Zone& zone : *h_.permission.stored.mutable_zones()) {
       zone.set_state(proto::ZONE_STATE_OPEN);
     }
     for (const auto& plane : h_.planes) {
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -17,7 +17,7 @@
  public:
   ForwardHarness() {
     options.probe.enabled = false;
-    right.held.set_label(7);
+    permission.stored.set_label(7);
   }
 
   proto::Route& AddHttpRoute(const std::string& name, const std::string& prefix, bool idempotent,
@@ -36,7 +36,7 @@
   /// Adds a replica whose calls are kept in `arrived`, to be answered by the test.
   void AddHttpReplica(const std::string& id, const std::string& zone) {
     FakeReplica& replica = AddReplica(id, zone, 8, proto::BACKEND_KIND_HTTP);
-    client->scripts[EndpointOf(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
+    client->scripts[EndpointFor(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
       arrived.push_back(exchange);
       arrived_at.push_back(id);
     };
@@ -46,7 +46,7 @@
     Start(seconds(1));
     context =
         std::make_unique<CallContext>(CallContext{{*environment, *client, *pool, options.calls},
-                                                  right,
+                                                  permission,
                                                   *queue,
                                                   first->budget,
                                                   options.retry});
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -148,7 +148,7 @@
 }
 
 TEST_F(ForwardingTest, ARouteThatMovedAwayGetsNothingAtItsOldBackEnd) {
-  h.right.held.mutable_routes(1)->set_backend("elsewhere");
+  h.permission.stored.mutable_routes(1)->set_backend("elsewhere");
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(1));
   EXPECT_TRUE(h.arrived.empty());
@@ -156,11 +156,11 @@
 }
 
 TEST_F(ForwardingTest, CallsBeforeTheFirstConfigurationWaitForItAndThenGoOn) {
-  h.right.held.set_label(0);
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(milliseconds(500));
   EXPECT_EQ(caller->answers, 0);
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(20));
   ASSERT_EQ(h.arrived.size(), 1U);
@@ -169,7 +169,7 @@
 }
 
 TEST_F(ForwardingTest, CallsThatNoConfigurationReachesAreToldWhenToComeBack) {
-  h.right.held.set_label(0);
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(3));
   EXPECT_EQ(caller->status, 503);
@@ -178,10 +178,10 @@
 }
 
 TEST_F(ForwardingTest, ABatchThatCameBeforeTheConfigurationIsNotPassedOnAsACall) {
-  h.right.held.mutable_routes(1)->set_accepts_batches(true);
-  h.right.held.set_label(0);
+  h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/batch", "batch-1");
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_TRUE(h.arrived.empty());
@@ -189,14 +189,14 @@
 }
 
 TEST_F(ForwardingTest, ABatchThatWaitedForTheConfigurationIsHandedInOnceItIsKnownToBeOne) {
-  h.right.held.mutable_routes(1)->set_accepts_batches(true);
-  h.right.held.set_label(0);
+  h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
+  h.permission.stored.set_label(0);
   std::vector<std::string> handed_in;
   const auto caller = h.Forward("/safe/batch", "batch-1", [&](const proto::Route& route) {
     handed_in.push_back(route.name());
   });
   EXPECT_TRUE(handed_in.empty());
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_EQ(handed_in, std::vector<std::string>{"safe"});
@@ -205,10 +205,10 @@
 }
 
 TEST_F(ForwardingTest, ACallerThatLeavesWhileItWaitsForControlIsForgotten) {
-  h.right.held.set_label(0);
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   caller->disconnect();
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_TRUE(h.arrived.empty());
@@ -218,7 +218,7 @@
 /// first byte, however long the connection took.
 TEST_F(ForwardingTest, AnItemWhoseRightRunsOutWhileTheConnectionIsMadeNeverLeaves) {
   h.client->connect_time = milliseconds(150);
-  bool may_start = true;
+  bool can_start = true;
   proto::CallRequest request;
   request.set_call_id("item");
   request.mutable_forwarded()->set_method("POST");
@@ -226,13 +226,13 @@
   BackendOutcome outcome;
   bool done = false;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(5), [&] { return may_start; },
+      h.permission.stored.routes(2), request, seconds(5), [&] { return can_start; },
       [&](BackendOutcome result) {
         outcome = std::move(result);
         done = true;
       });
   h.world.RunFor(milliseconds(100));
-  may_start = false;
+  can_start = false;
   h.world.RunFor(seconds(1));
   ASSERT_TRUE(done);
   EXPECT_EQ(outcome.executed, proto::EXECUTED_NO);
@@ -240,7 +240,7 @@
 }
 
 TEST_F(ForwardingTest, AnItemThatAlwaysFailsIsGivenUpAfterItsAttemptsOverAllLeases) {
-  h.right.held.mutable_routes(2)->set_attempts(3);
+  h.permission.stored.mutable_routes(2)->set_attempts(3);
   proto::CallRequest request;
   request.set_call_id("item");
   request.set_failed_runs(2);  // Under earlier leases.
@@ -248,7 +248,7 @@
   request.mutable_forwarded()->set_target("/tale/item");
   BackendOutcome outcome;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(5), [] { return true; },
+      h.permission.stored.routes(2), request, seconds(5), [] { return true; },
       [&](BackendOutcome result) { outcome = std::move(result); });
   h.world.RunFor(milliseconds(50));
   ASSERT_EQ(h.arrived.size(), 1U);
@@ -260,14 +260,14 @@
 }
 
 TEST_F(ForwardingTest, AnItemThatFailedOnceIsNotGivenUpWhenItsLeaseEndsInSilence) {
-  h.right.held.mutable_routes(2)->set_attempts(2);
+  h.permission.stored.mutable_routes(2)->set_attempts(2);
   proto::CallRequest request;
   request.set_call_id("item");
   request.mutable_forwarded()->set_method("POST");
   request.mutable_forwarded()->set_target("/tale/item");
   BackendOutcome outcome;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(3), [] { return true; },
+      h.permission.stored.routes(2), request, seconds(3), [] { return true; },
       [&](BackendOutcome result) { outcome = std::move(result); });
   h.world.RunFor(milliseconds(50));
   h.Answer(0, {500, ForwardHarness::Echo("item"), ""});
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -40,12 +40,12 @@
   std::vector<ExchangePtr> exchanges;  ///< Of calls; answered by the test in kScripted.
 };
 
-class FakeRight : public ServingRight {
+class FakeServingPermission : public ServingPermission {
  public:
-  bool Valid() const override { return valid; }
-  const proto::RoutingConfiguration& configuration() const override { return held; }
+  bool IsValid() const override { return valid; }
+  const proto::RoutingConfiguration& configuration() const override { return stored; }
   bool valid = true;
-  proto::RoutingConfiguration held;
+  proto::RoutingConfiguration stored;
 };
 
 inline std::string ChunkLine(const std::string& run, const std::string& call,
@@ -61,16 +61,16 @@
 
 /// The data plane of one gateway.
 struct GatewayPlane {
-  GatewayPlane(Environment& environment, HttpClient& client, const ServingRight& right,
+  GatewayPlane(Environment& environment, HttpClient& client, const ServingPermission& permission,
                const GatewayOptions& options)
-      : pool(std::make_unique<ReplicaPool>(environment, client, right, options)),
+      : pool(std::make_unique<ReplicaPool>(environment, client, permission, options)),
         queue(std::make_unique<CallQueue>(environment, options.admission)),
         budget(options.retry) {
     const CallContext context{
-        {environment, client, *pool, options.calls}, right, *queue, budget, options.retry};
+        {environment, client, *pool, options.calls}, permission, *queue, budget, options.retry};
     live = std::make_unique<LiveCallHandler>(context, options);
     batch = std::make_unique<ReplicaBackendCaller>(context, options.forward_headers);
-    pool->OnCapacity([this] { queue->DispatchSoon(); });
+    pool->OnCapacity([this] { queue->ScheduleDispatch(); });
     live->Register(router);
   }
 
@@ -96,19 +96,19 @@
     options.replica_list.endpoint = {"127.0.0.9", 80};
     options.sharing.initial_slow_start_quota = 1;  // Most tests have one gateway only.
     for (const char* name : {"a", "b", "c"}) {
-      proto::Zone* zone = right.held.add_zones();
+      proto::Zone* zone = permission.stored.add_zones();
       zone->set_name(name);
       zone->set_region("here");
       zone->set_state(proto::ZONE_STATE_OPEN);
     }
-    right.held.set_version(1);
+    permission.stored.set_version(1);
     client->scripts[options.replica_list.endpoint.ToString()] =
         [this](const ExchangePtr& exchange) { ServeList(exchange); };
   }
 
   /// Must be added in the order of names, as the configuration keeps them sorted.
   proto::Route& AddRoute(const std::string& name, proto::BackendKind kind, bool idempotent) {
-    proto::Route* route = right.held.add_routes();
+    proto::Route* route = permission.stored.add_routes();
     route->set_name(name);
     route->set_backend_kind(kind);
     route->set_backend(kind == proto::BACKEND_KIND_MODEL ? "model" : "service");
@@ -130,13 +130,13 @@
     replica.entry.set_state(proto::REPLICA_STATE_READY);
     replica.entry.set_capacity(capacity);
     replica.entry.set_instance_id(id + "/1");
-    client->scripts[EndpointOf(replica).ToString()] =
+    client->scripts[EndpointFor(replica).ToString()] =
         [this, &replica](const ExchangePtr& exchange) { Serve(replica, exchange); };
     ++list_version;
     return replica;
   }
 
-  static Endpoint EndpointOf(const FakeReplica& replica) {
+  static Endpoint EndpointFor(const FakeReplica& replica) {
     return {replica.entry.endpoint().host(),
             static_cast<std::uint16_t>(replica.entry.endpoint().port())};
   }
@@ -156,7 +156,7 @@
   }
   /// One more gateway before the same replicas.
   GatewayPlane& AddPlane() {
-    planes.push_back(std::make_unique<GatewayPlane>(*environment, *client, right, options));
+    planes.push_back(std::make_unique<GatewayPlane>(*environment, *client, permission, options));
     planes.back()->pool->Start();
     return *planes.back();
   }
@@ -196,7 +196,7 @@
   SimulatedWorld world;
   Environment* environment = nullptr;
   std::unique_ptr<FakeHttpClient> client;
-  FakeRight right;
+  FakeServingPermission permission;
   GatewayOptions options;
   std::map<std::string, FakeReplica> replicas;
   std::uint64_t list_version = 0;
@@ -233,7 +233,7 @@
     exchange->Answer({200, {{"ETag", etag}}, ToJson(list)});
   }
 
-  HttpHeaders LoadOf(const FakeReplica& replica) const {
+  HttpHeaders LoadHeaders(const FakeReplica& replica) const {
     return {{"x-cloverbank-load", std::to_string(replica.running + replica.report_running) + "/0/" +
                                       std::to_string(replica.entry.capacity())}};
   }
@@ -259,7 +259,7 @@
       case FakeReplica::Mode::kNoResponse:
         return;
       case FakeReplica::Mode::kRefuse:
-        exchange->Answer({probe ? 200 : 503, LoadOf(replica), ""});
+        exchange->Answer({probe ? 200 : 503, LoadHeaders(replica), ""});
         return;
       case FakeReplica::Mode::kFail:
         exchange->Answer({probe ? 200 : 500, {}, ""});
@@ -269,7 +269,7 @@
         break;
     }
     if (probe) {
-      exchange->Answer({200, LoadOf(replica), "{}"});
+      exchange->Answer({200, LoadHeaders(replica), "{}"});
     } else if (replica.mode == FakeReplica::Mode::kServe) {
       Work(replica, exchange, replica.received.back());
     }
@@ -277,13 +277,13 @@
 
   void Work(FakeReplica& replica, const ExchangePtr& exchange, const std::string& call_id) {
     if (replica.running >= replica.entry.capacity()) {
-      exchange->Answer({429, LoadOf(replica), ""});
+      exchange->Answer({429, LoadHeaders(replica), ""});
       return;
     }
     ++replica.running;
     replica.most_running = std::max(replica.most_running, replica.running);
     environment->ScheduleAfter(replica.work_time, [this, &replica, exchange, call_id] {
-      const HttpHeaders load = LoadOf(replica);
+      const HttpHeaders load = LoadHeaders(replica);
       --replica.running;
       const std::string run = "run-of-" + call_id;
       if (exchange->request.path == "/generate") {
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -53,7 +53,8 @@
   EXPECT_EQ(h.Call("ask", "{nonsense")->status, 400);
   EXPECT_EQ(h.Call("ask", "{}", {{"X-Deadline-Ms", "soon"}})->status, 400);
   EXPECT_EQ(h.Call("ask", "{}", {{"Idempotency-Key", std::string(257, 'k')}})->status, 400);
-  EXPECT_EQ(h.Call("ask", std::string(h.options.calls.largest_request + 1, ' '))->status, 413);
+  EXPECT_EQ(h.Call("ask", std::string(h.options.calls.maximum_request_bytes + 1, ' '))->status,
+            413);
   const auto no_backend = h.Call("unlock");
   h.world.RunFor(seconds(5));
   EXPECT_EQ(no_backend->status, 503);
@@ -137,7 +138,7 @@
   h.client->connect_time = milliseconds(200);
   const auto connecting = h.Call("once");
   h.world.RunFor(milliseconds(100));
-  h.right.valid = false;  // Runs out while the connection is being made.
+  h.permission.valid = false;  // Runs out while the connection is being made.
   h.world.RunFor(seconds(1));
   EXPECT_EQ(connecting->status, 503);
   EXPECT_EQ(h.ErrorIn(*connecting).executed(), proto::EXECUTED_NO);
@@ -175,7 +176,7 @@
   h.client->connect_time = milliseconds(20);
   const auto connecting = h.Call("once");
   h.world.RunFor(milliseconds(5));
-  h.right.held.mutable_zones(0)->set_state(proto::ZONE_STATE_DRAINED);
+  h.permission.stored.mutable_zones(0)->set_state(proto::ZONE_STATE_DRAINED);
   h.pool->OnConfiguration();
   const auto after = h.Call("once");
   h.world.RunFor(seconds(1));
@@ -339,8 +340,8 @@
 }
 
 TEST_F(LiveCallTest, LimitsTenantsAndRoutes) {
-  h.right.held.mutable_routes(0)->set_max_in_flight(2);
-  proto::Tenant* tenant = h.right.held.add_tenants();
+  h.permission.stored.mutable_routes(0)->set_max_in_flight(2);
+  proto::Tenant* tenant = h.permission.stored.add_tenants();
   tenant->set_name("t");
   tenant->set_calls_per_second(3);
   h.AddReplica("m1", "a", 8);
--- a/tests/gateway/operator_api_test.cc
+++ b/tests/gateway/operator_api_test.cc
@@ -41,7 +41,7 @@
     world.RunUntil([this] { return gateway->agent.LeaseValid(); }, seconds(5));
   }
 
-  std::shared_ptr<RecordedAnswer> Post(const std::string& body, Duration wait = seconds(11)) {
+  std::shared_ptr<RecordedResponse> Post(const std::string& body, Duration wait = seconds(11)) {
     auto answer = gateway->http.Send("POST", "/v1/config/transactions", body);
     world.RunUntil([&answer] { return answer->count > 0; }, wait);
     EXPECT_EQ(answer->count, 1);
@@ -143,7 +143,7 @@
 }
 
 TEST(HttpJsonTest, RetryAfterIsWholeSecondsRoundedUp) {
-  RecordedAnswer answer;
+  RecordedResponse answer;
   proto::CallError error;
   error.set_retry_after_ms(1001);
   SendError(answer, 503, error);
--- a/tests/gateway/answer_timing_test.cc
+++ b/tests/gateway/response_timing_test.cc
@@ -1,4 +1,4 @@
-#include "gateway/answer_timing.h"
+#include "gateway/response_timing.h"
 
 #include <gtest/gtest.h>
 
@@ -6,10 +6,10 @@
 namespace {
 
 constexpr TimePoint kStart{seconds(100)};
-constexpr AnswerTargets kTargets{milliseconds(300), milliseconds(200)};
+constexpr ResponseTargets kTargets{milliseconds(300), milliseconds(200)};
 
-TEST(AnswerTimingTest, AStreamWithinBothTargetsIsInTime) {
-  AnswerTiming timing(kTargets, kStart);
+TEST(ResponseTimingTest, AStreamWithinBothTargetsIsInTime) {
+  ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(300));
   timing.OnEvent(kStart + milliseconds(500));
   EXPECT_EQ(timing.lateness(), Lateness::kNone);
@@ -17,8 +17,8 @@
   EXPECT_EQ(timing.events(), 2U);
 }
 
-TEST(AnswerTimingTest, NamesTheLongestPauseAndWhenItBegan) {
-  AnswerTiming timing(kTargets, kStart);
+TEST(ResponseTimingTest, NamesTheLongestPauseAndWhenItBegan) {
+  ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(100));
   timing.OnEvent(kStart + milliseconds(301));
   timing.OnEvent(kStart + milliseconds(400));
@@ -27,21 +27,21 @@
   EXPECT_EQ(timing.longest_pause_from(), milliseconds(100));
 }
 
-TEST(AnswerTimingTest, ALateFirstEventComesBeforeALatePause) {
-  AnswerTiming timing(kTargets, kStart);
+TEST(ResponseTimingTest, ALateFirstEventComesBeforeALatePause) {
+  ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(301));
   timing.OnEvent(kStart + milliseconds(900));
   EXPECT_EQ(timing.lateness(), Lateness::kFirstChunk);
 }
 
-TEST(AnswerTimingTest, AnAnswerInOnePieceIsLateAsAWhole) {
-  AnswerTiming timing(kTargets, kStart);
+TEST(ResponseTimingTest, AnAnswerInOnePieceIsLateAsAWhole) {
+  ResponseTiming timing(kTargets, kStart);
   timing.OnComplete(kStart + milliseconds(301));
-  EXPECT_EQ(timing.lateness(), Lateness::kCompleteAnswer);
+  EXPECT_EQ(timing.lateness(), Lateness::kCompleteResponse);
 }
 
-TEST(AnswerTimingTest, WithoutTargetsNothingIsLate) {
-  AnswerTiming timing(AnswerTargets{}, kStart);
+TEST(ResponseTimingTest, WithoutTargetsNothingIsLate) {
+  ResponseTiming timing(ResponseTargets{}, kStart);
   timing.OnEvent(kStart + seconds(5));
   timing.OnEvent(kStart + seconds(50));
   EXPECT_EQ(timing.lateness(), Lateness::kNone);
