--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -17,7 +17,7 @@
   EXPECT_EQ(gateway->worker.unreported(), 0U);
 }
 
-TEST_F(BatchWorkerTest, StartsNoMoreThanThereIsRoom) {
+TEST_F(BatchWorkerTest, StartsNoMoreItemsThanCapacity) {
   Start();
   gateway->backend.run_time = seconds(1);
   gateway->backend.slots = 0;
@@ -38,7 +38,7 @@
   EXPECT_TRUE(world.RunUntil([this] { return q1.renewed.contains(1); }, milliseconds(700)));
 }
 
-TEST_F(BatchWorkerTest, FrozenWorkerStartsNothingOnAnOldGrant) {
+TEST_F(BatchWorkerTest, DropsAnExpiredGrantAfterAFreeze) {
   Start();
   gateway->backend.connect = milliseconds(50);
   for (const std::uint64_t lease : {1, 2, 3}) {
@@ -55,7 +55,7 @@
   }
 }
 
-TEST_F(BatchWorkerTest, GrantThatArrivesAfterAFreezeIsGivenBack) {
+TEST_F(BatchWorkerTest, ReturnsAGrantReceivedAfterAFreeze) {
   Start();
   world.machine("g").Freeze();
   AddWork(1, "unlock");
@@ -66,7 +66,7 @@
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
 }
 
-TEST_F(BatchWorkerTest, SlowConnectionDoesNotOutlastTheWindow) {
+TEST_F(BatchWorkerTest, ExpiresAGrantDuringASlowConnection) {
   Start();
   gateway->backend.connect = milliseconds(2100);
   AddWork(1, "unlock");
@@ -76,7 +76,7 @@
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
 }
 
-TEST_F(BatchWorkerTest, WindowCountsFromWhenTheQuestionWasSent) {
+TEST_F(BatchWorkerTest, CountsTheStartWindowFromTheRequest) {
   q1.answer_delay = milliseconds(1900);
   Start();
   gateway->backend.connect = milliseconds(200);  // Over at 2.1 s, 0.2 s after the grant came.
@@ -86,7 +86,7 @@
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
 }
 
-TEST_F(BatchWorkerTest, ResultSurvivesAChangeOfOwner) {
+TEST_F(BatchWorkerTest, ReportsToANewPartitionOwner) {
   Start();
   AddWork(1, "unlock");
   ASSERT_TRUE(WaitUntilRunning(1));
@@ -103,7 +103,7 @@
   EXPECT_EQ(gateway->worker.unreported(), 0U);
 }
 
-TEST_F(BatchWorkerTest, SilenceOfAReplicaIsReportedAsUnknown) {
+TEST_F(BatchWorkerTest, ReportsUnknownWithoutAResponse) {
   Start();
   gateway->backend.outcome = {};
   gateway->backend.outcome.executed = proto::EXECUTED_UNKNOWN;
@@ -112,7 +112,7 @@
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_UNKNOWN);
 }
 
-TEST_F(BatchWorkerTest, ItemThatAReplicaRejectsFailsAndOneThatFoundNoRoomIsGivenBack) {
+TEST_F(BatchWorkerTest, FailsRejectedItemsAndReturnsUnplacedOnes) {
   Start();
   gateway->backend.outcome = {};
   gateway->backend.outcome.executed = proto::EXECUTED_NO;
@@ -129,7 +129,7 @@
   EXPECT_EQ(q1.reports.at(2).outcome(), proto::ITEM_OUTCOME_FAILED);
 }
 
-TEST_F(BatchWorkerTest, EndedLeaseDoesNotCutOffAnItemThatLeft) {
+TEST_F(BatchWorkerTest, LetsADispatchedItemOutliveItsLease) {
   Start();
   gateway->backend.run_time = seconds(2);
   AddWork(1, "audit");
@@ -143,7 +143,7 @@
   }
 }
 
-TEST_F(BatchWorkerTest, EndedLeaseWithdrawsAnItemThatHasNotLeft) {
+TEST_F(BatchWorkerTest, CancelsAnUnsentItemWhenItsLeaseEnds) {
   Start();
   gateway->backend.connect = seconds(1);
   q1.ended = {1, 2};
@@ -157,7 +157,7 @@
   }
 }
 
-TEST_F(BatchWorkerTest, StopsAskingWhileTooMuchIsUnreported) {
+TEST_F(BatchWorkerTest, StopsAcquiringWhileReportsPileUp) {
   options.limits.maximum_items = 5;
   Start();
   q1.report_code = StatusCode::kUnavailable;
@@ -171,7 +171,7 @@
   EXPECT_EQ(q1.reports.size(), 50U);
 }
 
-TEST_F(BatchWorkerTest, PausedBatchesStartNothing) {
+TEST_F(BatchWorkerTest, StartsNothingWhilePaused) {
   Start();
   gateway->backend.connect = milliseconds(200);
   AddWork(1, "unlock");
@@ -188,7 +188,7 @@
   EXPECT_GT(q1.questions, questions);
 }
 
-TEST_F(BatchWorkerTest, ItemsWhoseRouteChangedItsPromiseFailWithoutRunning) {
+TEST_F(BatchWorkerTest, FailsItemsOfAChangedRouteUnrun) {
   Start();
   SetRoute("audit", false);
   world.RunFor(milliseconds(200));
@@ -202,30 +202,5 @@
   }
 }
 
-TEST(AcquirePlannerTest, IdleNodesShareTheRoomAndBusyOnesGetAllOfIt) {
-  const std::vector<NodeId> nodes = {NodeId(1), NodeId(2), NodeId(3)};
-  const BatchCapacity free = {{"model", 6}};
-  AcquirePlanner planner;
-  TimePoint now{};
-  std::uint32_t offered = 0;
-  for (const AcquirePlan& plan : planner.PlanRequests(now, nodes, free)) {
-    offered += plan.capacity.at("model");
-    EXPECT_GT(plan.long_poll_time, Duration::zero());
-  }
-  EXPECT_EQ(offered, 6U);
-  EXPECT_TRUE(planner.PlanRequests(now, nodes, free).empty()) << "one question a node at a time";
-
-  now += seconds(1);
-  planner.RecordResponse(NodeId(1), 2, now);
-  planner.RecordResponse(NodeId(2), 0, now);
-  planner.RecordFailure(NodeId(3), now + seconds(1));
-  for (const AcquirePlan& plan : planner.PlanRequests(now, nodes, free)) {
-    ASSERT_NE(plan.node, NodeId(3)) << "not before its retry time";
-    EXPECT_EQ(plan.capacity.at("model"), plan.node == NodeId(1) ? 6U : 2U);
-    EXPECT_EQ(plan.long_poll_time == Duration::zero(), plan.node == NodeId(1));
-  }
-  EXPECT_TRUE(planner.PlanRequests(now + seconds(2), nodes, {{"model", 0}}).empty());
-}
-
 }  // namespace
 }  // namespace cloverbank
--- a/tests/calls/event_stream_test.cc
+++ b/tests/calls/event_stream_test.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-TEST(EventSplitterTest, GivesOutWholeEventsHoweverTheBytesAreCut) {
+TEST(EventSplitterTest, SplitsEventsAtAnyByteBoundary) {
   const std::string bytes = "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\ndata: c\r\n\r\n";
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     EventSplitter splitter(1000);
@@ -29,7 +29,7 @@
   }
 }
 
-TEST(EventSplitterTest, KeepsWhatIsNotAWholeEvent) {
+TEST(EventSplitterTest, BuffersAnIncompleteEvent) {
   EventSplitter splitter(10);
   splitter.Append("id: 0\ndata: a\n");
   EXPECT_FALSE(splitter.Next());
@@ -37,7 +37,7 @@
   EXPECT_TRUE(splitter.IsTooLarge());
 }
 
-TEST(HttpHeadersTest, DropsWhatConcernsOneConnection) {
+TEST(HttpHeadersTest, RemovesHopByHopHeaders) {
   const HttpHeaders kept = EndToEndHeaders({{"Connection", "close, X-Hop"},
                                             {"x-hop", "1"},
                                             {"Keep-Alive", "5"},
@@ -58,7 +58,7 @@
   return route;
 }
 
-TEST(RouteMatchTest, TheLongestPrefixOfTheHostWins) {
+TEST(RouteMatchTest, PrefersTheLongestPathPrefix) {
   proto::RoutingConfiguration configuration;
   *configuration.add_routes() = HttpRoute("a", "/x/");
   *configuration.add_routes() = HttpRoute("b", "/x/y/");
@@ -68,7 +68,7 @@
   EXPECT_EQ(MatchRoute(configuration, "other.example", "/x/z"), nullptr);
 }
 
-TEST(RouteMatchTest, SharesFollowTheirWeightsAndADrawKeepsItsBackEnd) {
+TEST(RouteMatchTest, SplitsCallsByWeight) {
   proto::Route route = HttpRoute("a", "/x/");
   for (const auto& [backend, weight] :
        {std::pair("one", 90U), std::pair("two", 10U), std::pair("none", 0U)}) {
--- a/tests/calls/stream_check_test.cc
+++ b/tests/calls/stream_check_test.cc
@@ -17,7 +17,7 @@
   return chunk;
 }
 
-TEST(StreamCheckTest, PassesAnUnbrokenRunOnly) {
+TEST(StreamCheckTest, AcceptsAnUnbrokenRunOnly) {
   StreamCheck check("c");
   EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
   EXPECT_EQ(check.Check(Chunk("r", "c", 1)), ChunkCheckResult::kPass);
@@ -51,7 +51,7 @@
 }
 
 /// Whatever is done to a stream, what passes is a prefix of one run, whole only if it ended.
-TEST(StreamCheckTest, RandomDamageNeverPassesABrokenRun) {
+TEST(StreamCheckTest, RejectsRandomlyDamagedRuns) {
   std::mt19937_64 random(11);
   for (int round = 0; round < 20'000; ++round) {
     StreamCheck check("c");
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -3,7 +3,6 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "batch_work/batch_validation.h"
 #include "control_client/batch_partitions.h"
 #include "control_client/fake_control.h"
 #include "gateway/adapter_harness.h"
@@ -156,7 +155,7 @@
   SimulatedWorld world{5};
 };
 
-TEST_F(BatchApiTest, AcceptedBatchAnswers201AndAResentOne200) {
+TEST_F(BatchApiTest, Returns201ForANewAnd200ForAResentBatch) {
   EXPECT_EQ(Finish(Submit())->response.status, 201);
   ASSERT_EQ(q1.submissions.size(), 1U);
   EXPECT_EQ(q1.submissions[0].partition_id(), PartitionOfTenant("depot", 12).value());
@@ -167,7 +166,7 @@
   EXPECT_EQ(again->Body<proto::BatchStatus>().batch_id(), "0-1f");
 }
 
-TEST_F(BatchApiTest, TenantAndKeyMayComeInHeaders) {
+TEST_F(BatchApiTest, ReadsTenantAndKeyFromHeaders) {
   const std::string body = R"({"route": "audit", "items": [{"custom_id": "a"}]})";
   const auto answer = Finish(gateway->http.Send(
       "POST", "/v1/batches", body, {{"x-tenant", "depot"}, {"idempotency-key", "k2"}}));
@@ -182,7 +181,7 @@
   EXPECT_THAT(missing->Error().message(), HasSubstr("X-Tenant"));
 }
 
-TEST_F(BatchApiTest, InvalidBatchIsRefusedWholeWithEveryMistake) {
+TEST_F(BatchApiTest, RefusesAnInvalidBatchWithEveryProblem) {
   const auto answer = Finish(Submit(R"({"tenant": "depot", "idempotency_key": "k",
       "route": "live-only", "items": [{"custom_id": "a"}, {"custom_id": ""}, {"custom_id": "a"}]})"));
   EXPECT_EQ(answer->response.status, 422);
@@ -195,7 +194,7 @@
   EXPECT_TRUE(q1.submissions.empty());
 }
 
-TEST_F(BatchApiTest, SubmissionWaitsForAnOwner) {
+TEST_F(BatchApiTest, WaitsForAPartitionOwner) {
   SetOwner(0);
   const auto answer = Submit();
   world.RunFor(seconds(3));
@@ -205,7 +204,7 @@
   EXPECT_EQ(q2.submissions.size(), 1U);
 }
 
-TEST_F(BatchApiTest, WithoutAnOwnerNothingIsRunAndTheClientMayComeBack) {
+TEST_F(BatchApiTest, Returns503WithoutAnOwner) {
   SetOwner(0);
   for (const auto& answer :
        {Submit(), gateway->http.Send("GET", "/v1/batches/3-1f"),
@@ -216,7 +215,7 @@
   }
 }
 
-TEST_F(BatchApiTest, SubmissionIsSentAgainToANewOwnerWithTheSameKey) {
+TEST_F(BatchApiTest, ResendsASubmissionToANewOwner) {
   q1.silent = true;
   const auto answer = Submit();
   world.RunFor(seconds(1));
@@ -227,7 +226,7 @@
   EXPECT_EQ(q2.submissions[0].batch().idempotency_key(), "k1");
 }
 
-TEST_F(BatchApiTest, SilentOwnerLeavesTheOutcomeUnknown) {
+TEST_F(BatchApiTest, ReturnsUnknownIfTheOwnerDoesNotRespond) {
   q1.silent = true;
   const auto submitted = Finish(Submit());
   EXPECT_EQ(submitted->response.status, 504);
@@ -238,7 +237,7 @@
   EXPECT_EQ(read->Error().executed(), proto::EXECUTED_NO);
 }
 
-TEST_F(BatchApiTest, SilenceOfAnEarlierOwnerStaysUnknownWhenTheNewOneCanNotBeReached) {
+TEST_F(BatchApiTest, StaysUnknownIfTheNewOwnerIsUnreachable) {
   q1.silent = true;
   q2.refusal = Status(StatusCode::kUnavailable, "too few copies");
   const auto answer = Submit();
@@ -248,7 +247,7 @@
   EXPECT_EQ(answer->Error().executed(), proto::EXECUTED_UNKNOWN);
 }
 
-TEST_F(BatchApiTest, NodeThatIsNotTheOwnerIsNotBelieved) {
+TEST_F(BatchApiTest, RetriesWhenANodeIsNotTheOwner) {
   q1.refusal = Status(StatusCode::kConflict, "not mine", std::string(kNotOwnerDetail));
   const auto answer = gateway->http.Send("GET", "/v1/batches/3-1f");
   world.RunFor(seconds(1));
@@ -257,7 +256,7 @@
   EXPECT_EQ(Finish(answer)->Body<proto::BatchStatus>().batch_id(), "3-1f");
 }
 
-TEST_F(BatchApiTest, RefusalsOfTheOwnerArePassedOn) {
+TEST_F(BatchApiTest, ForwardsTheOwnersRefusals) {
   q1.refusal = Status(StatusCode::kConflict, "the key belongs to another batch");
   EXPECT_EQ(Finish(Submit())->response.status, 409);
   q1.refusal = Status(StatusCode::kResourceExhausted, "too many open items");
@@ -279,14 +278,14 @@
   EXPECT_EQ(q1.cancelled, std::vector<std::string>{"3-1f"});
 }
 
-TEST_F(BatchApiTest, IdsThatNameNoPartitionAreNotFound) {
+TEST_F(BatchApiTest, Returns404ForUnknownPartitions) {
   for (const char* id : {"12-1f", "x", "3", "-3-1f", "99999999999999999999-1"}) {
     const auto answer = gateway->http.Send("GET", std::string("/v1/batches/") + id);
     EXPECT_EQ(answer->response.status, 404) << id;
   }
 }
 
-TEST_F(BatchApiTest, GatewayWithoutALeaseRefuses) {
+TEST_F(BatchApiTest, RefusesWithoutALease) {
   world.Isolate("g");
   world.RunFor(seconds(4));
   const auto answer = Submit();
@@ -294,30 +293,5 @@
   EXPECT_EQ(answer->Error().executed(), proto::EXECUTED_NO);
 }
 
-TEST(BatchValidationTest, UnknownTenantsAreRefusedOnceTenantsAreConfigured) {
-  proto::RoutingConfiguration configuration;
-  proto::Route* route = configuration.add_routes();
-  route->set_name("audit");
-  route->set_accepts_batches(true);
-  proto::SubmitBatch batch;
-  batch.set_tenant("depot");
-  batch.set_idempotency_key("k");
-  batch.set_route("audit");
-  batch.add_items()->set_custom_id("a");
-  EXPECT_TRUE(FindBatchProblems(batch, configuration).empty());
-  configuration.add_tenants()->set_name("studio");
-  EXPECT_EQ(FindBatchProblems(batch, configuration).size(), 1U);
-}
-
-TEST(BatchValidationTest, LongListsOfMistakesAreCutAndCounted) {
-  proto::SubmitBatch batch;
-  for (int index = 0; index < 500; ++index) {
-    batch.add_items();
-  }
-  const std::vector<std::string> problems = FindBatchProblems(batch, {});
-  EXPECT_EQ(problems.size(), 101U);
-  EXPECT_EQ(problems.back(), "and 403 more");
-}
-
 }  // namespace
 }  // namespace cloverbank
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -29,7 +29,7 @@
   std::vector<BackendOutcome> outcomes_;
 };
 
-TEST_F(BatchCallTest, RunsAnItemAndReportsItsAnswer) {
+TEST_F(BatchCallTest, RunsAnItemAndReturnsItsResponse) {
   h.AddReplica("m1", "a", 8);
   h.StartWarm();
   ASSERT_GE(h.batch->FreeBatchSlots("model"), 1U);
@@ -42,7 +42,7 @@
   EXPECT_EQ(outcomes_[0].answer.call_id(), "item-0");
 }
 
-TEST_F(BatchCallTest, IsNotStartedWithoutRoomOrRight) {
+TEST_F(BatchCallTest, RequiresCapacityAndPermission) {
   FakeReplica& replica = h.AddReplica("m1", "a", 8);
   h.StartWarm();
   Run(false);
@@ -68,7 +68,7 @@
   EXPECT_EQ(replica.received.size(), 1U);  // Only the one that the replica refused.
 }
 
-TEST_F(BatchCallTest, SilenceIsUnknownAndNotRepeated) {
+TEST_F(BatchCallTest, DoesNotRetryWithoutAResponse) {
   h.AddReplica("m1", "a", 8).mode = Mode::kScripted;
   h.AddReplica("m2", "a", 8).mode = Mode::kScripted;
   h.StartWarm();
@@ -79,7 +79,7 @@
   EXPECT_EQ(h.replicas["m1"].received.size() + h.replicas["m2"].received.size(), 1U);
 }
 
-TEST_F(BatchCallTest, CancelClosesTheConnectionAndSaysNothing) {
+TEST_F(BatchCallTest, CancelClosesTheConnection) {
   FakeReplica& replica = h.AddReplica("m1", "a", 8);
   replica.mode = Mode::kScripted;
   h.StartWarm();
@@ -92,7 +92,7 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(BatchCallTest, GivesWayToWaitingLiveCalls) {
+TEST_F(BatchCallTest, YieldsToWaitingLiveCalls) {
   h.AddReplica("m1", "a", 2).mode = Mode::kScripted;
   h.AddReplica("m2", "b", 8);
   h.StartWarm();
@@ -114,7 +114,7 @@
 
 /// Twelve gateways with endless batch work and none knowing the others: the headroom stays free on
 /// the whole, the room is used, and live calls that come are served at once.
-TEST_F(BatchCallTest, ManyGatewaysShareTheRoomAndLeaveTheHeadroom) {
+TEST_F(BatchCallTest, ManyGatewaysLeaveTheReserveFree) {
   h.options.sharing = SharingOptions();
   for (const char* id : {"m1", "m2", "m3"}) {
     h.AddReplica(id, "a", 8).work_time = milliseconds(700);
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -182,7 +182,7 @@
   int served_ = 0;
 };
 
-TEST_P(DataPlaneFaultsTest, PromisesHold) {
+TEST_P(DataPlaneFaultsTest, KeepsGuaranteesUnderFaults) {
   for (int step = 0; step < kSteps; ++step) {
     Call();
     const bool calm = step % kPeriod >= kPeriod / 2;
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -24,7 +24,7 @@
   ForwardHarness h;
 };
 
-TEST_F(ForwardingTest, PassesOnWhatCameAndAnswersWithWhatTheReplicaSaid) {
+TEST_F(ForwardingTest, ForwardsRequestAndResponseUnchanged) {
   const auto caller = h.Forward("/safe/x", "c1");
   ASSERT_EQ(h.arrived.size(), 1U);
   const HttpRequest& sent = h.arrived[0]->request;
@@ -40,12 +40,12 @@
   EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
 }
 
-TEST_F(ForwardingTest, UnknownHostOrPathIsNotFound) {
+TEST_F(ForwardingTest, Returns404ForAnUnknownHostOrPath) {
   EXPECT_EQ(h.Forward("/nowhere/x", "c1")->status, 404);
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, AForeignAnswerIsNeverPassedOn) {
+TEST_F(ForwardingTest, RejectsAResponseToAnotherCall) {
   const auto caller = h.Forward("/once/x", "c1");
   h.Answer(0, {200, ForwardHarness::Echo("another"), ForwardHarness::Event(0)});
   EXPECT_EQ(caller->status, 504);
@@ -53,7 +53,7 @@
   EXPECT_EQ(h.arrived.size(), 1U);
 }
 
-TEST_F(ForwardingTest, OnlyTheReplicasOwnMarkAllowsASecondTryOfWhatMustNotRepeat) {
+TEST_F(ForwardingTest, RetriesNonIdempotentCallsOnlyIfMarkedNotRun) {
   const auto marked = h.Forward("/once/x", "c1");
   h.Answer(0, {503, {{"X-Not-Run", "1"}}, ""});
   h.world.RunFor(milliseconds(20));
@@ -71,7 +71,7 @@
   EXPECT_NE(unmarked->status, 429);
 }
 
-TEST_F(ForwardingTest, NothingIsPromisedAndNothingRepeatedAfterBytesWentOut) {
+TEST_F(ForwardingTest, DoesNotRetryAfterBytesWereSent) {
   const auto caller = h.Forward("/once/x", "c1");
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(milliseconds(200));
@@ -79,7 +79,7 @@
   EXPECT_EQ(caller->status, 504);
 }
 
-TEST_F(ForwardingTest, AReplicasFailureIsPassedOnAsItIs) {
+TEST_F(ForwardingTest, ForwardsAReplicaFailureUnchanged) {
   const auto caller = h.Forward("/once/x", "c1");
   h.Answer(0, {500, ForwardHarness::Echo("c1"), "broken"});
   EXPECT_EQ(caller->status, 500);
@@ -87,7 +87,7 @@
   EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
 }
 
-TEST_F(ForwardingTest, ABrokenStreamGoesOnAtAnotherReplicaAfterTheLastWholeEvent) {
+TEST_F(ForwardingTest, ResumesABrokenStreamAtAnotherReplica) {
   const auto caller = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0) + ForwardHarness::Event(1) + "id: 2\nda");
@@ -104,7 +104,7 @@
             ForwardHarness::Event(0) + ForwardHarness::Event(1) + ForwardHarness::Event(2));
 }
 
-TEST_F(ForwardingTest, AGapAfterAResumeBreaksTheAnswerInsteadOfLookingWhole) {
+TEST_F(ForwardingTest, AbortsOnAGapAfterAResume) {
   const auto caller = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
@@ -117,7 +117,7 @@
   EXPECT_FALSE(caller->complete);
 }
 
-TEST_F(ForwardingTest, AStreamThatMustNotRepeatIsBrokenOffWhenItsReplicaIs) {
+TEST_F(ForwardingTest, AbortsABrokenNonIdempotentStream) {
   const auto caller = h.Forward("/once/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
@@ -127,14 +127,14 @@
   EXPECT_TRUE(caller->aborted);
 }
 
-TEST_F(ForwardingTest, NothingIsLeftAtAReplicaForACallerThatLeft) {
+TEST_F(ForwardingTest, CancelsWhenTheClientDisconnects) {
   const auto caller = h.Forward("/tale/x", "c1");
   caller->disconnect();
   EXPECT_TRUE(h.arrived[0]->cancelled);
   EXPECT_EQ(h.service->calls_under_way(), 0U);
 }
 
-TEST_F(ForwardingTest, ASilentReplicaIsLeftForAnotherOneOnlyByWhatMayRepeat) {
+TEST_F(ForwardingTest, RetriesOnlyIdempotentCallsWithoutAResponse) {
   const auto safe = h.Forward("/safe/x", "c1");
   const auto once = h.Forward("/once/x", "c2");
   h.world.RunFor(seconds(2));
@@ -147,7 +147,7 @@
   EXPECT_EQ(once->status, 504);  // Its one final answer, at its deadline.
 }
 
-TEST_F(ForwardingTest, ARouteThatMovedAwayGetsNothingAtItsOldBackEnd) {
+TEST_F(ForwardingTest, SendsNothingToAFormerBackEnd) {
   h.permission.stored.mutable_routes(1)->set_backend("elsewhere");
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(1));
@@ -155,7 +155,7 @@
   EXPECT_EQ(caller->status, 503);
 }
 
-TEST_F(ForwardingTest, CallsBeforeTheFirstConfigurationWaitForItAndThenGoOn) {
+TEST_F(ForwardingTest, QueuesCallsUntilTheFirstConfiguration) {
   h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(milliseconds(500));
@@ -168,7 +168,7 @@
   EXPECT_EQ(caller->status, 200);
 }
 
-TEST_F(ForwardingTest, CallsThatNoConfigurationReachesAreToldWhenToComeBack) {
+TEST_F(ForwardingTest, Returns503AfterWaitingForConfiguration) {
   h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(3));
@@ -177,7 +177,7 @@
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, ABatchThatCameBeforeTheConfigurationIsNotPassedOnAsACall) {
+TEST_F(ForwardingTest, RefusesABatchThatWaitedAsACall) {
   h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
   h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/batch", "batch-1");
@@ -188,7 +188,7 @@
   EXPECT_EQ(caller->status, 503);
 }
 
-TEST_F(ForwardingTest, ABatchThatWaitedForTheConfigurationIsHandedInOnceItIsKnownToBeOne) {
+TEST_F(ForwardingTest, SubmitsAWaitingBatchOnceItsRouteIsKnown) {
   h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
   h.permission.stored.set_label(0);
   std::vector<std::string> handed_in;
@@ -204,7 +204,7 @@
   EXPECT_EQ(caller->answers, 0) << "the taker answers";
 }
 
-TEST_F(ForwardingTest, ACallerThatLeavesWhileItWaitsForControlIsForgotten) {
+TEST_F(ForwardingTest, DropsAWaitingCallOnDisconnect) {
   h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   caller->disconnect();
@@ -216,7 +216,7 @@
 
 /// The hole that a deliberate bug had shown: the right to start must be asked right before the
 /// first byte, however long the connection took.
-TEST_F(ForwardingTest, AnItemWhoseRightRunsOutWhileTheConnectionIsMadeNeverLeaves) {
+TEST_F(ForwardingTest, DoesNotSendAnItemWhoseLeaseEnds) {
   h.client->connect_time = milliseconds(150);
   bool can_start = true;
   proto::CallRequest request;
@@ -239,7 +239,7 @@
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, AnItemThatAlwaysFailsIsGivenUpAfterItsAttemptsOverAllLeases) {
+TEST_F(ForwardingTest, CountsItemFailuresOverAllLeases) {
   h.permission.stored.mutable_routes(2)->set_attempts(3);
   proto::CallRequest request;
   request.set_call_id("item");
@@ -259,7 +259,7 @@
   EXPECT_EQ(outcome.failed_runs, 3U);
 }
 
-TEST_F(ForwardingTest, AnItemThatFailedOnceIsNotGivenUpWhenItsLeaseEndsInSilence) {
+TEST_F(ForwardingTest, LeavesAnItemUnknownWithAttemptsLeft) {
   h.permission.stored.mutable_routes(2)->set_attempts(2);
   proto::CallRequest request;
   request.set_call_id("item");
@@ -276,7 +276,7 @@
   EXPECT_EQ(outcome.failed_runs, 1U);
 }
 
-TEST(RefusalTest, SaysWhenToComeBackIfAndOnlyIfNothingRan) {
+TEST(RefusalTest, SendsRetryAfterOnlyIfNothingRan) {
   proto::CallError error;
   error.set_executed(proto::EXECUTED_NO);
   FakeResponder busy;
--- a/tests/gateway/gateway_service_test.cc
+++ b/tests/gateway/gateway_service_test.cc
@@ -100,7 +100,7 @@
   int carried_out_ = 0;
 };
 
-TEST_F(GatewayServiceTest, ServesOnlyUnderItsLease) {
+TEST_F(GatewayServiceTest, ServesOnlyWithALease) {
   world_.RunFor(seconds(1));
   EXPECT_EQ(WhyNot(), "");
   EXPECT_EQ(Call(), 200);
@@ -114,7 +114,7 @@
   EXPECT_EQ(carried_out_, 2);
 }
 
-TEST_F(GatewayServiceTest, ADrainedZoneIsInForceWithTheNextHeartbeat) {
+TEST_F(GatewayServiceTest, AppliesADrainedZoneAtTheNextHeartbeat) {
   world_.RunFor(seconds(1));
   ASSERT_EQ(Call(), 200);
   SetZone(proto::ZONE_STATE_DRAINED);
@@ -124,7 +124,7 @@
   EXPECT_EQ(carried_out_, 1);
 }
 
-TEST_F(GatewayServiceTest, AFrozenGatewayWakesWithoutItsRights) {
+TEST_F(GatewayServiceTest, HasNoPermissionAfterAFreeze) {
   world_.RunFor(seconds(1));
   ASSERT_EQ(Call(), 200);
   world_.machine("g").Freeze();
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -26,7 +26,7 @@
   GatewayHarness h;
 };
 
-TEST_F(LiveCallTest, AnswersModelAndServiceCalls) {
+TEST_F(LiveCallTest, ServesModelAndServiceCalls) {
   h.AddReplica("m1", "a", 4);
   h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   h.StartWarm();
@@ -46,7 +46,7 @@
   EXPECT_EQ(h.live->calls_under_way(), 0U);
 }
 
-TEST_F(LiveCallTest, RefusesWhatIsWrongBeforeSending) {
+TEST_F(LiveCallTest, RefusesInvalidRequestsBeforeSending) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   EXPECT_EQ(h.Call("nowhere")->status, 404);
@@ -62,7 +62,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, NonRepeatableCallIsNeverSentTwiceAfterSilence) {
+TEST_F(LiveCallTest, NeverRetriesANonIdempotentCall) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4).mode = Mode::kScripted;
@@ -81,7 +81,7 @@
   }
 }
 
-TEST_F(LiveCallTest, RepeatableCallGoesElsewhereAfterAReset) {
+TEST_F(LiveCallTest, RetriesAnIdempotentCallAfterAReset) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4);
@@ -95,7 +95,7 @@
   EXPECT_EQ(Received(), 2U);
 }
 
-TEST_F(LiveCallTest, RefusedCallGoesElsewhereEvenIfNotRepeatable) {
+TEST_F(LiveCallTest, RetriesARefusedNonIdempotentCall) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kRefuse;
   h.AddReplica("m2", "b", 4);
@@ -106,7 +106,7 @@
   EXPECT_EQ(first.received.size(), 1U);
 }
 
-TEST_F(LiveCallTest, NotRunIsNeverFollowedByASend) {
+TEST_F(LiveCallTest, SendsNothingAfterReportingNotRun) {
   FakeReplica& only = h.AddReplica("m1", "a", 1);
   only.mode = Mode::kRefuse;
   h.StartWarm();
@@ -132,7 +132,7 @@
   }
 }
 
-TEST_F(LiveCallTest, ExpiredLeaseRefusesAndStopsAConnectingCall) {
+TEST_F(LiveCallTest, ExpiredLeaseStopsAConnectingCall) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   h.client->connect_time = milliseconds(200);
@@ -146,7 +146,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, DrainingReplicaGetsNothingAfterThePollSawIt) {
+TEST_F(LiveCallTest, SendsNothingToADrainingReplica) {
   FakeReplica& leaving = h.AddReplica("m1", "a", 8);
   h.AddReplica("m2", "b", 8);
   h.StartWarm();
@@ -169,7 +169,7 @@
   EXPECT_EQ(leaving.probes, probes_before);
 }
 
-TEST_F(LiveCallTest, DrainedZoneGetsNothingAndItsGatewayServesFromOthers) {
+TEST_F(LiveCallTest, SendsNothingToADrainedZone) {
   FakeReplica& home = h.AddReplica("m1", "a", 8);
   FakeReplica& away = h.AddReplica("m2", "b", 8);
   h.StartWarm();
@@ -186,7 +186,7 @@
   EXPECT_EQ(away.received.size(), 2U);
 }
 
-TEST_F(LiveCallTest, ColdReplicaIsNotFloodedByManyGateways) {
+TEST_F(LiveCallTest, ManyGatewaysDoNotFloodAWarmingReplica) {
   for (const char* id : {"m1", "m2", "m3"}) {
     h.AddReplica(id, "a", 8).work_time = milliseconds(400);
   }
@@ -215,7 +215,7 @@
   EXPECT_EQ(most_by_second[11], 8U);
 }
 
-TEST_F(LiveCallTest, CrossedAnswersNeverPass) {
+TEST_F(LiveCallTest, RejectsCrossedResponses) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   FakeReplica& service = h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   model.mode = Mode::kScripted;
@@ -240,7 +240,7 @@
   EXPECT_EQ(Received(), 2U);
 }
 
-TEST_F(LiveCallTest, AStreamCutOffEndsWithAnErrorPieceAndNoRetry) {
+TEST_F(LiveCallTest, EndsABrokenStreamWithAnErrorChunk) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   model.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4);
@@ -256,7 +256,7 @@
   EXPECT_EQ(Received(), 1U);
 }
 
-TEST_F(LiveCallTest, ReadsNoFurtherThanTheCallerTakes) {
+TEST_F(LiveCallTest, AppliesBackPressureToTheReplica) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   model.mode = Mode::kScripted;
   h.StartWarm();
@@ -281,7 +281,7 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(LiveCallTest, ACallerThatLeavesCancelsWhereverItsCallIs) {
+TEST_F(LiveCallTest, DisconnectCancelsRunningAndWaitingCalls) {
   FakeReplica& model = h.AddReplica("m1", "a", 1);
   model.mode = Mode::kScripted;
   h.StartWarm();
@@ -299,7 +299,7 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(LiveCallTest, FrozenProcessSendsNothingBeforeItReadTheListAnew) {
+TEST_F(LiveCallTest, SendsNothingWithAStaleListAfterAFreeze) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   h.list_delay = milliseconds(100);
@@ -315,7 +315,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, AKeyIsCarriedOutOnce) {
+TEST_F(LiveCallTest, RunsEachIdempotencyKeyOnce) {
   FakeReplica& service = h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   h.StartWarm();
   const HttpHeaders key = {{"Idempotency-Key", "k"}, {"X-Tenant", "t"}};
@@ -361,7 +361,7 @@
   EXPECT_EQ(h.live->calls_under_way(), 1U);
 }
 
-TEST_F(LiveCallTest, ACrowdIsAnsweredAndTheQueueStaysBounded) {
+TEST_F(LiveCallTest, BoundsTheQueueUnderOverload) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   std::vector<std::shared_ptr<FakeResponder>> callers;
--- a/tests/gateway/operator_api_test.cc
+++ b/tests/gateway/operator_api_test.cc
@@ -56,7 +56,7 @@
 constexpr const char* kTransaction = R"({"operation_id": "op-1", "expected_version": 4,
     "changes": [{"set_zone": {"name": "a", "state": "ZONE_STATE_DRAINED"}}]})";
 
-TEST_F(OperatorApiTest, AppliedTransactionAnswers200) {
+TEST_F(OperatorApiTest, Returns200ForAnAppliedTransaction) {
   control.transaction_result.set_outcome(proto::TRANSACTION_OUTCOME_APPLIED);
   control.transaction_result.set_version(5);
   const auto answer = Post(kTransaction);
@@ -69,7 +69,7 @@
   EXPECT_EQ(sent.changes(0).set_zone().state(), proto::ZONE_STATE_DRAINED);
 }
 
-TEST_F(OperatorApiTest, VersionConflictAnswers409WithTheCurrentVersion) {
+TEST_F(OperatorApiTest, Returns409ForAVersionConflict) {
   control.transaction_result.set_outcome(proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
   control.transaction_result.set_version(9);
   const auto answer = Post(kTransaction);
@@ -78,7 +78,7 @@
   EXPECT_EQ(answer->Error().executed(), proto::EXECUTED_NO);
 }
 
-TEST_F(OperatorApiTest, InvalidTransactionAnswers422WithEveryProblem) {
+TEST_F(OperatorApiTest, Returns422WithEveryProblem) {
   control.transaction_result.set_outcome(proto::TRANSACTION_OUTCOME_INVALID);
   control.transaction_result.add_problems("first");
   control.transaction_result.add_problems("second");
@@ -87,7 +87,7 @@
   EXPECT_THAT(answer->Error().problems(), ElementsAre("first", "second"));
 }
 
-TEST_F(OperatorApiTest, MalformedBodiesAnswer400AndNameThePlace) {
+TEST_F(OperatorApiTest, Returns400ForMalformedBodies) {
   const std::vector<std::pair<std::string, std::string>> cases = {
       {R"({"expected_version": 4})", "operation_id"},
       {R"({"operation_id": "x", "changes": [{"set_route": {"deadline_ms": "soon"}}]})",
@@ -105,7 +105,7 @@
   EXPECT_TRUE(control.transactions.empty());
 }
 
-TEST_F(OperatorApiTest, LostCoordinatorsAnswerUnknownAndAdviseTheSameOperationId) {
+TEST_F(OperatorApiTest, ReturnsUnknownWithoutCoordinators) {
   world.Isolate("g");
   const auto answer = Post(kTransaction);
   EXPECT_EQ(answer->response.status, 503);
@@ -114,7 +114,7 @@
   EXPECT_FALSE(answer->Header("Retry-After").empty());
 }
 
-TEST_F(OperatorApiTest, ReadsAndRetirementsGoToTheLeader) {
+TEST_F(OperatorApiTest, SendsReadsAndRetirementsToTheLeader) {
   const auto config = gateway->http.Send("GET", "/v1/config");
   const auto history = gateway->http.Send("GET", "/v1/config/history", "", {}, {{"limit", "7"}});
   const auto bad_limit =
@@ -142,13 +142,5 @@
   EXPECT_EQ(gateway->http.Send("GET", "/healthz")->response.status, 503);
 }
 
-TEST(HttpJsonTest, RetryAfterIsWholeSecondsRoundedUp) {
-  RecordedResponse answer;
-  proto::CallError error;
-  error.set_retry_after_ms(1001);
-  SendError(answer, 503, error);
-  EXPECT_EQ(answer.Header("Retry-After"), "2");
-}
-
 }  // namespace
 }  // namespace cloverbank
--- a/tests/gateway/response_timing_test.cc
+++ b/tests/gateway/response_timing_test.cc
@@ -8,7 +8,7 @@
 constexpr TimePoint kStart{seconds(100)};
 constexpr ResponseTargets kTargets{milliseconds(300), milliseconds(200)};
 
-TEST(ResponseTimingTest, AStreamWithinBothTargetsIsInTime) {
+TEST(ResponseTimingTest, StreamWithinBothTargetsIsInTime) {
   ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(300));
   timing.OnEvent(kStart + milliseconds(500));
@@ -17,7 +17,7 @@
   EXPECT_EQ(timing.events(), 2U);
 }
 
-TEST(ResponseTimingTest, NamesTheLongestPauseAndWhenItBegan) {
+TEST(ResponseTimingTest, ReportsTheLongestPause) {
   ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(100));
   timing.OnEvent(kStart + milliseconds(301));
@@ -27,14 +27,14 @@
   EXPECT_EQ(timing.longest_pause_from(), milliseconds(100));
 }
 
-TEST(ResponseTimingTest, ALateFirstEventComesBeforeALatePause) {
+TEST(ResponseTimingTest, PrefersALateFirstEventToALatePause) {
   ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(301));
   timing.OnEvent(kStart + milliseconds(900));
   EXPECT_EQ(timing.lateness(), Lateness::kFirstChunk);
 }
 
-TEST(ResponseTimingTest, AnAnswerInOnePieceIsLateAsAWhole) {
+TEST(ResponseTimingTest, ClassifiesALateCompleteResponse) {
   ResponseTiming timing(kTargets, kStart);
   timing.OnComplete(kStart + milliseconds(301));
   EXPECT_EQ(timing.lateness(), Lateness::kCompleteResponse);
