--- a/src/admission/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -6,10 +6,10 @@
 namespace cloverbank {
 namespace {
 
-/// How often the queue is looked at while calls wait: for expiries, and for room that time alone
-/// gives (slow start, pauses after refusals).
+/// Between checks of the queue while calls wait: for expired waits, and for capacity that time
+/// alone brings (slow start, pauses after refusals).
 constexpr Duration kTick = milliseconds(20);
-/// How many waiting calls may find no room before the rest of the queue is let be.
+/// Waiting calls that may find no capacity before the rest of the queue is skipped.
 constexpr std::size_t kMaximumMisses = 4;
 
 }  // namespace
--- a/src/admission/call_queue.h
+++ b/src/admission/call_queue.h
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// The waiting room of live calls: puts `AdmissionControl`'s queue to work with timers, and offers
-/// room to those who wait whenever some may have appeared.
-/// Threads: the owner's event loop only.
+/// The wait queue of live calls: drives the queue of `AdmissionControl` by timers, and dispatches
+/// waiting calls whenever a replica may have capacity. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -18,17 +17,17 @@
 namespace cloverbank {
 
 enum class ServeResult : std::uint8_t {
-  kServed,      ///< It left the queue: sent, or ended.
-  kNoCapacity,  ///< It goes on waiting.
+  kServed,      ///< Left the queue: sent, or ended.
+  kNoCapacity,  ///< Remains in the queue.
 };
 
 /// A call that can wait in the queue.
 class WaitingCallOwner {
  public:
   virtual ~WaitingCallOwner() = default;
-  /// Room may have appeared: send now if there is.
+  /// A replica may have capacity: send now if it has.
   virtual ServeResult ServeFromQueue() = 0;
-  /// It has left the queue and must be answered now.
+  /// The call was removed from the queue; its client must get a response.
   virtual void OnQueueRefusal(const RefusalNotice& notice) = 0;
 };
 
@@ -45,13 +44,13 @@
     WaitId id = 0;
     std::optional<RefusalNotice> refusal;
   };
-  /// Queues a call, whose `id` is chosen here. @return its id, or the refusal.
+  /// Queues a call and assigns its `id`. @return the id, or the refusal.
   EnqueueResult Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner);
-  /// The owner left by itself.
+  /// The owner ended the wait.
   void Remove(WaitId id);
   std::size_t Waiting(const std::string& backend) const { return admission_.Waiting(backend); }
 
-  /// Offers room to the waiting calls soon (once, however often it is asked).
+  /// Dispatches waiting calls in the next turn of the event loop, once for any number of requests.
   void ScheduleDispatch();
   Duration RetryAfter(const std::string& backend) const;
 
@@ -63,7 +62,7 @@
 
   void Dispatch();
   void DispatchBackend(const std::string& backend);
-  /// Offers room to the first few. @return whether any of them left the queue.
+  /// Serves the first few calls. @return whether any of them left the queue.
   bool ServeFirst(const std::string& backend);
   void Refuse(WaitId id, Refusal refusal);
   void ScheduleTick();
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -6,17 +6,17 @@
 
 namespace cloverbank {
 
-/// A tenant's calls per second, as a bucket of tokens.
+/// Limits calls per second, with a burst.
 class TokenBucket {
  public:
-  /// Takes one token. @return 0, or how long until there is one.
+  /// Takes one token. @return zero, or the time until there is one.
   Duration Acquire(double per_second, Duration burst, TimePoint now);
-  /// Whether it is as good as new, so that it need not be kept.
+  /// Whether all tokens are there, so that the bucket's state can be dropped.
   bool IsFull(double per_second, Duration burst, TimePoint now) const;
 
  private:
   double Level(double per_second, double capacity, TimePoint now) const;
-  double tokens_ = -1;  ///< Negative: never used, hence full.
+  double tokens_ = -1;  ///< Negative: unused, hence full.
   TimePoint updated_{};
 };
 
--- a/src/batch_work/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMostProblems = 100;
 
-/// Collects mistakes, counting those beyond the number that is shown.
+/// Collects problems, and counts those beyond the number that is shown.
 class ProblemList {
  public:
   void Add(const std::string& place, const std::string& what) {
--- a/src/batch_work/batch_validation.h
+++ b/src/batch_work/batch_validation.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Pure: checks a submission against the configuration before it is sent to its partition's owner.
-/// Nothing of it is taken unless all of it is right, so every mistake is named at once.
+/// Checks a submission against the configuration before it is sent to its partition's owner. A
+/// batch is accepted completely or not at all, so all problems are reported together. Pure.
 
 #include <string>
 #include <vector>
@@ -20,8 +20,8 @@
 const proto::Route* FindRouteNamed(const proto::RoutingConfiguration& configuration,
                                    const std::string& name);
 
-/// @return every mistake, each naming its place ("items[3].custom_id: ..."); empty if there is
-/// none. A long list ends with how many more there are.
+/// @return all problems, each with its place ("items[3].custom_id: ..."); empty if there is none. A
+/// long list is truncated and ends with the number of further ones.
 std::vector<std::string> FindBatchProblems(const proto::SubmitBatch& batch,
                                            const proto::RoutingConfiguration& configuration);
 
--- a/src/batch_work/batch_worker.h
+++ b/src/batch_work/batch_worker.h
@@ -1,12 +1,11 @@
 #pragma once
 /// @file
-/// Runs batch items in the room that live work leaves: asks the queue nodes for work, starts
-/// granted items while every right to do so holds, renews the leases of running ones and hands in
-/// results until an owner of the partition has answered. Decisions are made in `WorkItemTable`
-/// and `AcquirePlanner`.
+/// Runs batch items in the capacity that live calls leave: acquires work from queue nodes, starts
+/// granted items while node lease, work lease and configuration allow it, and reports results
+/// through `WorkReporter`. `WorkItemTable` and `AcquirePlanner` make the decisions.
 ///
-/// A grant's time to start counts from when the question for work was *sent*, so a worker that
-/// froze finds old grants void. Threads: the owner's event loop only.
+/// A grant's time to start counts from when the request for work was *sent*, so that grants expire
+/// while a worker is frozen. Threads: the owner's event loop only.
 
 #include <map>
 #include <memory>
@@ -28,12 +27,13 @@
   AcquirePlannerOptions acquire;
   Duration run_interval = milliseconds(50);
   Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
-  /// For an answer, beyond the hold. Longer than a work lease: a grant that comes late is given
-  /// back, one that is never read leaves an item that must not repeat unknown.
+  /// Of AcquireWork, beyond the long poll. Longer than a work lease: a late grant is returned, but
+  /// one that is never read leaves a non-idempotent item unknown.
   Duration acquire_timeout = seconds(6);
   Duration report_deadline = milliseconds(1500);
   Duration retry_delay = milliseconds(200);  ///< After a call that failed.
-  /// For room, before a grant is given back: that costs its queue node a write and another grant.
+  /// How long a granted item waits for capacity; returning it costs its queue node a write and
+  /// another grant.
   Duration grant_wait = milliseconds(300);
   Duration default_item_deadline = seconds(60);  ///< For routes that set none.
 };
@@ -46,21 +46,21 @@
   BatchWorker(const BatchWorker&) = delete;
   BatchWorker& operator=(const BatchWorker&) = delete;
 
-  /// Begins to ask for work, for as long as the worker lives.
+  /// Starts to acquire work; ends with the worker's life.
   void Start();
-  /// Asks for no more work; what is held is finished and reported.
+  /// Acquires no more work; pending items are finished and reported.
   void Drain() { draining_ = true; }
 
-  /// @return leases of items that are waiting or running.
+  /// @return the number of items that wait or run.
   std::size_t pending() const { return work_items_.pending(); }
-  /// @return results that no owner has answered yet.
+  /// @return the number of results that no owner has confirmed.
   std::size_t unreported() const { return work_items_.unreported(); }
 
  private:
   void RequestRun();
   void Run();
   void StartWaitingItems();
-  /// Starts the item, gives it back, or leaves it waiting. @param free is reduced by a start.
+  /// Starts the item, returns it, or leaves it waiting. @param free is reduced by a start.
   void StartOrRefuse(WorkLeaseId lease, BatchCapacity* free);
   void StartItem(WorkLeaseId lease, const proto::Route& route);
   bool CanDispatch(WorkLeaseId lease);
@@ -74,9 +74,9 @@
   void EndLease(WorkLeaseId lease);
 
   StartConditions Conditions() const;
-  /// @return free slots by back end, less those of items that were started and have not left.
+  /// @return free slots of each back end, less those of started items whose request was not sent.
   BatchCapacity FreeCapacity() const;
-  /// @return the same, less those of items that wait here.
+  /// @return the same, less those of waiting items.
   BatchCapacity UnclaimedCapacity() const;
   bool IsPaused(const std::string& backend) const;
   std::vector<NodeId> OwningNodes() const;
@@ -89,7 +89,7 @@
   AcquirePlanner acquire_planner_;
   WorkReporter reporter_;
   std::map<WorkLeaseId, std::shared_ptr<BackendCall>> calls_;
-  /// Back ends that turned an item away lately get no further ones until then.
+  /// Back ends that refused an item get no further ones until then.
   std::map<std::string, TimePoint> paused_backends_;
   LifetimeGuard lifetime_;
   TimerId tick_timer_ = 0;
--- a/src/batch_work/queue_node_call.h
+++ b/src/batch_work/queue_node_call.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Calls of the batch worker to queue nodes: which node owns a partition, and one call to a node
-/// whose failure is counted and reported to the coordinators. Threads: the owner's event loop only.
+/// What the batch worker's calls to queue nodes have in common: the owner of a partition, its
+/// endpoint, and the handling of failures. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -39,7 +39,7 @@
 
 Endpoint PeerEndpointFor(const proto::Server& server);
 
-/// Counts a failed call, and reports a node that did not respond as suspect.
+/// Counts a failed call, and reports a node that did not respond to the coordinators as suspect.
 void RecordQueueNodeFailure(Environment& environment, NodeAgent& agent, std::string_view method,
                             NodeId node, const Status& status);
 
--- a/src/batch_work/start_refusal.h
+++ b/src/batch_work/start_refusal.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Why a batch item may not start now, and which of these reasons end the item for good. Pure.
+/// Why a batch item may not start now, and which of these reasons are final. Pure.
 
 #include <cstdint>
 #include <string>
@@ -11,13 +11,13 @@
 /// Why an item may not start now.
 enum class StartRefusal : std::uint8_t {
   kNone,           ///< It may start.
-  kWindowExpired,  ///< The grant's time to start has run out.
-  kNodeLease,      ///< The gateway may not act.
-  kNoCapacity,     ///< Live work took the room back.
-  kPaused,         ///< Operators stopped batch work.
-  kLeaseEnded,     ///< The queue node took the lease back.
+  kWindowExpired,  ///< The grant's time to start has expired.
+  kNodeLease,      ///< The gateway has no valid node lease.
+  kNoCapacity,     ///< Live calls use the capacity.
+  kPaused,         ///< Operators paused batch work.
+  kLeaseEnded,     ///< The queue node ended the lease.
   kNoRoute,        ///< The configuration no longer has the route: the item can not run.
-  kMustNotRepeat,  ///< Accepted as repeatable, but the route no longer is: the item can not run.
+  kMustNotRepeat,  ///< Accepted as idempotent, but the route no longer is: the item can not run.
 };
 /// @return the stable snake_case name, for metrics.
 std::string_view StartRefusalName(StartRefusal refusal);
--- a/src/batch_work/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Pure core of the batch worker: the items this gateway holds work leases for, and the results it
-/// still owes. It decides whether an item may start, what its end is reported as, and which reports
-/// go to which queue node. Threads: the owner's event loop only.
+/// The batch items for which this gateway has work leases, and the results that it has not reported
+/// yet. Decides whether an item may start, how its end is reported, and which reports go to which
+/// queue node. Pure. Threads: the owner's event loop only.
 ///
-/// Invariants: an item is reported as not run only if its request certainly never left; a report is
-/// kept until an owner of its partition has answered it; each lease is reported at most once at a
-/// time.
+/// Invariants: an item is reported as not run only if its request certainly was not sent; a report
+/// is kept until an owner of its partition has confirmed it; each lease is in at most one report in
+/// flight.
 
 #include <compare>
 #include <cstddef>
@@ -25,10 +25,10 @@
 
 namespace cloverbank {
 
-/// @return whether a replica refused the item for good: giving it back would only repeat that.
+/// @return whether a replica found the item itself invalid: any other replica would too.
 bool WasRejected(const BackendOutcome& outcome);
 
-/// What the gateway's state allows at this moment.
+/// The gateway's state at this moment.
 struct StartConditions {
   TimePoint now;
   bool node_lease_valid = false;
@@ -36,13 +36,13 @@
 };
 
 /// What to do with a running item whose lease the queue node ended (its batch was cancelled, or the
-/// item was given to another gateway). An item that left runs to its end, also an idempotent one,
-/// and its true result is reported: cutting it off would stop nothing at the replica, and a
-/// cancelled batch would show it as never started.
+/// item was granted to another gateway). A dispatched item runs to its end, even an idempotent one,
+/// and its result is reported: closing the connection would not stop the replica, and a cancelled
+/// batch would show the item as never started.
 enum class EndedAction : std::uint8_t {
-  kNothing,   ///< Not held, or its result is known already.
-  kCancel,    ///< It has not left: cancel the call; the item is reported as not run.
-  kContinue,  ///< It left.
+  kNothing,   ///< No such item, or its result is known.
+  kCancel,    ///< Not dispatched: cancel the call; the item is reported as not run.
+  kContinue,  ///< Dispatched.
 };
 
 struct WorkItemTableLimits {
@@ -52,8 +52,8 @@
   std::size_t report_bytes_per_call = 1U << 20U;
 };
 
-/// Addressee of one ReportWork call. The leases were given to a node id, which may be an earlier
-/// one.
+/// Destination of one ReportWork call, and the gateway's node id to which the leases were granted,
+/// which may be an earlier one.
 struct ReportAddress {
   NodeId owner;
   NodeId gateway;
@@ -64,50 +64,51 @@
  public:
   explicit WorkItemTable(WorkItemTableLimits limits = {}) : limits_(limits) {}
 
-  /// Takes a grant. @return false for a lease that is held already (a repeated answer).
-  /// @param sent when the request that brought it was sent: its window counts from then.
+  /// Adds a granted item. @return false for a known lease (a repeated response).
+  /// @param sent when the request for work was sent: the time to start counts from then.
   bool Add(const proto::WorkGrant& grant, NodeId gateway, TimePoint sent, TimePoint now);
 
-  /// @return whether the item of `lease` may start; asked once more right before the request
-  /// leaves.
+  /// @return whether the item of `lease` may start; evaluated again immediately before its request
+  /// is sent.
   StartRefusal CanStart(WorkLeaseId lease, const StartConditions& conditions) const;
-  /// The call was handed to the back end's caller.
+  /// The call was passed to the `BackendCaller`.
   void RecordRunning(WorkLeaseId lease);
-  /// The request may have left from now on.
+  /// From now on the request may have been sent.
   void RecordDispatched(WorkLeaseId lease);
-  /// Ends an item that was not started. Final refusals become failed results, others give it back.
+  /// Ends an item that was not started: as failed for a final refusal, else as not run.
   void Refuse(WorkLeaseId lease, StartRefusal refusal);
-  /// Takes the outcome of its call.
-  /// @param keep_if_not_run whether an item that certainly did not run waits here for another try,
-  /// instead of being given back.
+  /// The call of the item ended.
+  /// @param keep_if_not_run whether an item that certainly did not run waits for another attempt
+  /// instead of being returned.
   void Finish(WorkLeaseId lease, const BackendOutcome& outcome, bool keep_if_not_run);
   /// The queue node ended the lease.
   EndedAction End(WorkLeaseId lease);
-  /// The call of an ended lease was cancelled: whether it ran is known only if it never left.
+  /// The call of an ended lease was cancelled: reported as not run only if it was not dispatched.
   void FinishCancelled(WorkLeaseId lease);
 
   /// @return leases granted and not yet running, in order of arrival.
   std::vector<WorkLeaseId> Waiting() const;
-  /// @return since when the item of `lease` has been held.
+  /// @return when the grant of `lease` was received.
   TimePoint ArrivedAt(WorkLeaseId lease) const;
   const proto::WorkGrant* FindGrant(WorkLeaseId lease) const;
-  /// @return items handed to the caller whose request has not left, by route name.
+  /// @return the number of running items whose request was not dispatched, by route name.
   std::map<std::string, std::uint32_t> NotDispatchedByRoute() const;
 
   /// Finds the owner of a partition; an invalid id while there is none.
   using OwnerLookup = std::function<NodeId(PartitionId)>;
-  /// @return every address that has reports or running items now. Those without an owner wait.
+  /// @return every address that has reports or running items now. Items of a partition without an
+  /// owner are left out.
   /// @param include_running also addresses that only have leases to renew.
   std::vector<ReportAddress> FindReportAddresses(const OwnerLookup& owner_of,
                                                  bool include_running) const;
-  /// @return the call to make to `address`, within the limits; its reports count as under way.
+  /// @return the request to `address`, within the limits; its reports are in flight from now on.
   proto::ReportWorkRequest TakeReports(const ReportAddress& address, const OwnerLookup& owner_of);
-  /// The owner answered: its reports are done with.
+  /// The owner confirmed the reports: their items are removed.
   void RecordConfirmed(const proto::ReportWorkRequest& request);
-  /// No answer came: its reports wait again.
+  /// The call failed: its reports wait again.
   void RecordReportFailed(const proto::ReportWorkRequest& request);
 
-  /// Whether so much is held or unreported that nothing further should be acquired.
+  /// Whether the limits are reached, so that nothing more should be acquired.
   bool IsFull() const;
   std::size_t unreported() const { return unreported_; }
   std::size_t pending() const { return items_.size() - unreported_; }
--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// What every kind of attempt does in the same way: it reports its use of the replica to the pool
-/// exactly once, is asked right before its request leaves whether it still may, and classifies the
-/// end of a call that brought no complete response. Threads: the owner's event loop only.
+/// The common part of all kinds of attempts: reports the use of the replica to the pool exactly
+/// once, checks immediately before the request is sent that it still may be sent, and classifies a
+/// call that ended without a complete response. Threads: the owner's event loop only.
 
 #include <memory>
 
--- a/src/calls/backend_caller.h
+++ b/src/calls/backend_caller.h
@@ -21,14 +21,13 @@
 /// no other replica would take it.
 inline constexpr std::string_view kReplicaRejectedCode = "replica_rejected";
 
-/// What became of one whole (not streamed) call at a back end.
+/// The result of one complete (not streamed) call at a back end.
 struct BackendOutcome {
   proto::Executed executed = proto::EXECUTED_UNSPECIFIED;
-  bool succeeded = false;  ///< A whole, good answer: `answer` is set and executed is yes.
+  bool succeeded = false;  ///< A complete response: `answer` is set and `executed` is yes.
   proto::CallAnswer answer;
   proto::CallError error;  ///< Set when not succeeded.
-  /// Of a batch item that is passed on: runs that failed by the replicas' own word, earlier leases
-  /// included.
+  /// Of a forwarded batch item: runs whose failure a replica reported, under earlier leases too.
   std::uint32_t failed_runs = 0;
 };
 
@@ -36,7 +35,7 @@
 class BackendCall {
  public:
   virtual ~BackendCall() = default;
-  /// Withdraws the call and closes its connection; `done` never runs after.
+  /// Cancels the call and closes its connection; `done` never runs afterwards.
   virtual void Cancel() = 0;
 };
 
@@ -44,13 +43,13 @@
  public:
   virtual ~BackendCaller() = default;
 
-  /// @return how many further batch items may be started now on replicas of `backend`, after the
-  /// room that live calls take and the configured headroom.
+  /// @return how many more batch items may start now on replicas of `backend`: their capacity less
+  /// live calls and the configured reserve.
   virtual std::uint32_t FreeBatchSlots(const std::string& backend) const = 0;
 
-  /// Runs one batch item at a replica of `route.backend()`. Never retries a route that must not
-  /// repeat once bytes went out. `can_start` is asked immediately before the request leaves; false
-  /// gives the outcome `executed: no`.
+  /// Runs one batch item at a replica of `route.backend()`. Never retries a non-idempotent route
+  /// once bytes were sent. `can_start` is evaluated immediately before the request is sent; false
+  /// ends the call with `executed: no`.
   virtual std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                                     const proto::CallRequest& request,
                                                     Duration deadline,
--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -64,7 +64,8 @@
     reading.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
     return reading;
   }
-  // A deadline too short for any replica, or one that cuts off a running answer, blames nobody.
+  // A deadline that is too short for any replica, or that ends a response in progress, is not the
+  // replica's fault.
   const bool hurried = known.head_received || known.time_allowed < options.minimum_response_time;
   const bool blameless = known.deadline_reached && hurried;
   reading.health = blameless ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// One try of a call at one replica: a generation streamed as JSON lines (stream_attempt.cc), one
-/// JSON request and answer (service_attempt.cc), or a request passed on unchanged
-/// (forward_attempt.h). An attempt tells the pool how it went, decides what may be said of it, and
-/// passes only checked pieces on. Threads: the owner's event loop only.
+/// One attempt of a call at one replica: a generation streamed as JSON lines (stream_attempt.cc),
+/// one JSON request and response (service_attempt.cc), or a request forwarded unchanged
+/// (forward_attempt.h). An attempt reports its end to the pool, classifies it for retries, and
+/// forwards only checked chunks. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -24,16 +24,16 @@
   std::string backend;  ///< Model or service that was chosen.
   proto::BackendKind kind = proto::BACKEND_KIND_UNSPECIFIED;
   TimePoint deadline;
-  /// Whether another replica could be tried now, after a silence; empty means never.
+  /// Whether the call could be retried at another replica now, after a timeout; empty means never.
   std::function<bool()> can_retry_elsewhere;
-  /// Asked immediately before the first byte leaves. False: certainly not run.
+  /// Evaluated immediately before the first byte is sent. False: the call certainly did not run.
   std::function<bool()> may_send;
 };
 
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kUnknown;
-  proto::CallError error;  ///< Code and message, when not whole.
-  bool final = false;      ///< Another try could not do better.
+  proto::CallError error;  ///< Code and message, unless complete.
+  bool final = false;      ///< A retry would fail in the same way.
 };
 
 /// What attempts need of the gateway.
@@ -46,7 +46,7 @@
 
 /// How far an attempt was when it was cancelled.
 enum class CancelledWhen : std::uint8_t {
-  kNotUnderWay,  ///< Before its first byte left, or after its end.
+  kNotUnderWay,  ///< Before its first byte was sent, or after its end.
   kMaybeSent,    ///< Bytes may have reached the replica.
 };
 
@@ -65,11 +65,11 @@
 };
 
 struct JsonAttemptResult : AttemptResult {
-  proto::CallAnswer answer;  ///< Of a service, when whole.
+  proto::CallAnswer answer;  ///< Of a service, when complete.
 };
 
 struct JsonAttemptCallbacks {
-  /// A checked piece, the regular last one included. `more` asks for the next one.
+  /// A checked chunk, including the regular last one. `more` requests the next one.
   std::function<void(const proto::StreamChunk& chunk, std::function<void()> more)> on_chunk;
   /// Runs exactly once unless the attempt is cancelled.
   std::function<void(JsonAttemptResult)> on_done;
@@ -82,23 +82,23 @@
                                                 JsonAttemptRequest request,
                                                 JsonAttemptCallbacks callbacks);
 
-/// What an answer without success says of the call and of the replica's health.
+/// What a failed response says about the call and about the replica's health.
 struct FailureReading {
   JsonAttemptResult result;
   CallEnd health = CallEnd::kFailed;
 };
 
-/// Reads the status and body of an answer other than 200.
+/// Classifies the status and body of a response other than 200.
 FailureReading ReadRefusal(int status, const std::string& body);
-/// What is known of a call that ended without a whole answer.
+/// What is known of a call that ended without a complete response.
 struct NoResponseContext {
-  bool send_denied = false;    ///< `may_send` said no.
-  bool head_received = false;  ///< The replica had begun to answer.
+  bool send_denied = false;    ///< `may_send` returned false: nothing was sent.
+  bool head_received = false;  ///< The head of the response was received.
   bool deadline_reached = false;
-  Duration time_allowed{};  ///< How long the replica had.
+  Duration time_allowed{};  ///< Time from sending the request to its deadline.
 };
 
-/// Reads a call that ended without a whole answer.
+/// Classifies a call that ended without a complete response.
 FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
                                const CallOptions& options);
 /// @return the request to `path` at a replica.
--- a/src/calls/call_exchange.h
+++ b/src/calls/call_exchange.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// What one call says to a replica, and how the replica's answer is read and handed on. The call
-/// path (`CallRunner`) is the same for every call and knows nothing of its content: it chooses
-/// replicas, waits, sends and retries. Each front interface brings its own kind of exchange: the
-/// JSON interface `JsonExchange`, requests that are passed on unchanged `ForwardExchange`.
+/// The content of one call: the request to a replica, and how its response is read and forwarded.
+/// `CallRunner` is the same for every call and independent of the content: it chooses replicas,
+/// waits, sends and retries. Each interface has its own kind of exchange: `JsonExchange` for the
+/// JSON interface, `ForwardExchange` for requests that are forwarded unchanged.
 ///
 /// Ownership: the caller of a call and its runner share the exchange. Threads: the owner's event
 /// loop only.
@@ -19,8 +19,8 @@
 namespace cloverbank {
 
 struct ExchangeEvents {
-  /// Something of the answer is with the caller, and no other replica could go on from there: from
-  /// now on nothing may be retried.
+  /// Part of the response was sent to the client and can not be resumed at another replica: from
+  /// now on the call must not be retried.
   std::function<void()> on_committed;
   /// Runs exactly once unless the attempt is cancelled.
   std::function<void(AttemptResult)> on_done;
@@ -30,17 +30,18 @@
  public:
   virtual ~CallExchange() = default;
 
-  /// Begins anew, or goes on where the last attempt broke off, at the replica of `request`.
+  /// Creates an attempt at the replica of `request`, which starts anew or resumes where the last
+  /// one ended.
   virtual std::shared_ptr<CallAttempt> NewAttempt(const AttemptContext& context,
                                                   AttemptRequest request,
                                                   ExchangeEvents events) = 0;
   /// Unique id of the call, also towards replicas.
   virtual const std::string& call_id() const = 0;
-  /// Calls with the same key share a prompt prefix; empty if none.
+  /// Calls with the same key share a prefix of the prompt; empty: none.
   virtual const std::string& prefix_key() const = 0;
-  /// The size of the prompt, if the caller told it.
+  /// The size of the prompt, if the client sent it.
   virtual PromptShape prompt() const { return {}; }
-  /// Bytes that are held while the call waits.
+  /// Memory that the request takes while it waits, in bytes.
   virtual std::size_t request_bytes() const = 0;
 };
 
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -87,7 +87,7 @@
   }
   spec_.backend = ChooseBackend(*route, split_draw_);
   if (!context_.attempt.pool.list_usable()) {
-    return Placement::kNoCapacity;  // The process was frozen: a new list is being asked for.
+    return Placement::kNoCapacity;  // The process was frozen: a new list is being read.
   }
   const RoutingChoice choice = context_.attempt.pool.Choose(MakeRoutingQuery(*route));
   if (choice.replica != nullptr) {
@@ -263,7 +263,7 @@
         return;
       }
       if (decision.action == RetryAction::kSendLater) {
-        spec_.wait_until = spec_.deadline;  // The wait for room begins anew.
+        spec_.wait_until = spec_.deadline;  // The wait for capacity starts anew.
       }
       ScheduleAttempt(decision.backoff);
       return;
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// One call from the moment it was admitted to its one end: chooses a replica, waits for room,
-/// sends, retries where that is allowed, and says truthfully what became of it.
+/// Runs one admitted call to its end: chooses a replica, waits for capacity, sends, retries where
+/// that is allowed, and reports whether it was executed.
 ///
 /// Invariants: the `CallDone` runs exactly once unless the call is cancelled; nothing is sent after
-/// it; `executed: no` is said only if no attempt may have run. Threads: the owner's event loop
+/// it; `executed: no` is reported only if no attempt may have run. Threads: the owner's event loop
 /// only.
 
 #include <functional>
@@ -23,16 +23,17 @@
 namespace cloverbank {
 
 struct CallSpec {
-  std::string route;    ///< Name; looked up anew before each forward.
+  std::string route;    ///< Name; looked up again before each attempt.
   std::string backend;  ///< Of the route when the call came in.
   proto::Priority priority = proto::PRIORITY_STANDARD;
   bool idempotent = false;     ///< Of the route when the call came in.
   std::uint32_t attempts = 0;  ///< Most replicas that may run it; 0 is the gateway's default.
   std::shared_ptr<CallExchange> exchange;
   TimePoint deadline;
-  TimePoint wait_until;  ///< Longest wait for room; a call that is not let wait has none.
+  TimePoint wait_until;  ///< End of the wait for capacity.
   WorkKind work = WorkKind::kLive;
-  std::function<bool()> can_start;  ///< Batch items: their work lease. Empty means always.
+  std::function<bool()>
+      can_start;  ///< Whether a batch item's work lease holds; empty means always.
 };
 
 struct CallResult {
@@ -43,7 +44,7 @@
 
 using CallDone = std::function<void(CallResult)>;
 
-/// @return the HTTP status of a call that failed, by what its caller may assume.
+/// @return the HTTP status of a failed call: 503 if it did not run, 502 if it ran, else 504.
 int HttpStatusForExecuted(proto::Executed executed);
 
 /// What runners need of the gateway.
@@ -63,9 +64,10 @@
   CallRunner(const CallRunner&) = delete;
   CallRunner& operator=(const CallRunner&) = delete;
 
-  /// Begins; never runs an event from within.
+  /// Schedules the first attempt; runs no callback before it returns.
   void Start();
-  /// The caller left: nothing more is sent, a running attempt is closed, no event runs after.
+  /// Ends the call: nothing more is sent, a running attempt is cancelled, and no callback runs
+  /// afterwards.
   /// @return whether the call may have been carried out so far.
   proto::Executed Cancel();
 
@@ -81,7 +83,7 @@
   void AttemptNow();
   Placement AttemptForward();
   /// @param route nullptr if the configuration no longer has it.
-  /// @return why the call can not be forwarded at all now, if so.
+  /// @return why the call must end instead of being forwarded, if so.
   std::optional<CallFailure> FindObstacle(const proto::Route* route) const;
   RoutingQuery MakeRoutingQuery(const proto::Route& route) const;
   void Send(const ReplicaRecord& replica, const proto::Route& route);
@@ -99,22 +101,24 @@
   CallResult MakeFailedResult(std::string_view code, std::string_view message,
                               Duration retry_after) const;
   void Finish(CallResult result);
-  /// Whether the call may be carried out twice, as far as `route` says.
+  /// Whether the call is idempotent both when it was admitted and by `route`.
   bool IsRepeatable(const proto::Route& route) const;
-  /// Whether an attempt that may have run may be followed by another one.
+  /// The same by the present configuration and that of the current attempt.
   bool IsRepeatableNow() const;
 
   CallContext context_;
   CallSpec spec_;
   CallDone events_;
-  const RetryOptions retry_options_;  ///< With the attempts that the call may have.
+  const RetryOptions retry_options_;  ///< With the call's own number of attempts.
   RetryState retry_;
-  const std::uint64_t split_draw_;      ///< Which share of a split route it belongs to.
-  std::vector<std::string> attempted_;  ///< Replicas tried since the last wait.
+  const std::uint64_t
+      split_draw_;  ///< Random number that assigns the call to a back end of a split route.
+  std::vector<std::string>
+      attempted_;  ///< Replicas used since the last wait; excluded from the next choice.
   std::shared_ptr<CallAttempt> attempt_;
   WaitId wait_id_ = 0;
   TimerId timer_ = 0;
-  bool route_idempotent_ = false;  ///< Of the attempt under way.
+  bool route_idempotent_ = false;  ///< Of the current attempt's route.
   bool done_ = false;
 };
 
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Cuts a stream of events (text/event-stream) into whole events, so that what is passed on always
-/// ends at the end of one. Pure.
+/// Splits a stream of events (text/event-stream) into complete events, so that what is forwarded
+/// always ends at the end of an event. Pure.
 ///
 /// Source: WHATWG HTML, "Server-sent events", section on parsing an event stream.
 
@@ -13,8 +13,8 @@
 namespace cloverbank {
 
 struct StreamEvent {
-  std::string bytes;                ///< Exactly as they came, the empty line included.
-  std::optional<std::uint64_t> id;  ///< If it has one that is a whole number.
+  std::string bytes;                ///< Exactly as received, the empty line included.
+  std::optional<std::uint64_t> id;  ///< Its id, if that is an integer.
   std::string data;                 ///< Its data lines, joined by line feeds.
 };
 
@@ -23,17 +23,17 @@
   explicit EventSplitter(std::size_t largest_event) : largest_event_(largest_event) {}
 
   void Append(std::string_view bytes) { buffer_.append(bytes); }
-  /// @return the next whole event, or nothing while it is not complete.
+  /// @return the next complete event, if there is one.
   std::optional<StreamEvent> Next();
-  /// Whether the event that is coming in is larger than allowed.
+  /// Whether the incomplete event is larger than allowed.
   bool IsTooLarge() const { return buffer_.size() > largest_event_; }
-  /// Whether bytes of an event that is not complete are left.
+  /// Whether bytes of an incomplete event are left.
   bool HasPartial() const { return !buffer_.empty(); }
 
  private:
   std::size_t largest_event_;
   std::string buffer_;
-  std::size_t searched_ = 0;  ///< No end of an event lies before.
+  std::size_t searched_ = 0;  ///< Bytes already searched for the end of an event.
 };
 
 }  // namespace cloverbank
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -121,7 +121,7 @@
   callbacks.on_end = [self = shared_from_this()](HttpOutcome outcome) {
     self->OnEnd(std::move(outcome));
   };
-  // To a caller that waits, silence is no reason to end an answer before its deadline.
+  // A live response without data is not ended before the client's deadline.
   const Duration idle_limit =
       exchange_->call().classify_failures ? context_.options.batch_idle_limit : Duration::zero();
   call_ = context_.client.Stream(request_.endpoint, std::move(http), remaining, idle_limit,
@@ -148,7 +148,7 @@
   }
   const bool heard = std::exchange(received_since_check_, false);
   const bool elsewhere = request_.can_retry_elsewhere && request_.can_retry_elsewhere();
-  // A slow replica is waited for; one that is silent to everybody here is left.
+  // Retry only if the replica responds to none of this gateway's calls; a slow one is waited for.
   if (!heard && elsewhere && !event_in_flight_ && context_.pool.IsStalled(request_.use)) {
     AbortResponse(ResponseFault::kNoResponse);
     return;
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// One try of a `ForwardExchange` at one replica. Threads: the owner's event loop only.
+/// One attempt of a `ForwardExchange` at one replica: sends the request unchanged, and forwards the
+/// response while checking that it is complete and belongs to the call. Threads: the owner's event
+/// loop only.
 
 #include <cstdint>
 #include <memory>
@@ -36,22 +38,22 @@
   CancelledWhen Cancel() override;
 
  private:
-  /// What the body of the answer is.
+  /// How the body of the response is read.
   enum class Reading : std::uint8_t {
-    kNothing,   ///< No head yet, or a body that says nothing.
-    kComplete,  ///< Gathered, handed on when complete.
-    kEvents,    ///< Handed on event by event.
+    kNothing,   ///< No head yet, or a body that is ignored.
+    kComplete,  ///< Buffered, forwarded when complete.
+    kEvents,    ///< Forwarded event by event.
   };
 
   HttpRequest MakeRequest(Duration remaining) const;
-  /// Looks again and again whether the replica has fallen silent, so that what may be repeated goes
-  /// elsewhere.
+  /// Checks periodically whether the replica stopped responding, so that an idempotent call is
+  /// retried at another one.
   void ArmResponseTimer();
   void CheckResponseTimeout();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
-  /// Goes on as far as possible. Not re-entered: `more` may be called from within `OnEvent`.
+  /// Processes buffered input. Not re-entrant: `more` may be called from within `OnEvent`.
   void Advance();
   bool Step();
   void Forward(StreamEvent event);
@@ -60,7 +62,7 @@
   void Complete();
   void CompleteWithoutResponse();
   void CompleteStream();
-  /// A response that is not a stream of events came in whole.
+  /// A response that is not a stream of events is complete.
   void CompleteResponse();
   void FinishReplicaFailure(HttpResponse response);
   void FinishSuccessfully();
@@ -84,8 +86,8 @@
   std::function<void()> read_more_;
   std::optional<HttpOutcome> outcome_;
   TimerId response_timer_ = 0;
-  bool received_since_check_ = false;  ///< Whether anything came in since the last look.
-  bool not_run_ = false;               ///< The replica says that it did not run the request.
+  bool received_since_check_ = false;  ///< Whether anything was received since the last check.
+  bool not_run_ = false;               ///< The replica reported that it did not run the request.
   bool event_in_flight_ = false;
   bool advancing_ = false;
 };
--- a/src/calls/forward_exchange.h
+++ b/src/calls/forward_exchange.h
@@ -1,11 +1,12 @@
 #pragma once
 /// @file
-/// The exchange of requests that are passed on unchanged: method, target, headers and body go to a
-/// replica as they came, and its answer comes back as it is, whole or as a stream of whole events.
+/// The exchange of requests that are forwarded unchanged: a replica gets method, target, headers
+/// and body as received, and the client gets its response as it is, complete or as a stream of
+/// complete events.
 ///
-/// A stream that breaks off goes on at another replica after its last whole event, if the route
-/// allows; what the caller gets keeps the head of the first answer. Nothing of an answer that is
-/// not this call's, or that is cut short, is ever handed on as whole.
+/// A broken stream is resumed at another replica after its last complete event if the route allows
+/// that; the client keeps the head of the first response. A response that belongs to another call
+/// or is truncated is never forwarded as a complete one.
 ///
 /// Threads: the owner's event loop only.
 
@@ -21,33 +22,33 @@
 
 namespace cloverbank {
 
-/// Where the answer goes.
+/// Receives the response.
 class ForwardSink {
  public:
   virtual ~ForwardSink() = default;
-  /// A whole answer of a replica.
+  /// A complete response of a replica.
   virtual void OnComplete(HttpResponse response) = 0;
-  /// The first whole event of a stream has come; its head goes before it.
+  /// The head of a stream; runs when its first complete event was received.
   virtual void OnStreamHead(int status, HttpHeaders headers) = 0;
-  /// One whole event; `more` asks for the next one.
+  /// One complete event; `more` requests the next one.
   virtual void OnEvent(StreamEvent event, std::function<void()> more) = 0;
 };
 
-/// What is passed on, and how.
+/// A request to forward, and how.
 struct ForwardCall {
   std::string call_id;
   std::string prefix_key;
   PromptShape prompt;
   proto::ForwardedRequest request;
-  bool streamed = false;     ///< A successful answer is a stream of events.
-  Duration target{};         ///< Of its route: when the answer should have begun.
+  bool streamed = false;     ///< A successful response is a stream of events.
+  Duration target{};         ///< Of its route: until the first byte of the response.
   Duration longest_pause{};  ///< Of its route: between two events of a stream.
-  bool resumable = false;    ///< A broken stream may go on at another replica.
-  /// The caller can not be told a replica's own failure: it becomes the end of the attempt.
+  bool resumable = false;    ///< A broken stream may be resumed at another replica.
+  /// Of batch items: a replica's error response ends the attempt instead of being forwarded.
   bool classify_failures = false;
-  /// Failures of replicas, by their own word, after which it is not tried further; 0 is no bound.
+  /// Failures reported by replicas after which the call is not retried; 0: no limit.
   std::uint32_t maximum_failures = 0;
-  std::uint32_t earlier_failures = 0;  ///< Before this exchange.
+  std::uint32_t earlier_failures = 0;  ///< Failures before this exchange.
 };
 
 class ForwardExchange final : public CallExchange,
@@ -71,20 +72,20 @@
   ForwardSink& sink() { return sink_; }
   /// Replica of the newest attempt; empty before the first one.
   const std::string& last_replica() const { return last_replica_; }
-  /// Whether events are with the caller already.
+  /// Whether events were sent to the client.
   bool started() const { return started_; }
   std::optional<std::uint64_t> last_event() const { return last_event_; }
-  /// Notes a head that is about to be handed on.
+  /// The head is about to be sent to the client.
   void RecordStarted() { started_ = true; }
   void RecordEvent(const StreamEvent& event) { last_event_ = event.id; }
-  /// Whether another replica could go on after what the caller has.
+  /// Whether another replica could resume after what the client has received.
   bool CanResume() const { return call_.resumable && (!started_ || last_event_.has_value()); }
 
-  /// The last replica's own failure (5xx), to be passed on if the call ends with it.
+  /// The error response (5xx) of the last replica, which is forwarded if the call ends with it.
   const std::optional<HttpResponse>& failure() const { return failure_; }
   void RecordFailure(HttpResponse response) { failure_ = std::move(response); }
   void ForgetFailure() { failure_.reset(); }
-  /// Failures of replicas that ran the request, by their own word.
+  /// Number of replicas that reported to have run the request and failed.
   std::uint32_t failures() const { return failures_; }
   void CountFailure() { ++failures_; }
   bool FailedForGood() const {
--- a/src/calls/gateway_options.h
+++ b/src/calls/gateway_options.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Every bound of the data plane, with its default.
+/// Options of the data plane, with their defaults.
 
 #include <cstddef>
 #include <string>
@@ -15,45 +15,47 @@
 
 namespace cloverbank {
 
-/// Names of the headers that gateways and replicas add to what is passed on. Which ones a platform
-/// uses is told by its adapter.
+/// Names of the headers that gateways and replicas add to forwarded requests and responses. The
+/// platform's adapter sets them.
 struct ReplicaHeaderNames {
-  std::string call_id = "X-Call-Id";                      ///< Echoed in every answer.
-  std::string deadline_ms = "X-Deadline-Ms";              ///< Time that is left.
-  std::string expected_instance = "X-Expected-Instance";  ///< Others answer 421, not run.
+  std::string call_id = "X-Call-Id";                      ///< Echoed in every response.
+  std::string deadline_ms = "X-Deadline-Ms";              ///< Time left, in milliseconds.
+  std::string expected_instance = "X-Expected-Instance";  ///< Other instances respond 421, not run.
   std::string not_run = "X-Not-Run";                      ///< The replica did not run the request.
-  std::string resume_after = "X-Resume-After";            ///< Go on after this event.
+  std::string resume_after = "X-Resume-After";            ///< Id of the last event received.
 };
 
-/// How cold replicas and batch work are shared with other gateways.
+/// How this gateway shares warming replicas and batch capacity with other gateways.
 struct SharingOptions {
-  /// A gateway begins with a cold replica at a random time up to this after its first good probe.
+  /// A gateway starts to use a warming replica at a random time up to this after the first
+  /// successful health check.
   Duration longest_start_delay = seconds(1);
   double initial_slow_start_quota =
-      0.1;  ///< Of a cold replica's room, taken at each of its reports.
-  double slow_start_quota_growth = 0.02;  ///< With each report that shows no collision.
-  double initial_batch_quota = 0.25;      ///< Of the room for batch work, taken likewise.
+      0.1;  ///< Part of a warming replica's free capacity that is used until its next load report.
+  double slow_start_quota_growth = 0.02;  ///< Added with each report without a collision.
+  double initial_batch_quota = 0.25;      ///< The same of the capacity for batch work.
   double batch_quota_growth = 0.003;
 };
 
 /// Bounds of one call.
 struct CallOptions {
-  Duration default_deadline = seconds(30);  ///< When neither the route nor the caller names one.
-  Duration stream_idle_limit = seconds(4);  ///< Longest silence within a replica's stream.
-  /// Longest wait for a connection to a replica that a call is passed on to; it is tried elsewhere.
+  Duration default_deadline = seconds(30);  ///< When neither the route nor the client sets one.
+  Duration stream_idle_limit = seconds(4);  ///< Longest time without data of a replica's stream.
+  /// Of forwarded calls; another replica is chosen afterwards.
   Duration replica_connect_timeout = milliseconds(200);
-  /// Where replicas are not probed: silence of one with calls after which others are preferred.
+  /// Without health checks: time without a response to running calls after which other replicas are
+  /// preferred.
   Duration stall_limit = milliseconds(350);
-  /// A call that may be repeated is taken elsewhere after this silence before an answer, or twice
-  /// its route's target if that is longer.
+  /// An idempotent call is retried elsewhere after this time without a response, or twice its
+  /// route's target if that is longer.
   Duration response_timeout = milliseconds(500);
-  /// How long a call to be passed on waits for the first configuration of a gateway that has just
-  /// started; never longer than half of its caller's patience.
+  /// How long a call to forward waits for the first configuration of a gateway that has just
+  /// started; at most half of the client's timeout.
   Duration control_wait = milliseconds(2500);
   std::size_t maximum_waiting_for_control = 256;
-  /// The same of a batch item that is passed on: it may run elsewhere.
+  /// Longest time without data of a forwarded batch item; it is retried elsewhere.
   Duration batch_idle_limit = milliseconds(2500);
-  /// A shorter wait for a first byte says nothing about the replica's health.
+  /// A timeout after less than this does not count against the replica's health.
   Duration minimum_response_time = seconds(1);
   std::size_t maximum_request_bytes = std::size_t{1} << 20U;
   std::size_t maximum_chunk_bytes = std::size_t{256} << 10U;
@@ -72,8 +74,9 @@
   CallOptions calls;
   IdempotencyOptions idempotency;
   ReplicaHeaderNames forward_headers;
-  /// How long live calls are served by the configuration held after the lease ran out. Zero keeps
-  /// the promise that nobody serves by an older one than what was acknowledged, also when cut off.
+  /// How long live calls are served by the last configuration after the lease expired. Only zero
+  /// guarantees that no partitioned gateway serves by an older configuration than the acknowledged
+  /// one.
   Duration serve_without_control{};
 };
 
--- a/src/calls/http_json.h
+++ b/src/calls/http_json.h
@@ -17,13 +17,13 @@
 
 namespace cloverbank {
 
-/// Sends `message` as a JSON answer.
+/// Sends `message` as a JSON response.
 void SendJson(HttpResponder& responder, int http_status, const google::protobuf::Message& message);
 /// Sends an ErrorBody; sets Retry-After (whole seconds, rounded up) if `retry_after_ms` is set.
 void SendError(HttpResponder& responder, int http_status, const proto::CallError& error);
 /// @return the HTTP status that fits `code` (400, 404, 409, 429, 503, 504, 500).
 int HttpStatusFor(StatusCode code);
-/// Sends `status` as an error. `executed` says what the caller may assume of its request.
+/// Sends `status` as an error. `executed` says whether the request may have run.
 void SendStatus(HttpResponder& responder, const Status& status, proto::Executed executed);
 
 }  // namespace cloverbank
--- a/src/calls/idempotency_cache.h
+++ b/src/calls/idempotency_cache.h
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// Answers kept for callers that send a request again under the same Idempotency-Key. Pure.
+/// Responses that are stored for clients that repeat a request with the same Idempotency-Key. Pure.
 ///
-/// Limits: the cache is this gateway's alone and dies with it, keeps an answer for a bounded time
-/// and a bounded number of bytes, and drops the oldest first. A key that is not found is a new
-/// request.
+/// Limits: the cache is local to this gateway and in memory, keeps a response for a bounded time
+/// within a bounded size, and evicts the oldest first. An unknown key is a new request.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,23 +20,23 @@
 
 struct IdempotencyOptions {
   Duration retention = seconds(600);
-  std::size_t maximum_total_bytes = std::size_t{32} << 20U;  ///< Bytes over all kept answers.
+  std::size_t maximum_total_bytes = std::size_t{32} << 20U;  ///< Bytes of all stored responses.
   std::size_t maximum_response_bytes = std::size_t{256} << 10U;
 };
 
-/// What a finished request is answered again.
+/// The stored response to a finished request.
 struct CachedResponse {
   bool succeeded = false;
-  bool text_cached = true;  ///< False if the answer was too large to be kept.
+  bool text_cached = true;  ///< False if the text was too large to store.
   int http_status = 200;
   proto::CallAnswer answer;  ///< When succeeded.
   proto::CallError error;    ///< When not.
 };
 
 enum class KeyState : std::uint8_t {
-  kNew,       ///< Now running, owned by the one who asked; ends with `Keep` or `Forget`.
+  kNew,       ///< The caller of `Begin` now runs the request and ends it by `Store` or `Forget`.
   kRunning,   ///< The first request under the key has not ended.
-  kFinished,  ///< `Find` gives its answer.
+  kFinished,  ///< `Find` returns its response.
   kMismatch,  ///< The key was used for another request body.
 };
 
@@ -47,15 +46,15 @@
 
   explicit IdempotencyCache(IdempotencyOptions options) : options_(options) {}
 
-  /// @param key tenant, route and the caller's key. @param fingerprint of the request body.
+  /// @param key tenant, route and the client's key. @param fingerprint of the request body.
   KeyState Begin(const std::string& key, std::uint64_t fingerprint, TimePoint now);
-  /// @return the answer of a finished request, or nullptr.
+  /// @return the response of a finished request, or nullptr.
   const CachedResponse* Find(const std::string& key) const;
-  /// Has `waiter` called with the answer of the running request, whatever it is.
+  /// Calls `waiter` with the response of the running request, whatever it is.
   void Join(const std::string& key, Waiter waiter);
-  /// The request ended with an answer that a resend must get too.
+  /// The request ended with a response that a repeated request must get too.
   void Store(const std::string& key, CachedResponse answer, TimePoint now);
-  /// The request was certainly not run: a resend is a new request. Waiters get `answer`.
+  /// The request certainly did not run: a repeated request is a new one. Waiters get `answer`.
   void Forget(const std::string& key, const CachedResponse& answer);
 
   std::size_t size() const { return entries_.size(); }
--- a/src/calls/json_exchange.h
+++ b/src/calls/json_exchange.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The exchange of the JSON interface (`/v1/call`) and of batch items handed in there: a generation
+/// The exchange of the JSON interface (`/v1/call`) and of batch items submitted there: a generation
 /// streamed as JSON lines, or one request to a plain service. Threads: the owner's event loop only.
 
 #include <functional>
@@ -14,11 +14,11 @@
 
 class JsonExchange final : public CallExchange, public std::enable_shared_from_this<JsonExchange> {
  public:
-  /// A checked piece of a stream; `more` asks for the next one.
+  /// A checked chunk of a stream; `more` requests the next one.
   using ChunkHandler =
       std::function<void(const proto::StreamChunk& chunk, std::function<void()> more)>;
 
-  /// @param body with its call id. @param on_chunk empty: pieces are gathered into one answer.
+  /// @param body with its call id. @param on_chunk empty: chunks are joined to one response.
   JsonExchange(proto::CallRequest body, ChunkHandler on_chunk);
 
   std::shared_ptr<CallAttempt> NewAttempt(const AttemptContext& context, AttemptRequest request,
@@ -27,7 +27,7 @@
   const std::string& prefix_key() const override { return body_.prefix_key(); }
   std::size_t request_bytes() const override { return body_.ByteSizeLong(); }
 
-  /// @return the whole answer of a call that succeeded, empty of text if pieces were handed on.
+  /// @return the response of a call that succeeded, without text if its chunks were forwarded.
   proto::CallAnswer TakeResponse() { return std::move(answer_); }
 
  private:
--- a/src/calls/line_reader.h
+++ b/src/calls/line_reader.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Cuts a body into lines, each bounded in size.
+/// Splits a body into lines of bounded size. Pure.
 
 #include <cstddef>
 #include <optional>
@@ -14,10 +14,10 @@
   explicit LineReader(std::size_t largest_line) : largest_line_(largest_line) {}
 
   void Append(std::string_view bytes) { buffer_.append(bytes); }
-  /// @return the next whole line without its end, skipping empty ones; nothing if there is none
+  /// @return the next complete line without its end, skipping empty ones; nothing if there is none
   /// yet.
   std::optional<std::string> Next();
-  /// @return what is left after the last line end, once the body has ended.
+  /// @return what follows the last line end, once the body has ended.
   std::string TakeRest();
   /// Whether the unfinished line is longer than allowed.
   bool IsTooLong() const { return buffer_.size() - start_ > largest_line_; }
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kEvaluationInterval = seconds(1);
-/// Between offers of room while calls are held back from cold replicas.
+/// Between notifications while slow start delays calls.
 constexpr Duration kSlowStartOfferInterval = milliseconds(20);
 
 RouterOptions MakeRouterOptions(const GatewayOptions& options) {
@@ -157,7 +157,7 @@
       RemoveLoadIfUnused(use.id);
     }
   }
-  // What an earlier life of the replica did says nothing of this one.
+  // An earlier incarnation's calls say nothing about this one.
   const bool current = IsCurrent(use.id, use.instance_id);
   health_.OnCallEnded(use.id, current ? end : CallEnd::kWithdrawn, now);
   NotifyCapacity();
@@ -269,7 +269,7 @@
     HandleReport(id, headers);
     others = loads_[id].others();
   }
-  // A replica that was there before this gateway, and serves others, is not cold.
+  // A replica that was listed before this gateway started and serves others does not warm up.
   const bool preexisting = answered && active_.ConsumePreexisting(id);
   health_.OnProbe(id, answered, preexisting && others > 0, now);
   if (others > 0) {
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// All replicas as this gateway sees them: ties the platform's list, probes, health, load and the
-/// router together, and is told of every call that goes to a replica.
-/// Threads: the owner's event loop only.
+/// All replicas as this gateway sees them: connects the platform's list, health checks, load and
+/// the router, and records every call to a replica. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -30,9 +29,9 @@
   std::string id;
   std::string instance_id;
   WorkKind work = WorkKind::kLive;
-  std::uint32_t prompt_tokens = 0;  ///< That the replica has to read, as far as is known.
-  std::uint64_t shared_key = 0;     ///< Of the part of the prompt that other calls have too.
-  Duration backlog{};               ///< Of prompts before it.
+  std::uint32_t prompt_tokens = 0;  ///< Estimated tokens to prefill.
+  std::uint64_t shared_key = 0;     ///< Identifies the prefix shared with other calls.
+  Duration backlog{};               ///< Time to prefill the prompts before it.
 };
 
 class ReplicaPool {
@@ -44,38 +43,38 @@
   ReplicaPool& operator=(const ReplicaPool&) = delete;
 
   void Start();
-  /// To be called when a newer configuration was taken: zones may have opened or closed.
+  /// A newer configuration applies: zones may have opened or closed.
   void OnConfiguration();
 
   RoutingChoice Choose(const RoutingQuery& query);
   std::uint32_t FreeBatchSlots(const std::string& backend) const;
-  /// Whether a call of `route` may go to this life of a replica at this very moment: listed as
-  /// ready in a list that is fresh, and in a zone that is open and allowed.
+  /// Whether a call of `route` may be sent to this incarnation of a replica now: it is listed as
+  /// ready in a fresh list, and in a zone that is open and allowed.
   bool CanSend(const ReplicaUse& use, const proto::Route& route) const;
 
-  /// @return the use of `replica` by a call with that prompt.
+  /// @return the use of `replica` by a call with the prompt.
   ReplicaUse MakeUse(const ReplicaRecord& replica, WorkKind work, const PromptShape& prompt,
                      std::string_view prefix_key) const;
   void OnCallStarted(const ReplicaUse& use);
-  /// Another gateway sent a prompt to the replica.
+  /// Another gateway sent a prompt to the replica; unknown replicas are ignored.
   void OnRemotePrompt(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
-  /// Runs for each prompt that is sent from here.
+  /// Runs for each prompt that this gateway sends.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
   void OnPrompt(PromptObserver observer) { on_prompt_ = std::move(observer); }
   void OnCallEnded(const ReplicaUse& use, CallEnd end);
-  /// The head of an answer came, `latency` after the request was sent.
+  /// The head of a response was received `latency` after the request was sent.
   void OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
 
-  /// Whether a replica has fallen silent while calls wait there, or is not the same any more.
+  /// Whether the replica does not respond to running calls, or is another incarnation now.
   bool IsStalled(const ReplicaUse& use) const;
-  /// Bytes of an answer came in.
+  /// Bytes of a response were received.
   void OnBytesReceived(const ReplicaUse& use);
 
-  /// Which part of what cold replicas bear and of the room for batch work is this gateway's.
+  /// Sets this gateway's part of the rates of warming replicas and of batch capacity.
   void SetQuota(const GatewayQuota& quota);
 
-  /// Runs when a replica may have got room that it had not before.
+  /// Runs when a replica may have free capacity again.
   void OnCapacity(std::function<void()> observer) { on_capacity_ = std::move(observer); }
   /// Expires with the pool, for calls whose connection outlives it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
@@ -100,7 +99,7 @@
   void HandleReport(const std::string& id, const HttpHeaders& headers);
   /// Grants what this gateway may send to a replica until its next report.
   void GrantAllowances(const std::string& id);
-  /// Offers room again soon: time alone gives some while replicas are cold.
+  /// Notifies of capacity soon: with slow start, time alone brings some.
   void ScheduleCapacityOffer();
   void EvaluateHealth();
   void PublishMetrics();
--- a/src/calls/retry_policy.cc
+++ b/src/calls/retry_policy.cc
@@ -70,7 +70,7 @@
   const std::uint32_t doubling = std::min(retries_, kLargestDoubling);
   const Duration longest =
       std::min(options_.maximum_backoff, options_.base_backoff * (std::int64_t{1} << doubling));
-  // IsFull jitter: spreads the retries of calls that failed together.
+  // Full jitter: spreads the retries of calls that failed together.
   const auto span = static_cast<std::uint64_t>(longest.count());
   return Duration(static_cast<std::int64_t>(random % (span + 1)));
 }
--- a/src/calls/retry_policy.h
+++ b/src/calls/retry_policy.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Whether a call may be tried again after an attempt, and what its caller may be told about it.
-/// Pure. `RetryState` is one call's, `RetryBudget` is shared by all calls of a gateway.
+/// Whether a call may be retried after an attempt, and whether it may have run. Pure. `RetryState`
+/// belongs to one call, `RetryBudget` to all calls of a gateway.
 ///
-/// The rule that everything hangs on: a call that must not repeat is never sent again after bytes
-/// of it went out, unless the replica itself refused it before running.
+/// Invariant: a non-idempotent call is never sent again after bytes of it were sent, unless the
+/// replica refused it before running it.
 
 #include <cstdint>
 
@@ -15,21 +15,21 @@
 
 /// How one attempt at a replica ended.
 enum class AttemptEnd : std::uint8_t {
-  kComplete,  ///< A whole, checked answer.
-  kNotRun,    ///< Certainly not run there: nothing was sent, or the replica refused it.
-  kRejected,  ///< The replica found the request itself wrong; not run, and others would say the
-              ///< same.
-  kUnknown,   ///< Bytes went out, and whether it ran can not be told.
-  kFailed,    ///< It ran there and failed, by the replica's own word.
+  kComplete,  ///< A complete, checked response.
+  kNotRun,    ///< Certainly not run: nothing was sent, or the replica refused it.
+  kRejected,  ///< The replica found the request invalid: not run, and others would reject it too.
+  kUnknown,   ///< Bytes were sent, and it may have run.
+  kFailed,    ///< The replica reported that it ran and failed.
 };
 
 struct RetryOptions {
-  std::uint32_t maximum_attempts = 3;  ///< Of all kinds together, before waiting in the queue.
+  std::uint32_t maximum_attempts =
+      3;  ///< Of all kinds together, before the call waits in the queue.
   /// Replicas that may refuse a call before it waits, where that is more.
   std::uint32_t maximum_refusals = 0;
   double budget_ratio = 0.2;   ///< Retries allowed for each first attempt.
   double budget_reserve = 10;  ///< Retries allowed without any.
-  /// Whether retries are taken from the budget: those of batch work are bounded by its room.
+  /// Whether retries use the budget; those of batch work are bounded by its capacity.
   bool budgeted = true;
   Duration base_backoff = milliseconds(20);
   Duration maximum_backoff = milliseconds(500);
@@ -55,10 +55,10 @@
 };
 
 enum class RetryAction : std::uint8_t {
-  kFinish,           ///< Answer the caller.
-  kSendElsewhere,    ///< At once, to another replica.
+  kFinish,           ///< Respond to the client.
+  kSendElsewhere,    ///< Immediately, to another replica.
   kSendLater,        ///< After a backoff.
-  kWaitForCapacity,  ///< Not run anywhere so far: back to the queue until a replica has room.
+  kWaitForCapacity,  ///< Not run so far: waits in the queue until a replica has capacity.
 };
 
 struct RetryDecision {
@@ -73,7 +73,7 @@
 
   /// An attempt is about to be sent.
   void OnAttempt();
-  /// A piece of the answer was handed to the caller: from now on nothing is retried.
+  /// Part of the response was sent to the client: no more retries.
   void OnCommitted() { committed_ = true; }
   /// An attempt ended. @param repeatable whether the route allows the call to be carried out twice.
   /// @param random for the jitter of the backoff.
@@ -82,7 +82,7 @@
   /// Whether an attempt that may have run could be followed by another one now.
   bool CanRetry() const;
 
-  /// What the caller may be told if the call ends without a whole answer now.
+  /// Whether the call may have run, if it ends without a complete response now.
   proto::Executed executed() const { return executed_; }
   std::uint32_t attempts() const { return attempts_; }
 
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kServePath = "/serve";
 
-/// One request to a plain service and its whole answer.
+/// One request to a plain service and its complete response.
 class ServiceAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ServiceAttempt> {
  public:
@@ -64,7 +64,7 @@
     Finish(ParseResponse(outcome.response.body));
   }
 
-  /// A whole answer counts only if it is this call's.
+  /// A complete response counts only if it belongs to this call.
   FailureReading ParseResponse(const std::string& body) const {
     FailureReading reading;
     const bool readable = FromJson(body, &reading.result.answer, UnknownFields::kIgnore).ok();
--- a/src/calls/serving_permission.h
+++ b/src/calls/serving_permission.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What entitles a gateway to forward a call: its lease and the newest configuration it holds.
-/// Apart from `NodeAgent` so that the data plane is tested without control.
+/// What a gateway needs to forward calls: a valid lease and a configuration. An interface, so that
+/// the data plane is tested without a control plane. Threads: the owner's event loop only.
 
 #include "proto/configuration.pb.h"
 
@@ -10,9 +10,9 @@
 class ServingPermission {
  public:
   virtual ~ServingPermission() = default;
-  /// Whether the node lease holds now. Asked immediately before each forward.
+  /// Whether the node lease is valid now. Evaluated immediately before each request is sent.
   virtual bool IsValid() const = 0;
-  /// The newest configuration; version 0 until the first arrives.
+  /// The newest configuration; version 0 until the first one was received.
   virtual const proto::RoutingConfiguration& configuration() const = 0;
 };
 
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -15,8 +15,8 @@
 constexpr std::string_view kGeneratePath = "/generate";
 constexpr std::size_t kLargestErrorBody = std::size_t{64} << 10U;
 
-/// A streamed generation. Pieces are checked and handed on one at a time; the replica is read no
-/// further until the last one was taken.
+/// A streamed generation. Chunks are checked and forwarded one at a time; the replica is read no
+/// further until the client has taken the last one.
 class StreamAttempt final : public CallAttempt, public std::enable_shared_from_this<StreamAttempt> {
  public:
   StreamAttempt(const AttemptContext& context, JsonAttemptRequest request,
@@ -91,7 +91,7 @@
     Advance();
   }
 
-  /// Something follows the regular last piece: the connection can not be trusted further.
+  /// Something follows the regular last chunk: the connection must not be reused.
   void AfterLastChunk() {
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
@@ -107,11 +107,11 @@
     } else if (regular) {
       Advance();
     } else {
-      Complete();  // Not held up by a caller that does not read.
+      Complete();  // Not delayed by a client that does not read.
     }
   }
 
-  /// Goes on as far as possible. Not re-entered: `more` may be called from within `on_chunk`.
+  /// Processes buffered input. Not re-entrant: `more` may be called from within `on_chunk`.
   void Advance() {
     if (advancing_) {
       return;
@@ -122,7 +122,7 @@
     advancing_ = false;
   }
 
-  /// Hands on the next piece, or reads on, or concludes. @return whether there is more to do now.
+  /// Forwards the next chunk, or reads more, or completes. @return whether there is more to do now.
   bool Step() {
     if (session_.done() || chunk_in_flight_) {
       return false;
@@ -182,7 +182,7 @@
     });
   }
 
-  /// The body ended, or the call did, with no last piece.
+  /// The body or the call ended without a last chunk.
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
       const FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
@@ -229,8 +229,8 @@
     Finish(std::move(result), CallEnd::kFailed);
   }
 
-  /// The last piece is with the caller. The connection is let run out, so that it can be used
-  /// again.
+  /// The last chunk was sent to the client. The rest of the body is read, so that the connection
+  /// can be reused.
   void FinishSuccessfully() {
     session_.MarkDone();
     if (outcome_) {
--- a/src/calls/stream_check.h
+++ b/src/calls/stream_check.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Decides which pieces of a replica's stream may be passed on: an unbroken run from piece 0 of one
-/// run id, belonging to the call that asked. Pure; one object a call attempt.
+/// Checks which chunks of a replica's stream may be forwarded: an unbroken sequence from chunk 0 of
+/// one run id that belongs to the call. Pure; one object for each attempt.
 
 #include <cstdint>
 #include <string>
@@ -11,24 +11,24 @@
 
 namespace cloverbank {
 
-/// What to do with a piece.
+/// What to do with a chunk.
 enum class ChunkCheckResult : std::uint8_t {
-  kPass,      ///< The next piece of the run.
-  kEnd,       ///< The regular last piece.
-  kReported,  ///< The replica itself ended the run with an error piece.
-  kBroken,    ///< Must not be passed on; the stream is over.
+  kPass,      ///< The next chunk of the run.
+  kEnd,       ///< The regular last chunk.
+  kReported,  ///< The replica ended the run with an error chunk.
+  kBroken,    ///< Must not be forwarded; the stream has ended.
 };
 
 /// Why a stream was broken off.
 enum class StreamFault : std::uint8_t {
   kNone,
-  kOtherCall,  ///< The call id is not ours: a crossed or late answer.
-  kOtherRun,   ///< A second run joined in, or no run id at all.
-  kGap,        ///< A piece is missing.
-  kRepeat,     ///< A piece came again.
-  kAfterEnd,   ///< Something followed the last piece.
-  kNoEnd,      ///< The body ended without a last piece.
-  kMalformed,  ///< A line was not a piece, or too long.
+  kOtherCall,  ///< The call id is another one: a crossed or late response.
+  kOtherRun,   ///< Another run id, or none.
+  kGap,        ///< A chunk is missing.
+  kRepeat,     ///< A chunk was repeated.
+  kAfterEnd,   ///< Something followed the last chunk.
+  kNoEnd,      ///< The body ended without a last chunk.
+  kMalformed,  ///< A line was not a chunk, or too long.
 };
 
 /// @return the stable snake_case name, for metrics and error codes.
@@ -38,18 +38,18 @@
  public:
   explicit StreamCheck(std::string call_id) : call_id_(std::move(call_id)) {}
 
-  /// Judges the next piece. After anything but kPass the stream is over.
+  /// Checks the next chunk. After anything but kPass the stream has ended.
   ChunkCheckResult Check(const proto::StreamChunk& chunk);
-  /// The body ended. @return whether it ended whole, i.e. after the regular last piece.
+  /// The body ended. @return whether it was complete, that is, after the regular last chunk.
   bool BodyEnded();
-  /// Something that was not a piece arrived.
+  /// Something other than a chunk was received.
   void RecordMalformed() { Break(StreamFault::kMalformed); }
 
   StreamFault fault() const { return fault_; }
   /// Whether the run is known to have produced anything.
   bool started() const { return next_sequence_ > 0; }
   const std::string& run_id() const { return run_id_; }
-  /// Sequence number the next piece must have.
+  /// Sequence number that the next chunk must have.
   std::uint64_t next_sequence() const { return next_sequence_; }
 
  private:
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -13,13 +13,13 @@
 namespace {
 
 constexpr Duration kReadDeadline = seconds(5);
-/// Long enough to ride through most recoveries of a queue node.
+/// Longer than most recoveries of a queue node.
 constexpr Duration kChangeDeadline = seconds(10);
 constexpr Duration kRetryAfter = seconds(1);
 constexpr LimitRange kPageLimit = {.standard = 100, .largest = 1000};
 constexpr std::size_t kBatchIdSegment = 2;  // /v1/batches/{id}
 
-/// Takes a value that may come in a header or in a field. @return kInvalidArgument if they differ.
+/// Sets a field from the header that may be sent instead. @return kInvalidArgument if they differ.
 Status MergeHeader(const HttpRequest& request, std::string_view header, const std::string& field,
                    std::string* value) {
   const std::string_view given = FindHeader(request.headers, header);
@@ -73,7 +73,7 @@
   SendStatus(responder, ReadFailure(status), proto::EXECUTED_NO);
 }
 
-/// @param advice how the client learns or gets what it wanted.
+/// @param advice what the client should do if the outcome is unknown.
 void SendChangeFailure(HttpResponder& responder, const Status& status, const std::string& advice) {
   const int http_status = HttpStatusFor(status.code());
   const bool refused = http_status < 500 || status.code() == StatusCode::kUnavailable;
--- a/src/gateway/batch_api.h
+++ b/src/gateway/batch_api.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Adapter: the batch clients' HTTP interface (docs/API.md). Any gateway answers, by asking the
+/// Adapter: the batch clients' HTTP interface (docs/API.md). Any gateway serves it by calling the
 /// owner of the tenant's partition.
 ///
-///     POST /v1/batches                 hands in a batch: 201, or 200 for one handed in before
+///     POST /v1/batches                 submits a batch: 201, or 200 if it was accepted before
 ///     GET  /v1/batches                 a tenant's batches in order of acceptance
 ///     GET  /v1/batches/{id}            one batch
-///     GET  /v1/batches/{id}/results    its results in the order in which they came
+///     GET  /v1/batches/{id}/results    its results in order of completion
 ///     POST /v1/batches/{id}/cancel     starts nothing more of it
 ///
 /// Threads: the owner's event loop only.
@@ -37,9 +37,9 @@
   void ListResults(const HttpRequest& request, const Responder& responder);
   void Cancel(const HttpRequest& request, const Responder& responder);
 
-  /// @return whether this gateway may act and knows its partitions; else it has answered.
+  /// @return whether this gateway has a lease and knows the partitions; else an error was sent.
   bool CheckServing(HttpResponder& responder);
-  /// @return whether the path's batch id names a partition; else it has answered.
+  /// @return whether the path's batch id names a partition; else an error was sent.
   bool ReadBatchId(const HttpRequest& request, HttpResponder& responder, std::string* batch_id,
                    PartitionId* partition);
 
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -11,9 +11,9 @@
 constexpr Duration kCheckInterval = milliseconds(50);
 constexpr Duration kRetryDelay = milliseconds(100);
 
-/// What an answer says about going on.
+/// What a reply means for the call.
 enum class ReplyOutcome : std::uint8_t {
-  kFinal,  ///< The owner's answer.
+  kFinal,  ///< The owner's reply.
   kNotCarriedOut,
   kMaybeCarriedOut,
 };
@@ -84,7 +84,7 @@
 
 void BatchOwnerCall::SendTo(const proto::Server& server) {
   outcome_unknown_ =
-      outcome_unknown_ || current_node_.valid();  // Its earlier node may still do it.
+      outcome_unknown_ || current_node_.valid();  // The earlier node may still carry it out.
   current_node_ = NodeId(server.node_id());
   ++attempt_;
   const Endpoint endpoint{server.peer_endpoint().host(),
@@ -100,7 +100,7 @@
 void BatchOwnerCall::HandleReply(std::uint64_t attempt, PeerReply reply) {
   const ReplyOutcome outcome = ClassifyReply(reply.status);
   const bool current = attempt == attempt_;
-  // An earlier owner that answers late was right if it succeeded; its refusals no longer count.
+  // A late success of an earlier owner counts; its refusals do not.
   if (reply.status.ok() || (outcome == ReplyOutcome::kFinal && current)) {
     Finish(std::move(reply));
     return;
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// One call to the owner of a batch partition, whoever that is by then: waits while the partition
-/// has none, and asks the new owner when it changes under way. Only for methods that may be
-/// repeated. Threads: the owner's event loop only.
+/// One call to the owner of a batch partition: waits while the partition has none, and repeats the
+/// call at a new owner. Only for idempotent methods. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -25,9 +24,9 @@
 
 class BatchOwnerCall : public std::enable_shared_from_this<BatchOwnerCall> {
  public:
-  /// Starts a call that keeps itself alive until `done` has run; it is dropped without a word once
-  /// `owner` is gone. At the deadline the status is kUnavailable if no owner can have carried it
-  /// out, else kUnknownOutcome.
+  /// Starts a call that keeps itself alive until `done` has run; `done` does not run once `owner`
+  /// is gone. At the deadline the status is kUnavailable if no owner can have carried it out, else
+  /// kUnknownOutcome.
   static void Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> owner,
                     OwnerCallOptions options, PeerReplyCallback done);
 
@@ -47,8 +46,8 @@
   PeerReplyCallback done_;
   TimePoint end_;
   TimePoint retry_at_;
-  NodeId current_node_;        ///< The node whose answer is awaited; invalid if none.
-  std::uint64_t attempt_ = 0;  ///< Of earlier ones only success counts.
+  NodeId current_node_;        ///< The node that is being called; invalid if none.
+  std::uint64_t attempt_ = 0;  ///< Number of the current one; of earlier ones only success counts.
   bool outcome_unknown_ = false;
   Status last_failure_;
 };
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -10,17 +10,17 @@
 
 constexpr Duration kReadDeadline = milliseconds(900);
 constexpr Duration kChangeDeadline = milliseconds(2500);
-/// Part of the time within which a submission should be accepted that it may wait for room.
+/// Part of a route's target time that a submission may wait for capacity.
 constexpr double kSubmissionWaitRatio = 0.5;
 constexpr std::uint32_t kLargestPage = 1000;
 
 /// Cursor of a list of results; see queue/list_cursor.h.
 std::string CursorAt(std::uint64_t position) { return "p" + std::to_string(position); }
 
-/// What a route promises of a submission, and its size.
+/// The target of a submission, and its size.
 struct SubmissionTiming {
   std::string route;
-  Duration target{};  ///< Until it is accepted; zero is no promise.
+  Duration target{};  ///< Until it is accepted; zero: none.
   int items = 0;
   std::size_t bytes = 0;
 };
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Batches of the HTTP routes, as a front interface hands them in: client-chosen ids, items that
-/// are passed on unchanged, positions from 0. Any gateway answers, by asking the owner of the
-/// batch's partition. Batches of a host are spread over all partitions; queue nodes keep the limit
-/// of a route's open tokens together.
+/// Batches of the HTTP routes: client-chosen ids, items that are forwarded unchanged, positions
+/// from 0. Any gateway serves them by calling the owner of the batch's partition. Batches of a host
+/// are spread over all partitions; the queue nodes enforce the limit of a route's open tokens
+/// together.
 ///
 /// Threads: the owner's event loop only.
 
@@ -22,24 +22,24 @@
 
 namespace cloverbank {
 
-/// A batch that a client hands in.
+/// A batch that a client submits.
 struct BatchSubmission {
   std::string host;
   std::string batch_id;  ///< Chosen by the client; the same one again is the same batch.
   std::vector<proto::BatchItem> items;
 };
 
-/// One result at its place.
+/// The result of one item.
 struct BatchResult {
   std::string item_id;
-  bool completed = false;  ///< Whether `text` is the whole output; else it was given up.
+  bool completed = false;  ///< Whether `text` is the complete output; else the item failed.
   std::string text;
 };
 
-/// Part of a batch's results, in the order in which they came.
+/// Part of a batch's results, in order of completion.
 struct BatchResults {
   std::uint64_t total = 0;  ///< Items of the batch.
-  std::uint64_t next = 0;   ///< Position after the last one given here.
+  std::uint64_t next = 0;   ///< Position after the last result here.
   std::vector<BatchResult> results;
 };
 
@@ -50,20 +50,21 @@
 
   BatchService(Environment& environment, NodeAgent& agent);
 
-  /// Takes a batch of `route` whole or refuses it whole. kResourceExhausted: too many tokens wait;
-  /// kUnavailable: not taken; kUnknownOutcome: may be taken; kInvalidArgument, kConflict.
+  /// Submits a batch of `route`, which is accepted completely or not at all. Errors:
+  /// kResourceExhausted: too many open tokens; kUnavailable: not accepted; kUnknownOutcome: may be
+  /// accepted; kInvalidArgument, kConflict.
   void Submit(const proto::Route& route, BatchSubmission submission, Done<proto::BatchStatus> done);
-  /// Results from `position` (from 0) on. kNotFound only if there certainly is no such batch.
+  /// Reads results from `position` (from 0) on. kNotFound only if there certainly is no such batch.
   void Read(const std::string& host, const std::string& batch_id, std::uint64_t position,
             Done<BatchResults> done);
-  /// An item that has no result yet.
+  /// Reads an item that has no result yet.
   void ReadItem(const std::string& host, const std::string& batch_id, const std::string& item_id,
                 Done<proto::BatchItem> done);
-  /// Ends a batch; nothing of it is started from then on.
+  /// Cancels a batch; no item of it is started from then on.
   void End(const std::string& host, const std::string& batch_id, Done<proto::BatchStatus> done);
 
  private:
-  /// Whether this gateway may ask on behalf of clients now.
+  /// Whether this gateway has a lease and knows the partitions.
   Status Serving() const;
   std::uint64_t FindPartition(std::string_view host, std::string_view batch_id) const;
 
--- a/src/gateway/client_call.h
+++ b/src/gateway/client_call.h
@@ -26,14 +26,14 @@
              FinishedHandler on_finished);
   virtual ~ClientCall() = default;
 
-  /// The call ended at its replica; it may have been kept running for a client that disconnected.
+  /// The call ended; its client may have disconnected before.
   virtual void OnDone(const CallResult& result) = 0;
   /// The client disconnected while the call was running. Runs at most once.
   virtual void OnClientDisconnected() = 0;
 
   /// Starts the call.
   void Run(CallSpec spec);
-  /// Withdraws the call. @return whether it may have been carried out so far.
+  /// Cancels the call. @return whether it may have run.
   proto::Executed CancelRunner() { return runner_->Cancel(); }
   void StartStream(int status, HttpHeaders headers);
   /// @param more runs when the client's socket has taken `bytes`, so that the replica is read no
--- a/src/gateway/configuration_wait_queue.h
+++ b/src/gateway/configuration_wait_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Calls that came before this gateway had a configuration or a lease: they wait a short time for
-/// one. Threads: the owner's event loop only.
+/// Calls that were received before this gateway had a configuration or a lease wait here for a
+/// short time. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -89,7 +89,8 @@
     return;
   }
   if (route->accepts_batches()) {
-    // Came before the configuration that tells it is a batch: it is not a call to pass on.
+    // Received before the configuration that shows it is a batch: it must not be forwarded as a
+    // call.
     Refuse(*responder, kHttpUnavailable, "batch_route",
            "this route takes batches; hand the batch in again", kBatchRetryAfter);
     return;
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
 /// Live calls of the HTTP routes: finds the route of a request by host and path, admits it, and
-/// passes it on through the one call path. How requests look on the wire is the front interface's
-/// matter; it hands in typed calls.
+/// runs it by a `CallRunner`. The platform's client interface parses requests to typed calls.
 ///
 /// Threads: the owner's event loop only.
 
@@ -29,13 +28,13 @@
   ForwardingService(const ForwardingService&) = delete;
   ForwardingService& operator=(const ForwardingService&) = delete;
 
-  /// Answers with a replica's answer, or with an error that says whether anything ran.
+  /// Responds with a replica's response, or with an error that says whether the request ran.
   void Handle(IncomingCall call, const std::shared_ptr<HttpResponder>& responder);
 
-  /// A configuration was taken: calls that waited for it go on.
+  /// A configuration applies: calls that waited for it are admitted.
   void OnConfiguration();
 
-  /// @return the route that `path` of `host` belongs to, or nullptr.
+  /// @return the route of `host` and `path`, or nullptr.
   const proto::Route* FindRouteOf(std::string_view host, std::string_view path) const;
 
   std::size_t calls_under_way() const { return calls_.size(); }
--- a/src/gateway/http_query.h
+++ b/src/gateway/http_query.h
@@ -18,7 +18,7 @@
 /// @return the `limit` parameter, or kInvalidArgument saying what is expected.
 Result<std::uint32_t> ReadLimit(const HttpHeaders& query, LimitRange range);
 
-/// @return what a failed read is answered with: nothing was changed, so a lost answer is
+/// @return the status of a failed read: nothing was changed, so an unknown outcome becomes
 /// kUnavailable.
 Status ReadFailure(const Status& status);
 
--- a/src/gateway/incoming_call.h
+++ b/src/gateway/incoming_call.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A live call of an HTTP route as a front interface read it.
+/// A live call of an HTTP route, as parsed by the platform's client interface.
 
 #include <functional>
 #include <optional>
@@ -13,16 +13,16 @@
 
 namespace cloverbank {
 
-/// A request as a front interface read it.
+/// One parsed request.
 struct IncomingCall {
   std::string host;
-  std::string path;  ///< Without the query, as it came.
+  std::string path;  ///< Without the query, as received.
   std::string call_id;
   std::string prefix_key;
   PromptShape prompt;
-  std::optional<Duration> patience;  ///< How long the caller will wait; unset: not told.
+  std::optional<Duration> patience;  ///< The client's timeout; unset: unknown.
   proto::ForwardedRequest request;
-  /// Runs in place of the call if its route turns out to take batches; unset: the call is refused.
+  /// Runs instead of the call if its route accepts batches; unset: the call is refused.
   std::function<void(const proto::Route&)> take_as_batch;
 };
 
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -24,7 +24,7 @@
   responder.Send(std::move(response));
 }
 
-/// A cached answer as a stream of one text piece and the last one.
+/// Sends a complete response as a stream of one text chunk and the last one.
 void SendAsStream(HttpResponder& responder, const proto::CallAnswer& answer) {
   proto::StreamChunk text;
   text.set_run_id(answer.run_id());
@@ -136,7 +136,7 @@
 }
 
 void LiveCall::FinishStream(const CallResult& result) {
-  if (!stream_started()) {  // A service's whole answer to a caller that asked for a stream.
+  if (!stream_started()) {  // A service's complete response to a request for a stream.
     SendAsStream(responder(), answer_);
     return;
   }
@@ -153,7 +153,7 @@
 
 void LiveCall::OnClientDisconnected() {
   if (!options_.idempotency_key.empty() && !options_.stream) {
-    return;  // The caller may come back for the answer under the same key.
+    return;  // The client may request the response under the same key.
   }
   const proto::Executed executed = CancelRunner();
   CallResult left;
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// One live call's way back to its caller: a whole answer, or a stream of lines under
-/// back-pressure. Threads: the owner's event loop only.
+/// A live call of the JSON interface: responds with one body or a stream of lines. Threads: the
+/// owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -15,16 +15,16 @@
 
 namespace cloverbank {
 
-/// Sends what a cached or joined request ended with.
+/// Sends the cached response of a request, or of one that was joined.
 void SendCached(HttpResponder& responder, const CachedResponse& cached, bool stream);
-/// @return what is cached of a finished call. @param answer of one that succeeded.
+/// @return the cache entry of a finished call. @param answer of a call that succeeded.
 CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer);
 
 class LiveCall final : public ClientCall {
  public:
   struct Options {
     bool stream = false;
-    std::string idempotency_key;  ///< IsFull cache key; empty if the caller named none.
+    std::string idempotency_key;  ///< Complete cache key; empty: none.
   };
 
   LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder, Options options,
@@ -51,7 +51,7 @@
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  proto::CallAnswer streamed_;  ///< Text that went out, as far as it may be cached.
+  proto::CallAnswer streamed_;  ///< Text that was sent, within the limit of the cache.
   bool collecting_ = true;
 };
 
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -4,11 +4,11 @@
 ///
 ///     POST /v1/call/{route}
 ///         body     CallRequest as JSON
-///         headers  X-Tenant         whose call it is, for rate limits
-///                  X-Deadline-Ms    how long the caller waits; never beyond the route's deadline
-///                  Idempotency-Key  a resend under the same key gets the first answer
+///         headers  X-Tenant         tenant of the call, for rate limits
+///                  X-Deadline-Ms    the client's timeout; at most the route's deadline
+///                  Idempotency-Key  a repeated request with the same key gets the first response
 ///         answer   CallAnswer, or, with "stream": true, one StreamChunk a line (NDJSON); an error
-///                  before the first piece is an ErrorBody, one after it an error piece
+///         before the first chunk is an ErrorBody, a later one an error chunk
 ///
 /// Threads: the owner's event loop only.
 
@@ -42,7 +42,7 @@
   LiveCallHandler& operator=(const LiveCallHandler&) = delete;
 
   void Register(HttpRouter& router);
-  /// Refuses every call that comes from now on; those under way go on.
+  /// Refuses new calls from now on; running ones continue.
   void Drain() { draining_ = true; }
   std::size_t calls_under_way() const { return calls_.size(); }
 
@@ -60,7 +60,7 @@
   /// @return what is wrong with the request apart from its body's content.
   std::optional<RequestProblem> FindProblem(const HttpRequest& request,
                                             const LiveCallHeaders& headers) const;
-  /// @return whether the call goes on as a new one; else it was answered, or will be.
+  /// @return whether the call is a new one; else its response was sent, or will be.
   bool ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
                   const Responder& responder);
   /// @param key reserved in the idempotency cache, or empty. @return false after the refusal was
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -12,10 +12,11 @@
 namespace {
 
 constexpr std::uint32_t kMillisecondsPerSecond = 1000;
-/// When to come back with what has not run, where nothing better is known.
+/// Retry-After of a request that did not run, unless the error has one.
 constexpr std::uint32_t kDefaultRetryAfterMs = 400;
 
-/// Statuses that promise that nothing ran: a replica's own failure may not be passed on as one.
+/// Statuses that tell the client that nothing ran: a replica's failure must not be forwarded as one
+/// of them.
 bool PromisesNotRun(int status) {
   return status == kHttpRequestTimeout || status == kHttpMisdirected ||
          status == kHttpTooManyRequests || status == kHttpUnavailable;
@@ -86,7 +87,7 @@
 
 void LiveForward::SendFailure(const CallResult& result) {
   if (stream_started()) {
-    responder().Abort();  // Must not look whole.
+    responder().Abort();  // Must not look complete.
     return;
   }
   const std::optional<HttpResponse>& failure = exchange_->failure();
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The way back to the caller of one request that is passed on: a replica's answer as it is, or the
-/// final answer of a call that was given up. Threads: the owner's event loop only.
+/// A forwarded live call: responds with a replica's response as it is, or with an error. Threads:
+/// the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -15,7 +15,7 @@
 
 namespace cloverbank {
 
-/// Sends an error body with a time to come back, in seconds with fractions.
+/// Sends an error body with Retry-After in seconds with fractions.
 void SendRefusal(HttpResponder& responder, int http_status, const proto::CallError& error);
 
 class LiveForward final : public ClientCall, public ForwardSink {
@@ -38,7 +38,7 @@
   void OnClientDisconnected() override;
 
   void SendFailure(const CallResult& result);
-  /// Counts and logs an answer that came late, with what made it so.
+  /// Counts and logs a late response with its cause.
   void RecordLateness();
 
   std::shared_ptr<ForwardExchange> exchange_;
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-/// Operators of this interface wait rather than turn to another gateway.
+/// Operators wait rather than retry at another gateway.
 constexpr OperatorTimeouts kTimeouts{.read = seconds(3), .order = seconds(10)};
 constexpr std::uint32_t kNoHistory = 0;
 constexpr std::uint32_t kDefaultHistory = 50;
@@ -18,7 +18,8 @@
 constexpr std::uint32_t kResendAfterMs = 1000;
 constexpr std::size_t kMachineSegment = 2;  // /v1/stores/{machine}/retire
 
-/// Nothing is promised of a transaction whose answer was lost; its operation id finds it again.
+/// The outcome of a transaction without a response is unknown; its operation id identifies it in a
+/// retry.
 void SendLostTransaction(HttpResponder& responder, const Status& status,
                          const std::string& operation_id) {
   proto::CallError error;
@@ -73,7 +74,7 @@
   }
 }
 
-/// Refusals that were certainly decided before anything was done.
+/// Refusals that are certainly decided before any change.
 bool IsRefusal(StatusCode code) {
   return code == StatusCode::kInvalidArgument || code == StatusCode::kConflict ||
          code == StatusCode::kResourceExhausted;
@@ -106,7 +107,7 @@
           SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
           return;
         }
-        result->mutable_configuration();  // Printed also while there is none yet.
+        result->mutable_configuration();  // Present in the JSON even while there is none.
         SendJson(*responder, 200, *result);
       });
 }
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Adapter: the operators' HTTP interface (docs/API.md). Any gateway answers, also one without a
-/// lease, by asking the coordinator leader.
+/// Adapter: the operators' HTTP interface (docs/API.md). Any gateway serves it, even without a
+/// lease, by calling the coordinator leader.
 ///
 ///     GET  /v1/config                    configuration and the version in force
 ///     GET  /v1/config/history?limit=N    newest transactions
 ///     POST /v1/config/transactions       several changes under one expected version
-///     POST /v1/stores/{machine}/retire   empties a store machine; ?cancel=true takes it back
+///     POST /v1/stores/{machine}/retire   drains a store machine; ?cancel=true stops that
 ///
 /// Threads: the owner's event loop only.
 
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -19,7 +19,7 @@
   return outcome;
 }
 
-/// What the batch worker holds of an item. The item goes on if it lets go of this.
+/// The batch worker's handle of a running item, which continues if the handle is destroyed.
 class BatchCall final : public BackendCall {
  public:
   explicit BatchCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
@@ -91,7 +91,7 @@
             if (outcome->succeeded) {
               outcome->answer.set_text(collector->TakeText());
             } else if (outcome->executed == proto::EXECUTED_YES && !exchange->FailedForGood()) {
-              outcome->executed = proto::EXECUTED_UNKNOWN;  // It may be tried further.
+              outcome->executed = proto::EXECUTED_UNKNOWN;  // Attempts are left.
             }
           }};
 }
@@ -112,7 +112,7 @@
   runner->Start();
   return std::make_shared<BatchCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
-      running_.erase(id);  // Which cancels it.
+      running_.erase(id);  // The destructor cancels the call.
     }
   });
 }
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs batch items at replicas: never waits, never takes room that a live call waits for.
-/// Threads: the owner's event loop only.
+/// Runs batch items at replicas: never waits for capacity, and never uses capacity that a live call
+/// waits for. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 
 class ReplicaBackendCaller final : public BackendCaller {
  public:
-  /// @param names of the headers of items that are passed on unchanged; must outlive the caller.
+  /// @param names of the headers of forwarded items; must outlive the caller.
   ReplicaBackendCaller(const CallContext& context, const ReplicaHeaderNames& names)
       : context_(context), names_(names) {}
 
@@ -27,9 +27,9 @@
                                             std::function<void(BackendOutcome)> done) override;
 
  private:
-  /// Fills in the outcome of a call that ended.
+  /// Completes the outcome of a call that ended.
   using OutcomeReader = std::function<void(BackendOutcome*)>;
-  /// What one item says to a replica, and how the response becomes its outcome.
+  /// The exchange of one item, and how its result becomes an outcome.
   struct ItemExchange {
     std::shared_ptr<CallExchange> exchange;
     OutcomeReader read_outcome;
--- a/src/gateway/response_timing.h
+++ b/src/gateway/response_timing.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// When the parts of one answer reached this gateway, judged against what its route promises: names
-/// what made an answer late. Pure. Times count from the moment the call was admitted here; what the
-/// caller waited before, on the way or in an earlier try, is not seen.
+/// Compares the times at which parts of a response were received with its route's targets, and
+/// names the cause of a late one. Pure. Times count from the admission of the call at this gateway;
+/// earlier network time and attempts are not included.
 
 #include <cstdint>
 #include <string_view>
@@ -11,20 +11,20 @@
 
 namespace cloverbank {
 
-/// What made an answer late, if anything.
+/// Why a response is late.
 enum class Lateness : std::uint8_t {
   kNone,
   kFirstChunk,        ///< The first event of a stream came after the target.
-  kPause,             ///< Two events of a stream lay further apart than the route allows.
-  kCompleteResponse,  ///< An answer in one piece came after the target.
+  kPause,             ///< The pause between two events exceeded the target.
+  kCompleteResponse,  ///< A response in one piece came after the target.
 };
 
 /// @return the stable snake_case name, for metrics and logs.
 std::string_view LatenessName(Lateness lateness);
 
-/// What a route promises of an answer. Zero is no promise.
+/// A route's targets for a response; zero: none.
 struct ResponseTargets {
-  Duration target{};         ///< Until the first event, or until an answer in one piece.
+  Duration target{};         ///< Until the first event, or until a response in one piece.
   Duration longest_pause{};  ///< Between two events.
 };
 
@@ -33,14 +33,14 @@
   ResponseTiming(ResponseTargets targets, TimePoint started)
       : targets_(targets), started_(started) {}
 
-  /// An event of a stream is there.
+  /// An event of a stream was received.
   void OnEvent(TimePoint now);
-  /// An answer in one piece is there.
+  /// A response in one piece was received.
   void OnComplete(TimePoint now);
 
-  /// @return the first cause that makes the answer late, as far as it has come.
+  /// @return the first cause that makes the response late so far.
   Lateness lateness() const;
-  /// @return time until the first event or the whole answer; zero before.
+  /// @return time until the first event or the complete response; zero before.
   Duration first_after() const { return first_after_; }
   /// @return the longest time between two events so far, and when it began, after the start.
   Duration longest_pause() const { return longest_pause_; }
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -11,7 +11,7 @@
 
 namespace cloverbank {
 
-/// A back end that takes `connect` until it asks whether to send, and `run` until it answers.
+/// A back end that evaluates `can_start` after `connect`, and responds `run_time` later.
 class FakeBackend : public BackendCaller {
  public:
   struct Run : BackendCall {
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -21,7 +21,7 @@
   Start();
   gateway->backend.run_time = seconds(1);
   gateway->backend.slots = 0;
-  world.RunFor(seconds(2));  // Let held questions that offered room end.
+  world.RunFor(seconds(2));  // Let pending long polls end.
   for (std::uint64_t lease = 1; lease <= 9; ++lease) {
     AddWork(lease, "audit");
   }
@@ -59,7 +59,8 @@
   Start();
   world.machine("g").Freeze();
   AddWork(1, "unlock");
-  world.RunFor(seconds(4));  // The answer waits in the socket, and the call's deadline is not over.
+  world.RunFor(
+      seconds(4));  // The response waits in the socket, and the call's deadline has not passed.
   world.machine("g").Wake();
   world.RunFor(seconds(2));
   EXPECT_TRUE(gateway->backend.runs.empty());
--- a/tests/calls/idempotency_cache_test.cc
+++ b/tests/calls/idempotency_cache_test.cc
@@ -30,7 +30,7 @@
   }
   EXPECT_EQ(waited, 100);
   EXPECT_EQ(cache.Begin("99", 1, now), KeyState::kFinished);
-  EXPECT_EQ(cache.Begin("0", 1, now), KeyState::kNew);  // Dropped for room.
+  EXPECT_EQ(cache.Begin("0", 1, now), KeyState::kNew);  // Evicted by newer entries.
   answer.answer.set_text(std::string(2000, 'x'));
   cache.Store("0", answer, now);
   EXPECT_FALSE(cache.Find("0")->text_cached);
--- a/tests/calls/stream_check_test.cc
+++ b/tests/calls/stream_check_test.cc
@@ -50,7 +50,8 @@
   EXPECT_EQ(cut.fault(), StreamFault::kNoEnd);
 }
 
-/// Whatever is done to a stream, what passes is a prefix of one run, whole only if it ended.
+/// Whatever damages a stream, what passes is a prefix of one run, and complete only if the run
+/// ended.
 TEST(StreamCheckTest, RejectsRandomlyDamagedRuns) {
   std::mt19937_64 random(11);
   for (int round = 0; round < 20'000; ++round) {
--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -10,7 +10,7 @@
 
 namespace cloverbank {
 
-/// Keeps the one answer to a request.
+/// Records the response to a request.
 struct RecordedResponse : HttpResponder {
   void Send(HttpResponse sent) override {
     ++count;
@@ -38,7 +38,7 @@
   HttpResponse response;
 };
 
-/// Routes as the server does, and hands requests over at once.
+/// Routes requests as the server does, synchronously.
 class AdapterHarness : public HttpRouter {
  public:
   void Handle(std::string_view method, std::string_view pattern, HttpHandler handler) override {
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -13,7 +13,7 @@
 
 using testing::HasSubstr;
 
-/// What one queue node was asked, and how it answers.
+/// What one queue node received, and how it responds.
 struct FakeOwner {
   std::vector<proto::SubmitBatchRequest> submissions;
   std::vector<std::string> cancelled;
@@ -120,7 +120,7 @@
     control.changes.back().mutable_set_route()->set_accepts_batches(accepts_batches);
     control.changes.back().mutable_set_route()->set_idempotent(true);
   }
-  /// Gives every partition to `node`; 0 is nobody. Waits until the gateway knows.
+  /// Assigns every partition to `node`; 0: none. Waits until the gateway knows.
   void SetOwner(std::uint64_t node) {
     control.fleet.clear_partitions();
     for (std::uint64_t id = 0; id < 12; ++id) {
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -105,15 +105,15 @@
   ASSERT_EQ(h.queue->Waiting("model"), 1U);
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
   h.permission.stored.mutable_routes(0)->clear_zones();
-  Run();  // In the same turn, before the waiting call is offered the room.
+  Run();  // In the same turn of the event loop, before the waiting call is dispatched.
   h.world.RunFor(seconds(1));
   ASSERT_EQ(outcomes_.size(), 1U);
   EXPECT_EQ(outcomes_[0].executed, proto::EXECUTED_NO);
   EXPECT_EQ(h.queue->Waiting("model"), 0U);
 }
 
-/// Twelve gateways with endless batch work and none knowing the others: the headroom stays free on
-/// the whole, the room is used, and live calls that come are served at once.
+/// Twelve gateways with endless batch work that do not know each other: the reserve stays mostly
+/// free, the capacity is used, and live calls are served immediately.
 TEST_F(BatchCallTest, ManyGatewaysLeaveTheReserveFree) {
   h.options.sharing = SharingOptions();
   for (const char* id : {"m1", "m2", "m3"}) {
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A gateway whose HTTP routes are served by scripted replicas: for tests of requests that are
-/// passed on unchanged.
+/// forwarded unchanged.
 
 #include <map>
 #include <memory>
@@ -33,7 +33,7 @@
     return route;
   }
 
-  /// Adds a replica whose calls are kept in `arrived`, to be answered by the test.
+  /// Adds a replica whose calls are recorded in `arrived`; the test responds to them.
   void AddHttpReplica(const std::string& id, const std::string& zone) {
     FakeReplica& replica = AddReplica(id, zone, 8, proto::BACKEND_KIND_HTTP);
     client->scripts[EndpointFor(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
@@ -74,7 +74,7 @@
     return responder;
   }
 
-  /// The replica that got call number `index` answers it whole, and the caller gets it.
+  /// The replica that received call number `index` sends a complete response.
   void Answer(std::size_t index, HttpResponse response) {
     arrived[index]->Answer(std::move(response));
     world.RunFor(milliseconds(5));
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -1,4 +1,5 @@
-// Requests that are passed on unchanged: what replicas get, what callers see, what may be repeated.
+// Requests that are forwarded unchanged: what replicas receive, what clients receive, and what is
+// retried.
 #include <gtest/gtest.h>
 
 #include "forward_harness.h"
@@ -66,7 +67,7 @@
   h.Answer(2, {503, ForwardHarness::Echo("c2"), "busy"});
   h.world.RunFor(milliseconds(20));
   EXPECT_EQ(h.arrived.size(), 3U);
-  // Without the mark it may have run, so the caller is promised nothing.
+  // Without the mark it may have run, so the status must not imply that it did not.
   EXPECT_NE(unmarked->status, 503);
   EXPECT_NE(unmarked->status, 429);
 }
@@ -144,7 +145,7 @@
   EXPECT_EQ(safe->status, 200);
   EXPECT_EQ(once->answers, 0);
   h.world.RunFor(seconds(4));
-  EXPECT_EQ(once->status, 504);  // Its one final answer, at its deadline.
+  EXPECT_EQ(once->status, 504);  // Its only response, at its deadline.
 }
 
 TEST_F(ForwardingTest, SendsNothingToAFormerBackEnd) {
@@ -214,8 +215,8 @@
   EXPECT_TRUE(h.arrived.empty());
 }
 
-/// The hole that a deliberate bug had shown: the right to start must be asked right before the
-/// first byte, however long the connection took.
+/// The permission to start must be checked immediately before the first byte, however long the
+/// connection took.
 TEST_F(ForwardingTest, DoesNotSendAnItemWhoseLeaseEnds) {
   h.client->connect_time = milliseconds(150);
   bool can_start = true;
@@ -272,7 +273,7 @@
   h.world.RunFor(milliseconds(50));
   h.Answer(0, {500, ForwardHarness::Echo("item"), ""});
   h.world.RunFor(seconds(4));
-  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // Comes back to the queue node.
+  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // The queue node grants it again.
   EXPECT_EQ(outcome.failed_runs, 1U);
 }
 
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A whole data plane on simulated time: scripted replicas, the platform's list, a lease that can
-/// be taken away, and callers.
+/// A data plane on simulated time: scripted replicas, the platform's list, a lease that a test can
+/// revoke, and clients.
 
 #include <map>
 #include <memory>
@@ -19,15 +19,15 @@
 
 namespace cloverbank {
 
-/// A replica whose behaviour a test sets.
+/// A replica whose behaviour the test sets.
 struct FakeReplica {
   proto::Replica entry;
   std::uint32_t running = 0;
   std::uint32_t most_running = 0;
   std::uint32_t report_running = 0;         ///< Calls of others that it reports.
-  std::vector<std::string> received;        ///< Call ids whose request arrived, in order.
+  std::vector<std::string> received;        ///< Ids of received calls, in order.
   std::vector<proto::CallRequest> ran;      ///< Requests that it may have carried out.
-  std::vector<std::uint32_t> running_then;  ///< How many ran when each arrived.
+  std::vector<std::uint32_t> running_then;  ///< Calls running when each was received.
   std::uint32_t probes = 0;
   Duration work_time = milliseconds(50);
   enum class Mode : std::uint8_t {
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -157,7 +157,7 @@
   ASSERT_GT(leaving.received.size(), 0U);
   h.SetState(leaving, proto::REPLICA_STATE_DRAINING);
   h.list_readable = true;
-  h.world.RunFor(milliseconds(600));  // One poll interval and its answer.
+  h.world.RunFor(milliseconds(600));  // One poll interval and its response.
   const std::size_t before = leaving.received.size();
   const std::uint32_t probes_before = leaving.probes;
   for (int step = 0; step < 300; ++step) {
