--- a/src/batch_work/batch_validation.h
+++ b/src/batch_work/batch_validation.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Pure: checks a submission against the configuration before it is sent to its partition's owner.
-/// Nothing of it is taken unless all of it is right, so every mistake is named at once.
+/// Checks a submission against the configuration before it is sent to its partition's owner. A
+/// batch is accepted completely or not at all, so all problems are reported together. Pure.
 
 #include <string>
 #include <vector>
@@ -13,20 +13,20 @@
 
 namespace cloverbank {
 
-inline constexpr int kLargestBatchItems = 100'000;
-inline constexpr std::size_t kLongestName = 256;  ///< Bytes of a custom id, tenant or key.
+inline constexpr int kMaximumBatchItems = 100'000;
+inline constexpr std::size_t kMaximumNameBytes = 256;  ///< Bytes of a custom id, tenant or key.
 
 /// @return the route of that name, or nullptr.
 const proto::Route* FindRouteNamed(const proto::RoutingConfiguration& configuration,
                                    const std::string& name);
 
-/// @return every mistake, each naming its place ("items[3].custom_id: ..."); empty if there is
-/// none. A long list ends with how many more there are.
+/// @return all problems, each with its place ("items[3].custom_id: ..."); empty if there is none. A
+/// long list is truncated and ends with the number of further ones.
 std::vector<std::string> FindBatchProblems(const proto::SubmitBatch& batch,
                                            const proto::RoutingConfiguration& configuration);
 
 /// @return the partition in a batch id ("<partition>-<hexadecimal number>"), or kNotFound for text
 /// that is no id of a partition below `partition_count`.
-Result<PartitionId> PartitionOfBatch(const std::string& batch_id, std::uint32_t partition_count);
+Result<PartitionId> ParseBatchPartition(const std::string& batch_id, std::uint32_t partition_count);
 
 }  // namespace cloverbank
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -1,8 +1,7 @@
 #pragma once
 /// @file
-/// All replicas as this gateway sees them: ties the platform's list, probes, health, load and the
-/// router together, and is told of every call that goes to a replica.
-/// Threads: the owner's event loop only.
+/// All replicas as this gateway sees them: connects the platform's list, health checks, load and
+/// the router, and records every call to a replica. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -12,7 +11,7 @@
 #include "calls/active_replicas.h"
 #include "calls/capacity_allowances.h"
 #include "calls/gateway_options.h"
-#include "calls/serving_right.h"
+#include "calls/serving_permission.h"
 #include "calls/slow_start_quota.h"
 #include "net/http_types.h"
 #include "replicas/replica_directory.h"
@@ -30,52 +29,52 @@
   std::string id;
   std::string instance_id;
   WorkKind work = WorkKind::kLive;
-  std::uint32_t prompt_tokens = 0;  ///< That the replica has to read, as far as is known.
-  std::uint64_t shared_key = 0;     ///< Of the part of the prompt that other calls have too.
-  Duration backlog{};               ///< Of prompts before it.
+  std::uint32_t prompt_tokens = 0;  ///< Estimated tokens to prefill.
+  std::uint64_t shared_key = 0;     ///< Identifies the prefix shared with other calls.
+  Duration backlog{};               ///< Time to prefill the prompts before it.
 };
 
 class ReplicaPool {
  public:
-  ReplicaPool(Environment& environment, HttpClient& client, const ServingRight& right,
+  ReplicaPool(Environment& environment, HttpClient& client, const ServingPermission& permission,
               const GatewayOptions& options);
   ~ReplicaPool();
   ReplicaPool(const ReplicaPool&) = delete;
   ReplicaPool& operator=(const ReplicaPool&) = delete;
 
   void Start();
-  /// To be called when a newer configuration was taken: zones may have opened or closed.
+  /// A newer configuration applies: zones may have opened or closed.
   void OnConfiguration();
 
   RoutingChoice Choose(const RoutingQuery& query);
   std::uint32_t FreeBatchSlots(const std::string& backend) const;
-  /// Whether a call of `route` may go to this life of a replica at this very moment: listed as
-  /// ready in a list that is fresh, and in a zone that is open and allowed.
+  /// Whether a call of `route` may be sent to this incarnation of a replica now: it is listed as
+  /// ready in a fresh list, and in a zone that is open and allowed.
   bool CanSend(const ReplicaUse& use, const proto::Route& route) const;
 
-  /// @return the use of `replica` by a call with that prompt.
+  /// @return the use of `replica` by a call with the prompt.
   ReplicaUse MakeUse(const ReplicaRecord& replica, WorkKind work, const PromptShape& prompt,
                      std::string_view prefix_key) const;
   void OnCallStarted(const ReplicaUse& use);
-  /// Another gateway sent a prompt to the replica.
-  void OnPromptOfOther(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
-  /// Runs for each prompt that is sent from here.
+  /// Another gateway sent a prompt to the replica; unknown replicas are ignored.
+  void OnRemotePrompt(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
+  /// Runs for each prompt that this gateway sends.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
   void OnPrompt(PromptObserver observer) { on_prompt_ = std::move(observer); }
   void OnCallEnded(const ReplicaUse& use, CallEnd end);
-  /// The head of an answer came, `latency` after the request was sent.
-  void OnAnswerHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
+  /// The head of a response was received `latency` after the request was sent.
+  void OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
 
-  /// Whether a replica has fallen silent while calls wait there, or is not the same any more.
-  bool Stalled(const ReplicaUse& use) const;
-  /// Bytes of an answer came in.
-  void OnHeard(const ReplicaUse& use);
+  /// Whether the replica does not respond to running calls, or is another incarnation now.
+  bool IsStalled(const ReplicaUse& use) const;
+  /// Bytes of a response were received.
+  void OnBytesReceived(const ReplicaUse& use);
 
-  /// Which part of what cold replicas bear and of the room for batch work is this gateway's.
+  /// Sets this gateway's part of the rates of warming replicas and of batch capacity.
   void SetQuota(const GatewayQuota& quota);
 
-  /// Runs when a replica may have got room that it had not before.
+  /// Runs when a replica may have free capacity again.
   void OnCapacity(std::function<void()> observer) { on_capacity_ = std::move(observer); }
   /// Expires with the pool, for calls whose connection outlives it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
@@ -100,7 +99,7 @@
   void HandleReport(const std::string& id, const HttpHeaders& headers);
   /// Grants what this gateway may send to a replica until its next report.
   void GrantAllowances(const std::string& id);
-  /// Offers room again soon: time alone gives some while replicas are cold.
+  /// Notifies of capacity soon: with slow start, time alone brings some.
   void ScheduleCapacityOffer();
   void EvaluateHealth();
   void PublishMetrics();
@@ -111,7 +110,7 @@
   }
 
   Environment& environment_;
-  const ServingRight& right_;
+  const ServingPermission& permission_;
   const std::string own_zone_;
   const Duration longest_start_delay_;
   ReplicaDirectory directory_;
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kServePath = "/serve";
 
-/// One request to a plain service and its whole answer.
+/// One request to a plain service and its complete response.
 class ServiceAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ServiceAttempt> {
  public:
@@ -56,16 +56,16 @@
       Finish(session_.ClassifyNoResponse(outcome, false));
       return;
     }
-    context_.pool.OnAnswerHead(request_.use, outcome.response.headers, session_.Elapsed());
+    context_.pool.OnResponseHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
       Finish(ReadRefusal(outcome.response.status, outcome.response.body));
       return;
     }
-    Finish(ReadAnswer(outcome.response.body));
+    Finish(ParseResponse(outcome.response.body));
   }
 
-  /// A whole answer counts only if it is this call's.
-  FailureReading ReadAnswer(const std::string& body) const {
+  /// A complete response counts only if it belongs to this call.
+  FailureReading ParseResponse(const std::string& body) const {
     FailureReading reading;
     const bool readable = FromJson(body, &reading.result.answer, UnknownFields::kIgnore).ok();
     if (readable && reading.result.answer.call_id() == request_.body.call_id()) {
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -15,8 +15,8 @@
 constexpr std::string_view kGeneratePath = "/generate";
 constexpr std::size_t kLargestErrorBody = std::size_t{64} << 10U;
 
-/// A streamed generation. Pieces are checked and handed on one at a time; the replica is read no
-/// further until the last one was taken.
+/// A streamed generation. Chunks are checked and forwarded one at a time; the replica is read no
+/// further until the client has taken the last one.
 class StreamAttempt final : public CallAttempt, public std::enable_shared_from_this<StreamAttempt> {
  public:
   StreamAttempt(const AttemptContext& context, JsonAttemptRequest request,
@@ -72,7 +72,7 @@
       return;
     }
     status_ = status;
-    context_.pool.OnAnswerHead(request_.use, headers, session_.Elapsed());
+    context_.pool.OnResponseHead(request_.use, headers, session_.Elapsed());
   }
 
   void OnBytes(const std::string& bytes, std::function<void()> more) {
@@ -87,11 +87,11 @@
       return;
     }
     lines_.Append(bytes);
-    read_on_ = std::move(more);
+    read_more_ = std::move(more);
     Advance();
   }
 
-  /// Something follows the regular last piece: the connection can not be trusted further.
+  /// Something follows the regular last chunk: the connection must not be reused.
   void AfterLastChunk() {
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
@@ -107,11 +107,11 @@
     } else if (regular) {
       Advance();
     } else {
-      Complete();  // Not held up by a caller that does not read.
+      Complete();  // Not delayed by a client that does not read.
     }
   }
 
-  /// Goes on as far as possible. Not re-entered: `more` may be called from within `on_chunk`.
+  /// Processes buffered input. Not re-entrant: `more` may be called from within `on_chunk`.
   void Advance() {
     if (advancing_) {
       return;
@@ -122,7 +122,7 @@
     advancing_ = false;
   }
 
-  /// Hands on the next piece, or reads on, or concludes. @return whether there is more to do now.
+  /// Forwards the next chunk, or reads more, or completes. @return whether there is more to do now.
   bool Step() {
     if (session_.done() || chunk_in_flight_) {
       return false;
@@ -131,27 +131,27 @@
       HandleLine(*line);
       return true;
     }
-    if (lines_.TooLong()) {
-      check_.Malformed();
-      BreakOff();
+    if (lines_.IsTooLong()) {
+      check_.RecordMalformed();
+      AbortResponse();
       return false;
     }
     if (outcome_) {
       Complete();
       return !session_.done();
     }
-    if (!read_on_) {
+    if (!read_more_) {
       return false;
     }
-    std::exchange(read_on_, nullptr)();
-    return read_on_ != nullptr || outcome_.has_value();
+    std::exchange(read_more_, nullptr)();
+    return read_more_ != nullptr || outcome_.has_value();
   }
 
   void HandleLine(const std::string& line) {
     proto::StreamChunk chunk;
     if (!FromJson(line, &chunk, UnknownFields::kIgnore).ok()) {
-      check_.Malformed();
-      BreakOff();
+      check_.RecordMalformed();
+      AbortResponse();
       return;
     }
     switch (check_.Check(chunk)) {
@@ -166,7 +166,7 @@
         FinishReported(chunk.error());
         break;
       case ChunkCheckResult::kBroken:
-        BreakOff();
+        AbortResponse();
         break;
     }
   }
@@ -182,7 +182,7 @@
     });
   }
 
-  /// The body ended, or the call did, with no last piece.
+  /// The body or the call ended without a last chunk.
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
       const FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
@@ -200,10 +200,10 @@
       return;
     }
     check_.BodyEnded();
-    BreakOff();
+    AbortResponse();
   }
 
-  void BreakOff() {
+  void AbortResponse() {
     const std::string_view fault = StreamFaultName(check_.fault());
     context_.environment.metrics().Increment("gateway_stream_faults_total", {{"fault", fault}});
     Log(LogLevel::kWarning, "stream_broken",
@@ -229,15 +229,15 @@
     Finish(std::move(result), CallEnd::kFailed);
   }
 
-  /// The last piece is with the caller. The connection is let run out, so that it can be used
-  /// again.
+  /// The last chunk was sent to the client. The rest of the body is read, so that the connection
+  /// can be reused.
   void FinishSuccessfully() {
     session_.MarkDone();
     if (outcome_) {
       session_.Release(CallEnd::kSuccess);
     }
-    if (read_on_) {
-      std::exchange(read_on_, nullptr)();
+    if (read_more_) {
+      std::exchange(read_more_, nullptr)();
     }
     JsonAttemptResult result;
     result.end = AttemptEnd::kComplete;
@@ -268,7 +268,7 @@
   std::shared_ptr<HttpCall> call_;
   int status_ = 0;  ///< 0 until the head came.
   std::string error_body_;
-  std::function<void()> read_on_;
+  std::function<void()> read_more_;
   std::optional<HttpOutcome> outcome_;
   bool chunk_in_flight_ = false;
   bool advancing_ = false;
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The way back to the caller of one request that is passed on: a replica's answer as it is, or the
-/// final answer of a call that was given up. Threads: the owner's event loop only.
+/// A forwarded live call: responds with a replica's response as it is, or with an error. Threads:
+/// the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -9,13 +9,13 @@
 
 #include "calls/call_runner.h"
 #include "calls/forward_exchange.h"
-#include "gateway/answer_timing.h"
 #include "gateway/client_call.h"
+#include "gateway/response_timing.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
 
-/// Sends an error body with a time to come back, in seconds with fractions.
+/// Sends an error body with Retry-After in seconds with fractions.
 void SendRefusal(HttpResponder& responder, int http_status, const proto::CallError& error);
 
 class LiveForward final : public ClientCall, public ForwardSink {
@@ -37,12 +37,12 @@
   void OnDone(const CallResult& result) override;
   void OnClientDisconnected() override;
 
-  void AnswerFailure(const CallResult& result);
-  /// Counts and logs an answer that came late, with what made it so.
+  void SendFailure(const CallResult& result);
+  /// Counts and logs a late response with its cause.
   void RecordLateness();
 
   std::shared_ptr<ForwardExchange> exchange_;
-  std::optional<AnswerTiming> timing_;  ///< From the start on.
+  std::optional<ResponseTiming> timing_;  ///< From the start on.
 };
 
 }  // namespace cloverbank
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs batch items at replicas: never waits, never takes room that a live call waits for.
-/// Threads: the owner's event loop only.
+/// Runs batch items at replicas: never waits for capacity, and never uses capacity that a live call
+/// waits for. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -16,30 +16,30 @@
 
 class ReplicaBackendCaller final : public BackendCaller {
  public:
-  /// @param names of the headers of items that are passed on unchanged; must outlive the caller.
+  /// @param names of the headers of forwarded items; must outlive the caller.
   ReplicaBackendCaller(const CallContext& context, const ReplicaHeaderNames& names)
       : context_(context), names_(names) {}
 
   std::uint32_t FreeBatchSlots(const std::string& backend) const override;
   std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                             const proto::CallRequest& request, Duration deadline,
-                                            std::function<bool()> may_start,
+                                            std::function<bool()> can_start,
                                             std::function<void(BackendOutcome)> done) override;
 
  private:
-  /// Fills in the outcome of a call that ended.
-  using ReadAnswer = std::function<void(BackendOutcome*)>;
-  /// What one item says to a replica, and how the response becomes its outcome.
+  /// Completes the outcome of a call that ended.
+  using OutcomeReader = std::function<void(BackendOutcome*)>;
+  /// The exchange of one item, and how its result becomes an outcome.
   struct ItemExchange {
     std::shared_ptr<CallExchange> exchange;
-    ReadAnswer read_answer;
+    OutcomeReader read_outcome;
   };
 
   bool CanStartBatches(const std::string& backend) const;
   static ItemExchange MakeJsonExchange(const proto::CallRequest& request);
   ItemExchange MakeForwardExchange(const proto::Route& route,
                                    const proto::CallRequest& request) const;
-  std::shared_ptr<BackendCall> Run(CallSpec spec, ReadAnswer read_answer,
+  std::shared_ptr<BackendCall> Run(CallSpec spec, OutcomeReader read_outcome,
                                    std::function<void(BackendOutcome)> done);
 
   CallContext context_;
--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -10,8 +10,8 @@
 
 namespace cloverbank {
 
-/// Keeps the one answer to a request.
-struct RecordedAnswer : HttpResponder {
+/// Records the response to a request.
+struct RecordedResponse : HttpResponder {
   void Send(HttpResponse sent) override {
     ++count;
     response = std::move(sent);
@@ -38,17 +38,17 @@
   HttpResponse response;
 };
 
-/// Routes as the server does, and hands requests over at once.
+/// Routes requests as the server does, synchronously.
 class AdapterHarness : public HttpRouter {
  public:
   void Handle(std::string_view method, std::string_view pattern, HttpHandler handler) override {
     routes_.Add(method, pattern, std::move(handler));
   }
 
-  std::shared_ptr<RecordedAnswer> Send(const std::string& method, const std::string& path,
-                                       const std::string& body = {}, HttpHeaders headers = {},
-                                       HttpHeaders query = {}) {
-    auto answer = std::make_shared<RecordedAnswer>();
+  std::shared_ptr<RecordedResponse> Send(const std::string& method, const std::string& path,
+                                         const std::string& body = {}, HttpHeaders headers = {},
+                                         HttpHeaders query = {}) {
+    auto answer = std::make_shared<RecordedResponse>();
     const RouteTable::Match match = routes_.Find(method, path);
     EXPECT_NE(match.handler, nullptr) << method << " " << path;
     HttpRequest request;
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -16,11 +16,11 @@
     h.AddRoute("audit", proto::BACKEND_KIND_MODEL, false);
     h.options.sharing.initial_batch_quota = 1;
   }
-  std::shared_ptr<BackendCall> Run(bool may_start = true) {
+  std::shared_ptr<BackendCall> Run(bool can_start = true) {
     proto::CallRequest request;
     request.set_call_id("item-" + std::to_string(started_++));
     return h.batch->RunBatchItem(
-        h.right.held.routes(0), request, seconds(5), [may_start] { return may_start; },
+        h.permission.stored.routes(0), request, seconds(5), [can_start] { return can_start; },
         [this](const BackendOutcome& outcome) { outcomes_.push_back(outcome); });
   }
 
@@ -29,7 +29,7 @@
   std::vector<BackendOutcome> outcomes_;
 };
 
-TEST_F(BatchCallTest, RunsAnItemAndReportsItsAnswer) {
+TEST_F(BatchCallTest, RunsAnItemAndReturnsItsResponse) {
   h.AddReplica("m1", "a", 8);
   h.StartWarm();
   ASSERT_GE(h.batch->FreeBatchSlots("model"), 1U);
@@ -42,15 +42,15 @@
   EXPECT_EQ(outcomes_[0].answer.call_id(), "item-0");
 }
 
-TEST_F(BatchCallTest, IsNotStartedWithoutRoomOrRight) {
+TEST_F(BatchCallTest, RequiresCapacityAndPermission) {
   FakeReplica& replica = h.AddReplica("m1", "a", 8);
   h.StartWarm();
   Run(false);
-  h.right.held.mutable_batch()->set_paused(true);
+  h.permission.stored.mutable_batch()->set_paused(true);
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
   Run();
   h.world.RunFor(seconds(1));
-  h.right.held.mutable_batch()->set_paused(false);
+  h.permission.stored.mutable_batch()->set_paused(false);
   replica.report_running = 6;  // Above 70 in 100 of 8.
   h.world.RunFor(seconds(2));
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
@@ -68,7 +68,7 @@
   EXPECT_EQ(replica.received.size(), 1U);  // Only the one that the replica refused.
 }
 
-TEST_F(BatchCallTest, SilenceIsUnknownAndNotRepeated) {
+TEST_F(BatchCallTest, DoesNotRetryWithoutAResponse) {
   h.AddReplica("m1", "a", 8).mode = Mode::kScripted;
   h.AddReplica("m2", "a", 8).mode = Mode::kScripted;
   h.StartWarm();
@@ -79,7 +79,7 @@
   EXPECT_EQ(h.replicas["m1"].received.size() + h.replicas["m2"].received.size(), 1U);
 }
 
-TEST_F(BatchCallTest, CancelClosesTheConnectionAndSaysNothing) {
+TEST_F(BatchCallTest, CancelClosesTheConnection) {
   FakeReplica& replica = h.AddReplica("m1", "a", 8);
   replica.mode = Mode::kScripted;
   h.StartWarm();
@@ -92,29 +92,29 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(BatchCallTest, GivesWayToWaitingLiveCalls) {
+TEST_F(BatchCallTest, YieldsToWaitingLiveCalls) {
   h.AddReplica("m1", "a", 2).mode = Mode::kScripted;
   h.AddReplica("m2", "b", 8);
   h.StartWarm();
   ASSERT_GE(h.batch->FreeBatchSlots("model"), 1U);
-  h.right.held.mutable_routes(0)->add_zones("a");
+  h.permission.stored.mutable_routes(0)->add_zones("a");
   for (int call = 0; call < 3; ++call) {
     h.Call("audit");
   }
   h.world.RunFor(milliseconds(100));
   ASSERT_EQ(h.queue->Waiting("model"), 1U);
   EXPECT_EQ(h.batch->FreeBatchSlots("model"), 0U);
-  h.right.held.mutable_routes(0)->clear_zones();
-  Run();  // In the same turn, before the waiting call is offered the room.
+  h.permission.stored.mutable_routes(0)->clear_zones();
+  Run();  // In the same turn of the event loop, before the waiting call is dispatched.
   h.world.RunFor(seconds(1));
   ASSERT_EQ(outcomes_.size(), 1U);
   EXPECT_EQ(outcomes_[0].executed, proto::EXECUTED_NO);
   EXPECT_EQ(h.queue->Waiting("model"), 0U);
 }
 
-/// Twelve gateways with endless batch work and none knowing the others: the headroom stays free on
-/// the whole, the room is used, and live calls that come are served at once.
-TEST_F(BatchCallTest, ManyGatewaysShareTheRoomAndLeaveTheHeadroom) {
+/// Twelve gateways with endless batch work that do not know each other: the reserve stays mostly
+/// free, the capacity is used, and live calls are served immediately.
+TEST_F(BatchCallTest, ManyGatewaysLeaveTheReserveFree) {
   h.options.sharing = SharingOptions();
   for (const char* id : {"m1", "m2", "m3"}) {
     h.AddReplica(id, "a", 8).work_time = milliseconds(700);
@@ -133,7 +133,7 @@
         proto::CallRequest request;
         request.set_call_id("item-" + std::to_string(started_++));
         plane->batch->RunBatchItem(
-            h.right.held.routes(0), request, seconds(5), [] { return true; },
+            h.permission.stored.routes(0), request, seconds(5), [] { return true; },
             [](const BackendOutcome&) {});
       }
     }
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A gateway whose HTTP routes are served by scripted replicas: for tests of requests that are
-/// passed on unchanged.
+/// forwarded unchanged.
 
 #include <map>
 #include <memory>
@@ -17,7 +17,7 @@
  public:
   ForwardHarness() {
     options.probe.enabled = false;
-    right.held.set_label(7);
+    permission.stored.set_label(7);
   }
 
   proto::Route& AddHttpRoute(const std::string& name, const std::string& prefix, bool idempotent,
@@ -33,10 +33,10 @@
     return route;
   }
 
-  /// Adds a replica whose calls are kept in `arrived`, to be answered by the test.
+  /// Adds a replica whose calls are recorded in `arrived`; the test responds to them.
   void AddHttpReplica(const std::string& id, const std::string& zone) {
     FakeReplica& replica = AddReplica(id, zone, 8, proto::BACKEND_KIND_HTTP);
-    client->scripts[EndpointOf(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
+    client->scripts[EndpointFor(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
       arrived.push_back(exchange);
       arrived_at.push_back(id);
     };
@@ -46,7 +46,7 @@
     Start(seconds(1));
     context =
         std::make_unique<CallContext>(CallContext{{*environment, *client, *pool, options.calls},
-                                                  right,
+                                                  permission,
                                                   *queue,
                                                   first->budget,
                                                   options.retry});
@@ -74,7 +74,7 @@
     return responder;
   }
 
-  /// The replica that got call number `index` answers it whole, and the caller gets it.
+  /// The replica that received call number `index` sends a complete response.
   void Answer(std::size_t index, HttpResponse response) {
     arrived[index]->Answer(std::move(response));
     world.RunFor(milliseconds(5));
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -1,4 +1,5 @@
-// Requests that are passed on unchanged: what replicas get, what callers see, what may be repeated.
+// Requests that are forwarded unchanged: what replicas receive, what clients receive, and what is
+// retried.
 #include <gtest/gtest.h>
 
 #include "forward_harness.h"
@@ -24,7 +25,7 @@
   ForwardHarness h;
 };
 
-TEST_F(ForwardingTest, PassesOnWhatCameAndAnswersWithWhatTheReplicaSaid) {
+TEST_F(ForwardingTest, ForwardsRequestAndResponseUnchanged) {
   const auto caller = h.Forward("/safe/x", "c1");
   ASSERT_EQ(h.arrived.size(), 1U);
   const HttpRequest& sent = h.arrived[0]->request;
@@ -40,12 +41,12 @@
   EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
 }
 
-TEST_F(ForwardingTest, UnknownHostOrPathIsNotFound) {
+TEST_F(ForwardingTest, Returns404ForAnUnknownHostOrPath) {
   EXPECT_EQ(h.Forward("/nowhere/x", "c1")->status, 404);
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, AForeignAnswerIsNeverPassedOn) {
+TEST_F(ForwardingTest, RejectsAResponseToAnotherCall) {
   const auto caller = h.Forward("/once/x", "c1");
   h.Answer(0, {200, ForwardHarness::Echo("another"), ForwardHarness::Event(0)});
   EXPECT_EQ(caller->status, 504);
@@ -53,7 +54,7 @@
   EXPECT_EQ(h.arrived.size(), 1U);
 }
 
-TEST_F(ForwardingTest, OnlyTheReplicasOwnMarkAllowsASecondTryOfWhatMustNotRepeat) {
+TEST_F(ForwardingTest, RetriesNonIdempotentCallsOnlyIfMarkedNotRun) {
   const auto marked = h.Forward("/once/x", "c1");
   h.Answer(0, {503, {{"X-Not-Run", "1"}}, ""});
   h.world.RunFor(milliseconds(20));
@@ -66,12 +67,12 @@
   h.Answer(2, {503, ForwardHarness::Echo("c2"), "busy"});
   h.world.RunFor(milliseconds(20));
   EXPECT_EQ(h.arrived.size(), 3U);
-  // Without the mark it may have run, so the caller is promised nothing.
+  // Without the mark it may have run, so the status must not imply that it did not.
   EXPECT_NE(unmarked->status, 503);
   EXPECT_NE(unmarked->status, 429);
 }
 
-TEST_F(ForwardingTest, NothingIsPromisedAndNothingRepeatedAfterBytesWentOut) {
+TEST_F(ForwardingTest, DoesNotRetryAfterBytesWereSent) {
   const auto caller = h.Forward("/once/x", "c1");
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(milliseconds(200));
@@ -79,7 +80,7 @@
   EXPECT_EQ(caller->status, 504);
 }
 
-TEST_F(ForwardingTest, AReplicasFailureIsPassedOnAsItIs) {
+TEST_F(ForwardingTest, ForwardsAReplicaFailureUnchanged) {
   const auto caller = h.Forward("/once/x", "c1");
   h.Answer(0, {500, ForwardHarness::Echo("c1"), "broken"});
   EXPECT_EQ(caller->status, 500);
@@ -87,7 +88,7 @@
   EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
 }
 
-TEST_F(ForwardingTest, ABrokenStreamGoesOnAtAnotherReplicaAfterTheLastWholeEvent) {
+TEST_F(ForwardingTest, ResumesABrokenStreamAtAnotherReplica) {
   const auto caller = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0) + ForwardHarness::Event(1) + "id: 2\nda");
@@ -104,7 +105,7 @@
             ForwardHarness::Event(0) + ForwardHarness::Event(1) + ForwardHarness::Event(2));
 }
 
-TEST_F(ForwardingTest, AGapAfterAResumeBreaksTheAnswerInsteadOfLookingWhole) {
+TEST_F(ForwardingTest, AbortsOnAGapAfterAResume) {
   const auto caller = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
@@ -117,7 +118,7 @@
   EXPECT_FALSE(caller->complete);
 }
 
-TEST_F(ForwardingTest, AStreamThatMustNotRepeatIsBrokenOffWhenItsReplicaIs) {
+TEST_F(ForwardingTest, AbortsABrokenNonIdempotentStream) {
   const auto caller = h.Forward("/once/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
@@ -127,14 +128,14 @@
   EXPECT_TRUE(caller->aborted);
 }
 
-TEST_F(ForwardingTest, NothingIsLeftAtAReplicaForACallerThatLeft) {
+TEST_F(ForwardingTest, CancelsWhenTheClientDisconnects) {
   const auto caller = h.Forward("/tale/x", "c1");
   caller->disconnect();
   EXPECT_TRUE(h.arrived[0]->cancelled);
   EXPECT_EQ(h.service->calls_under_way(), 0U);
 }
 
-TEST_F(ForwardingTest, ASilentReplicaIsLeftForAnotherOneOnlyByWhatMayRepeat) {
+TEST_F(ForwardingTest, RetriesOnlyIdempotentCallsWithoutAResponse) {
   const auto safe = h.Forward("/safe/x", "c1");
   const auto once = h.Forward("/once/x", "c2");
   h.world.RunFor(seconds(2));
@@ -144,23 +145,23 @@
   EXPECT_EQ(safe->status, 200);
   EXPECT_EQ(once->answers, 0);
   h.world.RunFor(seconds(4));
-  EXPECT_EQ(once->status, 504);  // Its one final answer, at its deadline.
+  EXPECT_EQ(once->status, 504);  // Its only response, at its deadline.
 }
 
-TEST_F(ForwardingTest, ARouteThatMovedAwayGetsNothingAtItsOldBackEnd) {
-  h.right.held.mutable_routes(1)->set_backend("elsewhere");
+TEST_F(ForwardingTest, SendsNothingToAFormerBackEnd) {
+  h.permission.stored.mutable_routes(1)->set_backend("elsewhere");
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(1));
   EXPECT_TRUE(h.arrived.empty());
   EXPECT_EQ(caller->status, 503);
 }
 
-TEST_F(ForwardingTest, CallsBeforeTheFirstConfigurationWaitForItAndThenGoOn) {
-  h.right.held.set_label(0);
+TEST_F(ForwardingTest, QueuesCallsUntilTheFirstConfiguration) {
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(milliseconds(500));
   EXPECT_EQ(caller->answers, 0);
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(20));
   ASSERT_EQ(h.arrived.size(), 1U);
@@ -168,8 +169,8 @@
   EXPECT_EQ(caller->status, 200);
 }
 
-TEST_F(ForwardingTest, CallsThatNoConfigurationReachesAreToldWhenToComeBack) {
-  h.right.held.set_label(0);
+TEST_F(ForwardingTest, Returns503AfterWaitingForConfiguration) {
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(3));
   EXPECT_EQ(caller->status, 503);
@@ -177,26 +178,26 @@
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, ABatchThatCameBeforeTheConfigurationIsNotPassedOnAsACall) {
-  h.right.held.mutable_routes(1)->set_accepts_batches(true);
-  h.right.held.set_label(0);
+TEST_F(ForwardingTest, RefusesABatchThatWaitedAsACall) {
+  h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/batch", "batch-1");
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_TRUE(h.arrived.empty());
   EXPECT_EQ(caller->status, 503);
 }
 
-TEST_F(ForwardingTest, ABatchThatWaitedForTheConfigurationIsHandedInOnceItIsKnownToBeOne) {
-  h.right.held.mutable_routes(1)->set_accepts_batches(true);
-  h.right.held.set_label(0);
+TEST_F(ForwardingTest, SubmitsAWaitingBatchOnceItsRouteIsKnown) {
+  h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
+  h.permission.stored.set_label(0);
   std::vector<std::string> handed_in;
   const auto caller = h.Forward("/safe/batch", "batch-1", [&](const proto::Route& route) {
     handed_in.push_back(route.name());
   });
   EXPECT_TRUE(handed_in.empty());
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_EQ(handed_in, std::vector<std::string>{"safe"});
@@ -204,21 +205,21 @@
   EXPECT_EQ(caller->answers, 0) << "the taker answers";
 }
 
-TEST_F(ForwardingTest, ACallerThatLeavesWhileItWaitsForControlIsForgotten) {
-  h.right.held.set_label(0);
+TEST_F(ForwardingTest, DropsAWaitingCallOnDisconnect) {
+  h.permission.stored.set_label(0);
   const auto caller = h.Forward("/safe/x", "c1");
   caller->disconnect();
-  h.right.held.set_label(8);
+  h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_TRUE(h.arrived.empty());
 }
 
-/// The hole that a deliberate bug had shown: the right to start must be asked right before the
-/// first byte, however long the connection took.
-TEST_F(ForwardingTest, AnItemWhoseRightRunsOutWhileTheConnectionIsMadeNeverLeaves) {
+/// The permission to start must be checked immediately before the first byte, however long the
+/// connection took.
+TEST_F(ForwardingTest, DoesNotSendAnItemWhoseLeaseEnds) {
   h.client->connect_time = milliseconds(150);
-  bool may_start = true;
+  bool can_start = true;
   proto::CallRequest request;
   request.set_call_id("item");
   request.mutable_forwarded()->set_method("POST");
@@ -226,21 +227,21 @@
   BackendOutcome outcome;
   bool done = false;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(5), [&] { return may_start; },
+      h.permission.stored.routes(2), request, seconds(5), [&] { return can_start; },
       [&](BackendOutcome result) {
         outcome = std::move(result);
         done = true;
       });
   h.world.RunFor(milliseconds(100));
-  may_start = false;
+  can_start = false;
   h.world.RunFor(seconds(1));
   ASSERT_TRUE(done);
   EXPECT_EQ(outcome.executed, proto::EXECUTED_NO);
   EXPECT_TRUE(h.arrived.empty());
 }
 
-TEST_F(ForwardingTest, AnItemThatAlwaysFailsIsGivenUpAfterItsAttemptsOverAllLeases) {
-  h.right.held.mutable_routes(2)->set_attempts(3);
+TEST_F(ForwardingTest, CountsItemFailuresOverAllLeases) {
+  h.permission.stored.mutable_routes(2)->set_attempts(3);
   proto::CallRequest request;
   request.set_call_id("item");
   request.set_failed_runs(2);  // Under earlier leases.
@@ -248,7 +249,7 @@
   request.mutable_forwarded()->set_target("/tale/item");
   BackendOutcome outcome;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(5), [] { return true; },
+      h.permission.stored.routes(2), request, seconds(5), [] { return true; },
       [&](BackendOutcome result) { outcome = std::move(result); });
   h.world.RunFor(milliseconds(50));
   ASSERT_EQ(h.arrived.size(), 1U);
@@ -259,24 +260,24 @@
   EXPECT_EQ(outcome.failed_runs, 3U);
 }
 
-TEST_F(ForwardingTest, AnItemThatFailedOnceIsNotGivenUpWhenItsLeaseEndsInSilence) {
-  h.right.held.mutable_routes(2)->set_attempts(2);
+TEST_F(ForwardingTest, LeavesAnItemUnknownWithAttemptsLeft) {
+  h.permission.stored.mutable_routes(2)->set_attempts(2);
   proto::CallRequest request;
   request.set_call_id("item");
   request.mutable_forwarded()->set_method("POST");
   request.mutable_forwarded()->set_target("/tale/item");
   BackendOutcome outcome;
   const auto call = h.batch->RunBatchItem(
-      h.right.held.routes(2), request, seconds(3), [] { return true; },
+      h.permission.stored.routes(2), request, seconds(3), [] { return true; },
       [&](BackendOutcome result) { outcome = std::move(result); });
   h.world.RunFor(milliseconds(50));
   h.Answer(0, {500, ForwardHarness::Echo("item"), ""});
   h.world.RunFor(seconds(4));
-  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // Comes back to the queue node.
+  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // The queue node grants it again.
   EXPECT_EQ(outcome.failed_runs, 1U);
 }
 
-TEST(RefusalTest, SaysWhenToComeBackIfAndOnlyIfNothingRan) {
+TEST(RefusalTest, SendsRetryAfterOnlyIfNothingRan) {
   proto::CallError error;
   error.set_executed(proto::EXECUTED_NO);
   FakeResponder busy;
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -26,7 +26,7 @@
   GatewayHarness h;
 };
 
-TEST_F(LiveCallTest, AnswersModelAndServiceCalls) {
+TEST_F(LiveCallTest, ServesModelAndServiceCalls) {
   h.AddReplica("m1", "a", 4);
   h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   h.StartWarm();
@@ -46,14 +46,15 @@
   EXPECT_EQ(h.live->calls_under_way(), 0U);
 }
 
-TEST_F(LiveCallTest, RefusesWhatIsWrongBeforeSending) {
+TEST_F(LiveCallTest, RefusesInvalidRequestsBeforeSending) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   EXPECT_EQ(h.Call("nowhere")->status, 404);
   EXPECT_EQ(h.Call("ask", "{nonsense")->status, 400);
   EXPECT_EQ(h.Call("ask", "{}", {{"X-Deadline-Ms", "soon"}})->status, 400);
   EXPECT_EQ(h.Call("ask", "{}", {{"Idempotency-Key", std::string(257, 'k')}})->status, 400);
-  EXPECT_EQ(h.Call("ask", std::string(h.options.calls.largest_request + 1, ' '))->status, 413);
+  EXPECT_EQ(h.Call("ask", std::string(h.options.calls.maximum_request_bytes + 1, ' '))->status,
+            413);
   const auto no_backend = h.Call("unlock");
   h.world.RunFor(seconds(5));
   EXPECT_EQ(no_backend->status, 503);
@@ -61,7 +62,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, NonRepeatableCallIsNeverSentTwiceAfterSilence) {
+TEST_F(LiveCallTest, NeverRetriesANonIdempotentCall) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4).mode = Mode::kScripted;
@@ -80,7 +81,7 @@
   }
 }
 
-TEST_F(LiveCallTest, RepeatableCallGoesElsewhereAfterAReset) {
+TEST_F(LiveCallTest, RetriesAnIdempotentCallAfterAReset) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4);
@@ -94,7 +95,7 @@
   EXPECT_EQ(Received(), 2U);
 }
 
-TEST_F(LiveCallTest, RefusedCallGoesElsewhereEvenIfNotRepeatable) {
+TEST_F(LiveCallTest, RetriesARefusedNonIdempotentCall) {
   FakeReplica& first = h.AddReplica("m1", "a", 4);
   first.mode = Mode::kRefuse;
   h.AddReplica("m2", "b", 4);
@@ -105,7 +106,7 @@
   EXPECT_EQ(first.received.size(), 1U);
 }
 
-TEST_F(LiveCallTest, NotRunIsNeverFollowedByASend) {
+TEST_F(LiveCallTest, SendsNothingAfterReportingNotRun) {
   FakeReplica& only = h.AddReplica("m1", "a", 1);
   only.mode = Mode::kRefuse;
   h.StartWarm();
@@ -131,13 +132,13 @@
   }
 }
 
-TEST_F(LiveCallTest, ExpiredLeaseRefusesAndStopsAConnectingCall) {
+TEST_F(LiveCallTest, ExpiredLeaseStopsAConnectingCall) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   h.client->connect_time = milliseconds(200);
   const auto connecting = h.Call("once");
   h.world.RunFor(milliseconds(100));
-  h.right.valid = false;  // Runs out while the connection is being made.
+  h.permission.valid = false;  // Runs out while the connection is being made.
   h.world.RunFor(seconds(1));
   EXPECT_EQ(connecting->status, 503);
   EXPECT_EQ(h.ErrorIn(*connecting).executed(), proto::EXECUTED_NO);
@@ -145,7 +146,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, DrainingReplicaGetsNothingAfterThePollSawIt) {
+TEST_F(LiveCallTest, SendsNothingToADrainingReplica) {
   FakeReplica& leaving = h.AddReplica("m1", "a", 8);
   h.AddReplica("m2", "b", 8);
   h.StartWarm();
@@ -156,7 +157,7 @@
   ASSERT_GT(leaving.received.size(), 0U);
   h.SetState(leaving, proto::REPLICA_STATE_DRAINING);
   h.list_readable = true;
-  h.world.RunFor(milliseconds(600));  // One poll interval and its answer.
+  h.world.RunFor(milliseconds(600));  // One poll interval and its response.
   const std::size_t before = leaving.received.size();
   const std::uint32_t probes_before = leaving.probes;
   for (int step = 0; step < 300; ++step) {
@@ -168,14 +169,14 @@
   EXPECT_EQ(leaving.probes, probes_before);
 }
 
-TEST_F(LiveCallTest, DrainedZoneGetsNothingAndItsGatewayServesFromOthers) {
+TEST_F(LiveCallTest, SendsNothingToADrainedZone) {
   FakeReplica& home = h.AddReplica("m1", "a", 8);
   FakeReplica& away = h.AddReplica("m2", "b", 8);
   h.StartWarm();
   h.client->connect_time = milliseconds(20);
   const auto connecting = h.Call("once");
   h.world.RunFor(milliseconds(5));
-  h.right.held.mutable_zones(0)->set_state(proto::ZONE_STATE_DRAINED);
+  h.permission.stored.mutable_zones(0)->set_state(proto::ZONE_STATE_DRAINED);
   h.pool->OnConfiguration();
   const auto after = h.Call("once");
   h.world.RunFor(seconds(1));
@@ -185,7 +186,7 @@
   EXPECT_EQ(away.received.size(), 2U);
 }
 
-TEST_F(LiveCallTest, ColdReplicaIsNotFloodedByManyGateways) {
+TEST_F(LiveCallTest, ManyGatewaysDoNotFloodAWarmingReplica) {
   for (const char* id : {"m1", "m2", "m3"}) {
     h.AddReplica(id, "a", 8).work_time = milliseconds(400);
   }
@@ -214,7 +215,7 @@
   EXPECT_EQ(most_by_second[11], 8U);
 }
 
-TEST_F(LiveCallTest, CrossedAnswersNeverPass) {
+TEST_F(LiveCallTest, RejectsCrossedResponses) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   FakeReplica& service = h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   model.mode = Mode::kScripted;
@@ -239,7 +240,7 @@
   EXPECT_EQ(Received(), 2U);
 }
 
-TEST_F(LiveCallTest, AStreamCutOffEndsWithAnErrorPieceAndNoRetry) {
+TEST_F(LiveCallTest, EndsABrokenStreamWithAnErrorChunk) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   model.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4);
@@ -255,7 +256,7 @@
   EXPECT_EQ(Received(), 1U);
 }
 
-TEST_F(LiveCallTest, ReadsNoFurtherThanTheCallerTakes) {
+TEST_F(LiveCallTest, AppliesBackPressureToTheReplica) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   model.mode = Mode::kScripted;
   h.StartWarm();
@@ -280,7 +281,7 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(LiveCallTest, ACallerThatLeavesCancelsWhereverItsCallIs) {
+TEST_F(LiveCallTest, DisconnectCancelsRunningAndWaitingCalls) {
   FakeReplica& model = h.AddReplica("m1", "a", 1);
   model.mode = Mode::kScripted;
   h.StartWarm();
@@ -298,7 +299,7 @@
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
-TEST_F(LiveCallTest, FrozenProcessSendsNothingBeforeItReadTheListAnew) {
+TEST_F(LiveCallTest, SendsNothingWithAStaleListAfterAFreeze) {
   FakeReplica& replica = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   h.list_delay = milliseconds(100);
@@ -314,7 +315,7 @@
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
-TEST_F(LiveCallTest, AKeyIsCarriedOutOnce) {
+TEST_F(LiveCallTest, RunsEachIdempotencyKeyOnce) {
   FakeReplica& service = h.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   h.StartWarm();
   const HttpHeaders key = {{"Idempotency-Key", "k"}, {"X-Tenant", "t"}};
@@ -339,8 +340,8 @@
 }
 
 TEST_F(LiveCallTest, LimitsTenantsAndRoutes) {
-  h.right.held.mutable_routes(0)->set_max_in_flight(2);
-  proto::Tenant* tenant = h.right.held.add_tenants();
+  h.permission.stored.mutable_routes(0)->set_max_in_flight(2);
+  proto::Tenant* tenant = h.permission.stored.add_tenants();
   tenant->set_name("t");
   tenant->set_calls_per_second(3);
   h.AddReplica("m1", "a", 8);
@@ -360,7 +361,7 @@
   EXPECT_EQ(h.live->calls_under_way(), 1U);
 }
 
-TEST_F(LiveCallTest, ACrowdIsAnsweredAndTheQueueStaysBounded) {
+TEST_F(LiveCallTest, BoundsTheQueueUnderOverload) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   h.StartWarm();
   std::vector<std::shared_ptr<FakeResponder>> callers;
