--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -322,8 +322,8 @@
 }
 
 std::vector<proto::HistoryRecord> ConfigurationStore::History(std::size_t count) const {
-  const std::size_t kept = std::min(count, history_.size());
-  return {history_.end() - static_cast<std::ptrdiff_t>(kept), history_.end()};
+  const std::size_t available = std::min(count, history_.size());
+  return {history_.end() - static_cast<std::ptrdiff_t>(available), history_.end()};
 }
 
 void ConfigurationStore::Save(proto::ControlStateSnapshot* snapshot) const {
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -71,12 +71,12 @@
 void PartitionTable::RevokeReplays(NodeId node) {
   for (auto& [dead, recovery] : recoveries_) {
     auto* assignments = recovery.mutable_assignments();
-    const auto lost =
+    const auto revoked =
         std::remove_if(assignments->begin(), assignments->end(),
                        [node](const proto::RecoveryAssignment& assignment) {
                          return NodeId(assignment.queue_node_id()) == node && !assignment.done();
                        });
-    assignments->erase(lost, assignments->end());
+    assignments->erase(revoked, assignments->end());
   }
 }
 
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -227,13 +227,13 @@
 }
 
 void ChangeValidator::CheckHttpLocations() {
-  std::map<HttpLocation, std::string> taken;
+  std::map<HttpLocation, std::string> route_by_location;
   for (const auto& [name, route] : routes_) {
     if (route.backend_kind() != proto::BACKEND_KIND_HTTP) {
       continue;
     }
     const auto [first, fresh] =
-        taken.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
+        route_by_location.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
     if (!fresh) {
       AddProblem({ConfigurationObjectKind::kRoute, name},
                  "has the same host and path_prefix as route \"" + first->second + "\"");
--- a/src/coordinator/coordinator_methods.h
+++ b/src/coordinator/coordinator_methods.h
@@ -40,7 +40,7 @@
   void ServeAsLeader(std::string_view method, Requests& handlers,
                      void (Requests::*handler)(const Request& request,
                                                const Reply<Response>& reply));
-  /// Lets `handler` answer `method` until this object is gone.
+  /// Lets `handler` answer `method` until the coordinator stops.
   template <typename Request, typename Response>
   void ServeWhileAlive(std::string_view method,
                        std::function<void(const Request&, Reply<Response>)> handler);
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -61,9 +61,9 @@
   }
   RecordReport(request);
   const TimePoint now = context_.environment.Now();
-  const Duration hold =
-      std::min<Duration>(milliseconds(request.hold_ms()), context_.options.heartbeat_hold);
-  PendingHeartbeat pending{request, now, now + hold, std::move(reply)};
+  const Duration wait =
+      std::min<Duration>(milliseconds(request.hold_ms()), context_.options.maximum_heartbeat_wait);
+  PendingHeartbeat pending{request, now, now + wait, std::move(reply)};
   if (!AnswerIfDue(pending)) {
     pending_.push_back(std::move(pending));
   }
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -80,7 +80,7 @@
     reply(Respond(result));
     return;
   }
-  waiting_.push_back({result, context_.environment.Now(), reply});
+  pending_.push_back({result, context_.environment.Now(), reply});
   AnswerInForce();
 }
 
@@ -134,36 +134,36 @@
 }
 
 void TransactionHandler::AnswerInForce() {
-  for (const Waiting& waiting : TakeInForce()) {
-    Answer(waiting);
+  for (const PendingTransaction& pending : TakeInForce()) {
+    Answer(pending);
   }
 }
 
-std::list<TransactionHandler::Waiting> TransactionHandler::TakeInForce() {
+std::list<TransactionHandler::PendingTransaction> TransactionHandler::TakeInForce() {
   const ConfigurationVersion in_force = context_.state.configuration().in_force_version();
-  std::list<Waiting> taken;
-  for (auto entry = waiting_.begin(); entry != waiting_.end();) {
+  std::list<PendingTransaction> in_force_now;
+  for (auto entry = pending_.begin(); entry != pending_.end();) {
     const auto next = std::next(entry);
     if (ConfigurationVersion(entry->result.version()) <= in_force) {
-      taken.splice(taken.end(), waiting_, entry);
+      in_force_now.splice(in_force_now.end(), pending_, entry);
     }
     entry = next;
   }
-  return taken;
+  return in_force_now;
 }
 
-void TransactionHandler::Answer(const Waiting& waiting) {
-  const std::chrono::duration<double> waited = context_.environment.Now() - waiting.since;
+void TransactionHandler::Answer(const PendingTransaction& pending) {
+  const std::chrono::duration<double> waited = context_.environment.Now() - pending.since;
   context_.environment.metrics().ObserveSeconds("coordinator_in_force_wait_seconds",
                                                 waited.count());
   const proto::OperationRecord* record =
-      context_.state.configuration().FindOperation(waiting.result.operation_id());
-  waiting.reply(Respond(record == nullptr ? waiting.result : record->result()));
+      context_.state.configuration().FindOperation(pending.result.operation_id());
+  pending.reply(Respond(record == nullptr ? pending.result : record->result()));
 }
 
 void TransactionHandler::RefuseAll() {
-  for (const Waiting& waiting : std::exchange(waiting_, {})) {
-    waiting.reply(context_.NotLeader());
+  for (const PendingTransaction& pending : std::exchange(pending_, {})) {
+    pending.reply(context_.NotLeader());
   }
 }
 
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -43,7 +43,7 @@
   void RefuseAll();
 
  private:
-  struct Waiting {
+  struct PendingTransaction {
     proto::TransactionResult result;
     TimePoint since;
     Reply<proto::SubmitTransactionResponse> reply;
@@ -54,15 +54,15 @@
   /// Proposes to record the version that all gateways have confirmed, if it is a new one.
   void ProposeInForce();
   void AnswerInForce();
-  std::list<Waiting> TakeInForce();
-  void Answer(const Waiting& waiting);
+  std::list<PendingTransaction> TakeInForce();
+  void Answer(const PendingTransaction& waiting);
   /// Logs and counts gateways whose leases expired before they confirmed `version`; once a version.
   void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
 
   LeaderContext& context_;
   CommandProposer& proposer_;
-  std::list<Waiting> waiting_;
+  std::list<PendingTransaction> pending_;
   ConfigurationVersion last_unconfirmed_version_;
 };
 
--- a/src/leader/coordinator_options.h
+++ b/src/leader/coordinator_options.h
@@ -16,7 +16,7 @@
   /// forgotten, once its lease has expired.
   Duration death_after = seconds(3);
   /// Longest time a heartbeat stays pending. Must be well below the lease.
-  Duration heartbeat_hold = milliseconds(800);
+  Duration maximum_heartbeat_wait = milliseconds(800);
   /// Interval of the leader's periodic step; it also runs after each applied command.
   Duration tick = milliseconds(50);
   /// Deadline of calls to backups and queue nodes.
@@ -24,7 +24,7 @@
   /// Partitions are assigned once no queue node has registered for this long ...
   Duration arrival_quiet = milliseconds(700);
   /// ... or this long after there were both a partition to assign and a node for it.
-  Duration arrival_longest = seconds(2);
+  Duration maximum_arrival_wait = seconds(2);
   /// Interval between sweeps of a backup for leftover segments.
   Duration sweep_interval = seconds(5);
   /// The same for a backup that is being retired.
--- a/src/leader/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -5,7 +5,7 @@
 LeaderController::LeaderController(LeaderContext& context, CommandProposer& proposer)
     : context_(context),
       death_declarer_(context, proposer),
-      arrivals_(context.options.arrival_quiet, context.options.arrival_longest),
+      arrivals_(context.options.arrival_quiet, context.options.maximum_arrival_wait),
       partition_assigner_(context, proposer),
       recovery_executor_(context, proposer),
       sweep_executor_(context),
--- a/src/leader/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -14,26 +14,26 @@
     : lease_(lease), lease_with_drift_(lease + lease / kClockDriftDivisor) {}
 
 void LeaseTable::Start(TimePoint now, NodeId next_node_id) {
-  holders_.clear();
+  leases_by_node_.clear();
   predecessor_leases_end_ = now + lease_with_drift_;
   first_own_node_id_ = next_node_id;
 }
 
 void LeaseTable::RecordGrant(NodeId node, ConfigurationVersion version, TimePoint arrival) {
-  TimePoint& end = holders_[node].ends[version];
+  TimePoint& end = leases_by_node_[node].ends[version];
   end = std::max(end, arrival + lease_with_drift_);
 }
 
 void LeaseTable::RecordConfirmation(NodeId node, ConfigurationVersion version) {
-  Holder& holder = holders_[node];
-  holder.confirmed = std::max(holder.confirmed, version);
+  NodeLeases& node_leases = leases_by_node_[node];
+  node_leases.confirmed = std::max(node_leases.confirmed, version);
 }
 
 TimePoint LeaseTable::FindLeaseEnd(NodeId node) const {
   TimePoint end = node < first_own_node_id_ ? predecessor_leases_end_ : TimePoint();
-  const auto holder = holders_.find(node);
-  if (holder != holders_.end()) {
-    for (const auto& [version, granted] : holder->second.ends) {
+  const auto node_leases = leases_by_node_.find(node);
+  if (node_leases != leases_by_node_.end()) {
+    for (const auto& [version, granted] : node_leases->second.ends) {
       end = std::max(end, granted);
     }
   }
@@ -41,18 +41,18 @@
 }
 
 ConfigurationVersion LeaseTable::FindConfirmedVersion(NodeId node) const {
-  const auto entry = holders_.find(node);
-  return entry == holders_.end() ? ConfigurationVersion() : entry->second.confirmed;
+  const auto entry = leases_by_node_.find(node);
+  return entry == leases_by_node_.end() ? ConfigurationVersion() : entry->second.confirmed;
 }
 
 std::optional<ConfigurationVersion> LeaseTable::LowestVersionInUse(NodeId node,
                                                                    TimePoint now) const {
-  const auto entry = holders_.find(node);
+  const auto entry = leases_by_node_.find(node);
   const ConfigurationVersion confirmed = FindConfirmedVersion(node);
   if (node < first_own_node_id_ && now < predecessor_leases_end_) {
     return confirmed;
   }
-  if (entry == holders_.end()) {
+  if (entry == leases_by_node_.end()) {
     return std::nullopt;
   }
   for (const auto& [version, end] : entry->second.ends) {
@@ -64,11 +64,11 @@
 }
 
 void LeaseTable::Expire(TimePoint now) {
-  for (auto& [node, holder] : holders_) {
-    std::erase_if(holder.ends, [now](const auto& entry) { return entry.second <= now; });
+  for (auto& [node, node_leases] : leases_by_node_) {
+    std::erase_if(node_leases.ends, [now](const auto& entry) { return entry.second <= now; });
   }
   if (now >= predecessor_leases_end_) {
-    std::erase_if(holders_, [](const auto& entry) { return entry.second.ends.empty(); });
+    std::erase_if(leases_by_node_, [](const auto& entry) { return entry.second.ends.empty(); });
   }
 }
 
--- a/src/leader/lease_table.h
+++ b/src/leader/lease_table.h
@@ -43,7 +43,7 @@
   Duration lease() const { return lease_; }
 
  private:
-  struct Holder {
+  struct NodeLeases {
     ConfigurationVersion confirmed;
     /// End of the last lease granted together with each configuration version.
     std::map<ConfigurationVersion, TimePoint> ends;
@@ -53,7 +53,7 @@
   Duration lease_with_drift_;  // The lease and the allowance for clock drift.
   TimePoint predecessor_leases_end_;
   NodeId first_own_node_id_;
-  std::map<NodeId, Holder> holders_;
+  std::map<NodeId, NodeLeases> leases_by_node_;
 };
 
 }  // namespace cloverbank
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -89,10 +89,10 @@
 void RecoveryManager::ReadBackups(const ControlState& state, NodeId dead, TimePoint now,
                                   Progress* progress, std::vector<RecoveryAction>* actions) {
   // A restarted backup has a new node id and is asked again; answers of dead ones are void.
-  const auto gone = [&state](const auto& entry) {
+  const auto is_dead = [&state](const auto& entry) {
     return state.servers().FindLive(entry.first, proto::ROLE_BACKUP) == nullptr;
   };
-  if (std::erase_if(progress->answers, gone) > 0) {
+  if (std::erase_if(progress->answers, is_dead) > 0) {
     progress->log_changed = true;
   }
   for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -38,10 +38,10 @@
             proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_EQ(control.Submit(FullConfiguration("b", 3, 10, {"/x/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
-  const proto::RoutingConfiguration& whole = control.state.configuration().FullConfiguration();
-  EXPECT_EQ(whole.label(), 10U);
-  EXPECT_EQ(whole.document().source(), "document 10");
-  EXPECT_EQ(whole.routes_size(), 1);  // What the document does not name is gone.
+  const proto::RoutingConfiguration& full = control.state.configuration().FullConfiguration();
+  EXPECT_EQ(full.label(), 10U);
+  EXPECT_EQ(full.document().source(), "document 10");
+  EXPECT_EQ(full.routes_size(), 1);  // What the document does not name is gone.
 }
 
 TEST(LabelledConfigurationTest, ResendOfWinnerIsAcknowledgedAgain) {
@@ -157,10 +157,10 @@
       control.state.configuration().UpdateFrom(watch.version());
   EXPECT_FALSE(update.has_full());
   watch.Apply(update);
-  proto::RoutingConfiguration whole = control.state.configuration().FullConfiguration();
-  EXPECT_EQ(whole.document().source(), "document 9");
-  whole.mutable_document()->clear_source();  // Read back from the coordinators, not by nodes.
-  EXPECT_EQ(watch.configuration().SerializeAsString(), whole.SerializeAsString());
+  proto::RoutingConfiguration full = control.state.configuration().FullConfiguration();
+  EXPECT_EQ(full.document().source(), "document 9");
+  full.mutable_document()->clear_source();  // Read back from the coordinators, not by nodes.
+  EXPECT_EQ(watch.configuration().SerializeAsString(), full.SerializeAsString());
 }
 
 TEST(LabelledConfigurationTest, DeltaSizeIsIndependentOfDocument) {
--- a/tests/leader/partition_placement_test.cc
+++ b/tests/leader/partition_placement_test.cc
@@ -13,24 +13,23 @@
 class PartitionPlacementTest : public testing::Test {
  protected:
   PartitionPlacementTest() {
-    dead = control.Register(proto::ROLE_QUEUE, "dead", 1);
+    unresponsive = control.Register(proto::ROLE_QUEUE, "dead", 1);
     first = control.Register(proto::ROLE_QUEUE, "q1", 2);
     second = control.Register(proto::ROLE_QUEUE, "q2", 3);
   }
 
   ControlDriver control;
-  NodeId dead, first, second;
+  NodeId unresponsive, first, second;
 };
 
 TEST_F(PartitionPlacementTest, AvoidsUnresponsiveAndRetiringNodes) {
   const std::vector<PartitionId> two{PartitionId(0), PartitionId(1)};
-  const NodeId silent = dead;
-  EXPECT_FALSE(PlacePartitions(two, control.state, {silent}).contains(silent));
+  EXPECT_FALSE(PlacePartitions(two, control.state, {unresponsive}).contains(unresponsive));
   proto::ControlCommand retire;
   retire.mutable_retire_machine()->set_machine("q1");
   control.Apply(retire);
-  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent}), ElementsAre(second));
-  EXPECT_THAT(FindEligibleQueueNodes(control.state, {silent, second}), ElementsAre(first));
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {unresponsive}), ElementsAre(second));
+  EXPECT_THAT(FindEligibleQueueNodes(control.state, {unresponsive, second}), ElementsAre(first));
 }
 
 }  // namespace
