--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -56,8 +56,8 @@
 }
 
 void RecoveryReader::StartReadingData(NodeId node, Reply<proto::StartReadingDataResponse> reply) {
-  const bool under_way = reading_.contains(node);
-  reading_[node].push_back(std::move(reply));
+  const bool under_way = pending_replies_.contains(node);
+  pending_replies_[node].push_back(std::move(reply));
   if (under_way) {
     return;
   }
@@ -146,8 +146,8 @@
 
 void RecoveryReader::CompleteReading(NodeId node,
                                      const Result<proto::StartReadingDataResponse>& result) {
-  const auto replies = std::move(reading_.at(node));
-  reading_.erase(node);
+  const auto replies = std::move(pending_replies_.at(node));
+  pending_replies_.erase(node);
   for (const auto& reply : replies) {
     reply(result);
   }
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -62,7 +62,7 @@
   SegmentStore& store_;
   ReplicaOperations& operations_;
   FenceFile& fences_;
-  std::map<NodeId, std::vector<Reply<proto::StartReadingDataResponse>>> reading_;
+  std::map<NodeId, std::vector<Reply<proto::StartReadingDataResponse>>> pending_replies_;
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/append_queue.h
+++ b/src/log_writer/append_queue.h
@@ -25,10 +25,11 @@
     std::vector<proto::LogEntry> entries;
     std::size_t next = 0;     ///< First entry that is not in a segment yet.
     std::uint64_t bytes = 0;  ///< Framed, of all entries.
-    TimePoint since;
+    TimePoint since;          ///< Time of `Add`.
     Done done;
   };
 
+  /// Queues an append behind all others.
   void Add(WaitingAppend append);
   bool HasWaiting() const { return !waiting_.empty(); }
   /// Requires `HasWaiting()`.
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -43,19 +43,19 @@
          context_.directory.FindBackup(replica.location) == nullptr;
 }
 
-std::size_t HeadSegment::replicas() const {
+std::size_t HeadSegment::CountReplicas() const {
   return static_cast<std::size_t>(
       std::count_if(replicas_.begin(), replicas_.end(), [this](const Replica& replica) {
         return closing_ ? replica.closed : replica.member && !IsLost(replica);
       }));
 }
 
-bool HeadSegment::healthy() const {
-  return committed_epoch_.valid() && replicas() >= context_.options.minimum_replicas;
+bool HeadSegment::CanAppend() const {
+  return committed_epoch_.valid() && CountReplicas() >= context_.options.minimum_replicas;
 }
 
 bool HeadSegment::HasAllReplicas() const {
-  return replicas() >= context_.options.replicas &&
+  return CountReplicas() >= context_.options.replicas &&
          std::none_of(replicas_.begin(), replicas_.end(),
                       [this](const Replica& replica) { return replica.member && IsLost(replica); });
 }
@@ -77,8 +77,9 @@
   durable_length_ = std::max(durable_length_, least);
 }
 
-bool HeadSegment::opened() const {
-  return epoch_.valid() && replicas() >= context_.options.minimum_replicas && AreMembersUpToDate();
+bool HeadSegment::IsOpen() const {
+  return epoch_.valid() && CountReplicas() >= context_.options.minimum_replicas &&
+         AreMembersUpToDate();
 }
 
 bool HeadSegment::AreMembersUpToDate() const {
@@ -87,15 +88,15 @@
   });
 }
 
-bool HeadSegment::drained() const {
+bool HeadSegment::IsDrained() const {
   return IsSetCommitted() && durable_length_ == content_.length();
 }
 
-bool HeadSegment::closed() const {
+bool HeadSegment::IsClosed() const {
   if (!closing_) {
     return false;
   }
-  const std::size_t done = replicas();
+  const std::size_t done = CountReplicas();
   if (done >= context_.options.replicas) {
     return true;
   }
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -50,7 +50,7 @@
 
   /// Allows the commit at the coordinators. Until then a successor only opens its replicas.
   void AllowCommit();
-  /// Starts to close the replicas on all backups. Requires `drained()`; nothing may be appended
+  /// Starts to close the replicas on all backups. Requires `IsDrained()`; nothing may be appended
   /// after.
   void Close();
 
@@ -62,20 +62,20 @@
   /// Bytes that every member of the committed set has synced. Never falls.
   std::uint64_t durable_length() const { return durable_length_; }
   /// Whether a set of backups with at least the minimum of replicas has the content at the start.
-  bool opened() const;
+  bool IsOpen() const;
   /// Whether some set of backups was committed.
-  bool committed() const { return committed_epoch_.valid(); }
+  bool IsCommitted() const { return committed_epoch_.valid(); }
   /// Whether the present set is committed and all content is durable.
-  bool drained() const;
-  bool closing() const { return closing_; }
+  bool IsDrained() const;
+  bool IsClosing() const { return closing_; }
   /// Whether enough backups have closed their replica.
-  bool closed() const;
+  bool IsClosed() const;
   /// Whether enough members answer to take new entries.
-  bool healthy() const;
+  bool CanAppend() const;
   /// Whether the committed set has as many live members as wanted.
   bool IsFullyReplicated() const;
   /// @return the number of live members (open) or of closed replicas.
-  std::size_t replicas() const;
+  std::size_t CountReplicas() const;
   /// @return the locations of the members (open) or of the closed replicas.
   std::vector<ReplicaLocation> locations() const;
 
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -22,7 +22,7 @@
 }
 
 void HeadSegment::AddCandidates() {
-  if (closed()) {
+  if (IsClosed()) {
     return;
   }
   std::vector<ReplicaLocation> locations;
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -19,8 +19,8 @@
     next_audit_[id] = now + kAuditInterval;
     context_.client.ListSegments(
         location.endpoint,
-        [weak = weak_from_this(), backup = id, head,
-         expected = repairer_->SegmentsOn(id)](const Result<proto::ListSegmentsResponse>& listed) {
+        [weak = weak_from_this(), backup = id, head, expected = repairer_->FindSegmentsOn(id)](
+            const Result<proto::ListSegmentsResponse>& listed) {
           const auto self = weak.lock();
           if (self != nullptr && !self->context_.stopped && listed.ok()) {
             self->HandleAnswer(backup, head, expected, *listed);
@@ -62,7 +62,7 @@
 void SegmentAudit::FreeLeftoverReplicas(NodeId backup, SegmentId head,
                                         const std::set<SegmentId>& found) {
   // Segments before `head` were closed before the request: only repairs can be under way.
-  const std::set<SegmentId> counted = repairer_->SegmentsOn(backup);
+  const std::set<SegmentId> counted = repairer_->FindSegmentsOn(backup);
   for (const SegmentId id : found) {
     if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
       context_.environment.metrics().Increment("queue_leftover_replicas_freed_total");
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -48,7 +48,7 @@
   if (!ready()) {
     return {StatusCode::kUnavailable, "the log is not open yet"};
   }
-  if (!head_->healthy()) {
+  if (!head_->CanAppend()) {
     return {StatusCode::kUnavailable, "fewer backups answer than the minimum of copies"};
   }
   if (appends_.waiting_bytes() > context_.options.waiting_bytes) {
@@ -101,7 +101,7 @@
 
 void SegmentLog::PlaceWaitingAppends() {
   bool placed_any = false;
-  while (appends_.HasWaiting() && !rolling_over_ && head_->healthy()) {
+  while (appends_.HasWaiting() && !rolling_over_ && head_->CanAppend()) {
     AppendQueue::WaitingAppend& append = appends_.first_waiting();
     if (!PlaceEntries(append)) {
       rolling_over_ = true;
@@ -152,7 +152,7 @@
 }
 
 bool SegmentLog::degraded() const {
-  return head_ == nullptr || !head_->IsFullyReplicated() || repairer_->degraded();
+  return head_ == nullptr || !head_->IsFullyReplicated() || repairer_->IsDegraded();
 }
 
 void SegmentLog::OnFleet() {
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -62,7 +62,7 @@
   void OnFleet();
 
   /// Whether the coordinators have committed the first head.
-  bool ready() const { return head_ != nullptr && head_->committed(); }
+  bool ready() const { return head_ != nullptr && head_->IsCommitted(); }
   /// Whether some segment has fewer live replicas than `SegmentLogOptions::replicas`.
   bool degraded() const;
   /// @return the number of segments that are not freed, the head included.
@@ -102,7 +102,8 @@
   std::shared_ptr<SegmentRepairer> repairer_;
   std::shared_ptr<SegmentAudit> audit_;
   SegmentUsage usage_;
-  std::vector<SegmentId> freed_by_successor_;  ///< Dead; left out of its digest.
+  /// Left out of the successor's digest; freed once the successor is committed.
+  std::vector<SegmentId> dead_segments_;
   AppendQueue appends_;
   bool rolling_over_ = false;     ///< The head takes no more entries.
   bool early_roll_over_ = false;  ///< Roll over as soon as the successor is open.
--- a/src/log_writer/segment_log_roll_over.cc
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -17,27 +17,27 @@
 }  // namespace
 
 void SegmentLog::AdvanceRollOver() {
-  if (!head_->committed()) {
+  if (!head_->IsCommitted()) {
     return;
   }
   early_roll_over_ = early_roll_over_ || ShouldRollOverEarly();
   if (successor_ == nullptr && ShouldOpenSuccessor()) {
     OpenSuccessor();
   }
-  if (successor_ == nullptr || !successor_->opened()) {
+  if (successor_ == nullptr || !successor_->IsOpen()) {
     return;
   }
   rolling_over_ = rolling_over_ || early_roll_over_;
   if (!rolling_over_) {
     return;
   }
-  if (!head_->closing() && head_->drained()) {
+  if (!head_->IsClosing() && head_->IsDrained()) {
     head_->Close();
   }
-  if (head_->closed() && !successor_->committed()) {
+  if (head_->IsClosed() && !successor_->IsCommitted()) {
     successor_->AllowCommit();
   }
-  if (head_->closed() && successor_->committed()) {
+  if (head_->IsClosed() && successor_->IsCommitted()) {
     AdoptSuccessor();
   }
 }
@@ -56,9 +56,9 @@
 void SegmentLog::OpenSuccessor() {
   const SegmentId id = head_->id().Next();
   std::vector<SegmentId> digest;
-  freed_by_successor_.clear();
+  dead_segments_.clear();
   for (const auto& [closed, segment] : repairer_->segments()) {
-    (usage_.IsDead(closed) ? freed_by_successor_ : digest).push_back(closed);
+    (usage_.IsDead(closed) ? dead_segments_ : digest).push_back(closed);
   }
   digest.push_back(head_->id());
   digest.push_back(id);
@@ -94,11 +94,11 @@
 }
 
 void SegmentLog::FreeDeadSegments() {
-  for (const SegmentId freed : freed_by_successor_) {
+  for (const SegmentId freed : dead_segments_) {
     repairer_->Free(freed);
     usage_.Forget(freed);
   }
-  freed_by_successor_.clear();
+  dead_segments_.clear();
 }
 
 std::string SegmentLog::BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest) {
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -42,7 +42,7 @@
   return server != nullptr && NodeId(server->node_id()) == backup;
 }
 
-std::set<SegmentId> SegmentRepairer::SegmentsOn(NodeId backup) const {
+std::set<SegmentId> SegmentRepairer::FindSegmentsOn(NodeId backup) const {
   std::set<SegmentId> counted;
   for (const auto& [id, segment] : segments_) {
     const bool holds =
@@ -78,7 +78,8 @@
                                    [](const Status&) {});
 }
 
-std::vector<ReplicaLocation> SegmentRepairer::LiveLocations(const ClosedSegment& segment) const {
+std::vector<ReplicaLocation> SegmentRepairer::FindLiveLocations(
+    const ClosedSegment& segment) const {
   std::vector<ReplicaLocation> live;
   for (const ReplicaLocation& location : segment.locations) {
     if (context_.directory.FindBackup(location) != nullptr) {
@@ -88,9 +89,9 @@
   return live;
 }
 
-bool SegmentRepairer::degraded() const {
+bool SegmentRepairer::IsDegraded() const {
   return std::any_of(segments_.begin(), segments_.end(), [this](const auto& entry) {
-    return LiveLocations(entry.second).size() < context_.options.replicas;
+    return FindLiveLocations(entry.second).size() < context_.options.replicas;
   });
 }
 
@@ -106,7 +107,7 @@
 }
 
 void SegmentRepairer::RepairIfNeeded(ClosedSegment& segment) {
-  const std::vector<ReplicaLocation> live = LiveLocations(segment);
+  const std::vector<ReplicaLocation> live = FindLiveLocations(segment);
   const ReplicaCount count = context_.directory.CountByKind(live);
   const std::size_t replicas = context_.options.replicas;
   if (count.regular + count.spare >= replicas) {
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -42,14 +42,14 @@
 
   const std::map<SegmentId, ClosedSegment>& segments() const { return segments_; }
   /// Whether some segment has fewer live replicas than `SegmentLogOptions::replicas`.
-  bool degraded() const;
+  bool IsDegraded() const;
 
   /// Whether a repair of the segment is under way.
   bool IsRepairing(SegmentId segment) const;
   /// @return whether the live backup that has the disk of `location` is `backup`.
   bool IsOn(const ReplicaLocation& location, NodeId backup) const;
   /// @return the closed segments with a replica on `backup`.
-  std::set<SegmentId> SegmentsOn(NodeId backup) const;
+  std::set<SegmentId> FindSegmentsOn(NodeId backup) const;
   /// No longer counts on the replica at `backup`. @return false if the segment was freed.
   bool RemoveLocation(SegmentId segment, NodeId backup);
   /// Frees the replica if the disk of `location` is live; never what another disk has at its
@@ -68,7 +68,7 @@
   using RepairPtr = std::shared_ptr<Repair>;
   using Step = void (SegmentRepairer::*)(const RepairPtr&);
 
-  std::vector<ReplicaLocation> LiveLocations(const ClosedSegment& segment) const;
+  std::vector<ReplicaLocation> FindLiveLocations(const ClosedSegment& segment) const;
   /// Starts a repair of the segment if it needs one and a backup can take it.
   void RepairIfNeeded(ClosedSegment& segment);
   void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
--- a/tests/log_writer/segment_log_fixture.h
+++ b/tests/log_writer/segment_log_fixture.h
@@ -21,15 +21,15 @@
 
 class SegmentLogTest : public testing::Test {
  protected:
-  explicit SegmentLogTest(std::uint64_t seed = 11) : logs(seed) {
+  explicit SegmentLogTest(std::uint64_t seed = 11) : log_world(seed) {
     for (const std::string name : {"b1", "b2", "b3"}) {
-      logs.AddBackup(name, "zone-" + name);
+      log_world.AddBackup(name, "zone-" + name);
     }
-    logs.world.AddMachine("q", "10.0.2.1")
+    log_world.world.AddMachine("q", "10.0.2.1")
         .SetProgram([this](Environment& environment, DataFolder&) {
           auto started = std::make_shared<LogProcess>();
           started->agent = std::make_unique<NodeAgent>(
-              environment, logs.AgentOptions("q", "zone-b1", proto::ROLE_QUEUE));
+              environment, log_world.AgentOptions("q", "zone-b1", proto::ROLE_QUEUE));
           LogProcess* raw = started.get();
           started->agent->OnRegistered([this, raw, &environment] { OpenLog(*raw, environment); });
           started->agent->OnFleet([raw] {
@@ -58,9 +58,9 @@
   }
 
   void StartQueue() {
-    logs.world.RunFor(seconds(1));
-    logs.world.machine("q").Start();
-    ASSERT_TRUE(logs.world.RunUntil(
+    log_world.world.RunFor(seconds(1));
+    log_world.world.machine("q").Start();
+    ASSERT_TRUE(log_world.world.RunUntil(
         [this] { return process->log != nullptr && process->log->ready(); }, seconds(5)));
   }
 
@@ -85,17 +85,17 @@
   }
   bool AppendAndWait(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = Append(bytes, batch);
-    return logs.world.RunUntil([&] { return outcomes.contains(sequence); }, seconds(10)) &&
+    return log_world.world.RunUntil([&] { return outcomes.contains(sequence); }, seconds(10)) &&
            outcomes[sequence] == StatusCode::kOk;
   }
   bool WaitFor(const std::function<bool()>& condition, Duration limit = seconds(10)) {
-    return logs.world.RunUntil(condition, limit);
+    return log_world.world.RunUntil(condition, limit);
   }
-  proto::LogHead Head() { return logs.coordinator.heads[node]; }
+  proto::LogHead Head() { return log_world.coordinator.heads[node]; }
 
   /// Recovers the log and checks that everything acknowledged is in it, in order.
   void ExpectAcknowledgedRecoverable() {
-    const auto entries = logs.Recover(node, kPartition);
+    const auto entries = log_world.Recover(node, kPartition);
     ASSERT_TRUE(entries.ok()) << entries.status().ToString();
     std::set<std::uint64_t> found;
     std::uint64_t last = 0;
@@ -111,7 +111,7 @@
     }
   }
 
-  LogWorld logs;
+  LogWorld log_world;
   LogProcess* process = nullptr;
   std::uint64_t node = 0;
   std::uint64_t last_sequence = 0;
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -16,9 +16,9 @@
 TEST_F(SegmentLogTest, AcknowledgedEntrySurvivesTwoLostDisks) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.machine("b1").LoseDisk();
-  logs.world.machine("b3").LoseDisk();
-  logs.world.machine("q").Kill();
+  log_world.world.machine("b1").LoseDisk();
+  log_world.world.machine("b3").LoseDisk();
+  log_world.world.machine("q").Kill();
   ExpectAcknowledgedRecoverable();
 }
 
@@ -34,12 +34,12 @@
 
 TEST_F(SegmentLogTest, AcknowledgesOnlyAfterHeadCommit) {
   StartQueue();
-  logs.coordinator.answers_commits = false;
-  logs.world.machine("b2").Kill();
+  log_world.coordinator.answers_commits = false;
+  log_world.world.machine("b2").Kill();
   Append();
-  logs.world.RunFor(seconds(2));
+  log_world.world.RunFor(seconds(2));
   EXPECT_TRUE(outcomes.empty());
-  logs.coordinator.answers_commits = true;
+  log_world.coordinator.answers_commits = true;
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 1; }));
   EXPECT_EQ(outcomes[1], StatusCode::kOk);
   EXPECT_GE(Head().epoch(), 2U);
@@ -47,50 +47,50 @@
 }
 
 TEST_F(SegmentLogTest, ReplacesLostBackupBeforeAcknowledging) {
-  logs.AddBackup("b4", "zone-b4");
+  log_world.AddBackup("b4", "zone-b4");
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   std::string lost;
-  for (const std::string& backup : logs.backups) {
-    const std::uint64_t location = logs.coordinator.NodeOf(backup, proto::ROLE_BACKUP);
+  for (const std::string& backup : log_world.backups) {
+    const std::uint64_t location = log_world.coordinator.NodeOf(backup, proto::ROLE_BACKUP);
     lost = location == Head().backups(0) ? backup : lost;
   }
-  logs.world.machine(lost).LosePower();
+  log_world.world.machine(lost).LosePower();
   ASSERT_TRUE(AppendAndWait());
   EXPECT_EQ(Head().backups_size(), 3);
   EXPECT_EQ(Head().epoch(), 2U);
-  logs.world.machine("q").Kill();
-  logs.world.machine(lost).Start();  // Its replica is stale.
+  log_world.world.machine("q").Kill();
+  log_world.world.machine(lost).Start();  // Its replica is stale.
   ExpectAcknowledgedRecoverable();
 }
 
 TEST_F(SegmentLogTest, ContinuesDegradedUntilBackupReturns) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.machine("b2").LoseDisk();
+  log_world.world.machine("b2").LoseDisk();
   ASSERT_TRUE(AppendAndWait());
   EXPECT_TRUE(process->log->degraded());
   EXPECT_EQ(Head().backups_size(), 2);
-  logs.world.machine("b2").Start();
+  log_world.world.machine("b2").Start();
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
   EXPECT_EQ(Head().backups_size(), 3);
-  logs.world.machine("b1").LoseDisk();
-  logs.world.machine("b3").LoseDisk();
+  log_world.world.machine("b1").LoseDisk();
+  log_world.world.machine("b3").LoseDisk();
   ExpectAcknowledgedRecoverable();
 }
 
 TEST_F(SegmentLogTest, RefusesAppendsBelowMinimumReplicas) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.machine("b1").Kill();
-  logs.world.machine("b2").Kill();
+  log_world.world.machine("b1").Kill();
+  log_world.world.machine("b2").Kill();
   const std::uint64_t under_way = Append();
-  logs.world.RunFor(seconds(5));
+  log_world.world.RunFor(seconds(5));
   EXPECT_FALSE(outcomes.contains(under_way));
   const std::uint64_t refused = Append();
-  logs.world.RunFor(seconds(1));
+  log_world.world.RunFor(seconds(1));
   EXPECT_EQ(outcomes[refused], StatusCode::kUnavailable);
-  logs.world.machine("b1").Start();
+  log_world.world.machine("b1").Start();
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(under_way); }));
   EXPECT_EQ(outcomes[under_way], StatusCode::kOk);
   ASSERT_TRUE(AppendAndWait());
@@ -100,11 +100,11 @@
 TEST_F(SegmentLogTest, ShortIsolationLosesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.Isolate("q");
+  log_world.world.Isolate("q");
   const std::uint64_t under_way = Append();
-  logs.world.RunFor(milliseconds(2000));
+  log_world.world.RunFor(milliseconds(2000));
   EXPECT_FALSE(outcomes.contains(under_way));
-  logs.world.HealAll();
+  log_world.world.HealAll();
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(under_way); }));
   EXPECT_EQ(outcomes[under_way], StatusCode::kOk);
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
@@ -114,10 +114,10 @@
 TEST_F(SegmentLogTest, FencedNodeAcknowledgesNothing) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.machine("q").Freeze();
-  logs.coordinator.DeclareDead(node);
-  ASSERT_TRUE(logs.Collect(node).ok());
-  logs.world.machine("q").Wake();
+  log_world.world.machine("q").Freeze();
+  log_world.coordinator.DeclareDead(node);
+  ASSERT_TRUE(log_world.Collect(node).ok());
+  log_world.world.machine("q").Wake();
   const std::uint64_t late = Append();
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(late); }));
   EXPECT_NE(outcomes[late], StatusCode::kOk);
@@ -127,29 +127,29 @@
 TEST_F(SegmentLogTest, AcknowledgesNothingWithoutLease) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
-  logs.world.Cut("q", "control");
-  logs.world.RunFor(seconds(4));
+  log_world.world.Cut("q", "control");
+  log_world.world.RunFor(seconds(4));
   ASSERT_FALSE(process->agent->LeaseValid());
   const std::uint64_t late = Append();
-  logs.world.RunFor(seconds(2));
+  log_world.world.RunFor(seconds(2));
   EXPECT_FALSE(outcomes.contains(late));
-  logs.world.HealAll();
+  log_world.world.HealAll();
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(late); }));
 }
 
 TEST_F(SegmentLogTest, RepairsClosedSegmentsOfLostBackup) {
-  logs.AddBackup("b4", "zone-b4");
+  log_world.AddBackup("b4", "zone-b4");
   StartQueue();
   for (int i = 0; i < 200; ++i) {
     Append();
   }
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 200; }));
-  logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
-  logs.world.machine("b2").LoseDisk();
+  log_world.coordinator.DeclareDead(log_world.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
+  log_world.world.machine("b2").LoseDisk();
   ASSERT_TRUE(WaitFor([this] { return process->log->degraded(); }));
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
-  logs.world.machine("b1").LoseDisk();
-  logs.world.machine("b3").LoseDisk();
+  log_world.world.machine("b1").LoseDisk();
+  log_world.world.machine("b3").LoseDisk();
   ExpectAcknowledgedRecoverable();
 }
 
@@ -159,44 +159,44 @@
     Append();
   }
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 200; }));
-  const auto files = logs.world.machine("b1").disk().List("segments");
+  const auto files = log_world.world.machine("b1").disk().List("segments");
   ASSERT_TRUE(files.ok());
   ASSERT_GT(files->size(), 2U) << "the first two are closed";
   constexpr std::uint64_t kDamagedByte = kSegmentDataOffset + 100;
   for (std::size_t index = 0; index < 2; ++index) {
     const std::string file = "segments/" + (*files)[index];
-    ASSERT_TRUE(logs.world.machine("b1").FlipBit(file, kDamagedByte).ok());
+    ASSERT_TRUE(log_world.world.machine("b1").FlipBit(file, kDamagedByte).ok());
   }
   // While b3 is down only the damaged replicas can be read.
-  logs.coordinator.DeclareDead(logs.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
-  logs.world.machine("b2").LoseDisk();
-  logs.world.machine("b3").Kill();
-  logs.AddBackup("b4", "zone-b4");
-  logs.world.RunFor(seconds(5));
-  logs.world.machine("b3").Start();
+  log_world.coordinator.DeclareDead(log_world.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
+  log_world.world.machine("b2").LoseDisk();
+  log_world.world.machine("b3").Kill();
+  log_world.AddBackup("b4", "zone-b4");
+  log_world.world.RunFor(seconds(5));
+  log_world.world.machine("b3").Start();
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
-  logs.world.machine("b3").LoseDisk();
-  logs.world.machine("b4").LoseDisk();
+  log_world.world.machine("b3").LoseDisk();
+  log_world.world.machine("b4").LoseDisk();
   ExpectAcknowledgedRecoverable();
 }
 
 TEST_F(SegmentLogTest, SpareServesOnlyWhileBackupIsMissing) {
-  logs.AddBackup("spare", "zone-b1", true);
+  log_world.AddBackup("spare", "zone-b1", true);
   StartQueue();
-  const auto spare = logs.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
+  const auto spare = log_world.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
   const auto on_spare = [&] {
     const auto head = Head();
     return std::count(head.backups().begin(), head.backups().end(), spare);
   };
   EXPECT_EQ(on_spare(), 0);
-  logs.world.machine("b2").Kill();
+  log_world.world.machine("b2").Kill();
   ASSERT_TRUE(AppendAndWait());
   EXPECT_EQ(on_spare(), 1);
-  logs.world.machine("b2").Start();
+  log_world.world.machine("b2").Start();
   ASSERT_TRUE(WaitFor([&] { return on_spare() == 0; }));
   ASSERT_TRUE(WaitFor([&] {
-    const auto listed = logs.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
-                                                               proto::ListSegmentsRequest());
+    const auto listed = log_world.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
+                                                                    proto::ListSegmentsRequest());
     return listed.ok() && listed->replicas_size() == 0;
   }));
   EXPECT_FALSE(process->log->degraded());
@@ -221,9 +221,9 @@
   }
   ASSERT_TRUE(WaitFor([this] { return outcomes.size() == 120; }));
   EXPECT_LT(process->log->live_segments(), before);
-  logs.world.RunFor(seconds(2));
-  const auto listed = logs.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
-                                                             proto::ListSegmentsRequest());
+  log_world.world.RunFor(seconds(2));
+  const auto listed = log_world.Call<proto::ListSegmentsResponse>("b1", "backup.ListSegments",
+                                                                  proto::ListSegmentsRequest());
   EXPECT_LE(static_cast<std::size_t>(listed->replicas_size()), process->log->live_segments() + 1);
   ExpectAcknowledgedRecoverable();
 }
@@ -235,13 +235,14 @@
 
   /// Stops, freezes or isolates one random backup for a random time.
   void InjectFault() {
-    const std::string name = logs.backups[logs.world.RandomBelow(logs.backups.size())];
-    SimulatedMachine& machine = logs.world.machine(name);
+    const std::string name =
+        log_world.backups[log_world.world.RandomBelow(log_world.backups.size())];
+    SimulatedMachine& machine = log_world.world.machine(name);
     if (!machine.running()) {
       return;
     }
-    const Duration away = milliseconds(logs.world.RandomBelow(3000));
-    switch (logs.world.RandomBelow(4)) {
+    const Duration away = milliseconds(log_world.world.RandomBelow(3000));
+    switch (log_world.world.RandomBelow(4)) {
       case 0:
         machine.Kill();
         break;
@@ -250,14 +251,14 @@
         break;
       case 2:
         machine.Freeze();
-        logs.world.ScheduleAfter(away, [&machine] { machine.Wake(); });
+        log_world.world.ScheduleAfter(away, [&machine] { machine.Wake(); });
         return;
       default:
-        logs.world.Isolate(name);
-        logs.world.ScheduleAfter(away, [this, name] { logs.world.Heal(name); });
+        log_world.world.Isolate(name);
+        log_world.world.ScheduleAfter(away, [this, name] { log_world.world.Heal(name); });
         return;
     }
-    logs.world.ScheduleAfter(away, [&machine] {
+    log_world.world.ScheduleAfter(away, [&machine] {
       if (!machine.running()) {
         machine.Start();
       }
@@ -266,27 +267,27 @@
 };
 
 TEST_P(SegmentLogFaultTest, AcknowledgedEntriesSurvive) {
-  logs.world.network().request_loss = 0.01;
-  logs.world.network().reply_loss = 0.01;
-  logs.world.network().request_duplication = 0.02;
-  logs.AddBackup("b4", "zone-b1");
+  log_world.world.network().request_loss = 0.01;
+  log_world.world.network().reply_loss = 0.01;
+  log_world.world.network().request_duplication = 0.02;
+  log_world.AddBackup("b4", "zone-b1");
   StartQueue();
   for (int round = 0; round < 12; ++round) {
     InjectFault();
     for (int i = 0; i < 40; ++i) {
-      Append(100 + logs.world.RandomBelow(900));
-      logs.world.RunFor(milliseconds(logs.world.RandomBelow(60)));
+      Append(100 + log_world.world.RandomBelow(900));
+      log_world.world.RunFor(milliseconds(log_world.world.RandomBelow(60)));
     }
-    logs.world.RunFor(milliseconds(logs.world.RandomBelow(4000)));
+    log_world.world.RunFor(milliseconds(log_world.world.RandomBelow(4000)));
   }
-  logs.world.machine("q").Kill();
-  logs.world.RunFor(seconds(4));
-  logs.world.machine(logs.backups[logs.world.RandomBelow(4)]).LoseDisk();
+  log_world.world.machine("q").Kill();
+  log_world.world.RunFor(seconds(4));
+  log_world.world.machine(log_world.backups[log_world.world.RandomBelow(4)]).LoseDisk();
   const auto acknowledged =
       std::count_if(outcomes.begin(), outcomes.end(),
                     [](const auto& outcome) { return outcome.second == StatusCode::kOk; });
   EXPECT_GT(acknowledged, 200);
-  logs.world.network() = NetworkBehaviour();
+  log_world.world.network() = NetworkBehaviour();
   EXPECT_EQ(fences, 0);
   ExpectAcknowledgedRecoverable();
 }
