--- a/src/work_dispatch/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -21,7 +21,8 @@
       canceller_(std::make_shared<BatchCanceller>(environment, queue_, leases_, unknown_)),
       granter_(std::make_shared<WorkGranter>(environment, agent, queue_, leases_)),
       reporter_(std::make_shared<WorkReporter>(
-          environment, WorkReporter::Parts{queue_, leases_, unknown_, granter_, canceller_})) {
+          environment,
+          WorkReporter::Dependencies{queue_, leases_, unknown_, granter_, canceller_})) {
   OnConfiguration();
 }
 
--- a/src/work_dispatch/work_reporter.cc
+++ b/src/work_dispatch/work_reporter.cc
@@ -32,13 +32,13 @@
 
 }  // namespace
 
-WorkReporter::WorkReporter(Environment& environment, Parts parts)
+WorkReporter::WorkReporter(Environment& environment, Dependencies dependencies)
     : environment_(environment),
-      queue_(std::move(parts.queue)),
-      leases_(std::move(parts.leases)),
-      unknown_(std::move(parts.unknown)),
-      granter_(std::move(parts.granter)),
-      canceller_(std::move(parts.canceller)) {}
+      queue_(std::move(dependencies.queue)),
+      leases_(std::move(dependencies.leases)),
+      unknown_(std::move(dependencies.unknown)),
+      granter_(std::move(dependencies.granter)),
+      canceller_(std::move(dependencies.canceller)) {}
 
 Status WorkReporter::CheckReports(const proto::ReportWorkRequest& request) const {
   for (const proto::WorkReport& report : request.reports()) {
--- a/src/work_dispatch/work_reporter.h
+++ b/src/work_dispatch/work_reporter.h
@@ -27,8 +27,8 @@
  public:
   using Reply = std::function<void(Result<proto::ReportWorkResponse>)>;
 
-  /// The parts of dispatch that reports act on.
-  struct Parts {
+  /// What reports act on.
+  struct Dependencies {
     std::shared_ptr<WorkQueue> queue;
     std::shared_ptr<WorkLeases> leases;
     std::shared_ptr<UnknownItems> unknown;
@@ -36,7 +36,7 @@
     std::shared_ptr<BatchCanceller> canceller;
   };
 
-  WorkReporter(Environment& environment, Parts parts);
+  WorkReporter(Environment& environment, Dependencies dependencies);
 
   /// Answers when every result in it is logged; kConflict (`MakeNotOwnerStatus`) if any partition
   /// is not owned here, kUnavailable if a result of an item is being logged already.
--- a/tests/queue/pending_acquire_test.cc
+++ b/tests/queue/pending_acquire_test.cc
@@ -11,9 +11,9 @@
 /// Many gateways, each of which sends a new request as soon as it was answered without grants.
 class PendingAcquireTest : public testing::Test {
  protected:
-  PendingAcquireTest() : world(21) {
-    world.AddQueue("q1");
-    world.Own("q1");
+  PendingAcquireTest() : world_(21) {
+    world_.AddQueue("q1");
+    world_.Own("q1");
   }
 
   static constexpr int kGateways = 60;
@@ -25,7 +25,7 @@
       // A third of them are in the queue node's zone.
       SendRequest(gateway, gateway % 3 == 0 ? "zone-b1" : "zone-b2", backend);
     }
-    world.world.RunFor(seconds(1));
+    world_.world.RunFor(seconds(1));
     sent_ = 0;
   }
   void SendRequest(int gateway, const std::string& zone, const std::string& backend) {
@@ -36,20 +36,20 @@
     request.add_capacity()->set_backend(backend);
     request.mutable_capacity(0)->set_slots(kSlots);
     request.set_hold_ms(4000);
-    world.world.CallPeer(world.world.machine("q1").endpoint(), "queue.AcquireWork",
-                         request.SerializeAsString(), seconds(5),
-                         [this, gateway, zone, backend](const PeerReply& reply) {
-                           proto::AcquireWorkResponse response;
-                           ASSERT_TRUE(response.ParseFromString(reply.body));
-                           granted_ += response.grants_size();
-                           granted_in_zone_ += zone == "zone-b1" ? response.grants_size() : 0;
-                           if (response.grants_size() == 0) {
-                             SendRequest(gateway, zone, backend);
-                           }
-                         });
+    world_.world.CallPeer(world_.world.machine("q1").endpoint(), "queue.AcquireWork",
+                          request.SerializeAsString(), seconds(5),
+                          [this, gateway, zone, backend](const PeerReply& reply) {
+                            proto::AcquireWorkResponse response;
+                            ASSERT_TRUE(response.ParseFromString(reply.body));
+                            granted_ += response.grants_size();
+                            granted_in_zone_ += zone == "zone-b1" ? response.grants_size() : 0;
+                            if (response.grants_size() == 0) {
+                              SendRequest(gateway, zone, backend);
+                            }
+                          });
   }
 
-  QueueWorld world;
+  QueueWorld world_;
   int sent_ = 0;  ///< Requests since all were pending.
   int granted_ = 0;
   int granted_in_zone_ = 0;
@@ -57,31 +57,31 @@
 
 TEST_F(PendingAcquireTest, WakesOnlyAsManyGatewaysAsNeeded) {
   SendAll();
-  world.Accept("q1", "key", 6);
-  world.world.RunFor(milliseconds(100));
+  world_.Accept("q1", "key", 6);
+  world_.world.RunFor(milliseconds(100));
   EXPECT_EQ(granted_, 6);
   EXPECT_LE(sent_, 12) << "twice the slots for 6 items, not all 60 gateways";
 }
 
 TEST_F(PendingAcquireTest, WakesGatewaysOfItsZoneFirst) {
   SendAll();
-  world.Accept("q1", "key", 10);
-  world.world.RunFor(milliseconds(100));
+  world_.Accept("q1", "key", 10);
+  world_.world.RunFor(milliseconds(100));
   EXPECT_EQ(granted_, 10);
   EXPECT_EQ(granted_in_zone_, 10);
 }
 
 TEST_F(PendingAcquireTest, LargeBatchReachesAllGateways) {
   SendAll();
-  world.Accept("q1", "key", 2 * kGateways * static_cast<int>(kSlots));
-  world.world.RunFor(milliseconds(300));
+  world_.Accept("q1", "key", 2 * kGateways * static_cast<int>(kSlots));
+  world_.world.RunFor(milliseconds(300));
   EXPECT_EQ(granted_, kGateways * static_cast<int>(kSlots));
 }
 
 TEST_F(PendingAcquireTest, DoesNotWakeGatewaysOfOtherBackends) {
   SendAll("other");
-  world.Accept("q1", "key", 6);
-  world.world.RunFor(seconds(1));
+  world_.Accept("q1", "key", 6);
+  world_.world.RunFor(seconds(1));
   EXPECT_EQ(sent_, 0);
 }
 
