--- a/src/admission/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -22,7 +22,8 @@
   environment_.CancelTimer(tick_timer_);
 }
 
-CallQueue::EnqueueResult CallQueue::Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner) {
+CallQueue::EnqueueResult CallQueue::Enqueue(WaitingCall call,
+                                            std::weak_ptr<WaitingCallOwner> owner) {
   call.id = next_id_++;
   std::vector<WaitId> displaced;
   std::optional<RefusalNotice> refusal = admission_.Enqueue(call, environment_.Now(), &displaced);
--- a/src/admission/call_queue.h
+++ b/src/admission/call_queue.h
@@ -45,7 +45,7 @@
     std::optional<RefusalNotice> refusal;
   };
   /// Queues a call and assigns its `id`. @return the id, or the refusal.
-  EnqueueResult Wait(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner);
+  EnqueueResult Enqueue(WaitingCall call, std::weak_ptr<WaitingCallOwner> owner);
   /// The owner ended the wait.
   void Remove(WaitId id);
   std::size_t Waiting(const std::string& backend) const { return admission_.Waiting(backend); }
--- a/src/batch_work/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -17,19 +17,19 @@
     if (problems_.size() < kMostProblems) {
       problems_.push_back(place + ": " + what);
     } else {
-      ++more_;
+      ++omitted_;
     }
   }
   std::vector<std::string> Take() {
-    if (more_ > 0) {
-      problems_.push_back("and " + std::to_string(more_) + " more");
+    if (omitted_ > 0) {
+      problems_.push_back("and " + std::to_string(omitted_) + " more");
     }
     return std::move(problems_);
   }
 
  private:
   std::vector<std::string> problems_;
-  std::size_t more_ = 0;
+  std::size_t omitted_ = 0;
 };
 
 /// @return the object of that name, or nullptr.
--- a/src/calls/attempt_session.cc
+++ b/src/calls/attempt_session.cc
@@ -21,8 +21,8 @@
   }
 }
 
-FailureReading AttemptSession::ClassifyNoResponse(const HttpOutcome& outcome,
-                                                  bool head_received) const {
+FailureClassification AttemptSession::ClassifyNoResponse(const HttpOutcome& outcome,
+                                                         bool head_received) const {
   NoResponseContext known;
   known.send_denied = send_denied_;
   known.head_received = head_received;
--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -35,7 +35,7 @@
   Duration Elapsed() const { return context_.environment.Now() - sent_at_; }
   /// Classifies a call that ended without a complete response.
   /// @param head_received whether the replica had begun to respond.
-  FailureReading ClassifyNoResponse(const HttpOutcome& outcome, bool head_received) const;
+  FailureClassification ClassifyNoResponse(const HttpOutcome& outcome, bool head_received) const;
 
  private:
   const AttemptContext& context_;
--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -21,58 +21,60 @@
 
 }  // namespace
 
-FailureReading ReadRefusal(int status, const std::string& body) {
+FailureClassification ClassifyRefusal(int status, const std::string& body) {
   proto::ErrorBody parsed;
   const bool readable = FromJson(body, &parsed, UnknownFields::kIgnore).ok() && parsed.has_error();
-  const proto::Executed told = parsed.error().executed();
-  const std::string words = readable ? ": " + parsed.error().message() : "";
-  const std::string message = "the replica answered " + std::to_string(status) + words;
-  const bool ran = told == proto::EXECUTED_YES || told == proto::EXECUTED_UNKNOWN;
-  FailureReading reading;
+  const proto::Executed reported = parsed.error().executed();
+  const std::string details = readable ? ": " + parsed.error().message() : "";
+  const std::string message = "the replica answered " + std::to_string(status) + details;
+  const bool ran = reported == proto::EXECUTED_YES || reported == proto::EXECUTED_UNKNOWN;
+  FailureClassification classification;
   if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
-    reading.health = CallEnd::kRefused;
-    reading.result.end = ran ? AttemptEnd::kUnknown : AttemptEnd::kNotRun;
-    reading.result.error = MakeError("replica_refused", message);
-    return reading;
+    classification.health = CallEnd::kRefused;
+    classification.result.end = ran ? AttemptEnd::kUnknown : AttemptEnd::kNotRun;
+    classification.result.error = MakeError("replica_refused", message);
+    return classification;
   }
   if (status >= kFirstClientError && status < kFirstServerError && !ran) {
-    reading.health = CallEnd::kSuccess;
-    reading.result.end = AttemptEnd::kRejected;
-    reading.result.error = MakeError("replica_rejected", message);
-    return reading;
+    classification.health = CallEnd::kSuccess;
+    classification.result.end = AttemptEnd::kRejected;
+    classification.result.error = MakeError("replica_rejected", message);
+    return classification;
   }
-  reading.health = CallEnd::kFailed;
-  reading.result.end = AttemptEnd::kUnknown;
-  if (told == proto::EXECUTED_NO) {
-    reading.result.end = AttemptEnd::kNotRun;
-  } else if (told == proto::EXECUTED_YES) {
-    reading.result.end = AttemptEnd::kFailed;
+  classification.health = CallEnd::kFailed;
+  classification.result.end = AttemptEnd::kUnknown;
+  if (reported == proto::EXECUTED_NO) {
+    classification.result.end = AttemptEnd::kNotRun;
+  } else if (reported == proto::EXECUTED_YES) {
+    classification.result.end = AttemptEnd::kFailed;
   }
-  reading.result.error = MakeError("replica_failed", message);
-  return reading;
+  classification.result.error = MakeError("replica_failed", message);
+  return classification;
 }
 
-FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
-                               const CallOptions& options) {
-  FailureReading reading;
+FailureClassification ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
+                                      const CallOptions& options) {
+  FailureClassification classification;
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
-    const bool hurried =
+    const bool deadline_too_short =
         known.deadline_reached && known.time_allowed < options.minimum_response_time;
-    reading.health = known.send_denied || hurried ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
-    reading.result.end = AttemptEnd::kNotRun;
+    classification.health =
+        known.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
+    classification.result.end = AttemptEnd::kNotRun;
     const std::string code = known.send_denied ? "right_ended" : "replica_unreachable";
-    reading.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
-    return reading;
+    classification.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
+    return classification;
   }
   // A deadline that is too short for any replica, or that ends a response in progress, is not the
   // replica's fault.
-  const bool hurried = known.head_received || known.time_allowed < options.minimum_response_time;
-  const bool blameless = known.deadline_reached && hurried;
-  reading.health = blameless ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
-  reading.result.end = AttemptEnd::kUnknown;
-  reading.result.error =
+  const bool deadline_too_short =
+      known.head_received || known.time_allowed < options.minimum_response_time;
+  const bool not_replica_fault = known.deadline_reached && deadline_too_short;
+  classification.health = not_replica_fault ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
+  classification.result.end = AttemptEnd::kUnknown;
+  classification.result.error =
       MakeError("replica_silent", "the replica gave no whole answer: " + outcome.reason);
-  return reading;
+  return classification;
 }
 
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -83,13 +83,13 @@
                                                 JsonAttemptCallbacks callbacks);
 
 /// What a failed response says about the call and about the replica's health.
-struct FailureReading {
+struct FailureClassification {
   JsonAttemptResult result;
   CallEnd health = CallEnd::kFailed;
 };
 
 /// Classifies the status and body of a response other than 200.
-FailureReading ReadRefusal(int status, const std::string& body);
+FailureClassification ClassifyRefusal(int status, const std::string& body);
 /// What is known of a call that ended without a complete response.
 struct NoResponseContext {
   bool send_denied = false;    ///< `may_send` returned false: nothing was sent.
@@ -99,8 +99,8 @@
 };
 
 /// Classifies a call that ended without a complete response.
-FailureReading ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
-                               const CallOptions& options);
+FailureClassification ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
+                                      const CallOptions& options);
 /// @return the request to `path` at a replica.
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
                                Duration remaining);
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -38,7 +38,7 @@
 CallRunner::CallRunner(const CallContext& context, CallSpec spec, CallDone done)
     : context_(context),
       spec_(std::move(spec)),
-      events_(std::move(done)),
+      on_done_(std::move(done)),
       retry_options_(OptionsFor(spec_, context.retry_options)),
       retry_(retry_options_, context.retry_budget),
       split_draw_(context.attempt.environment.Random()) {}
@@ -94,9 +94,9 @@
     Send(*choice.replica, *route);
     return Placement::kSent;
   }
-  const bool passing = choice.failure == RoutingFailure::kNoCapacity ||
-                       choice.failure == RoutingFailure::kNoHealthyReplica;
-  if (passing) {
+  const bool temporary = choice.failure == RoutingFailure::kNoCapacity ||
+                         choice.failure == RoutingFailure::kNoHealthyReplica;
+  if (temporary) {
     return Placement::kNoCapacity;
   }
   FinishWith(RoutingFailureName(choice.failure),
@@ -185,8 +185,8 @@
 bool CallRunner::CanSendNow(const ReplicaUse& use) const {
   const proto::Route* route = FindRoute(context_.permission.configuration(), spec_.route);
   const bool in_time = context_.attempt.environment.Now() < spec_.deadline;
-  const bool entitled = !spec_.can_start || spec_.can_start();
-  return !done_ && in_time && entitled && context_.permission.IsValid() && route != nullptr &&
+  const bool permitted = !spec_.can_start || spec_.can_start();
+  return !done_ && in_time && permitted && context_.permission.IsValid() && route != nullptr &&
          context_.attempt.pool.CanSend(use, *route);
 }
 
@@ -201,12 +201,13 @@
   waiting.priority = spec_.priority;
   waiting.wait_deadline = std::min(spec_.deadline, spec_.wait_until);
   waiting.bytes = spec_.exchange->request_bytes();
-  const CallQueue::EnqueueResult waited = context_.queue.Wait(std::move(waiting), weak_from_this());
-  if (waited.refusal) {
-    OnQueueRefusal(*waited.refusal);
+  const CallQueue::EnqueueResult queued =
+      context_.queue.Enqueue(std::move(waiting), weak_from_this());
+  if (queued.refusal) {
+    OnQueueRefusal(*queued.refusal);
     return;
   }
-  wait_id_ = waited.id;
+  wait_id_ = queued.id;
 }
 
 ServeResult CallRunner::ServeFromQueue() {
@@ -323,7 +324,7 @@
   if (!result.succeeded) {
     result.error.set_call_id(call_id());
   }
-  events_(std::move(result));
+  on_done_(std::move(result));
 }
 
 bool CallRunner::IsRepeatable(const proto::Route& route) const {
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -108,7 +108,7 @@
 
   CallContext context_;
   CallSpec spec_;
-  CallDone events_;
+  CallDone on_done_;
   const RetryOptions retry_options_;  ///< With the call's own number of attempts.
   RetryState retry_;
   const std::uint64_t
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -59,7 +59,7 @@
 std::shared_ptr<CallAttempt> ForwardExchange::NewAttempt(const AttemptContext& context,
                                                          AttemptRequest request,
                                                          ExchangeEvents events) {
-  ForgetFailure();
+  ClearFailure();
   last_replica_ = request.use.id;
   return std::make_shared<ForwardAttempt>(context, std::move(request), shared_from_this(),
                                           std::move(events));
@@ -186,7 +186,7 @@
   context_.pool.OnResponseHead(request_.use, headers, session_.Elapsed());
   if (!not_run_) {
     const bool events = exchange_->call().streamed && IsSuccess(status);
-    reading_ = events ? Reading::kEvents : Reading::kComplete;
+    body_mode_ = events ? BodyMode::kEvents : BodyMode::kComplete;
   }
 }
 
@@ -196,13 +196,13 @@
   }
   received_since_check_ = true;
   context_.pool.OnBytesReceived(request_.use);
-  if (reading_ == Reading::kEvents) {
+  if (body_mode_ == BodyMode::kEvents) {
     splitter_.Append(bytes);
     read_more_ = std::move(more);
     Advance();
     return;
   }
-  if (reading_ == Reading::kComplete) {
+  if (body_mode_ == BodyMode::kComplete) {
     body_ += bytes;
   }
   if (body_.size() > context_.options.maximum_response_bytes) {
@@ -218,7 +218,7 @@
     Release(CallEnd::kSuccess);
     return;
   }
-  if (reading_ == Reading::kEvents) {
+  if (body_mode_ == BodyMode::kEvents) {
     Advance();
     return;
   }
@@ -292,7 +292,7 @@
   } else if (not_run_) {
     FinishWith(AttemptEnd::kNotRun, "replica_refused",
                MessageForStatus(status_) + " and did not run the request", CallEnd::kRefused);
-  } else if (reading_ == Reading::kComplete) {
+  } else if (body_mode_ == BodyMode::kComplete) {
     CompleteResponse();
   } else {
     CompleteStream();
@@ -300,11 +300,12 @@
 }
 
 void ForwardAttempt::CompleteWithoutResponse() {
-  FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
+  FailureClassification classification = session_.ClassifyNoResponse(*outcome_, status_ != 0);
   if (not_run_) {
-    reading.result.end = AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
+    classification.result.end =
+        AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
   }
-  Finish(std::move(reading.result), reading.health);
+  Finish(std::move(classification.result), classification.health);
 }
 
 void ForwardAttempt::CompleteStream() {
@@ -344,7 +345,7 @@
   result.end = AttemptEnd::kFailed;
   result.error.set_code("replica_failed");
   result.error.set_message(MessageForStatus(status_));
-  result.final = exchange_->FailedForGood();
+  result.final = exchange_->IsFailureLimitReached();
   Finish(std::move(result), CallEnd::kFailed);
 }
 
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -39,8 +39,8 @@
 
  private:
   /// How the body of the response is read.
-  enum class Reading : std::uint8_t {
-    kNothing,   ///< No head yet, or a body that is ignored.
+  enum class BodyMode : std::uint8_t {
+    kIgnore,    ///< No head yet, or a body that is ignored.
     kComplete,  ///< Buffered, forwarded when complete.
     kEvents,    ///< Forwarded event by event.
   };
@@ -79,7 +79,7 @@
   AttemptSession session_;
   EventSplitter splitter_;
   std::shared_ptr<HttpCall> call_;
-  Reading reading_ = Reading::kNothing;
+  BodyMode body_mode_ = BodyMode::kIgnore;
   int status_ = 0;  ///< 0 until the head came.
   HttpHeaders headers_;
   std::string body_;
--- a/src/calls/forward_exchange.h
+++ b/src/calls/forward_exchange.h
@@ -84,11 +84,11 @@
   /// The error response (5xx) of the last replica, which is forwarded if the call ends with it.
   const std::optional<HttpResponse>& failure() const { return failure_; }
   void RecordFailure(HttpResponse response) { failure_ = std::move(response); }
-  void ForgetFailure() { failure_.reset(); }
+  void ClearFailure() { failure_.reset(); }
   /// Number of replicas that reported to have run the request and failed.
   std::uint32_t failures() const { return failures_; }
   void CountFailure() { ++failures_; }
-  bool FailedForGood() const {
+  bool IsFailureLimitReached() const {
     return call_.maximum_failures > 0 && failures_ >= call_.maximum_failures;
   }
 
--- a/src/calls/idempotency_cache.cc
+++ b/src/calls/idempotency_cache.cc
@@ -10,7 +10,7 @@
 }  // namespace
 
 KeyState IdempotencyCache::Begin(const std::string& key, std::uint64_t fingerprint, TimePoint now) {
-  DropOld(now);
+  EvictExpired(now);
   const auto [position, inserted] = entries_.try_emplace(key);
   Entry& entry = position->second;
   if (inserted) {
@@ -52,7 +52,7 @@
   entry.position = finished_.insert(finished_.end(), key);
   cached_bytes_ += entry.bytes;
   while (cached_bytes_ > options_.maximum_total_bytes) {
-    DropOldest();
+    EvictOldest();
   }
   for (const Waiter& waiter : waiters) {
     waiter(complete);
@@ -71,17 +71,17 @@
   }
 }
 
-void IdempotencyCache::DropOldest() {
+void IdempotencyCache::EvictOldest() {
   const auto found = entries_.find(finished_.front());
   finished_.pop_front();
   cached_bytes_ -= found->second.bytes;
   entries_.erase(found);
 }
 
-void IdempotencyCache::DropOld(TimePoint now) {
+void IdempotencyCache::EvictExpired(TimePoint now) {
   while (!finished_.empty() &&
          now - entries_.at(finished_.front()).stored_at >= options_.retention) {
-    DropOldest();
+    EvictOldest();
   }
 }
 
--- a/src/calls/idempotency_cache.h
+++ b/src/calls/idempotency_cache.h
@@ -71,8 +71,8 @@
     std::list<std::string>::iterator position;  ///< In `finished_`, when not running.
   };
 
-  void DropOldest();
-  void DropOld(TimePoint now);
+  void EvictOldest();
+  void EvictExpired(TimePoint now);
 
   IdempotencyOptions options_;
   std::unordered_map<std::string, Entry> entries_;
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -58,38 +58,39 @@
     }
     context_.pool.OnResponseHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
-      Finish(ReadRefusal(outcome.response.status, outcome.response.body));
+      Finish(ClassifyRefusal(outcome.response.status, outcome.response.body));
       return;
     }
     Finish(ParseResponse(outcome.response.body));
   }
 
   /// A complete response counts only if it belongs to this call.
-  FailureReading ParseResponse(const std::string& body) const {
-    FailureReading reading;
-    const bool readable = FromJson(body, &reading.result.answer, UnknownFields::kIgnore).ok();
-    if (readable && reading.result.answer.call_id() == request_.body.call_id()) {
-      reading.result.end = AttemptEnd::kComplete;
-      reading.health = CallEnd::kSuccess;
-      return reading;
+  FailureClassification ParseResponse(const std::string& body) const {
+    FailureClassification classification;
+    const bool readable =
+        FromJson(body, &classification.result.answer, UnknownFields::kIgnore).ok();
+    if (readable && classification.result.answer.call_id() == request_.body.call_id()) {
+      classification.result.end = AttemptEnd::kComplete;
+      classification.health = CallEnd::kSuccess;
+      return classification;
     }
     const std::string_view fault = readable ? "other_call" : "malformed";
     context_.environment.metrics().Increment("gateway_response_faults_total", {{"fault", fault}});
     Log(LogLevel::kWarning, "response_discarded",
         {{"call_id", request_.body.call_id()}, {"replica", request_.use.id}, {"fault", fault}});
-    reading.result.answer.Clear();
-    reading.result.end = AttemptEnd::kUnknown;
-    reading.result.error.set_code("response_broken");
-    reading.result.error.set_message("the replica's answer was not this call's: " +
-                                     std::string(fault));
-    reading.health = CallEnd::kFailed;
-    return reading;
+    classification.result.answer.Clear();
+    classification.result.end = AttemptEnd::kUnknown;
+    classification.result.error.set_code("response_broken");
+    classification.result.error.set_message("the replica's answer was not this call's: " +
+                                            std::string(fault));
+    classification.health = CallEnd::kFailed;
+    return classification;
   }
 
-  void Finish(FailureReading reading) {
+  void Finish(FailureClassification classification) {
     session_.MarkDone();
-    session_.Release(reading.health);
-    callbacks_.on_done(std::move(reading.result));
+    session_.Release(classification.health);
+    callbacks_.on_done(std::move(classification.result));
   }
 
   AttemptContext context_;
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -163,7 +163,7 @@
         FinishSuccessfully();
         break;
       case ChunkCheckResult::kReported:
-        FinishReported(chunk.error());
+        FinishWithReplicaError(chunk.error());
         break;
       case ChunkCheckResult::kBroken:
         AbortResponse();
@@ -185,13 +185,14 @@
   /// The body or the call ended without a last chunk.
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
-      const FailureReading reading = session_.ClassifyNoResponse(*outcome_, status_ != 0);
-      Finish(reading.result, reading.health);
+      const FailureClassification classification =
+          session_.ClassifyNoResponse(*outcome_, status_ != 0);
+      Finish(classification.result, classification.health);
       return;
     }
     if (status_ != kHttpOk) {
-      const FailureReading reading = ReadRefusal(status_, error_body_);
-      Finish(reading.result, reading.health);
+      const FailureClassification classification = ClassifyRefusal(status_, error_body_);
+      Finish(classification.result, classification.health);
       return;
     }
     const std::string rest = lines_.TakeRest();
@@ -216,7 +217,7 @@
     Finish(std::move(result), CallEnd::kFailed);
   }
 
-  void FinishReported(const proto::CallError& error) {
+  void FinishWithReplicaError(const proto::CallError& error) {
     JsonAttemptResult result;
     result.end = AttemptEnd::kUnknown;
     if (error.executed() == proto::EXECUTED_NO && check_.next_sequence() == 1) {
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -68,7 +68,7 @@
       owners_(environment, agent, Status(StatusCode::kUnknownOutcome, "malformed owner's answer")) {
 }
 
-Status BatchService::Serving() const {
+Status BatchService::CheckServing() const {
   if (agent_.LeaseValid() && agent_.partition_count() > 0) {
     return Status::Ok();
   }
@@ -81,7 +81,7 @@
 
 void BatchService::Submit(const proto::Route& route, BatchSubmission submission,
                           Done<proto::BatchStatus> done) {
-  if (Status serving = Serving(); !serving.ok()) {
+  if (Status serving = CheckServing(); !serving.ok()) {
     done(std::move(serving));
     return;
   }
@@ -115,7 +115,7 @@
 
 void BatchService::Read(const std::string& host, const std::string& batch_id,
                         std::uint64_t position, Done<BatchResults> done) {
-  if (Status serving = Serving(); !serving.ok()) {
+  if (Status serving = CheckServing(); !serving.ok()) {
     done(std::move(serving));
     return;
   }
@@ -137,7 +137,7 @@
 
 void BatchService::ReadItem(const std::string& host, const std::string& batch_id,
                             const std::string& item_id, Done<proto::BatchItem> done) {
-  if (Status serving = Serving(); !serving.ok()) {
+  if (Status serving = CheckServing(); !serving.ok()) {
     done(std::move(serving));
     return;
   }
@@ -158,7 +158,7 @@
 
 void BatchService::End(const std::string& host, const std::string& batch_id,
                        Done<proto::BatchStatus> done) {
-  if (Status serving = Serving(); !serving.ok()) {
+  if (Status serving = CheckServing(); !serving.ok()) {
     done(std::move(serving));
     return;
   }
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -65,7 +65,7 @@
 
  private:
   /// Whether this gateway has a lease and knows the partitions.
-  Status Serving() const;
+  Status CheckServing() const;
   std::uint64_t FindPartition(std::string_view host, std::string_view batch_id) const;
 
   Environment& environment_;
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -166,9 +166,9 @@
 }
 
 bool GatewayService::Drained() const {
-  const bool batches_over =
+  const bool batches_finished =
       state_->batch_worker.pending() == 0 && state_->batch_worker.unreported() == 0;
-  return state_->draining && batches_over && calls_under_way() == 0;
+  return state_->draining && batches_finished && calls_under_way() == 0;
 }
 
 bool GatewayService::Ready(std::string* why) const {
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -117,7 +117,7 @@
   if (result.succeeded) {
     answer_ = exchange_->TakeResponse();
   }
-  Remember(result);
+  CacheResponse(result);
   RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
   if (!client_disconnected()) {
     SendResult(result);
@@ -162,11 +162,11 @@
   left.error.set_executed(executed);
   left.error.set_call_id(call_id_);
   left.http_status = HttpStatusForExecuted(executed);
-  Remember(left);
+  CacheResponse(left);
   Finish();
 }
 
-void LiveCall::Remember(const CallResult& result) {
+void LiveCall::CacheResponse(const CallResult& result) {
   if (options_.idempotency_key.empty()) {
     return;
   }
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -42,7 +42,7 @@
   void CollectChunk(const proto::StreamChunk& chunk);
   void SendResult(const CallResult& result);
   void FinishStream(const CallResult& result);
-  void Remember(const CallResult& result);
+  void CacheResponse(const CallResult& result);
 
   Options options_;
   IdempotencyCache& idempotency_cache_;
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -86,14 +86,15 @@
   call.earlier_failures = request.failed_runs();
   const auto collector = std::make_shared<EventCollector>();
   const auto exchange = std::make_shared<ForwardExchange>(std::move(call), names_, *collector);
-  return {exchange, [exchange, collector](BackendOutcome* outcome) {
-            outcome->failed_runs = exchange->failures();
-            if (outcome->succeeded) {
-              outcome->answer.set_text(collector->TakeText());
-            } else if (outcome->executed == proto::EXECUTED_YES && !exchange->FailedForGood()) {
-              outcome->executed = proto::EXECUTED_UNKNOWN;  // Attempts are left.
-            }
-          }};
+  return {
+      exchange, [exchange, collector](BackendOutcome* outcome) {
+        outcome->failed_runs = exchange->failures();
+        if (outcome->succeeded) {
+          outcome->answer.set_text(collector->TakeText());
+        } else if (outcome->executed == proto::EXECUTED_YES && !exchange->IsFailureLimitReached()) {
+          outcome->executed = proto::EXECUTED_UNKNOWN;  // Attempts are left.
+        }
+      }};
 }
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, OutcomeReader read_outcome,
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -80,8 +80,8 @@
   std::deque<proto::WorkGrant> work;
   std::vector<std::uint64_t> ended;
   StatusCode report_code = StatusCode::kOk;
-  Duration answer_delay{};  ///< Of grants, after they were taken from `work`.
-  int questions = 0;
+  Duration response_delay{};  ///< Of grants, after they were taken from `work`.
+  int acquire_requests = 0;
   std::map<std::uint64_t, proto::WorkReport> reports;  ///< Answered ones, by lease.
   int report_calls = 0;
   std::set<std::uint64_t> renewed;
@@ -94,7 +94,7 @@
     ServePeer<proto::AcquireWorkRequest, proto::AcquireWorkResponse>(
         environment, "queue.AcquireWork",
         [this](const proto::AcquireWorkRequest& request, const std::string&, auto reply) {
-          ++queue_.questions;
+          ++queue_.acquire_requests;
           const TimePoint until = environment_.Now() + milliseconds(request.hold_ms());
           Grant(request.capacity(0).slots(), until, reply);
         });
@@ -118,7 +118,7 @@
       *response.add_grants() = queue_.work.front();
       queue_.work.pop_front();
     }
-    environment_.ScheduleAfter(queue_.answer_delay, [reply, response] { reply(response); });
+    environment_.ScheduleAfter(queue_.response_delay, [reply, response] { reply(response); });
   }
 
   Result<proto::ReportWorkResponse> HandleReport(const proto::ReportWorkRequest& request) {
@@ -217,8 +217,8 @@
   }
   void Start() {
     world.machine("g").Start();
-    ASSERT_TRUE(world.RunUntil([this] { return gateway->agent.LeaseValid() && q1.questions > 0; },
-                               seconds(5)));
+    ASSERT_TRUE(world.RunUntil(
+        [this] { return gateway->agent.LeaseValid() && q1.acquire_requests > 0; }, seconds(5)));
   }
   bool WaitUntilRunning(std::size_t count) {
     return world.RunUntil([this, count] { return gateway->backend.runs.size() == count; },
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -78,7 +78,7 @@
 }
 
 TEST_F(BatchWorkerTest, CountsTheStartWindowFromTheRequest) {
-  q1.answer_delay = milliseconds(1900);
+  q1.response_delay = milliseconds(1900);
   Start();
   gateway->backend.connect = milliseconds(200);  // Over at 2.1 s, 0.2 s after the grant came.
   AddWork(1, "unlock");
@@ -181,12 +181,12 @@
   world.RunFor(seconds(2));
   EXPECT_EQ(gateway->backend.SentCount(), 0U);
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
-  const int questions = q1.questions;
+  const int acquire_requests = q1.acquire_requests;
   world.RunFor(seconds(2));
-  EXPECT_EQ(q1.questions, questions);
+  EXPECT_EQ(q1.acquire_requests, acquire_requests);
   SetPaused(false);
   world.RunFor(seconds(1));
-  EXPECT_GT(q1.questions, questions);
+  EXPECT_GT(q1.acquire_requests, acquire_requests);
 }
 
 TEST_F(BatchWorkerTest, FailsItemsOfAChangedRouteUnrun) {
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -26,7 +26,7 @@
 };
 
 TEST_F(ForwardingTest, ForwardsRequestAndResponseUnchanged) {
-  const auto caller = h.Forward("/safe/x", "c1");
+  const auto client = h.Forward("/safe/x", "c1");
   ASSERT_EQ(h.arrived.size(), 1U);
   const HttpRequest& sent = h.arrived[0]->request;
   EXPECT_EQ(sent.method, "POST");
@@ -36,9 +36,9 @@
   EXPECT_EQ(Header(h.arrived[0], "X-Expected-Instance"), h.arrived_at[0] + "/1");
   EXPECT_LE(std::stoi(std::string(Header(h.arrived[0], "X-Deadline-Ms"))), 4000);
   h.Answer(0, {200, ForwardHarness::Echo("c1"), "blob"});
-  EXPECT_EQ(caller->status, 200);
-  EXPECT_EQ(caller->body, "blob");
-  EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
+  EXPECT_EQ(client->status, 200);
+  EXPECT_EQ(client->body, "blob");
+  EXPECT_EQ(FindHeader(client->headers, "Stamp"), "s");
 }
 
 TEST_F(ForwardingTest, Returns404ForAnUnknownHostOrPath) {
@@ -47,10 +47,10 @@
 }
 
 TEST_F(ForwardingTest, RejectsAResponseToAnotherCall) {
-  const auto caller = h.Forward("/once/x", "c1");
+  const auto client = h.Forward("/once/x", "c1");
   h.Answer(0, {200, ForwardHarness::Echo("another"), ForwardHarness::Event(0)});
-  EXPECT_EQ(caller->status, 504);
-  EXPECT_EQ(caller->body.find("d0"), std::string::npos);
+  EXPECT_EQ(client->status, 504);
+  EXPECT_EQ(client->body.find("d0"), std::string::npos);
   EXPECT_EQ(h.arrived.size(), 1U);
 }
 
@@ -73,40 +73,40 @@
 }
 
 TEST_F(ForwardingTest, DoesNotRetryAfterBytesWereSent) {
-  const auto caller = h.Forward("/once/x", "c1");
+  const auto client = h.Forward("/once/x", "c1");
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(milliseconds(200));
   EXPECT_EQ(h.arrived.size(), 1U);
-  EXPECT_EQ(caller->status, 504);
+  EXPECT_EQ(client->status, 504);
 }
 
 TEST_F(ForwardingTest, ForwardsAReplicaFailureUnchanged) {
-  const auto caller = h.Forward("/once/x", "c1");
+  const auto client = h.Forward("/once/x", "c1");
   h.Answer(0, {500, ForwardHarness::Echo("c1"), "broken"});
-  EXPECT_EQ(caller->status, 500);
-  EXPECT_EQ(caller->body, "broken");
-  EXPECT_EQ(FindHeader(caller->headers, "Stamp"), "s");
+  EXPECT_EQ(client->status, 500);
+  EXPECT_EQ(client->body, "broken");
+  EXPECT_EQ(FindHeader(client->headers, "Stamp"), "s");
 }
 
 TEST_F(ForwardingTest, ResumesABrokenStreamAtAnotherReplica) {
-  const auto caller = h.Forward("/tale/x", "c1");
+  const auto client = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0) + ForwardHarness::Event(1) + "id: 2\nda");
-  EXPECT_EQ(caller->body, ForwardHarness::Event(0) + ForwardHarness::Event(1));
+  EXPECT_EQ(client->body, ForwardHarness::Event(0) + ForwardHarness::Event(1));
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(seconds(1));
   ASSERT_EQ(h.arrived.size(), 2U);
   EXPECT_NE(h.arrived_at[0], h.arrived_at[1]);
   EXPECT_EQ(Header(h.arrived[1], "X-Resume-After"), "1");
   h.Answer(1, {200, ForwardHarness::Echo("c1"), ForwardHarness::Event(2)});
-  EXPECT_EQ(caller->answers, 1);
-  EXPECT_TRUE(caller->complete);
-  EXPECT_EQ(caller->body,
+  EXPECT_EQ(client->answers, 1);
+  EXPECT_TRUE(client->complete);
+  EXPECT_EQ(client->body,
             ForwardHarness::Event(0) + ForwardHarness::Event(1) + ForwardHarness::Event(2));
 }
 
 TEST_F(ForwardingTest, AbortsOnAGapAfterAResume) {
-  const auto caller = h.Forward("/tale/x", "c1");
+  const auto client = h.Forward("/tale/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
@@ -114,23 +114,23 @@
   ASSERT_EQ(h.arrived.size(), 2U);
   h.Answer(1, {200, ForwardHarness::Echo("c1"), ForwardHarness::Event(2)});
   h.world.RunFor(seconds(1));
-  EXPECT_TRUE(caller->aborted);
-  EXPECT_FALSE(caller->complete);
+  EXPECT_TRUE(client->aborted);
+  EXPECT_FALSE(client->complete);
 }
 
 TEST_F(ForwardingTest, AbortsABrokenNonIdempotentStream) {
-  const auto caller = h.Forward("/once/x", "c1");
+  const auto client = h.Forward("/once/x", "c1");
   h.arrived[0]->Head(200, ForwardHarness::Echo("c1"));
   h.Bytes(0, ForwardHarness::Event(0));
   h.arrived[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(seconds(1));
   EXPECT_EQ(h.arrived.size(), 1U);
-  EXPECT_TRUE(caller->aborted);
+  EXPECT_TRUE(client->aborted);
 }
 
 TEST_F(ForwardingTest, CancelsWhenTheClientDisconnects) {
-  const auto caller = h.Forward("/tale/x", "c1");
-  caller->disconnect();
+  const auto client = h.Forward("/tale/x", "c1");
+  client->disconnect();
   EXPECT_TRUE(h.arrived[0]->cancelled);
   EXPECT_EQ(h.service->calls_under_way(), 0U);
 }
@@ -150,65 +150,65 @@
 
 TEST_F(ForwardingTest, SendsNothingToAFormerBackEnd) {
   h.permission.stored.mutable_routes(1)->set_backend("elsewhere");
-  const auto caller = h.Forward("/safe/x", "c1");
+  const auto client = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(1));
   EXPECT_TRUE(h.arrived.empty());
-  EXPECT_EQ(caller->status, 503);
+  EXPECT_EQ(client->status, 503);
 }
 
 TEST_F(ForwardingTest, QueuesCallsUntilTheFirstConfiguration) {
   h.permission.stored.set_label(0);
-  const auto caller = h.Forward("/safe/x", "c1");
+  const auto client = h.Forward("/safe/x", "c1");
   h.world.RunFor(milliseconds(500));
-  EXPECT_EQ(caller->answers, 0);
+  EXPECT_EQ(client->answers, 0);
   h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(20));
   ASSERT_EQ(h.arrived.size(), 1U);
   h.Answer(0, {200, ForwardHarness::Echo("c1"), "blob"});
-  EXPECT_EQ(caller->status, 200);
+  EXPECT_EQ(client->status, 200);
 }
 
 TEST_F(ForwardingTest, Returns503AfterWaitingForConfiguration) {
   h.permission.stored.set_label(0);
-  const auto caller = h.Forward("/safe/x", "c1");
+  const auto client = h.Forward("/safe/x", "c1");
   h.world.RunFor(seconds(3));
-  EXPECT_EQ(caller->status, 503);
-  EXPECT_FALSE(FindHeader(caller->headers, "Retry-After").empty());
+  EXPECT_EQ(client->status, 503);
+  EXPECT_FALSE(FindHeader(client->headers, "Retry-After").empty());
   EXPECT_TRUE(h.arrived.empty());
 }
 
 TEST_F(ForwardingTest, RefusesABatchThatWaitedAsACall) {
   h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
   h.permission.stored.set_label(0);
-  const auto caller = h.Forward("/safe/batch", "batch-1");
+  const auto client = h.Forward("/safe/batch", "batch-1");
   h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
   EXPECT_TRUE(h.arrived.empty());
-  EXPECT_EQ(caller->status, 503);
+  EXPECT_EQ(client->status, 503);
 }
 
 TEST_F(ForwardingTest, SubmitsAWaitingBatchOnceItsRouteIsKnown) {
   h.permission.stored.mutable_routes(1)->set_accepts_batches(true);
   h.permission.stored.set_label(0);
-  std::vector<std::string> handed_in;
-  const auto caller = h.Forward("/safe/batch", "batch-1", [&](const proto::Route& route) {
-    handed_in.push_back(route.name());
+  std::vector<std::string> submitted;
+  const auto client = h.Forward("/safe/batch", "batch-1", [&](const proto::Route& route) {
+    submitted.push_back(route.name());
   });
-  EXPECT_TRUE(handed_in.empty());
+  EXPECT_TRUE(submitted.empty());
   h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
-  EXPECT_EQ(handed_in, std::vector<std::string>{"safe"});
+  EXPECT_EQ(submitted, std::vector<std::string>{"safe"});
   EXPECT_TRUE(h.arrived.empty());
-  EXPECT_EQ(caller->answers, 0) << "the taker answers";
+  EXPECT_EQ(client->answers, 0) << "the taker answers";
 }
 
 TEST_F(ForwardingTest, DropsAWaitingCallOnDisconnect) {
   h.permission.stored.set_label(0);
-  const auto caller = h.Forward("/safe/x", "c1");
-  caller->disconnect();
+  const auto client = h.Forward("/safe/x", "c1");
+  client->disconnect();
   h.permission.stored.set_label(8);
   h.service->OnConfiguration();
   h.world.RunFor(milliseconds(100));
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -74,10 +74,10 @@
   first.exchanges[1]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(seconds(20));
   EXPECT_EQ(Received(), 2U);
-  for (const auto& caller : {silent, reset}) {
-    EXPECT_EQ(caller->answers, 1);
-    EXPECT_EQ(caller->status, 504);
-    EXPECT_EQ(h.ErrorIn(*caller).executed(), proto::EXECUTED_UNKNOWN);
+  for (const auto& client : {silent, reset}) {
+    EXPECT_EQ(client->answers, 1);
+    EXPECT_EQ(client->status, 504);
+    EXPECT_EQ(h.ErrorIn(*client).executed(), proto::EXECUTED_UNKNOWN);
   }
 }
 
@@ -86,12 +86,12 @@
   first.mode = Mode::kScripted;
   h.AddReplica("m2", "b", 4);
   h.StartWarm();
-  const auto caller = h.Call("ask");
+  const auto client = h.Call("ask");
   h.world.RunFor(milliseconds(10));
   ASSERT_EQ(first.received.size(), 1U);
   first.exchanges[0]->End(HttpOutcomeKind::kUnknown, "reset");
   h.world.RunFor(seconds(1));
-  EXPECT_EQ(caller->status, 200);
+  EXPECT_EQ(client->status, 200);
   EXPECT_EQ(Received(), 2U);
 }
 
@@ -100,9 +100,9 @@
   first.mode = Mode::kRefuse;
   h.AddReplica("m2", "b", 4);
   h.StartWarm();
-  const auto caller = h.Call("once");
+  const auto client = h.Call("once");
   h.world.RunFor(seconds(1));
-  EXPECT_EQ(caller->status, 200);
+  EXPECT_EQ(client->status, 200);
   EXPECT_EQ(first.received.size(), 1U);
 }
 
@@ -110,25 +110,25 @@
   FakeReplica& only = h.AddReplica("m1", "a", 1);
   only.mode = Mode::kRefuse;
   h.StartWarm();
-  std::vector<std::shared_ptr<FakeResponder>> callers;
-  callers.reserve(20);
+  std::vector<std::shared_ptr<FakeResponder>> clients;
+  clients.reserve(20);
   for (int call = 0; call < 20; ++call) {
-    callers.push_back(h.Call("once"));
+    clients.push_back(h.Call("once"));
   }
   const auto all_answered = [&] {
-    return std::all_of(callers.begin(), callers.end(),
-                       [](const auto& caller) { return caller->complete; });
+    return std::all_of(clients.begin(), clients.end(),
+                       [](const auto& client) { return client->complete; });
   };
   ASSERT_TRUE(h.world.RunUntil(all_answered, seconds(10)));
   const std::size_t sent_before = only.received.size();
   only.mode = Mode::kServe;
   h.world.RunFor(seconds(20));
   EXPECT_EQ(only.received.size(), sent_before);
-  for (const auto& caller : callers) {
-    EXPECT_EQ(caller->answers, 1);
-    EXPECT_EQ(caller->status, 503);
-    EXPECT_EQ(h.ErrorIn(*caller).executed(), proto::EXECUTED_NO);
-    EXPECT_FALSE(FindHeader(caller->headers, "Retry-After").empty());
+  for (const auto& client : clients) {
+    EXPECT_EQ(client->answers, 1);
+    EXPECT_EQ(client->status, 503);
+    EXPECT_EQ(h.ErrorIn(*client).executed(), proto::EXECUTED_NO);
+    EXPECT_FALSE(FindHeader(client->headers, "Retry-After").empty());
   }
 }
 
@@ -309,9 +309,9 @@
     h.world.machine("gateway").Wake();
   });
   h.world.RunFor(seconds(20));
-  const auto caller = h.Call("once");
+  const auto client = h.Call("once");
   h.world.RunFor(seconds(5));
-  EXPECT_EQ(caller->status, 503);
+  EXPECT_EQ(client->status, 503);
   EXPECT_THAT(replica.received, ::testing::IsEmpty());
 }
 
@@ -348,8 +348,8 @@
   h.StartWarm();
   int limited = 0;
   for (int call = 0; call < 5; ++call) {
-    const auto caller = h.Call("once", "{}", {{"X-Tenant", "t"}});
-    limited += caller->status == 429 ? 1 : 0;
+    const auto client = h.Call("once", "{}", {{"X-Tenant", "t"}});
+    limited += client->status == 429 ? 1 : 0;
   }
   EXPECT_EQ(limited, 2);
   h.Call("ask");
@@ -364,19 +364,19 @@
 TEST_F(LiveCallTest, BoundsTheQueueUnderOverload) {
   FakeReplica& model = h.AddReplica("m1", "a", 4);
   h.StartWarm();
-  std::vector<std::shared_ptr<FakeResponder>> callers;
+  std::vector<std::shared_ptr<FakeResponder>> clients;
   for (int step = 0; step < 400; ++step) {  // 4,000 a second where 80 are served.
     for (int call = 0; call < 40; ++call) {
-      callers.push_back(h.Call("once"));
+      clients.push_back(h.Call("once"));
     }
     h.world.RunFor(milliseconds(10));
     ASSERT_LE(h.queue->Waiting("model"), h.options.admission.queue_length);
   }
   h.world.RunFor(seconds(4));
   std::size_t served = 0;
-  for (const auto& caller : callers) {
-    ASSERT_EQ(caller->answers, 1);
-    served += caller->status == 200 ? 1U : 0U;
+  for (const auto& client : clients) {
+    ASSERT_EQ(client->answers, 1);
+    served += client->status == 200 ? 1U : 0U;
   }
   EXPECT_EQ(served, model.received.size());
   EXPECT_GE(served, 300U);  // Of 320 that the replica could serve in 4 seconds.
