--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -3,7 +3,6 @@
 /// A group of `RaftNode`s on a `SimulatedWorld`, with clocks of unequal rate and checks of Raft's
 /// safety properties after every event.
 
-#include <compare>
 #include <map>
 #include <memory>
 #include <set>
@@ -20,7 +19,9 @@
   struct EntryId {
     std::uint64_t index = 0;
     std::uint64_t term = 0;
-    auto operator<=>(const EntryId&) const = default;
+    bool operator<(const EntryId& other) const {
+      return index != other.index ? index < other.index : term < other.term;
+    }
   };
 
   std::map<std::uint64_t, std::string> applied;       ///< Command by index.
