--- a/apps/bench/hollow_nodes.cc
+++ b/apps/bench/hollow_nodes.cc
@@ -48,7 +48,7 @@
 std::size_t HollowNodes::Leased() const {
   std::size_t leased = 0;
   for (const auto& agent : agents_) {
-    leased += agent->LeaseValid() ? 1 : 0;
+    leased += agent->HasValidLease() ? 1 : 0;
   }
   return leased;
 }
--- a/apps/cloverbankd/coordinator_role.cc
+++ b/apps/cloverbankd/coordinator_role.cc
@@ -18,7 +18,7 @@
   options.seeds = context.settings.seeds;
   options.replace_unresponsive_after = context.settings.replace_unresponsive_after;
   options.wanted_voters = VotersToBear(context.settings.losses_borne);
-  options.may_found = context.settings.form_group;
+  options.can_bootstrap = context.settings.form_group;
   options.election_timeout = context.settings.election_timeout;
   options.heartbeat_interval = context.settings.election_timeout / kHeartbeatsPerElectionTimeout;
   options.on_fatal = context.on_fatal;
--- a/apps/cloverbankd/node_readiness.cc
+++ b/apps/cloverbankd/node_readiness.cc
@@ -20,7 +20,7 @@
   if (!agent.node_id().valid()) {
     return "not registered with the coordinators";
   }
-  if (!agent.LeaseValid()) {
+  if (!agent.HasValidLease()) {
     return "no valid lease from the coordinators";
   }
   return std::nullopt;
--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -83,7 +83,7 @@
 }
 
 StartConditions BatchWorker::Conditions() const {
-  return {environment_.Now(), agent_.LeaseValid(), &agent_.configuration()};
+  return {environment_.Now(), agent_.HasValidLease(), &agent_.configuration()};
 }
 
 void BatchWorker::StartWaitingItems() {
@@ -210,7 +210,7 @@
 }
 
 bool BatchWorker::ShouldAcquire() const {
-  return !draining_ && agent_.LeaseValid() && !work_items_.IsFull() &&
+  return !draining_ && agent_.HasValidLease() && !work_items_.IsFull() &&
          !agent_.configuration().batch().paused();
 }
 
--- a/src/calls/capacity_allowances.cc
+++ b/src/calls/capacity_allowances.cc
@@ -17,7 +17,7 @@
                                       ReplicaLoad& load) {
   const TimePoint now = environment_.Now();
   GrantBatch(replica, configuration, load, now);
-  if (health_.Ramping(replica.id, now)) {
+  if (health_.IsInSlowStart(replica.id, now)) {
     GrantSlowStartCalls(replica, load, now);
   }
 }
@@ -37,7 +37,7 @@
 
 void CapacityAllowances::GrantSlowStartCalls(const ReplicaRecord& replica, ReplicaLoad& load,
                                              TimePoint now) {
-  const std::uint32_t limit = health_.LimitOf(replica.id, load.Capacity(replica.capacity), now);
+  const std::uint32_t limit = health_.GetLimit(replica.id, load.Capacity(replica.capacity), now);
   if (load.own() > 0 && load.total() > limit) {
     slow_start_pacer_.OnCollision(now);
   } else if (load.own() > 0) {
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -278,7 +278,7 @@
   if (answered) {
     GrantAllowances(id);
   }
-  if (health_.Ramping(id, now)) {
+  if (health_.IsInSlowStart(id, now)) {
     prober_.RepeatSoon(id);
   }
   NotifyCapacity();
@@ -309,7 +309,7 @@
 void ReplicaPool::PublishMetrics() {
   std::uint32_t usable = 0;
   for (const std::string& id : active_.ids()) {
-    const bool yes = health_.UsabilityOf(id, environment_.Now()) == Usability::kYes;
+    const bool yes = health_.GetUsability(id, environment_.Now()) == Usability::kYes;
     usable += yes ? 1 : 0;
   }
   Metrics& metrics = environment_.metrics();
--- a/src/calls/slow_start_quota.cc
+++ b/src/calls/slow_start_quota.cc
@@ -45,7 +45,7 @@
     return 0;
   }
   const double bound = backend->cold_calls_per_second();
-  return bound > 0 ? quota_.RateOf(record.id, record.zone, bound) : kUnbounded;
+  return bound > 0 ? quota_.RateFor(record.id, record.zone, bound) : kUnbounded;
 }
 
 }  // namespace cloverbank
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -63,7 +63,7 @@
   if (group_exists) {
     return DecideJoin(round);
   }
-  return round.may_found ? DecideBootstrap(round) : KeepWaiting{};
+  return round.can_bootstrap ? DecideBootstrap(round) : KeepWaiting{};
 }
 
 void MemberDirectory::RecordMember(const Endpoint& endpoint, std::uint64_t member_id) {
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -43,7 +43,7 @@
   std::uint64_t cluster_id = 0;  ///< Meaningful when not empty.
   std::vector<Endpoint> seeds;
   /// Whether this may be the first start of the system, so that a group may be bootstrapped.
-  bool may_found = true;
+  bool can_bootstrap = true;
   /// Responses of others, by the endpoint called.
   std::map<Endpoint, proto::DiscoverResponse> answers;
 };
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -238,7 +238,7 @@
   round.empty = core.IsEmpty();
   round.cluster_id = core.cluster_id();
   round.seeds = context_.options.seeds;
-  round.may_found = context_.options.may_found;
+  round.can_bootstrap = context_.options.can_bootstrap;
   const FormationDecision decision = DecideFormation(round);
   if (const auto* bootstrap = std::get_if<BootstrapGroup>(&decision)) {
     Log(LogLevel::kInfo, "raft_group_formed", {{"member_id", core.member_id()}});
--- a/src/consensus/raft_node_options.h
+++ b/src/consensus/raft_node_options.h
@@ -18,7 +18,7 @@
   std::vector<Endpoint> seeds;
   /// Whether seeds that are all empty may bootstrap a new group. True only on the first start of
   /// the system: later a member with an empty disk can only join.
-  bool may_found = true;
+  bool can_bootstrap = true;
   /// Voters of a full group, if more than there are seeds. A group needs 2n + 1 to tolerate n
   /// failures at once.
   std::size_t wanted_voters = 0;
--- a/src/control_client/batch_partitions.cc
+++ b/src/control_client/batch_partitions.cc
@@ -4,12 +4,12 @@
 
 namespace cloverbank {
 
-PartitionId PartitionOfTenant(std::string_view tenant, std::uint32_t partition_count) {
+PartitionId PartitionForTenant(std::string_view tenant, std::uint32_t partition_count) {
   return PartitionId(Checksum(tenant) % partition_count);
 }
 
-PartitionId PartitionOfNamedBatch(std::string_view tenant, std::string_view batch_id,
-                                  std::uint32_t partition_count) {
+PartitionId PartitionForNamedBatch(std::string_view tenant, std::string_view batch_id,
+                                   std::uint32_t partition_count) {
   return PartitionId(Checksum(batch_id, Checksum(tenant)) % partition_count);
 }
 
--- a/src/control_client/batch_partitions.h
+++ b/src/control_client/batch_partitions.h
@@ -18,11 +18,11 @@
 
 /// @return the partition of all batches of `tenant` whose ids the system chooses, which also owns
 /// the token quotas of the tenant's routes. Requires `partition_count` > 0.
-PartitionId PartitionOfTenant(std::string_view tenant, std::uint32_t partition_count);
+PartitionId PartitionForTenant(std::string_view tenant, std::uint32_t partition_count);
 
 /// @return the partition of a batch whose id its client chose: those of one tenant are spread over
 /// all partitions. Requires `partition_count` > 0.
-PartitionId PartitionOfNamedBatch(std::string_view tenant, std::string_view batch_id,
-                                  std::uint32_t partition_count);
+PartitionId PartitionForNamedBatch(std::string_view tenant, std::string_view batch_id,
+                                   std::uint32_t partition_count);
 
 }  // namespace cloverbank
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -128,8 +128,8 @@
   return state_->context.session.list_sources();
 }
 
-bool NodeAgent::LeaseValid() const {
-  return state_->context.session.LeaseValid(state_->context.environment.Now());
+bool NodeAgent::HasValidLease() const {
+  return state_->context.session.HasValidLease(state_->context.environment.Now());
 }
 
 TimePoint NodeAgent::lease_end() const { return state_->context.session.lease_end(); }
--- a/src/control_client/node_agent.h
+++ b/src/control_client/node_agent.h
@@ -5,7 +5,7 @@
 /// each role on a machine.
 ///
 /// The lease starts when the heartbeat that renewed it was *sent*, on the boot clock, so a process
-/// that was suspended finds it expired when it resumes. Owners of a lease check `LeaseValid()`
+/// that was suspended finds it expired when it resumes. Owners of a lease check `HasValidLease()`
 /// immediately before each effect.
 ///
 /// Threads: the owner's event loop only.
@@ -52,7 +52,7 @@
   /// heartbeat was answered.
   const std::optional<std::vector<ListSource>>& list_sources() const;
   /// Whether this node may act: it is registered, not fenced, and its lease has not expired.
-  bool LeaseValid() const;
+  bool HasValidLease() const;
   /// @return when the lease expires; a past time if there is none.
   TimePoint lease_end() const;
 
--- a/src/control_client/node_session.h
+++ b/src/control_client/node_session.h
@@ -53,7 +53,7 @@
   /// None before the first heartbeat was answered.
   const std::optional<std::vector<ListSource>>& list_sources() const { return list_sources_; }
   TimePoint lease_end() const { return lease_end_; }
-  bool LeaseValid(TimePoint now) const { return node_id_.valid() && now < lease_end_; }
+  bool HasValidLease(TimePoint now) const { return node_id_.valid() && now < lease_end_; }
   const proto::RoutingConfiguration& configuration() const {
     return configuration_.configuration();
   }
--- a/src/control_client/operator_orders.cc
+++ b/src/control_client/operator_client.cc
@@ -1,4 +1,4 @@
-#include "control_client/operator_orders.h"
+#include "control_client/operator_client.h"
 
 #include <utility>
 
@@ -7,7 +7,7 @@
 
 /// @return the order's transaction if `current` is its base, else an inquiry about its outcome.
 Result<proto::ConfigurationTransaction> MakeTransaction(const proto::RoutingConfiguration& current,
-                                                        const DocumentOrder& order) {
+                                                        const DocumentTransaction& order) {
   proto::ConfigurationTransaction transaction;
   if (current.label() == order.base) {
     Result<proto::ConfigurationTransaction> made = order.make(current.document().source());
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-void OperatorOrders::ReadConfiguration(std::uint32_t history,
+void OperatorClient::ReadConfiguration(std::uint32_t history,
                                        Done<proto::GetConfigurationResponse> done) {
   proto::GetConfigurationRequest request;
   request.set_history(history);
@@ -39,7 +39,7 @@
                                                      timeouts_.read, std::move(done));
 }
 
-void OperatorOrders::Submit(proto::ConfigurationTransaction transaction,
+void OperatorClient::Submit(proto::ConfigurationTransaction transaction,
                             Done<proto::SubmitTransactionResponse> done) {
   proto::SubmitTransactionRequest order;
   *order.mutable_transaction() = std::move(transaction);
@@ -47,8 +47,8 @@
                                                       timeouts_.order, std::move(done));
 }
 
-void OperatorOrders::SubmitOnDocument(std::shared_ptr<const DocumentOrder> order,
-                                      Done<proto::SubmitTransactionResponse> done) {
+void OperatorClient::SubmitDocumentTransaction(std::shared_ptr<const DocumentTransaction> order,
+                                               Done<proto::SubmitTransactionResponse> done) {
   ReadConfiguration(
       0, [this, alive = std::weak_ptr<bool>(alive_), order = std::move(order),
           done = std::move(done)](const Result<proto::GetConfigurationResponse>& current) {
@@ -58,8 +58,8 @@
       });
 }
 
-void OperatorOrders::SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
-                                           const std::shared_ptr<const DocumentOrder>& order,
+void OperatorClient::SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
+                                           const std::shared_ptr<const DocumentTransaction>& order,
                                            const Done<proto::SubmitTransactionResponse>& done) {
   if (!current.ok()) {
     done(current.status());
@@ -74,20 +74,20 @@
   Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), order,
                                    done](Result<proto::SubmitTransactionResponse> result) {
     if (!alive.expired() && MayBeSent(result)) {
-      SubmitOnDocument(order, done);  // The base arrived between the read and the inquiry.
+      SubmitDocumentTransaction(order, done);  // The base arrived between the read and the inquiry.
     } else {
       done(std::move(result));
     }
   });
 }
 
-void OperatorOrders::Retire(const proto::RetireServerRequest& order,
+void OperatorClient::Retire(const proto::RetireServerRequest& order,
                             Done<proto::RetireServerResponse> done) {
   agent_.CallLeader<proto::RetireServerResponse>("coordinator.RetireServer", order, timeouts_.order,
                                                  std::move(done));
 }
 
-void OperatorOrders::ReadRetirement(const std::string& machine,
+void OperatorClient::ReadRetirement(const std::string& machine,
                                     Done<proto::GetRetirementResponse> done) {
   proto::GetRetirementRequest request;
   request.set_machine(machine);
--- a/src/control_client/operator_orders.h
+++ b/src/control_client/operator_client.h
@@ -20,7 +20,7 @@
 };
 
 /// A transaction that is computed from the operator's document of the label it is based on.
-struct DocumentOrder {
+struct DocumentTransaction {
   std::string operation_id;
   std::uint64_t base = 0;   ///< Label it is based on.
   std::uint64_t label = 0;  ///< Label that it sets.
@@ -28,13 +28,13 @@
   std::function<Result<proto::ConfigurationTransaction>(const std::string& document)> make;
 };
 
-class OperatorOrders {
+class OperatorClient {
  public:
   template <typename Response>
   using Done = std::function<void(Result<Response>)>;
 
   /// @param agent must outlive this.
-  explicit OperatorOrders(NodeAgent& agent, OperatorTimeouts timeouts = {})
+  explicit OperatorClient(NodeAgent& agent, OperatorTimeouts timeouts = {})
       : agent_(agent), timeouts_(timeouts) {}
 
   /// @param history how many of the newest transactions to add.
@@ -45,15 +45,15 @@
               Done<proto::SubmitTransactionResponse> done);
   /// As `Submit`, for an order that is computed from the current document: reads it, or inquires
   /// about the order's outcome if another label is current. kInvalidArgument: `make` refused.
-  void SubmitOnDocument(std::shared_ptr<const DocumentOrder> order,
-                        Done<proto::SubmitTransactionResponse> done);
+  void SubmitDocumentTransaction(std::shared_ptr<const DocumentTransaction> order,
+                                 Done<proto::SubmitTransactionResponse> done);
   void Retire(const proto::RetireServerRequest& order, Done<proto::RetireServerResponse> done);
   void ReadRetirement(const std::string& machine, Done<proto::GetRetirementResponse> done);
 
  private:
-  /// Second step of `SubmitOnDocument`: `current` is the answer to its read.
+  /// Second step of `SubmitDocumentTransaction`: `current` is the answer to its read.
   void SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
-                             const std::shared_ptr<const DocumentOrder>& order,
+                             const std::shared_ptr<const DocumentTransaction>& order,
                              const Done<proto::SubmitTransactionResponse>& done);
 
   NodeAgent& agent_;
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -124,7 +124,7 @@
 }
 
 bool BatchApi::CheckServing(HttpResponder& responder) {
-  if (!agent_.LeaseValid() || agent_.partition_count() == 0) {
+  if (!agent_.HasValidLease() || agent_.partition_count() == 0) {
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "node_lease"}});
     SendStatus(responder,
                Status(StatusCode::kLeaseExpired,
@@ -168,7 +168,7 @@
     SendProblems(*responder, problems);
     return;
   }
-  submit.set_partition_id(PartitionOfTenant(batch.tenant(), agent_.partition_count()).value());
+  submit.set_partition_id(PartitionForTenant(batch.tenant(), agent_.partition_count()).value());
   submit.set_idempotent(FindRouteNamed(agent_.configuration(), batch.route())->idempotent());
   owners_.Call<proto::SubmitBatchResponse>(
       "queue.SubmitBatch", submit, kChangeDeadline,
@@ -199,7 +199,7 @@
     return;
   }
   proto::ListBatchesRequest list;
-  list.set_partition_id(PartitionOfTenant(tenant, agent_.partition_count()).value());
+  list.set_partition_id(PartitionForTenant(tenant, agent_.partition_count()).value());
   list.set_tenant(tenant);
   list.set_cursor(std::string(FindHeader(request.query, "cursor")));
   list.set_limit(*limit);
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -69,14 +69,14 @@
 }
 
 Status BatchService::CheckServing() const {
-  if (agent_.LeaseValid() && agent_.partition_count() > 0) {
+  if (agent_.HasValidLease() && agent_.partition_count() > 0) {
     return Status::Ok();
   }
   return {StatusCode::kUnavailable, "this gateway has lost touch with control; try another one"};
 }
 
 std::uint64_t BatchService::FindPartition(std::string_view host, std::string_view batch_id) const {
-  return PartitionOfNamedBatch(host, batch_id, agent_.partition_count()).value();
+  return PartitionForNamedBatch(host, batch_id, agent_.partition_count()).value();
 }
 
 void BatchService::Submit(const proto::Route& route, BatchSubmission submission,
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -37,8 +37,8 @@
 
 ForwardingService::~ForwardingService() = default;
 
-const proto::Route* ForwardingService::FindRouteOf(std::string_view host,
-                                                   std::string_view path) const {
+const proto::Route* ForwardingService::FindRouteFor(std::string_view host,
+                                                    std::string_view path) const {
   return MatchRoute(context_.permission.configuration(), host, path);
 }
 
@@ -78,7 +78,7 @@
 }
 
 void ForwardingService::Admit(IncomingCall call, const Responder& responder) {
-  const proto::Route* route = FindRouteOf(call.host, call.path);
+  const proto::Route* route = FindRouteFor(call.host, call.path);
   if (route == nullptr) {
     Refuse(*responder, kHttpNotFound, "unknown_route", "no route takes this host and path",
            Duration::zero());
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -35,7 +35,7 @@
   void OnConfiguration();
 
   /// @return the route of `host` and `path`, or nullptr.
-  const proto::Route* FindRouteOf(std::string_view host, std::string_view path) const;
+  const proto::Route* FindRouteFor(std::string_view host, std::string_view path) const;
 
   std::size_t calls_under_way() const { return calls_.size(); }
 
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -31,7 +31,7 @@
   bool IsValid() const override {
     // An id that was fenced leaves no lease behind; its end counts all the same.
     last_lease_end_ = std::max(last_lease_end_, agent_.lease_end());
-    return agent_.LeaseValid() || environment_.Now() < last_lease_end_ + longest_without_;
+    return agent_.HasValidLease() || environment_.Now() < last_lease_end_ + longest_without_;
   }
   const proto::RoutingConfiguration& configuration() const override {
     return agent_.configuration();
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -10,7 +10,7 @@
 ///
 /// Threads: the owner's event loop only.
 
-#include "control_client/operator_orders.h"
+#include "control_client/operator_client.h"
 #include "net/http_types.h"
 
 namespace cloverbank {
@@ -28,7 +28,7 @@
   void SubmitTransaction(const HttpRequest& request, const Responder& responder);
   void Retire(const HttpRequest& request, const Responder& responder);
 
-  OperatorOrders orders_;
+  OperatorClient orders_;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/status_api.cc
+++ b/src/gateway/status_api.cc
@@ -37,7 +37,7 @@
 
 void StatusApi::GetHealth(const Responder& responder) {
   proto::GatewayHealth health;
-  health.set_serving(agent_.LeaseValid());
+  health.set_serving(agent_.HasValidLease());
   health.set_node_id(agent_.node_id().value());
   health.set_configuration_version(agent_.configuration().version());
   health.set_fleet_version(agent_.fleet().version.value());
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -132,7 +132,7 @@
 void SegmentLog::Acknowledge() {
   while (!context_.stopped &&
          appends_.IsOldestPlacedDurable(head_->id(), head_->durable_length()) &&
-         context_.agent.LeaseValid()) {
+         context_.agent.HasValidLease()) {
     const Done done = appends_.TakePlaced();
     done(Status::Ok());
   }
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -86,7 +86,7 @@
 }
 
 Status PartitionOwnership::RequireLease() const {
-  return agent_.LeaseValid()
+  return agent_.HasValidLease()
              ? Status::Ok()
              : Status(StatusCode::kUnavailable, "this queue node has lost its lease");
 }
--- a/src/replicas/gateway_quota.cc
+++ b/src/replicas/gateway_quota.cc
@@ -22,16 +22,16 @@
   return (index + count - std::min(first, count - 1)) % count < divisor;
 }
 
-std::uint32_t GatewayQuota::SlotsOf(std::string_view replica_id, std::string_view replica_zone,
-                                    std::uint32_t slots) const {
+std::uint32_t GatewayQuota::SlotsFor(std::string_view replica_id, std::string_view replica_zone,
+                                     std::uint32_t slots) const {
   if (replica_zone != zone) {
     return 0;
   }
   return slots / count + (IsSelected(replica_id, slots % count) ? 1 : 0);
 }
 
-double GatewayQuota::RateOf(std::string_view replica_id, std::string_view replica_zone,
-                            double per_second) const {
+double GatewayQuota::RateFor(std::string_view replica_id, std::string_view replica_zone,
+                             double per_second) const {
   if (replica_zone != zone) {
     return 0;
   }
--- a/src/replicas/gateway_quota.h
+++ b/src/replicas/gateway_quota.h
@@ -20,12 +20,12 @@
 
   /// @return this gateway's quota of a replica's slots. The quotas of all gateways add up to
   /// `slots`.
-  std::uint32_t SlotsOf(std::string_view replica_id, std::string_view replica_zone,
-                        std::uint32_t slots) const;
+  std::uint32_t SlotsFor(std::string_view replica_id, std::string_view replica_zone,
+                         std::uint32_t slots) const;
   /// @return this gateway's quota of a rate; 0 if other gateways have it. If every gateway spaces
   /// its starts evenly, all of them together start at most 1.5 times the rate in any second.
-  double RateOf(std::string_view replica_id, std::string_view replica_zone,
-                double per_second) const;
+  double RateFor(std::string_view replica_id, std::string_view replica_zone,
+                 double per_second) const;
 
  private:
   /// @return whether this is one of the `divisor` gateways that are selected for the replica.
--- a/src/replicas/prefill_load.cc
+++ b/src/replicas/prefill_load.cc
@@ -27,7 +27,7 @@
   return known + DelayOf(entry, now);
 }
 
-Duration PrefillLoad::Lately(std::string_view replica, TimePoint now) const {
+Duration PrefillLoad::RecentLoad(std::string_view replica, TimePoint now) const {
   const auto found = replicas_.find(replica);
   return found == replicas_.end() ? Duration::zero() : RecentLoadAt(found->second, now);
 }
@@ -54,15 +54,15 @@
   return backend == backends_.end() ? nullptr : &backend->second;
 }
 
-double PrefillLoad::TokensPerMs(std::string_view replica, std::uint32_t tokens) const {
+double PrefillLoad::TokensPerMillisecond(std::string_view replica, std::uint32_t tokens) const {
   const auto found = replicas_.find(replica);
   std::optional<double> rate;
   if (found != replicas_.end()) {
-    rate = found->second.speed.TokensPerMs(tokens);
+    rate = found->second.speed.TokensPerMillisecond(tokens);
   }
   const BackendThroughput* backend = FindBackend(replica);
   if (!rate && backend != nullptr) {
-    rate = backend->speed.TokensPerMs(tokens);
+    rate = backend->speed.TokensPerMillisecond(tokens);
   }
   return rate.value_or(options_.first_tokens_per_ms);
 }
@@ -94,7 +94,8 @@
 }
 
 Duration PrefillLoad::TimeFor(std::string_view replica, std::uint32_t tokens) const {
-  const std::chrono::duration<double, std::milli> time(tokens / TokensPerMs(replica, tokens));
+  const std::chrono::duration<double, std::milli> time(tokens /
+                                                       TokensPerMillisecond(replica, tokens));
   return std::chrono::duration_cast<Duration>(time);
 }
 
--- a/src/replicas/prefill_load.h
+++ b/src/replicas/prefill_load.h
@@ -44,7 +44,7 @@
   /// delays are the only sign of prompts from other zones' gateways and of slow replicas.
   double delay_weight = 0.5;
   Duration delay_half_life = milliseconds(400);
-  /// Half-life of the recent prefill load, see `Lately`.
+  /// Half-life of the recent prefill load, see `RecentLoad`.
   Duration recent_load_half_life = milliseconds(300);
   /// Delays up to this are noise of the network and of scheduling.
   Duration delay_tolerance = milliseconds(10);
@@ -63,7 +63,7 @@
   Duration Backlog(std::string_view replica, TimePoint now) const;
   /// @return the prefill time of recent prompts of the replica, decaying with time: where much was
   /// prefilled, responses are being decoded, which further prompts would stall.
-  Duration Lately(std::string_view replica, TimePoint now) const;
+  Duration RecentLoad(std::string_view replica, TimePoint now) const;
   /// @return the tokens that the replica would have to prefill. @param home whether it is the
   /// preferred replica for the key, so that the shared prefix is probably cached there.
   std::uint32_t TokensToRead(std::string_view replica, const PromptShape& shape, bool home) const;
@@ -83,7 +83,7 @@
   bool ExpectsLongPrompts(std::string_view replica, TimePoint now) const;
 
   /// @return the prefill throughput of the replica for prompts of that length.
-  double TokensPerMs(std::string_view replica, std::uint32_t tokens) const;
+  double TokensPerMillisecond(std::string_view replica, std::uint32_t tokens) const;
   /// @return the latency of a first token that does not depend on the prompt.
   Duration FixedLatency(std::string_view replica) const;
 
--- a/src/replicas/prefill_throughput.cc
+++ b/src/replicas/prefill_throughput.cc
@@ -23,7 +23,7 @@
   rates_.at(ClassOf(tokens)).Add(tokens_per_ms);
 }
 
-std::optional<double> PrefillThroughput::TokensPerMs(std::uint32_t tokens) const {
+std::optional<double> PrefillThroughput::TokensPerMillisecond(std::uint32_t tokens) const {
   const std::size_t own = ClassOf(tokens);
   for (std::size_t distance = 0; distance < kClasses; ++distance) {
     if (own >= distance && rates_.at(own - distance).value()) {
--- a/src/replicas/prefill_throughput.h
+++ b/src/replicas/prefill_throughput.h
@@ -19,7 +19,7 @@
   void Add(std::uint32_t tokens, double tokens_per_ms);
   /// @return the throughput for prompts of that length, or of the nearest length class with
   /// samples; nothing while there are none.
-  std::optional<double> TokensPerMs(std::uint32_t tokens) const;
+  std::optional<double> TokensPerMillisecond(std::uint32_t tokens) const;
 
  private:
   static constexpr std::size_t kClasses = 4;
--- a/src/replicas/replica_health.cc
+++ b/src/replicas/replica_health.cc
@@ -169,7 +169,7 @@
   }
 }
 
-Usability ReplicaHealth::UsabilityOf(const std::string& id, TimePoint now) const {
+Usability ReplicaHealth::GetUsability(const std::string& id, TimePoint now) const {
   const Watch* watch = Find(id);
   if (watch == nullptr) {
     return Usability::kNo;
@@ -198,13 +198,13 @@
   return Usability::kNo;
 }
 
-ReplicaCondition ReplicaHealth::ConditionOf(const std::string& id) const {
+ReplicaCondition ReplicaHealth::GetCondition(const std::string& id) const {
   const Watch* watch = Find(id);
   return watch == nullptr ? ReplicaCondition::kUnproven : watch->condition;
 }
 
-std::uint32_t ReplicaHealth::LimitOf(const std::string& id, std::uint32_t capacity,
-                                     TimePoint now) const {
+std::uint32_t ReplicaHealth::GetLimit(const std::string& id, std::uint32_t capacity,
+                                      TimePoint now) const {
   const Watch* watch = Find(id);
   if (watch == nullptr || capacity == 0) {
     return 0;
@@ -224,7 +224,7 @@
   return 1 + grown;
 }
 
-bool ReplicaHealth::Ramping(const std::string& id, TimePoint now) const {
+bool ReplicaHealth::IsInSlowStart(const std::string& id, TimePoint now) const {
   const Watch* watch = Find(id);
   if (watch == nullptr) {
     return false;
--- a/src/replicas/replica_health.h
+++ b/src/replicas/replica_health.h
@@ -90,12 +90,12 @@
 
   /// Whether it has calls in flight and sent nothing for longer than the stall limit.
   bool Stalled(const std::string& id, TimePoint now) const;
-  Usability UsabilityOf(const std::string& id, TimePoint now) const;
-  ReplicaCondition ConditionOf(const std::string& id) const;
+  Usability GetUsability(const std::string& id, TimePoint now) const;
+  ReplicaCondition GetCondition(const std::string& id) const;
   /// @return the limit of concurrent calls of all gateways together.
-  std::uint32_t LimitOf(const std::string& id, std::uint32_t capacity, TimePoint now) const;
+  std::uint32_t GetLimit(const std::string& id, std::uint32_t capacity, TimePoint now) const;
   /// Whether it is in slow start or on trial.
-  bool Ramping(const std::string& id, TimePoint now) const;
+  bool IsInSlowStart(const std::string& id, TimePoint now) const;
 
  private:
   struct Watch {
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -125,7 +125,7 @@
       continue;
     }
     open = true;
-    const Usability usability = health_.UsabilityOf(replica->id, now);
+    const Usability usability = health_.GetUsability(replica->id, now);
     if (usability == Usability::kNo) {
       continue;
     }
@@ -157,11 +157,11 @@
   const ReplicaLoad load = found == loads_.end() ? ReplicaLoad() : found->second;
   const std::uint32_t capacity = load.Capacity(replica.capacity);
   candidate.load = load.total();
-  candidate.limit = health_.LimitOf(replica.id, capacity, now);
+  candidate.limit = health_.GetLimit(replica.id, capacity, now);
   const bool excluded = query.excluded != nullptr &&
                         std::find(query.excluded->begin(), query.excluded->end(), replica.id) !=
                             query.excluded->end();
-  const bool allowance_spent = options_.load_reported && health_.Ramping(replica.id, now) &&
+  const bool allowance_spent = options_.load_reported && health_.IsInSlowStart(replica.id, now) &&
                                load.slow_start_allowance(now) == 0;
   const bool paced = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
   const bool throttled = allowance_spent || paced;
@@ -212,7 +212,7 @@
   const std::uint32_t tokens = prefill_->TokensToRead(replica.id, query.prompt, home);
   Duration cost = prefill_->Backlog(replica.id, now) + prefill_->TimeFor(replica.id, tokens);
   cost += candidate.load * options_.running_call_cost;
-  cost += std::chrono::duration_cast<Duration>(prefill_->Lately(replica.id, now) *
+  cost += std::chrono::duration_cast<Duration>(prefill_->RecentLoad(replica.id, now) *
                                                options_.recent_load_weight);
   cost += replica.zone == options_.zone ? Duration::zero() : options_.other_zone_cost;
   cost += candidate.last_resort ? kLastResortCost : Duration::zero();
@@ -274,7 +274,7 @@
     for (const ReplicaRecord* replica : directory_.Ready(kind, backend)) {
       const proto::Zone* zone = FindZone(configuration, replica->zone);
       const bool open = zone != nullptr && zone->state() == proto::ZONE_STATE_OPEN;
-      const bool healthy = health_.UsabilityOf(replica->id, now) == Usability::kYes;
+      const bool healthy = health_.GetUsability(replica->id, now) == Usability::kYes;
       slots += open && healthy ? BatchCapacity(*replica, configuration, now) : 0;
     }
   }
@@ -298,7 +298,7 @@
   }
   std::uint32_t slots = std::min(CapacityReserveFor(replica, configuration, now).free,
                                  found->second.batch_allowance(now));
-  if (health_.Ramping(replica.id, now)) {
+  if (health_.IsInSlowStart(replica.id, now)) {
     slots = std::min(slots, found->second.slow_start_allowance(now));
   }
   return slots;
@@ -313,8 +313,8 @@
       replica.capacity * CapacityReservePercent(configuration, kUnreportedCapacityReservePercent) /
       kPercent;
   BatchCapacityReserve reserve;
-  reserve.bound = std::min(quota_.SlotsOf(replica.id, replica.zone, all),
-                           health_.LimitOf(replica.id, replica.capacity, now));
+  reserve.bound = std::min(quota_.SlotsFor(replica.id, replica.zone, all),
+                           health_.GetLimit(replica.id, replica.capacity, now));
   reserve.free = reserve.bound - std::min(reserve.bound, own);
   return reserve;
 }
@@ -333,7 +333,7 @@
       1U,
       capacity * CapacityReservePercent(configuration, kDefaultCapacityReservePercent) / kPercent);
   BatchCapacityReserve reserve;
-  reserve.bound = std::min(bound, health_.LimitOf(replica.id, capacity, now));
+  reserve.bound = std::min(bound, health_.GetLimit(replica.id, capacity, now));
   reserve.free = reserve.bound - std::min(reserve.bound, load.total());
   return reserve;
 }
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -51,7 +51,7 @@
                                                        std::uint64_t limit) {
   const AllowanceKey& key = pending.key;
   proto::ReserveTokensRequest request;
-  request.set_partition_id(PartitionOfTenant(key.tenant, agent_.partition_count()).value());
+  request.set_partition_id(PartitionForTenant(key.tenant, agent_.partition_count()).value());
   request.set_tenant(key.tenant);
   request.set_route(key.route);
   request.set_limit(limit);
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -56,7 +56,7 @@
 }
 
 void WorkGranter::ServePending() {
-  if (agent_.configuration().batch().paused() || !agent_.LeaseValid()) {
+  if (agent_.configuration().batch().paused() || !agent_.HasValidLease()) {
     return;
   }
   for (auto pending = pending_.begin(); pending != pending_.end() && queue_->waiting_count() > 0;) {
@@ -212,7 +212,7 @@
   const StoredBatch* batch = queue_->FindBatch(item);
   return batch != nullptr && !batch->cancelled &&
          batch->phases[item.index] != ItemPhase::kFinished &&
-         !agent_.configuration().batch().paused() && agent_.LeaseValid();
+         !agent_.configuration().batch().paused() && agent_.HasValidLease();
 }
 
 proto::WorkGrant WorkGranter::MakeGrant(const WorkItemKey& item, Duration pending) const {
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -218,7 +218,7 @@
   void Start() {
     world.machine("g").Start();
     ASSERT_TRUE(world.RunUntil(
-        [this] { return gateway->agent.LeaseValid() && q1.acquire_requests > 0; }, seconds(5)));
+        [this] { return gateway->agent.HasValidLease() && q1.acquire_requests > 0; }, seconds(5)));
   }
   bool WaitUntilRunning(std::size_t count) {
     return world.RunUntil([this, count] { return gateway->backend.runs.size() == count; },
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -72,7 +72,7 @@
   gateway->backend.connect = milliseconds(2100);
   AddWork(1, "unlock");
   world.RunFor(seconds(4));
-  EXPECT_TRUE(gateway->agent.LeaseValid()) << "only the grant's window is over";
+  EXPECT_TRUE(gateway->agent.HasValidLease()) << "only the grant's window is over";
   EXPECT_EQ(gateway->backend.SentCount(), 0U);
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
 }
--- a/tests/control_client/coordinator_referral_test.cc
+++ b/tests/control_client/coordinator_referral_test.cc
@@ -56,7 +56,7 @@
   }
 
   bool JoinsWithin(const std::string& name, Duration limit) {
-    return world_.RunUntil([this, name] { return gateways_[name]->agent->LeaseValid(); }, limit);
+    return world_.RunUntil([this, name] { return gateways_[name]->agent->HasValidLease(); }, limit);
   }
 
   FakeControl control_;
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -20,7 +20,7 @@
       agent = made.get();
       agent->OnFenced([this] {
         ++fences;
-        lease_valid_when_fenced = agent->LeaseValid();
+        lease_valid_when_fenced = agent->HasValidLease();
       });
       agent->OnConfiguration([this] { versions.push_back(agent->configuration().version()); });
       agent->Start();
@@ -31,10 +31,10 @@
   /// Starts the node and waits for its lease.
   void Join() {
     world.machine("g").Start();
-    ASSERT_TRUE(world.RunUntil([this] { return agent->LeaseValid(); }, seconds(5)));
+    ASSERT_TRUE(world.RunUntil([this] { return agent->HasValidLease(); }, seconds(5)));
   }
   bool WaitForLease(Duration limit) {
-    return world.RunUntil([this] { return agent->LeaseValid(); }, limit);
+    return world.RunUntil([this] { return agent->HasValidLease(); }, limit);
   }
 
   /// Calls the leader; `outcome` gets the code of the result.
@@ -64,7 +64,7 @@
   EXPECT_EQ(agent->coordinators().front(), seeds[2]);
   for (int step = 0; step < 100; ++step) {
     world.RunFor(milliseconds(100));
-    ASSERT_TRUE(agent->LeaseValid());
+    ASSERT_TRUE(agent->HasValidLease());
   }
   EXPECT_EQ(control.registrations.size(), 1U);
 }
@@ -88,18 +88,18 @@
   EXPECT_GE(agent->lease_end(), arrived + usable - milliseconds(5));
   world.Isolate("g");
   world.RunFor(agent->lease_end() - world.Now() - milliseconds(1));
-  EXPECT_TRUE(agent->LeaseValid());
+  EXPECT_TRUE(agent->HasValidLease());
   world.RunFor(milliseconds(1));
-  EXPECT_FALSE(agent->LeaseValid());
+  EXPECT_FALSE(agent->HasValidLease());
 }
 
 TEST_F(NodeAgentTest, SuspendedNodeResumesWithoutALease) {
   Join();
   world.machine("g").Freeze();
   world.RunFor(seconds(25));
-  EXPECT_FALSE(agent->LeaseValid()) << "invalid before it hears from a coordinator";
+  EXPECT_FALSE(agent->HasValidLease()) << "invalid before it hears from a coordinator";
   world.machine("g").Wake();
-  EXPECT_FALSE(agent->LeaseValid());
+  EXPECT_FALSE(agent->HasValidLease());
   ASSERT_TRUE(WaitForLease(seconds(2)));
   EXPECT_EQ(agent->node_id(), NodeId(1)) << "the coordinators still knew it";
   EXPECT_EQ(fences, 0);
@@ -121,7 +121,7 @@
 TEST_F(NodeAgentTest, AbandonedIdIsInvalidAtOnce) {
   Join();
   agent->AbandonNodeId("a backup refused it as fenced");
-  EXPECT_FALSE(agent->LeaseValid());
+  EXPECT_FALSE(agent->HasValidLease());
   EXPECT_FALSE(agent->node_id().valid());
   EXPECT_EQ(fences, 1);
   ASSERT_TRUE(WaitForLease(seconds(2)));
@@ -201,7 +201,7 @@
   }
   for (int step = 0; step < 60; ++step) {
     world.RunFor(milliseconds(100));
-    ASSERT_TRUE(agent->LeaseValid());
+    ASSERT_TRUE(agent->HasValidLease());
   }
 }
 
@@ -212,7 +212,7 @@
   world.ScheduleAfter(milliseconds(800), [this] { control.leader = "c2"; });
   for (int step = 0; step < 100; ++step) {
     world.RunFor(milliseconds(50));
-    ASSERT_TRUE(agent->LeaseValid());
+    ASSERT_TRUE(agent->HasValidLease());
   }
 }
 
@@ -222,7 +222,7 @@
     world.machine(name).LosePower();
   }
   world.RunFor(seconds(20));
-  EXPECT_FALSE(agent->LeaseValid());
+  EXPECT_FALSE(agent->HasValidLease());
   for (const char* name : {"c1", "c2", "c3"}) {
     world.machine(name).Start();
   }
--- a/tests/control_client/operator_orders_test.cc
+++ b/tests/control_client/operator_client_test.cc
@@ -1,5 +1,5 @@
 // Transactions that are computed from the operator's document.
-#include "control_client/operator_orders.h"
+#include "control_client/operator_client.h"
 
 #include <gtest/gtest.h>
 
@@ -19,12 +19,12 @@
     agent.Start();
   }
   NodeAgent agent;
-  OperatorOrders orders;
+  OperatorClient orders;
 };
 
-class OperatorOrdersTest : public testing::Test {
+class OperatorClientTest : public testing::Test {
  protected:
-  OperatorOrdersTest() {
+  OperatorClientTest() {
     control_.transaction_result.set_outcome(proto::TRANSACTION_OUTCOME_APPLIED);
     NodeAgentOptions options;
     options.role = proto::ROLE_GATEWAY;
@@ -36,11 +36,11 @@
           return made;
         });
     world_.machine("g").Start();
-    world_.RunUntil([this] { return node_->agent.LeaseValid(); }, seconds(5));
+    world_.RunUntil([this] { return node_->agent.HasValidLease(); }, seconds(5));
   }
 
   Result<proto::SubmitTransactionResponse> Order() {
-    auto order = std::make_shared<DocumentOrder>();
+    auto order = std::make_shared<DocumentTransaction>();
     order->operation_id = "patch";
     order->base = kBase;
     order->label = kLabel;
@@ -50,7 +50,7 @@
       return transaction;
     };
     std::optional<Result<proto::SubmitTransactionResponse>> answer;
-    node_->orders.SubmitOnDocument(
+    node_->orders.SubmitDocumentTransaction(
         order,
         [&answer](const Result<proto::SubmitTransactionResponse>& result) { answer = result; });
     world_.RunUntil([&answer] { return answer.has_value(); }, seconds(5));
@@ -62,7 +62,7 @@
   SimulatedWorld world_{5};
 };
 
-TEST_F(OperatorOrdersTest, PatchesTheDocumentOfTheCurrentLabel) {
+TEST_F(OperatorClientTest, PatchesTheDocumentOfTheCurrentLabel) {
   control_.label = kBase;
   ASSERT_TRUE(Order().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
@@ -73,7 +73,7 @@
   EXPECT_FALSE(sent.inquiry());
 }
 
-TEST_F(OperatorOrdersTest, InquiresIfAnotherLabelIsCurrent) {
+TEST_F(OperatorClientTest, InquiresIfAnotherLabelIsCurrent) {
   control_.label = kBase + 1;
   ASSERT_TRUE(Order().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
@@ -81,7 +81,7 @@
   EXPECT_EQ(control_.transactions[0].transaction().changes_size(), 0);
 }
 
-TEST_F(OperatorOrdersTest, SubmitsOnceTheBaseArrives) {
+TEST_F(OperatorClientTest, SubmitsOnceTheBaseArrives) {
   control_.label = kBase - 2;
   control_.next_label = kBase;
   const auto answer = Order();
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -70,7 +70,7 @@
   void CheckLeases() {
     const ControlState* committed = Committed();
     for (const auto& [name, node] : nodes) {
-      if (committed == nullptr || !node->LeaseValid()) {
+      if (committed == nullptr || !node->HasValidLease()) {
         continue;
       }
       const proto::Server* server = committed->servers().Find(NodeId(node->node_id));
@@ -83,7 +83,7 @@
     EXPECT_TRUE(versions_.insert(result.version()).second) << "two won one version";
     EXPECT_NE(result.in_force_at_ms(), 0);
     for (const auto& [name, node] : nodes) {
-      if (name[0] == 'g' && node->LeaseValid()) {
+      if (name[0] == 'g' && node->HasValidLease()) {
         EXPECT_GE(node->configuration_version, result.version()) << name;
       }
     }
@@ -208,7 +208,7 @@
       EXPECT_NE(state.servers().FindLive(NodeId(partition.owner()), proto::ROLE_QUEUE), nullptr);
     }
     for (const auto& [name, node] : nodes) {
-      EXPECT_TRUE(node->LeaseValid()) << name;
+      EXPECT_TRUE(node->HasValidLease()) << name;
     }
     for (const auto& [name, disk] : disks) {
       for (const auto& [owner, segments] : disk.segments) {
--- a/tests/coordinator/coordinator_service_test.cc
+++ b/tests/coordinator/coordinator_service_test.cc
@@ -93,7 +93,7 @@
   const auto transaction = Change("a");
   const auto answer = Submit(transaction);
   ASSERT_TRUE(answer.ok());
-  EXPECT_FALSE(nodes["g1"]->LeaseValid());
+  EXPECT_FALSE(nodes["g1"]->HasValidLease());
   EXPECT_EQ(Submit(transaction)->SerializeAsString(), answer->SerializeAsString());
 }
 
@@ -128,7 +128,7 @@
   ASSERT_TRUE(answer.ok());
   EXPECT_EQ(answer->result().outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_GE(Elapsed(began), seconds(3));
-  EXPECT_FALSE(nodes["g1"]->LeaseValid());
+  EXPECT_FALSE(nodes["g1"]->HasValidLease());
 }
 
 TEST_F(CoordinatorServiceTest, FencesUnknownIdsAndOtherIncarnations) {
@@ -176,7 +176,7 @@
   machine.Wake();
   while (!IsDead(id)) {
     world.RunFor(milliseconds(10));
-    ASSERT_FALSE(nodes["q1"]->LeaseValid());
+    ASSERT_FALSE(nodes["q1"]->HasValidLease());
   }
 }
 
@@ -186,7 +186,7 @@
   const std::uint64_t id = nodes["q1"]->node_id;
   group.lease = false;
   world.RunFor(seconds(20));
-  EXPECT_FALSE(nodes["q1"]->LeaseValid());
+  EXPECT_FALSE(nodes["q1"]->HasValidLease());
   group.lease = true;
   world.RunFor(seconds(5));
   world.machine("c1").Freeze();
@@ -194,7 +194,7 @@
   world.machine("c1").Wake();
   world.RunFor(seconds(5));
   EXPECT_FALSE(IsDead(id));
-  EXPECT_TRUE(nodes["q1"]->LeaseValid());
+  EXPECT_TRUE(nodes["q1"]->HasValidLease());
 }
 
 TEST_F(CoordinatorServiceTest, SimultaneousStoresSharePartitions) {
@@ -276,7 +276,7 @@
   EXPECT_EQ(retired->node_ids_size(), 1);
   world.RunFor(seconds(2));
   EXPECT_EQ(Owned("q2"), 4U);
-  EXPECT_TRUE(nodes["q1"]->LeaseValid());
+  EXPECT_TRUE(nodes["q1"]->HasValidLease());
   EXPECT_THAT(FleetStatus().problems(), Contains(HasSubstr("machine q1 is empty; stop it")));
 }
 
--- a/tests/coordinator/test_node.h
+++ b/tests/coordinator/test_node.h
@@ -41,7 +41,7 @@
   }
 
   std::string host() const { return environment_.peer_endpoint().host; }
-  bool LeaseValid() const { return node_id != 0 && environment_.Now() < lease_end; }
+  bool HasValidLease() const { return node_id != 0 && environment_.Now() < lease_end; }
 
   std::uint64_t node_id = 0;
   TimePoint lease_end;
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -132,7 +132,7 @@
     ASSERT_TRUE(world.RunUntil(
         [this] {
           return gateway->agent.fleet().version.value() == control.fleet.to_version() &&
-                 gateway->agent.LeaseValid();
+                 gateway->agent.HasValidLease();
         },
         seconds(5)));
   }
@@ -158,7 +158,7 @@
 TEST_F(BatchApiTest, Returns201ForANewAnd200ForAResentBatch) {
   EXPECT_EQ(Finish(Submit())->response.status, 201);
   ASSERT_EQ(q1.submissions.size(), 1U);
-  EXPECT_EQ(q1.submissions[0].partition_id(), PartitionOfTenant("depot", 12).value());
+  EXPECT_EQ(q1.submissions[0].partition_id(), PartitionForTenant("depot", 12).value());
   EXPECT_TRUE(q1.submissions[0].idempotent());
   q1.resent = true;
   const auto again = Finish(Submit());
--- a/tests/gateway/operator_api_test.cc
+++ b/tests/gateway/operator_api_test.cc
@@ -38,7 +38,7 @@
           return made;
         });
     world.machine("g").Start();
-    world.RunUntil([this] { return gateway->agent.LeaseValid(); }, seconds(5));
+    world.RunUntil([this] { return gateway->agent.HasValidLease(); }, seconds(5));
   }
 
   std::shared_ptr<RecordedResponse> Post(const std::string& body, Duration wait = seconds(11)) {
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -129,7 +129,7 @@
   ASSERT_TRUE(AppendAndWait());
   log_world.world.Cut("q", "control");
   log_world.world.RunFor(seconds(4));
-  ASSERT_FALSE(process->agent->LeaseValid());
+  ASSERT_FALSE(process->agent->HasValidLease());
   const std::uint64_t late = Append();
   log_world.world.RunFor(seconds(2));
   EXPECT_FALSE(outcomes.contains(late));
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -77,7 +77,7 @@
   static proto::SubmitBatchRequest MakeBatch(const std::string& id, std::uint64_t items) {
     proto::SubmitBatchRequest request;
     request.set_idempotent(true);
-    request.set_partition_id(PartitionOfNamedBatch(kHost, id, FleetWorld::kPartitions).value());
+    request.set_partition_id(PartitionForNamedBatch(kHost, id, FleetWorld::kPartitions).value());
     proto::SubmitBatch& batch = *request.mutable_batch();
     batch.set_tenant(kHost);
     batch.set_route(kRoute);
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -30,7 +30,7 @@
   }
 
   static std::string Name(std::uint64_t partition) { return "q" + std::to_string(partition); }
-  static std::uint64_t QuotaOwner() { return PartitionOfTenant("studio", kPartitions).value(); }
+  static std::uint64_t QuotaOwner() { return PartitionForTenant("studio", kPartitions).value(); }
 
   Result<proto::SubmitBatchResponse> Submit(std::uint64_t partition, const std::string& key,
                                             int items, std::uint64_t limit = kLimit) {
--- a/tests/replicas/gateway_quota_test.cc
+++ b/tests/replicas/gateway_quota_test.cc
@@ -28,7 +28,7 @@
     for (std::uint32_t replica = 0; replica < 50; ++replica) {
       std::uint32_t sum = 0;
       for (const GatewayQuota& quota : Zone("a", count)) {
-        sum += quota.SlotsOf("r" + std::to_string(replica), "a", 10);
+        sum += quota.SlotsFor("r" + std::to_string(replica), "a", 10);
       }
       EXPECT_EQ(sum, 10U) << count << " gateways";
     }
@@ -39,7 +39,7 @@
   for (const GatewayQuota& quota : Zone("a", kMany)) {
     std::uint32_t slots = 0;
     for (std::uint32_t replica = 0; replica < 500; ++replica) {
-      slots += quota.SlotsOf("r" + std::to_string(replica), "a", 10);
+      slots += quota.SlotsFor("r" + std::to_string(replica), "a", 10);
     }
     EXPECT_NEAR(slots, 500.0 * 10 / kMany, 45);
   }
@@ -47,8 +47,8 @@
 
 TEST(GatewayQuotaTest, HasNoQuotaOfOtherZones) {
   const GatewayQuota quota{"a", 0, kFew};
-  EXPECT_EQ(quota.SlotsOf("r", "b", 10), 0U);
-  EXPECT_EQ(quota.RateOf("r", "b", 30), 0);
+  EXPECT_EQ(quota.SlotsFor("r", "b", 10), 0U);
+  EXPECT_EQ(quota.RateFor("r", "b", 30), 0);
 }
 
 TEST(GatewayQuotaTest, RatesAddUpWithinTheBound) {
@@ -56,7 +56,7 @@
     for (const double rate : {1.0, 13.0, 31.0}) {
       double sum = 0;
       for (const GatewayQuota& quota : Zone("a", count)) {
-        const double slot = quota.RateOf("r", "a", rate);
+        const double slot = quota.RateFor("r", "a", rate);
         EXPECT_TRUE(slot == 0 || slot >= 2 || rate < 2) << slot;
         sum += slot;
       }
@@ -72,7 +72,7 @@
 
   void SetWarmingUpEverywhere() {
     for (const GatewayQuota& quota : Zone("a", GetParam())) {
-      gateways_.emplace_back().SetWarmingUp("r", quota.RateOf("r", "a", kPerSecond),
+      gateways_.emplace_back().SetWarmingUp("r", quota.RateFor("r", "a", kPerSecond),
                                             now_ + seconds(30), now_);
     }
   }
@@ -118,7 +118,7 @@
   const std::uint32_t left = GetParam() - GetParam() / 3;
   gateways_.resize(left);
   for (std::uint32_t index = 0; index < left; ++index) {
-    const double rate = GatewayQuota{"a", index, left}.RateOf("r", "a", kPerSecond);
+    const double rate = GatewayQuota{"a", index, left}.RateFor("r", "a", kPerSecond);
     gateways_[index].ChangeRates([rate](const std::string&) { return rate; }, milliseconds(1500),
                                  now_);
     RunFor(milliseconds(700) / left);
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -53,8 +53,8 @@
     load_.OnFirstByte("slow", 8'000, Duration::zero(), fixed + milliseconds(160), now_);
     load_.OnFirstByte("fast", 8'000, Duration::zero(), fixed + milliseconds(40), now_);
   }
-  EXPECT_NEAR(load_.TokensPerMs("slow", 8'000), 50, 1);
-  EXPECT_NEAR(load_.TokensPerMs("fast", 8'000), 200, 1);
+  EXPECT_NEAR(load_.TokensPerMillisecond("slow", 8'000), 50, 1);
+  EXPECT_NEAR(load_.TokensPerMillisecond("fast", 8'000), 200, 1);
 }
 
 TEST_F(PrefillLoadTest, AssumesThePeersThroughputAtFirst) {
@@ -65,8 +65,8 @@
   for (int sample = 0; sample < 40; ++sample) {
     load_.OnFirstByte("known", 8'000, Duration::zero(), fixed + milliseconds(160), now_);
   }
-  EXPECT_NEAR(load_.TokensPerMs("new", 8'000), 50, 1);
-  EXPECT_EQ(load_.TokensPerMs("foreign", 8'000), 100);
+  EXPECT_NEAR(load_.TokensPerMillisecond("new", 8'000), 50, 1);
+  EXPECT_EQ(load_.TokensPerMillisecond("foreign", 8'000), 100);
 }
 
 TEST_F(PrefillLoadTest, IgnoresShortAndDelayedSamples) {
@@ -75,7 +75,7 @@
     load_.OnFirstByte("r", 8'000, milliseconds(100), fixed + milliseconds(160), now_);
     load_.OnFirstByte("r", 100, Duration::zero(), fixed + milliseconds(160), now_);
   }
-  EXPECT_EQ(load_.TokensPerMs("r", 8'000), 100);
+  EXPECT_EQ(load_.TokensPerMillisecond("r", 8'000), 100);
 }
 
 TEST_F(PrefillLoadTest, DelayedResponsesDoNotLowerThroughput) {
@@ -84,7 +84,7 @@
     const Duration unknown = sample % 2 == 0 ? milliseconds(300) : Duration::zero();
     load_.OnFirstByte("r", 8'000, Duration::zero(), fixed + milliseconds(160) + unknown, now_);
   }
-  EXPECT_NEAR(load_.TokensPerMs("r", 8'000), 50, 1);
+  EXPECT_NEAR(load_.TokensPerMillisecond("r", 8'000), 50, 1);
 }
 
 TEST_F(PrefillLoadTest, LearnsTheFixedLatency) {
@@ -96,7 +96,7 @@
     const auto known = std::chrono::duration<double, std::milli>(load_.FixedLatency("r"));
     const auto expected = std::chrono::duration<double, std::milli>(fixed);
     EXPECT_NEAR(known.count(), expected.count(), 0.5);
-    EXPECT_NEAR(load_.TokensPerMs("r", 8'000), 50, 1);
+    EXPECT_NEAR(load_.TokensPerMillisecond("r", 8'000), 50, 1);
   }
 }
 
@@ -117,11 +117,11 @@
 
 TEST_F(PrefillLoadTest, RecentLoadDecays) {
   load_.OnStart("r", 10'000, 0, now_);
-  EXPECT_EQ(load_.Lately("r", now_), milliseconds(100));
-  EXPECT_EQ(load_.Lately("r", now_ + Options().recent_load_half_life), milliseconds(50));
+  EXPECT_EQ(load_.RecentLoad("r", now_), milliseconds(100));
+  EXPECT_EQ(load_.RecentLoad("r", now_ + Options().recent_load_half_life), milliseconds(50));
   load_.OnStart("r", 10'000, 0, now_ + Options().recent_load_half_life);
-  EXPECT_EQ(load_.Lately("r", now_ + Options().recent_load_half_life), milliseconds(150));
-  EXPECT_EQ(load_.Lately("other", now_), Duration::zero());
+  EXPECT_EQ(load_.RecentLoad("r", now_ + Options().recent_load_half_life), milliseconds(150));
+  EXPECT_EQ(load_.RecentLoad("other", now_), Duration::zero());
 }
 
 TEST_F(PrefillLoadTest, ADelayWithinTheToleranceIsNoSign) {
--- a/tests/replicas/reading_speed_test.cc
+++ b/tests/replicas/reading_speed_test.cc
@@ -34,7 +34,7 @@
   for (int sample = 0; sample < 30; ++sample) {
     speed.Add(kShort, sample % 2 == 0 ? 100 : 5);
   }
-  EXPECT_EQ(speed.TokensPerMs(kShort), 100);
+  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 100);
 }
 
 TEST(PrefillThroughputTest, IgnoresASingleFastOutlier) {
@@ -43,7 +43,7 @@
     speed.Add(kShort, 100);
   }
   speed.Add(kShort, 1000);
-  EXPECT_EQ(speed.TokensPerMs(kShort), 100);
+  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 100);
 }
 
 TEST(PrefillThroughputTest, FollowsAReplicaThatBecameSlower) {
@@ -54,21 +54,21 @@
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kShort, 40);
   }
-  EXPECT_EQ(speed.TokensPerMs(kShort), 40);
+  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 40);
 }
 
 TEST(PrefillThroughputTest, LongPromptsHaveARateOfTheirOwn) {
   PrefillThroughput speed;
-  EXPECT_FALSE(speed.TokensPerMs(kShort).has_value());
+  EXPECT_FALSE(speed.TokensPerMillisecond(kShort).has_value());
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kShort, 160);
   }
-  EXPECT_EQ(speed.TokensPerMs(kLong), 160) << "the nearest length that is known";
+  EXPECT_EQ(speed.TokensPerMillisecond(kLong), 160) << "the nearest length that is known";
   for (int sample = 0; sample < 16; ++sample) {
     speed.Add(kLong, 90);
   }
-  EXPECT_EQ(speed.TokensPerMs(kLong), 90);
-  EXPECT_EQ(speed.TokensPerMs(kShort), 160);
+  EXPECT_EQ(speed.TokensPerMillisecond(kLong), 90);
+  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 160);
 }
 
 }  // namespace
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -17,7 +17,7 @@
     health_.OnCallStarted(id, now_);
     health_.OnCallEnded(id, end, now_);
   }
-  Usability Use(const std::string& id) { return health_.UsabilityOf(id, now_); }
+  Usability Use(const std::string& id) { return health_.GetUsability(id, now_); }
 
   TimePoint now_ = TimePoint(seconds(1000));
   ReplicaHealthOptions options_;
@@ -45,7 +45,7 @@
   End("x", CallEnd::kNotConnected);
   EXPECT_EQ(Use("x"), Usability::kNo);
   health_.OnProbe("x", true, false, now_);  // Too early.
-  EXPECT_EQ(health_.ConditionOf("x"), ReplicaCondition::kEjected);
+  EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
   now_ += options_.base_ejection;
   EXPECT_EQ(Use("x"), Usability::kNo);  // Not before a good probe.
   health_.OnProbe("x", true, false, now_);
@@ -53,8 +53,8 @@
   health_.OnCallStarted("x", now_);
   EXPECT_EQ(Use("x"), Usability::kNo);  // One trial at a time.
   health_.OnCallEnded("x", CallEnd::kSuccess, now_);
-  EXPECT_EQ(health_.ConditionOf("x"), ReplicaCondition::kHealthy);
-  EXPECT_EQ(health_.LimitOf("x", 8, now_), 1U);  // Cold again.
+  EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kHealthy);
+  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Cold again.
 }
 
 TEST_F(ReplicaHealthTest, EjectionsGrowAndAreForgiven) {
@@ -63,12 +63,12 @@
   for (int round = 0; round < 8; ++round) {
     End("x", CallEnd::kNoResponse);
     End("x", CallEnd::kNoResponse);
-    ASSERT_EQ(health_.ConditionOf("x"), ReplicaCondition::kEjected);
+    ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
     health_.OnProbe("x", true, false, now_ + expected - milliseconds(1));
-    ASSERT_EQ(health_.ConditionOf("x"), ReplicaCondition::kEjected);
+    ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
     now_ += expected;
     health_.OnProbe("x", true, false, now_);
-    ASSERT_EQ(health_.ConditionOf("x"), ReplicaCondition::kTrial);
+    ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
     expected = std::min(expected * 2, options_.maximum_ejection);
   }
   End("x", CallEnd::kSuccess);
@@ -80,7 +80,7 @@
   End("x", CallEnd::kNoResponse);
   now_ += options_.base_ejection;
   health_.OnProbe("x", true, false, now_);
-  EXPECT_EQ(health_.ConditionOf("x"), ReplicaCondition::kTrial);
+  EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
 }
 
 TEST_F(ReplicaHealthTest, SoftEvidenceEjectsAtMostTheMaximum) {
@@ -115,18 +115,18 @@
 TEST_F(ReplicaHealthTest, SlowStartBeginsWithWorkAndGrowsEvenly) {
   Add("x", false);
   now_ += seconds(100);
-  EXPECT_EQ(health_.LimitOf("x", 8, now_), 1U);  // Idle time warms nothing.
+  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Idle time warms nothing.
   health_.OnWorkSeen("x", now_);
   std::uint32_t last = 0;
   for (int step = 0; step <= 60; ++step) {
-    const std::uint32_t limit = health_.LimitOf("x", 8, now_);
+    const std::uint32_t limit = health_.GetLimit("x", 8, now_);
     ASSERT_GE(limit, last);
     ASSERT_LE(limit, 1U + 7U * static_cast<std::uint32_t>(step) / 60U);
     last = limit;
     now_ += options_.slow_start_time / 60;
   }
-  EXPECT_EQ(health_.LimitOf("x", 8, now_), 8U);
-  EXPECT_FALSE(health_.Ramping("x", now_));
+  EXPECT_EQ(health_.GetLimit("x", 8, now_), 8U);
+  EXPECT_FALSE(health_.IsInSlowStart("x", now_));
 }
 
 /// Whatever happens: no call to an ejected or unproven replica, one at most on trial, and the limit
@@ -142,14 +142,14 @@
     now_ += milliseconds(random() % 50);
     const std::string& id = ids[random() % ids.size()];
     const Usability use = Use(id);
-    const ReplicaCondition condition = health_.ConditionOf(id);
+    const ReplicaCondition condition = health_.GetCondition(id);
     if (condition == ReplicaCondition::kTrial && in_flight[id] > 0) {
       ASSERT_EQ(use, Usability::kNo);
     }
     if (condition == ReplicaCondition::kUnproven || condition == ReplicaCondition::kEjected) {
       ASSERT_EQ(use, Usability::kNo);
     }
-    const std::uint32_t limit = health_.LimitOf(id, 8, now_);
+    const std::uint32_t limit = health_.GetLimit(id, 8, now_);
     ASSERT_GE(limit, 1U);
     ASSERT_LE(limit, 8U);
     if (random() % 3 == 0) {
--- a/tests/simulation/configuration_world.cc
+++ b/tests/simulation/configuration_world.cc
@@ -49,18 +49,18 @@
   ScheduleChange();
 }
 
-void ConfigurationWorld::AddCoordinator(const std::string& host, bool may_found) {
+void ConfigurationWorld::AddCoordinator(const std::string& host, bool can_bootstrap) {
   const std::string name = "c" + host;
   SimulatedMachine& machine = world_.AddMachine(name, host);
   coordinators_.push_back(name);
   if (seeds_.size() < options_.seeds) {
     seeds_.push_back(machine.endpoint());
   }
-  machine.SetProgram([this, name, may_found](Environment& environment, DataFolder& folder) {
+  machine.SetProgram([this, name, can_bootstrap](Environment& environment, DataFolder& folder) {
     RaftNodeOptions raft;
     raft.seeds = seeds_;
     raft.wanted_voters = 2 * options_.losses_borne + 1;
-    raft.may_found = may_found && processes_.find(name) == processes_.end();
+    raft.can_bootstrap = can_bootstrap && processes_.find(name) == processes_.end();
     raft.replace_unresponsive_after = milliseconds(1500);
     raft.election_timeout = kElectionTimeout;
     raft.heartbeat_interval = kElectionTimeout / 4;
--- a/tests/simulation/configuration_world.h
+++ b/tests/simulation/configuration_world.h
@@ -66,7 +66,7 @@
     NodeAgent* agent = nullptr;
   };
 
-  void AddCoordinator(const std::string& host, bool may_found);
+  void AddCoordinator(const std::string& host, bool can_bootstrap);
   void AddGateway(std::size_t number);
   CoordinatorProcess* FindCoordinator(const std::string& machine) const;
   void ScheduleChange();
