--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -105,11 +105,13 @@
     int urgency = 0;  ///< Lower is served first.
     TimePoint wait_deadline{};
     WaitId id = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
     friend auto operator<=>(const Rank&, const Rank&) = default;
   };
   struct Expiry {
     TimePoint at{};
     WaitId id = 0;
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
     friend auto operator<=>(const Expiry&, const Expiry&) = default;
   };
   struct Queue {
--- a/src/batch_work/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -57,6 +57,7 @@
 struct ReportAddress {
   NodeId owner;
   NodeId gateway;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
   friend auto operator<=>(const ReportAddress&, const ReportAddress&) = default;
 };
 
