--- a/src/replicas/rate_pacer.cc
+++ b/src/replicas/rate_pacer.cc
@@ -25,8 +25,8 @@
   const double wanted = ratio_ * free;
   const auto complete = static_cast<std::uint32_t>(wanted);
   const double fraction = wanted - complete;
-  const bool up = static_cast<double>(random) / kRandomRange < fraction;
-  return complete + (up ? 1 : 0);
+  const bool rounds_up = static_cast<double>(random) / kRandomRange < fraction;
+  return complete + (rounds_up ? 1 : 0);
 }
 
 }  // namespace cloverbank
