--- a/tests/cloverbankd/daemon_process.h
+++ b/tests/cloverbankd/daemon_process.h
@@ -4,7 +4,7 @@
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
-#include <signal.h>
+#include <signal.h>  // NOLINT(modernize-deprecated-headers): kill(2) is POSIX.
 #include <spawn.h>
 #include <sys/wait.h>
 #include <unistd.h>
