--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -11,9 +11,7 @@
 namespace cloverbank {
 namespace {
 
-using proto::WORK_DISPOSITION_FINISHED;
 using proto::WORK_DISPOSITION_NOT_RUN;
-using proto::WORK_DISPOSITION_UNKNOWN;
 
 class QueueServiceTest : public testing::Test {
  protected:
