--- a/tests/replicas/prefill_throughput_test.cc
+++ b/tests/replicas/prefill_throughput_test.cc
@@ -1,7 +1,7 @@
-#include <gtest/gtest.h>
-
 #include "replicas/prefill_throughput.h"
 
+#include <gtest/gtest.h>
+
 namespace cloverbank {
 namespace {
 
