--- a/src/replicas/gateway_quota.cc
+++ b/src/replicas/gateway_quota.cc
@@ -10,16 +10,16 @@
 
 /// A gateway that starts calls evenly spaced at a rate of two a second or more starts at most one
 /// and a half of its rate in any second.
-constexpr double kLeastRate = 2;
+constexpr double kMinimumRate = 2;
 
 }  // namespace
 
-bool GatewayQuota::IsSelected(std::string_view replica_id, std::uint32_t divisor) const {
+bool GatewayQuota::IsSelected(std::string_view replica_id, std::uint32_t selected_count) const {
   // A fraction of the ring rather than a place: when a gateway comes or goes, few places move.
   constexpr double kHashRange = 18446744073709551616.0;  // 2 to the power of 64.
   const double fraction = static_cast<double>(Checksum(replica_id)) / kHashRange;
   const auto first = static_cast<std::uint32_t>(fraction * count);
-  return (index + count - std::min(first, count - 1)) % count < divisor;
+  return (index + count - std::min(first, count - 1)) % count < selected_count;
 }
 
 std::uint32_t GatewayQuota::SlotsFor(std::string_view replica_id, std::string_view replica_zone,
@@ -35,9 +35,10 @@
   if (replica_zone != zone) {
     return 0;
   }
-  const auto most = static_cast<std::uint32_t>(std::max(1.0, std::floor(per_second / kLeastRate)));
-  const std::uint32_t divisor = std::min(count, most);
-  return IsSelected(replica_id, divisor) ? per_second / divisor : 0;
+  const auto maximum_selected =
+      static_cast<std::uint32_t>(std::max(1.0, std::floor(per_second / kMinimumRate)));
+  const std::uint32_t selected_count = std::min(count, maximum_selected);
+  return IsSelected(replica_id, selected_count) ? per_second / selected_count : 0;
 }
 
 }  // namespace cloverbank
--- a/src/replicas/gateway_quota.h
+++ b/src/replicas/gateway_quota.h
@@ -29,7 +29,7 @@
 
  private:
   /// @return whether this is one of the `divisor` gateways that are selected for the replica.
-  bool IsSelected(std::string_view replica_id, std::uint32_t divisor) const;
+  bool IsSelected(std::string_view replica_id, std::uint32_t selected_count) const;
 };
 
 }  // namespace cloverbank
--- a/src/replicas/json_list_reader.cc
+++ b/src/replicas/json_list_reader.cc
@@ -32,7 +32,7 @@
                          [this, alive = std::weak_ptr<bool>(alive_),
                           done = std::move(done)](const HttpOutcome& outcome) {
                            if (!alive.expired()) {
-                             done(Take(outcome));
+                             done(ToReading(outcome));
                            }
                          });
   }
@@ -40,7 +40,7 @@
   void Accepted() override { accepted_tag_ = read_tag_; }
 
  private:
-  ListReading Take(const HttpOutcome& outcome) {
+  ListReading ToReading(const HttpOutcome& outcome) {
     ListReading reading;
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
       reading.end = EndWithoutAnswer(outcome);
--- a/src/replicas/prefill_gossip.cc
+++ b/src/replicas/prefill_gossip.cc
@@ -9,16 +9,19 @@
 
 constexpr std::string_view kMethod = "gateway.NotePrefill";
 /// Prompts below are not told.
-constexpr std::uint32_t kLeastTokens = 300;
+constexpr std::uint32_t kMinimumTokens = 300;
 /// Calls that start within this time are told together.
-constexpr Duration kGatherTime = milliseconds(2);
+constexpr Duration kBatchingDelay = milliseconds(2);
 /// What comes later is of no use.
 constexpr Duration kDeadline = milliseconds(250);
 
 }  // namespace
 
-PrefillGossip::PrefillGossip(Environment& environment, Neighbours neighbours, Heard heard)
-    : environment_(environment), neighbours_(std::move(neighbours)), heard_(std::move(heard)) {
+PrefillGossip::PrefillGossip(Environment& environment, Neighbours neighbours,
+                             AnnouncementHandler on_announcement)
+    : environment_(environment),
+      neighbours_(std::move(neighbours)),
+      on_announcement_(std::move(on_announcement)) {
   ServePeer<proto::ReportPrefillRequest, proto::ReportPrefillResponse>(
       environment_, kMethod,
       [this, alive = std::weak_ptr<bool>(alive_)](
@@ -26,7 +29,7 @@
           const std::function<void(Result<proto::ReportPrefillResponse>)>& reply) {
         if (!alive.expired()) {
           for (const proto::PrefillStart& start : request.starts()) {
-            heard_(start.replica(), start.tokens(), start.key());
+            on_announcement_(start.replica(), start.tokens(), start.key());
           }
         }
         reply(proto::ReportPrefillResponse());
@@ -36,7 +39,7 @@
 PrefillGossip::~PrefillGossip() { environment_.CancelTimer(timer_); }
 
 void PrefillGossip::Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
-  if (tokens < kLeastTokens) {
+  if (tokens < kMinimumTokens) {
     return;
   }
   proto::PrefillStart* start = pending_.add_starts();
@@ -44,7 +47,7 @@
   start->set_tokens(tokens);
   start->set_key(key);
   if (timer_ == 0) {
-    timer_ = environment_.ScheduleAfter(kGatherTime, [this] {
+    timer_ = environment_.ScheduleAfter(kBatchingDelay, [this] {
       timer_ = 0;
       Send();
     });
--- a/src/replicas/prefill_gossip.h
+++ b/src/replicas/prefill_gossip.h
@@ -21,13 +21,14 @@
 class PrefillGossip {
  public:
   /// Runs for each announced call of another gateway.
-  using Heard =
+  using AnnouncementHandler =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
 
   /// The current neighbours.
   using Neighbours = std::function<std::vector<Endpoint>()>;
 
-  PrefillGossip(Environment& environment, Neighbours neighbours, Heard heard);
+  PrefillGossip(Environment& environment, Neighbours neighbours,
+                AnnouncementHandler on_announcement);
   ~PrefillGossip();
   PrefillGossip(const PrefillGossip&) = delete;
   PrefillGossip& operator=(const PrefillGossip&) = delete;
@@ -40,7 +41,7 @@
 
   Environment& environment_;
   Neighbours neighbours_;
-  Heard heard_;
+  AnnouncementHandler on_announcement_;
   proto::ReportPrefillRequest pending_;
   TimerId timer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/replicas/prefill_load.h
+++ b/src/replicas/prefill_load.h
@@ -31,15 +31,15 @@
 };
 
 struct PrefillOptions {
-  double first_tokens_per_ms = 180;        ///< Prefill throughput assumed until it is learned.
-  std::uint32_t learn_from_tokens = 1000;  ///< Shorter prompts are dominated by fixed latency.
+  double initial_tokens_per_ms = 180;          ///< Prefill throughput assumed until it is learned.
+  std::uint32_t minimum_sample_tokens = 1000;  ///< Shorter prompts are dominated by fixed latency.
   /// Latency of a first token that does not depend on the prompt, assumed until it is learned.
-  Duration first_fixed_latency = milliseconds(12);
+  Duration initial_fixed_latency = milliseconds(12);
   std::size_t keys_per_replica = 128;
   /// Prompts of at least this length are long: they noticeably stall concurrent decoding.
   std::uint32_t long_prompt_tokens = 20'000;
   /// How long after a long prompt further ones are expected.
-  Duration long_prompts_expected = seconds(10);
+  Duration long_prompts_expected_for = seconds(10);
   /// Weight of the unexpected delay of a response in its replica's backlog, and its half-life. Such
   /// delays are the only sign of prompts from other zones' gateways and of slow replicas.
   double delay_weight = 0.5;
@@ -66,9 +66,10 @@
   Duration RecentLoad(std::string_view replica, TimePoint now) const;
   /// @return the tokens that the replica would have to prefill. @param home whether it is the
   /// preferred replica for the key, so that the shared prefix is probably cached there.
-  std::uint32_t TokensToRead(std::string_view replica, const PromptShape& shape, bool home) const;
+  std::uint32_t TokensToRead(std::string_view replica, const PromptShape& shape,
+                             bool preferred) const;
   /// @return the time to prefill that many tokens.
-  Duration TimeFor(std::string_view replica, std::uint32_t tokens) const;
+  Duration PrefillTime(std::string_view replica, std::uint32_t tokens) const;
 
   /// A call with `tokens` to prefill is sent to the replica. @param key of its shared prefix.
   void OnStart(const std::string& replica, std::uint32_t tokens, std::uint64_t key, TimePoint now);
@@ -91,26 +92,26 @@
   struct Replica {
     TimePoint busy_until{};
     std::string backend;
-    PrefillThroughput speed;
+    PrefillThroughput throughput;
     Duration recent_load{};  ///< Decayed, as of `recent_load_at`.
     TimePoint recent_load_at{};
     Duration delay{};  ///< Unexpected and decayed, as of `delay_at`.
     TimePoint delay_at{};
-    std::list<std::uint64_t> recent;  ///< Keys, most recently used first.
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> positions;
+    std::list<std::uint64_t> recent_keys;  ///< Keys, most recently used first.
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> key_positions;
   };
   /// What was learned of all replicas of a back end together.
   struct BackendThroughput {
-    PrefillThroughput speed;
+    PrefillThroughput throughput;
     RecentQuantile fixed_latency_ms{1};
     std::optional<TimePoint> last_long_prompt;
   };
 
   const BackendThroughput* FindBackend(std::string_view replica) const;
-  void Learn(const std::string& replica, std::uint32_t tokens, Duration latency);
-  void Remember(Replica& replica, std::uint64_t key);
-  Duration DelayOf(const Replica& replica, TimePoint now) const;
-  Duration RecentLoadAt(const Replica& replica, TimePoint now) const;
+  void AddLatencySample(const std::string& replica, std::uint32_t tokens, Duration latency);
+  void RecordKey(Replica& replica, std::uint64_t key);
+  Duration DecayedDelay(const Replica& replica, TimePoint now) const;
+  Duration DecayedRecentLoad(const Replica& replica, TimePoint now) const;
 
   PrefillOptions options_;
   std::map<std::string, Replica, std::less<>> replicas_;
--- a/src/replicas/prefill_throughput.cc
+++ b/src/replicas/prefill_throughput.cc
@@ -4,19 +4,19 @@
 namespace {
 
 /// Longest prompt of the first class; each further class reaches four times as far.
-constexpr std::uint32_t kShortest = 4'000;
-constexpr std::uint32_t kGrowth = 4;
+constexpr std::uint32_t kFirstClassLimit = 4'000;
+constexpr std::uint32_t kClassLimitFactor = 4;
 
 }  // namespace
 
 std::size_t PrefillThroughput::ClassOf(std::uint32_t tokens) {
-  std::size_t found = 0;
-  std::uint64_t longest = kShortest;
-  while (found + 1 < kClasses && tokens > longest) {
-    ++found;
-    longest *= kGrowth;
+  std::size_t length_class = 0;
+  std::uint64_t limit = kFirstClassLimit;
+  while (length_class + 1 < kClasses && tokens > limit) {
+    ++length_class;
+    limit *= kClassLimitFactor;
   }
-  return found;
+  return length_class;
 }
 
 void PrefillThroughput::Add(std::uint32_t tokens, double tokens_per_ms) {
@@ -24,13 +24,13 @@
 }
 
 std::optional<double> PrefillThroughput::TokensPerMillisecond(std::uint32_t tokens) const {
-  const std::size_t own = ClassOf(tokens);
+  const std::size_t own_class = ClassOf(tokens);
   for (std::size_t distance = 0; distance < kClasses; ++distance) {
-    if (own >= distance && rates_.at(own - distance).value()) {
-      return rates_.at(own - distance).value();
+    if (own_class >= distance && rates_.at(own_class - distance).value()) {
+      return rates_.at(own_class - distance).value();
     }
-    if (own + distance < kClasses && rates_.at(own + distance).value()) {
-      return rates_.at(own + distance).value();
+    if (own_class + distance < kClasses && rates_.at(own_class + distance).value()) {
+      return rates_.at(own_class + distance).value();
     }
   }
   return std::nullopt;
--- a/src/replicas/rate_pacer.cc
+++ b/src/replicas/rate_pacer.cc
@@ -22,11 +22,11 @@
 void RatePacer::OnSmoothReport() { ratio_ = std::min(1.0, ratio_ + growth_); }
 
 std::uint32_t RatePacer::Allowance(std::uint32_t free, std::uint64_t random) const {
-  const double wanted = ratio_ * free;
-  const auto complete = static_cast<std::uint32_t>(wanted);
-  const double fraction = wanted - complete;
+  const double exact = ratio_ * free;
+  const auto whole = static_cast<std::uint32_t>(exact);
+  const double fraction = exact - whole;
   const bool rounds_up = static_cast<double>(random) / kRandomRange < fraction;
-  return complete + (rounds_up ? 1 : 0);
+  return whole + (rounds_up ? 1 : 0);
 }
 
 }  // namespace cloverbank
--- a/src/replicas/recent_quantile.cc
+++ b/src/replicas/recent_quantile.cc
@@ -10,19 +10,19 @@
 }  // namespace
 
 void RecentQuantile::Add(double sample) {
-  samples_.at(count_ % kMostSamples) = static_cast<float>(sample);
+  samples_.at(count_ % kMaximumSamples) = static_cast<float>(sample);
   ++count_;
-  std::array<float, kMostSamples> sorted = samples_;
-  const std::size_t held = std::min(count_, kMostSamples);
-  const std::size_t place = (held - 1) * thirds_ / kThirds;
-  const auto end = sorted.begin() + static_cast<std::ptrdiff_t>(held);
-  const auto nth = sorted.begin() + static_cast<std::ptrdiff_t>(place);
+  std::array<float, kMaximumSamples> sorted = samples_;
+  const std::size_t held_samples = std::min(count_, kMaximumSamples);
+  const std::size_t rank = (held_samples - 1) * thirds_ / kThirds;
+  const auto end = sorted.begin() + static_cast<std::ptrdiff_t>(held_samples);
+  const auto nth = sorted.begin() + static_cast<std::ptrdiff_t>(rank);
   std::nth_element(sorted.begin(), nth, end);
   quantile_ = *nth;
 }
 
 std::optional<double> RecentQuantile::value() const {
-  if (count_ < kLeastSamples) {
+  if (count_ < kMinimumSamples) {
     return std::nullopt;
   }
   return quantile_;
--- a/src/replicas/recent_quantile.h
+++ b/src/replicas/recent_quantile.h
@@ -11,7 +11,7 @@
 class RecentQuantile {
  public:
   /// Minimum number of samples for an estimate.
-  static constexpr std::size_t kLeastSamples = 4;
+  static constexpr std::size_t kMinimumSamples = 4;
 
   /// @param thirds which quantile, in thirds: 1 is a low one, 2 a high one.
   explicit RecentQuantile(std::size_t thirds) : thirds_(thirds) {}
@@ -21,11 +21,11 @@
   std::optional<double> value() const;
 
  private:
-  static constexpr std::size_t kMostSamples = 16;
+  static constexpr std::size_t kMaximumSamples = 16;
 
   std::size_t thirds_;
-  std::array<float, kMostSamples> samples_{};  ///< In a ring.
-  std::size_t count_ = 0;                      ///< Of all samples ever added.
+  std::array<float, kMaximumSamples> samples_{};  ///< In a ring.
+  std::size_t count_ = 0;                         ///< Of all samples ever added.
   float quantile_ = 0;
 };
 
--- a/src/replicas/replica_directory.cc
+++ b/src/replicas/replica_directory.cc
@@ -9,14 +9,14 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::uint32_t kLargestPort = 65535;
+constexpr std::uint32_t kMaximumPort = 65535;
 constexpr std::string_view kLongPromptsKey = "long prompts";
 constexpr std::size_t kReplicasPerLongPromptReplica = 3;
 
 bool WellFormed(const proto::Replica& replica) {
-  const bool reachable = !replica.endpoint().host().empty() && replica.endpoint().port() != 0 &&
-                         replica.endpoint().port() <= kLargestPort;
-  return reachable && !replica.id().empty() && !replica.backend().empty() &&
+  const bool has_endpoint = !replica.endpoint().host().empty() && replica.endpoint().port() != 0 &&
+                            replica.endpoint().port() <= kMaximumPort;
+  return has_endpoint && !replica.id().empty() && !replica.backend().empty() &&
          replica.kind() != proto::BACKEND_KIND_UNSPECIFIED;
 }
 
--- a/src/replicas/replica_health.h
+++ b/src/replicas/replica_health.h
@@ -40,11 +40,12 @@
   Duration stall_limit{};
   Duration base_ejection = seconds(1);  ///< Doubles with each ejection in a row.
   Duration maximum_ejection = seconds(30);
-  Duration forgive_after = seconds(30);   ///< Healthy time after which one ejection is forgotten.
+  Duration ejection_decay_interval =
+      seconds(30);                        ///< Healthy time after which one ejection is forgotten.
   Duration slow_start_time = seconds(6);  ///< From one call to full capacity.
-  double slow_factor = 4;  ///< Multiple of its peers' median latency that counts as slow.
-  Duration slow_floor = milliseconds(500);  ///< Never slow below this.
-  std::uint32_t slow_samples = 10;          ///< Responses needed for an evaluation.
+  double slow_latency_factor = 4;  ///< Multiple of its peers' median latency that counts as slow.
+  Duration slow_latency_minimum = milliseconds(500);  ///< Never slow below this.
+  std::uint32_t minimum_latency_samples = 10;         ///< Responses needed for an evaluation.
 };
 
 /// The result of a call at a replica, as far as its health is concerned.
@@ -76,7 +77,7 @@
   void Remove(const std::string& id);
 
   /// @param warm whether the replica was already serving: no slow start then.
-  void OnProbe(const std::string& id, bool answered, bool warm, TimePoint now);
+  void OnProbe(const std::string& id, bool healthy, bool warm, TimePoint now);
   /// The replica was seen serving a call of any gateway: its slow start begins, a trial ends.
   void OnWorkSeen(const std::string& id, TimePoint now);
   void OnCallStarted(const std::string& id, TimePoint now);
@@ -98,7 +99,7 @@
   bool IsInSlowStart(const std::string& id, TimePoint now) const;
 
  private:
-  struct Watch {
+  struct ReplicaState {
     std::string backend;
     ReplicaCondition condition = ReplicaCondition::kUnproven;
     std::uint32_t failures = 0;              ///< In a row.
@@ -107,31 +108,32 @@
     std::uint32_t successes = 0;             ///< Since the ramp began.
     std::uint32_t in_flight = 0;
     /// When it was last heard, or got its first call after it had none.
-    TimePoint quiet_since{};
+    TimePoint last_activity{};
     std::uint32_t warm_level = 0;  ///< Calls known to be safe when the ramp began.
     std::uint32_t latency_samples = 0;
     Duration latency{};            ///< Moving average.
-    bool at_work = false;          ///< Seen at work since it became healthy.
+    bool seen_serving = false;     ///< Seen at work since it became healthy.
     TimePoint slow_start_began{};  ///< When it was first seen at work.
     TimePoint ejected_until{};
     TimePoint healthy_since{};
-    TimePoint forgiven_at{};  ///< When it became healthy, or last had an ejection forgotten.
+    TimePoint
+        ejections_decayed_at{};  ///< When it became healthy, or last had an ejection forgotten.
     Duration start_delay{};
   };
 
-  Watch* Find(const std::string& id);
-  const Watch* Find(const std::string& id) const;
-  bool IsStalled(const Watch& watch, TimePoint now) const;
-  void BecomeHealthy(Watch& watch, TimePoint now);
-  void Eject(Watch& watch, TimePoint now);
-  void EjectSoftly(Watch& watch, TimePoint now);
-  void OnTimeout(Watch& watch, TimePoint now);
-  void OnGoodCall(Watch& watch, TimePoint now);
+  ReplicaState* Find(const std::string& id);
+  const ReplicaState* Find(const std::string& id) const;
+  bool IsStalled(const ReplicaState& state, TimePoint now) const;
+  void MarkHealthy(ReplicaState& state, TimePoint now);
+  void Eject(ReplicaState& state, TimePoint now);
+  void EjectOnSoftEvidence(ReplicaState& state, TimePoint now);
+  void OnTimeout(ReplicaState& state, TimePoint now);
+  void OnSuccess(ReplicaState& state, TimePoint now);
   bool IsSoftEjectionAllowed(const std::string& backend) const;
-  void EvaluateLatency(const std::vector<Watch*>& peers, TimePoint now);
+  void EvaluateLatency(const std::vector<ReplicaState*>& peers, TimePoint now);
 
   ReplicaHealthOptions options_;
-  std::map<std::string, Watch, std::less<>> watches_;
+  std::map<std::string, ReplicaState, std::less<>> replicas_;
 };
 
 }  // namespace cloverbank
--- a/src/replicas/replica_list_poller.cc
+++ b/src/replicas/replica_list_poller.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// Between two reads of which the second waits for news by itself.
-constexpr Duration kLeastGap = milliseconds(20);
+constexpr Duration kMinimumGap = milliseconds(20);
 
 }  // namespace
 ReplicaListPoller::ReplicaListPoller(Environment& environment, HttpClient& client,
@@ -24,7 +24,7 @@
 void ReplicaListPoller::Start() { Poll(); }
 
 bool ReplicaListPoller::Fresh() const {
-  return polled_ && environment_.Now() - last_ended_sent_at_ <= options_.stale_after;
+  return polled_ && environment_.Now() - last_queried_at_ <= options_.stale_after;
 }
 
 void ReplicaListPoller::Poll() {
@@ -41,8 +41,8 @@
   const std::string result = Apply(reading);
   environment_.metrics().Increment("gateway_replica_list_polls_total", {{"result", result}});
   polled_ = true;
-  last_ended_sent_at_ = reading.read_at.value_or(sent_at);
-  ScheduleNext(sent_at, reading.next_waits);
+  last_queried_at_ = reading.read_at.value_or(sent_at);
+  ScheduleNext(sent_at, reading.next_is_long_poll);
 }
 
 std::string ReplicaListPoller::Apply(const ListReading& reading) {
@@ -71,10 +71,11 @@
   return "changed";
 }
 
-void ReplicaListPoller::ScheduleNext(TimePoint sent_at, bool next_waits) {
-  const Duration since = environment_.Now() - sent_at;
-  const Duration rest = since >= options_.interval ? Duration::zero() : options_.interval - since;
-  const Duration delay = next_waits ? std::min(rest, kLeastGap) : rest;
+void ReplicaListPoller::ScheduleNext(TimePoint sent_at, bool next_is_long_poll) {
+  const Duration elapsed = environment_.Now() - sent_at;
+  const Duration remaining =
+      elapsed >= options_.interval ? Duration::zero() : options_.interval - elapsed;
+  const Duration delay = next_is_long_poll ? std::min(remaining, kMinimumGap) : remaining;
   timer_ = environment_.ScheduleAfter(delay, [this] { Poll(); });
 }
 
--- a/src/replicas/replica_list_poller.h
+++ b/src/replicas/replica_list_poller.h
@@ -40,14 +40,14 @@
   void OnReading(TimePoint sent_at, const ListReading& reading);
   /// @return "unchanged", "changed", or why the list could not be read.
   std::string Apply(const ListReading& reading);
-  void ScheduleNext(TimePoint sent_at, bool next_waits);
+  void ScheduleNext(TimePoint sent_at, bool next_is_long_poll);
 
   Environment& environment_;
   ReplicaListOptions options_;
   std::unique_ptr<ReplicaListReader> reader_;
   ListHandler on_list_;
   bool loaded_ = false;
-  TimePoint last_ended_sent_at_{};
+  TimePoint last_queried_at_{};
   bool polled_ = false;
   TimerId timer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -32,7 +32,7 @@
   /// When the platform was queried, if not when `Read` was called.
   std::optional<TimePoint> read_at;
   /// The next `Read` is a long poll: it may be called immediately.
-  bool next_waits = false;
+  bool next_is_long_poll = false;
 };
 
 class ReplicaListReader {
--- a/src/replicas/replica_load.cc
+++ b/src/replicas/replica_load.cc
@@ -12,8 +12,8 @@
 std::optional<std::uint32_t> ParseNumber(std::string_view text) {
   std::uint32_t number = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc() || stop != end) {
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, number);
+  if (error != std::errc() || parsed_end != end) {
     return std::nullopt;
   }
   return number;
@@ -55,8 +55,8 @@
 }
 
 void ReplicaLoad::OnReport(const LoadReport& report) {
-  const std::uint32_t all = report.running + report.queued;
-  others_ = all - std::min(all, own());
+  const std::uint32_t total = report.running + report.queued;
+  others_ = total - std::min(total, own());
   reported_capacity_ = report.capacity;
   reported_ = true;
   if (report.running + report.queued < report.capacity) {
--- a/src/replicas/replica_load.h
+++ b/src/replicas/replica_load.h
@@ -45,7 +45,7 @@
   /// The replica refused a call as full; see `kRefusalPause`.
   void OnRefused(TimePoint now);
   /// Whether it refused a call just now.
-  bool Refusing(TimePoint now) const { return now < refusing_until_; }
+  bool IsRefusing(TimePoint now) const { return now < refusing_until_; }
 
   /// Own calls under way.
   std::uint32_t own() const { return own_live_ + own_batch_; }
--- a/src/replicas/replica_options.h
+++ b/src/replicas/replica_options.h
@@ -34,9 +34,9 @@
   bool enabled = true;
   std::string path = "/health";
   Duration interval = seconds(1);  ///< Between probes of one replica; longer if there are many.
-  Duration eager_interval = milliseconds(150);  ///< The same for a replica in slow start.
+  Duration slow_start_interval = milliseconds(150);  ///< The same for a replica in slow start.
   Duration deadline = milliseconds(700);
-  Duration least_gap =
+  Duration minimum_gap =
       milliseconds(20);  ///< Between two probes of this gateway, whatever their number.
 };
 
--- a/src/replicas/replica_prober.cc
+++ b/src/replicas/replica_prober.cc
@@ -28,33 +28,33 @@
 void ReplicaProber::Start() { Tick(); }
 
 void ReplicaProber::SetTargets(const std::vector<Target>& targets,
-                               const std::vector<std::string>& first) {
-  std::map<std::string, Target> wanted;
+                               const std::vector<std::string>& urgent) {
+  std::map<std::string, Target> new_targets;
   for (const Target& target : targets) {
-    wanted.emplace(target.id, target);
+    new_targets.emplace(target.id, target);
     if (!targets_.contains(target.id)) {
-      order_.push_back(target.id);
+      round_.push_back(target.id);
     }
   }
-  targets_ = std::move(wanted);
-  const auto unwanted = [this](const std::string& id) { return !targets_.contains(id); };
-  std::erase_if(order_, unwanted);
-  std::erase_if(urgent_, unwanted);
-  for (const std::string& id : first) {
+  targets_ = std::move(new_targets);
+  const auto not_a_target = [this](const std::string& id) { return !targets_.contains(id); };
+  std::erase_if(round_, not_a_target);
+  std::erase_if(urgent_, not_a_target);
+  for (const std::string& id : urgent) {
     AddUrgent(id);
   }
 }
 
 void ReplicaProber::AddUrgent(const std::string& id) {
-  const bool waits = std::find(urgent_.begin(), urgent_.end(), id) != urgent_.end();
-  if (targets_.contains(id) && !waits) {
+  const bool queued = std::find(urgent_.begin(), urgent_.end(), id) != urgent_.end();
+  if (targets_.contains(id) && !queued) {
     urgent_.push_back(id);
   }
 }
 
 void ReplicaProber::RepeatSoon(const std::string& id) {
   const std::weak_ptr<bool> alive = alive_;
-  environment_.ScheduleAfter(options_.eager_interval, [this, alive, id] {
+  environment_.ScheduleAfter(options_.slow_start_interval, [this, alive, id] {
     if (!alive.expired() && !running_.contains(id)) {
       AddUrgent(id);
     }
@@ -64,7 +64,7 @@
 void ReplicaProber::Tick() {
   // Urgent probes repeat themselves while replicas start, so they must not take every turn: a round
   // that is due gets every other one.
-  const bool round_due = !order_.empty() && environment_.Now() >= next_in_round_;
+  const bool round_due = !round_.empty() && environment_.Now() >= next_in_round_;
   const bool urgent_turn = !urgent_.empty() && !(round_due && last_was_urgent_);
   last_was_urgent_ = urgent_turn;
   if (urgent_turn) {
@@ -73,9 +73,9 @@
     Probe(targets_.at(id));
   } else if (round_due) {
     next_in_round_ = environment_.Now() + RoundGap();
-    const std::string id = order_.front();
-    order_.pop_front();
-    order_.push_back(id);
+    const std::string id = round_.front();
+    round_.pop_front();
+    round_.push_back(id);
     if (!running_.contains(id)) {
       Probe(targets_.at(id));
     }
@@ -84,18 +84,18 @@
 }
 
 Duration ReplicaProber::RoundGap() const {
-  const Duration even = options_.interval / static_cast<std::int64_t>(order_.size());
-  return std::max(options_.least_gap, std::min(even, kIdleGap * 10));
+  const Duration even_gap = options_.interval / static_cast<std::int64_t>(round_.size());
+  return std::max(options_.minimum_gap, std::min(even_gap, kIdleGap * 10));
 }
 
 Duration ReplicaProber::Gap() const {
   if (!urgent_.empty()) {
-    return options_.least_gap;
+    return options_.minimum_gap;
   }
-  if (order_.empty()) {
+  if (round_.empty()) {
     return kIdleGap;
   }
-  return std::max(options_.least_gap, next_in_round_ - environment_.Now());
+  return std::max(options_.minimum_gap, next_in_round_ - environment_.Now());
 }
 
 void ReplicaProber::Probe(const Target& target) {
@@ -108,19 +108,18 @@
   if (const auto previous = running_.find(id); previous != running_.end()) {
     previous->second->Cancel();  // It asked an earlier life of the replica.
   }
-  running_[id] =
-      client_.Call(target.endpoint, std::move(request), options_.deadline,
-                   [this, alive, id, instance_id](const HttpOutcome& outcome) {
-                     if (alive.expired()) {
-                       return;
-                     }
-                     running_.erase(id);
-                     const bool answered = outcome.kind == HttpOutcomeKind::kAnswered &&
-                                           outcome.response.status < kFirstServerError;
-                     environment_.metrics().Increment("gateway_probes_total",
-                                                      {{"result", answered ? "good" : "bad"}});
-                     on_result_(id, instance_id, answered, outcome.response.headers);
-                   });
+  running_[id] = client_.Call(target.endpoint, std::move(request), options_.deadline,
+                              [this, alive, id, instance_id](const HttpOutcome& outcome) {
+                                if (alive.expired()) {
+                                  return;
+                                }
+                                running_.erase(id);
+                                const bool healthy = outcome.kind == HttpOutcomeKind::kAnswered &&
+                                                     outcome.response.status < kFirstServerError;
+                                environment_.metrics().Increment(
+                                    "gateway_probes_total", {{"result", healthy ? "good" : "bad"}});
+                                on_result_(id, instance_id, healthy, outcome.response.headers);
+                              });
 }
 
 }  // namespace cloverbank
--- a/src/replicas/replica_prober.h
+++ b/src/replicas/replica_prober.h
@@ -21,7 +21,7 @@
  public:
   /// @param answered whether the replica responded as healthy.
   using ResultHandler = std::function<void(const std::string& id, const std::string& instance_id,
-                                           bool answered, const HttpHeaders& headers)>;
+                                           bool healthy, const HttpHeaders& headers)>;
   struct Target {
     std::string id;
     Endpoint endpoint;
@@ -36,7 +36,7 @@
 
   void Start();
   /// Replaces the set of replicas to probe. Those in `first` are probed before all others.
-  void SetTargets(const std::vector<Target>& targets, const std::vector<std::string>& first);
+  void SetTargets(const std::vector<Target>& targets, const std::vector<std::string>& urgent);
   /// Probes a replica again before its turn, after `ProbeOptions::eager_interval`.
   void RepeatSoon(const std::string& id);
 
@@ -53,7 +53,7 @@
   ProbeOptions options_;
   ResultHandler on_result_;
   std::map<std::string, Target> targets_;
-  std::deque<std::string> order_;   ///< Next targets; each once.
+  std::deque<std::string> round_;   ///< Next targets; each once.
   std::deque<std::string> urgent_;  ///< New targets, probed first.
   std::map<std::string, std::shared_ptr<HttpCall>> running_;
   TimePoint next_in_round_{};
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -11,30 +11,30 @@
 
 constexpr std::string_view kMethod = "gateway.GetReplicaList";
 /// How long a call waits at a source for its next reading.
-constexpr Duration kHold = milliseconds(1100);
+constexpr Duration kLongPollTime = milliseconds(1100);
 /// The same at a source of another zone: one that is lost must be noticed while the gateways of the
 /// own zone still wait.
-constexpr Duration kRemoteHold = milliseconds(500);
+constexpr Duration kRemoteLongPollTime = milliseconds(500);
 /// The same for the first list: a source may have started at the same time, and one of the own zone
 /// may itself wait for one of another.
-constexpr Duration kFirstHold = milliseconds(600);
-constexpr Duration kFirstRemoteHold = milliseconds(300);
+constexpr Duration kFirstLongPollTime = milliseconds(600);
+constexpr Duration kFirstRemoteLongPollTime = milliseconds(300);
 /// What a call may take beside that.
-constexpr Duration kRoundTrip = milliseconds(250);
+constexpr Duration kRoundTripAllowance = milliseconds(250);
 /// A list that was read longer ago is not taken from a source.
-constexpr Duration kOldest = milliseconds(1600);
+constexpr Duration kMaximumAge = milliseconds(1600);
 /// The same of an answer that was waited for: a source answers with its next reading, so an older
 /// one means that the source itself waits for something. With an older list of its own a gateway
 /// does not wait either.
-constexpr Duration kOldestAwaited = milliseconds(600);
+constexpr Duration kMaximumLongPollAge = milliseconds(600);
 /// How long a source that failed is passed over.
-constexpr Duration kPassOver = seconds(10);
+constexpr Duration kSourceBackoff = seconds(10);
 /// A gateway that has just started waits this long for the coordinators to name its sources. Before
 /// their word it has no configuration either, and serves nothing.
-constexpr Duration kFirstWait = seconds(5);
-constexpr Duration kFirstWaitStep = milliseconds(50);
+constexpr Duration kSourcesTimeout = seconds(5);
+constexpr Duration kSourcesCheckInterval = milliseconds(50);
 
-std::uint64_t IdOf(proto::ReplicaList list) {
+std::uint64_t ContentId(proto::ReplicaList list) {
   list.clear_version();
   const std::uint64_t checksum = Checksum(list.SerializeAsString());
   return checksum == 0 ? 1 : checksum;
@@ -83,32 +83,32 @@
     RequestFromSource();
     return;
   }
-  if (waited_for_sources_ >= kFirstWait) {
+  if (waited_for_sources_ >= kSourcesTimeout) {
     ReadPlatform();
     return;
   }
-  waited_for_sources_ += kFirstWaitStep;
-  timer_ = environment_.ScheduleAfter(kFirstWaitStep, [this] { WaitForSources(); });
+  waited_for_sources_ += kSourcesCheckInterval;
+  timer_ = environment_.ScheduleAfter(kSourcesCheckInterval, [this] { WaitForSources(); });
 }
 
 std::optional<ListSource> SharedListReader::NextSource() const {
   for (const ListSource& source : sources_().value_or(std::vector<ListSource>())) {
-    const auto passed_over = passed_over_until_.find(source.endpoint);
-    if (passed_over == passed_over_until_.end() || environment_.Now() >= passed_over->second) {
+    const auto backoff = backoff_until_.find(source.endpoint);
+    if (backoff == backoff_until_.end() || environment_.Now() >= backoff->second) {
       return source;
     }
   }
   return std::nullopt;
 }
 
-Duration SharedListReader::HoldAt(const ListSource& source) const {
-  if (id_ == 0) {
-    return source.in_zone ? kFirstHold : kFirstRemoteHold;
+Duration SharedListReader::LongPollTimeAt(const ListSource& source) const {
+  if (list_id_ == 0) {
+    return source.in_zone ? kFirstLongPollTime : kFirstRemoteLongPollTime;
   }
-  if (!awaits_) {
+  if (!long_polling_) {
     return Duration::zero();
   }
-  return source.in_zone ? kHold : kRemoteHold;
+  return source.in_zone ? kLongPollTime : kRemoteLongPollTime;
 }
 
 void SharedListReader::RequestFromSource() {
@@ -117,54 +117,56 @@
     ReadPlatform();
     return;
   }
-  asked_ = source->endpoint;
-  awaits_ = id_ != 0 && environment_.Now() - read_at_ <= kOldestAwaited;
-  const Duration hold = HoldAt(*source);
+  pending_source_ = source->endpoint;
+  long_polling_ = list_id_ != 0 && environment_.Now() - read_at_ <= kMaximumLongPollAge;
+  const Duration long_poll_time = LongPollTimeAt(*source);
   proto::GetReplicaListRequest request;
-  request.set_known_id(id_);
-  request.set_hold_ms(ToMilliseconds(hold));
+  request.set_known_id(list_id_);
+  request.set_hold_ms(ToMilliseconds(long_poll_time));
   environment_.metrics().Increment("gateway_replica_list_shared_reads_total", {});
   CallPeer<proto::GetReplicaListResponse>(
-      environment_, *asked_, kMethod, request, hold + kRoundTrip,
+      environment_, *pending_source_, kMethod, request, long_poll_time + kRoundTripAllowance,
       [this, alive = std::weak_ptr<bool>(alive_),
-       sent = environment_.Now()](const Result<proto::GetReplicaListResponse>& answer) {
+       sent = environment_.Now()](const Result<proto::GetReplicaListResponse>& response) {
         if (!alive.expired()) {
-          OnAnswer(sent, answer);
+          OnResponse(sent, response);
         }
       });
 }
 
-void SharedListReader::OnAnswer(TimePoint sent,
-                                const Result<proto::GetReplicaListResponse>& answer) {
-  const Endpoint source = *std::exchange(asked_, std::nullopt);
-  if (answer.ok() && !answer->failing()) {
-    const Duration oldest = awaits_ && !answer->has_list() ? kOldestAwaited : kOldest;
-    if (milliseconds(answer->read_ms_ago()) <= oldest) {
-      HandleAnswer(sent, *answer);
+void SharedListReader::OnResponse(TimePoint sent,
+                                  const Result<proto::GetReplicaListResponse>& response) {
+  const Endpoint source = *std::exchange(pending_source_, std::nullopt);
+  if (response.ok() && !response->failing()) {
+    const Duration maximum_age =
+        long_polling_ && !response->has_list() ? kMaximumLongPollAge : kMaximumAge;
+    if (milliseconds(response->read_ms_ago()) <= maximum_age) {
+      HandleResponse(sent, *response);
     } else {
       ReadPlatform();
     }
     return;
   }
-  passed_over_until_[source] = environment_.Now() + kPassOver;
+  backoff_until_[source] = environment_.Now() + kSourceBackoff;
   // Time was lost with a source that was silent or failed itself: no second one is waited for.
-  const bool not_reached = !answer.ok() && answer.status().code() == StatusCode::kUnavailable;
-  if (not_reached) {
+  const bool unreachable = !response.ok() && response.status().code() == StatusCode::kUnavailable;
+  if (unreachable) {
     RequestFromSource();
   } else {
     ReadPlatform();
   }
 }
 
-void SharedListReader::HandleAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer) {
+void SharedListReader::HandleResponse(TimePoint sent,
+                                      const proto::GetReplicaListResponse& response) {
   ListReading reading;
-  reading.next_waits = true;
+  reading.next_is_long_poll = true;
   // A lower bound also if this process was stopped before it took the answer in.
   reading.read_at =
-      sent + milliseconds(answer.waited_ms()) - Duration(milliseconds(answer.read_ms_ago()));
-  if (answer.has_list()) {
+      sent + milliseconds(response.waited_ms()) - Duration(milliseconds(response.read_ms_ago()));
+  if (response.has_list()) {
     reading.end = ListReadEnd::kRead;
-    reading.list = answer.list();
+    reading.list = response.list();
     reading.list.set_version(++version_);
     candidate_ = reading.list;
     candidate_read_at_ = *reading.read_at;
@@ -189,11 +191,11 @@
     candidate_ = reading.list;
     candidate_read_at_ = sent;
     candidate_from_platform_ = true;
-  } else if (reading.end == ListReadEnd::kUnchanged && id_ != 0) {
+  } else if (reading.end == ListReadEnd::kUnchanged && list_id_ != 0) {
     Publish(sent);
   } else {
     failing_ = true;
-    AnswerPending();
+    RespondToPending();
   }
   Finish(std::move(reading));
 }
@@ -207,49 +209,50 @@
     platform_->Accepted();
   }
   list_ = std::move(candidate_);
-  id_ = IdOf(list_);
+  list_id_ = ContentId(list_);
   Publish(candidate_read_at_);
 }
 
 void SharedListReader::Publish(TimePoint read_at) {
   read_at_ = read_at;
   failing_ = false;
-  AnswerPending();
+  RespondToPending();
 }
 
-void SharedListReader::AnswerPending() {
+void SharedListReader::RespondToPending() {
   for (const PendingRequest& pending : std::exchange(pending_, {})) {
     environment_.CancelTimer(pending.timer);
-    Answer(pending);
+    Respond(pending);
   }
 }
 
-bool SharedListReader::Recent() const {
-  return id_ != 0 && environment_.Now() - read_at_ <= kOldest;
+bool SharedListReader::IsRecent() const {
+  return list_id_ != 0 && environment_.Now() - read_at_ <= kMaximumAge;
 }
 
 void SharedListReader::Serve(const proto::GetReplicaListRequest& request,
                              const std::string& address, Reply reply) {
-  if (asked_.has_value() && asked_->host == address) {
+  if (pending_source_.has_value() && pending_source_->host == address) {
     reply(Status(StatusCode::kUnavailable, "this gateway waits for the asking one's list"));
     return;
   }
   PendingRequest pending{request.known_id(), environment_.Now(), 0, std::move(reply)};
-  if (Recent() && pending.known != id_) {
-    Answer(pending);
+  if (IsRecent() && pending.known_id != list_id_) {
+    Respond(pending);
     return;
   }
   const auto position = pending_.insert(pending_.end(), std::move(pending));
-  const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kHold);
-  position->timer = environment_.ScheduleAfter(hold, [this, position] {
-    const PendingRequest late = std::move(*position);
+  const Duration long_poll_time =
+      std::min<Duration>(milliseconds(request.hold_ms()), kLongPollTime);
+  position->timer = environment_.ScheduleAfter(long_poll_time, [this, position] {
+    const PendingRequest expired = std::move(*position);
     pending_.erase(position);
-    Answer(late);
+    Respond(expired);
   });
 }
 
-void SharedListReader::Answer(const PendingRequest& pending) const {
-  if (id_ == 0) {
+void SharedListReader::Respond(const PendingRequest& pending) const {
+  if (list_id_ == 0) {
     pending.reply(Status(StatusCode::kUnavailable, "no list of replicas was read yet"));
     return;
   }
@@ -257,7 +260,7 @@
   response.set_waited_ms(ToMilliseconds(environment_.Now() - pending.arrival));
   response.set_failing(failing_);
   response.set_read_ms_ago(ToMilliseconds(environment_.Now() - read_at_));
-  if (pending.known != id_) {
+  if (pending.known_id != list_id_) {
     *response.mutable_list() = list_;
   }
   pending.reply(std::move(response));
--- a/src/replicas/shared_list_reader.h
+++ b/src/replicas/shared_list_reader.h
@@ -45,7 +45,7 @@
   using Reply = std::function<void(Result<proto::GetReplicaListResponse>)>;
   /// A long poll of another gateway that waits for the next reading.
   struct PendingRequest {
-    std::uint64_t known = 0;
+    std::uint64_t known_id = 0;
     TimePoint arrival{};
     TimerId timer = 0;
     Reply reply;
@@ -56,20 +56,20 @@
   void RequestFromSource();
   std::optional<ListSource> NextSource() const;
   /// @return how long a long poll may wait at the source.
-  Duration HoldAt(const ListSource& source) const;
-  void OnAnswer(TimePoint sent, const Result<proto::GetReplicaListResponse>& answer);
-  void HandleAnswer(TimePoint sent, const proto::GetReplicaListResponse& answer);
+  Duration LongPollTimeAt(const ListSource& source) const;
+  void OnResponse(TimePoint sent, const Result<proto::GetReplicaListResponse>& response);
+  void HandleResponse(TimePoint sent, const proto::GetReplicaListResponse& response);
   void ReadPlatform();
   void HandlePlatformReading(TimePoint sent, ListReading reading);
   void Finish(ListReading reading);
 
   /// Makes the current list available; the platform showed it at `read_at` or later.
   void Publish(TimePoint read_at);
-  void AnswerPending();
+  void RespondToPending();
   /// @param address IP address of the requesting gateway.
   void Serve(const proto::GetReplicaListRequest& request, const std::string& address, Reply reply);
-  void Answer(const PendingRequest& pending) const;
-  bool Recent() const;
+  void Respond(const PendingRequest& pending) const;
+  bool IsRecent() const;
 
   Environment& environment_;
   Sources sources_;
@@ -77,11 +77,11 @@
 
   std::function<void(ListReading)> done_;
   Duration deadline_{};
-  std::optional<Endpoint> asked_;  ///< The source whose response is outstanding.
-  bool awaits_ = false;            ///< The outstanding request is a long poll.
+  std::optional<Endpoint> pending_source_;  ///< The source whose response is outstanding.
+  bool long_polling_ = false;               ///< The outstanding request is a long poll.
   Duration waited_for_sources_{};
   TimerId timer_ = 0;
-  std::map<Endpoint, TimePoint> passed_over_until_;
+  std::map<Endpoint, TimePoint> backoff_until_;
 
   /// The last list read, until the directory has accepted it.
   proto::ReplicaList candidate_;
@@ -89,7 +89,7 @@
   bool candidate_from_platform_ = false;
   /// The list served to others; `id_` is 0 while there is none.
   proto::ReplicaList list_;
-  std::uint64_t id_ = 0;
+  std::uint64_t list_id_ = 0;
   TimePoint read_at_{};
   bool failing_ = false;  ///< The last attempt failed.
   std::uint64_t version_ = 0;
--- a/src/replicas/slow_start.h
+++ b/src/replicas/slow_start.h
@@ -34,13 +34,13 @@
   bool IsWarmingUp(std::string_view id, TimePoint now) const;
 
  private:
-  struct Window {
+  struct WarmUp {
     double calls_per_second = 0;
     TimePoint until{};
     TimePoint next_start{};  ///< Calls are spaced evenly; none starts before.
   };
 
-  std::map<std::string, Window, std::less<>> windows_;
+  std::map<std::string, WarmUp, std::less<>> warm_ups_;
 };
 
 }  // namespace cloverbank
--- a/src/routing/route_match.cc
+++ b/src/routing/route_match.cc
@@ -9,8 +9,9 @@
                                std::string_view host, std::string_view path) {
   const proto::Route* best = nullptr;
   for (const proto::Route& route : configuration.routes()) {
-    const bool longer = best == nullptr || route.path_prefix().size() > best->path_prefix().size();
-    if (route.backend_kind() == proto::BACKEND_KIND_HTTP && longer &&
+    const bool is_longer =
+        best == nullptr || route.path_prefix().size() > best->path_prefix().size();
+    if (route.backend_kind() == proto::BACKEND_KIND_HTTP && is_longer &&
         path.substr(0, route.path_prefix().size()) == route.path_prefix() &&
         EqualIgnoringCase(route.host(), host)) {
       best = &route;
@@ -19,7 +20,7 @@
   return best;
 }
 
-std::string ChooseBackend(const proto::Route& route, std::uint64_t draw) {
+std::string ChooseBackend(const proto::Route& route, std::uint64_t random) {
   std::uint64_t total = 0;
   for (const proto::WeightedBackend& weighted : route.split()) {
     total += weighted.weight();
@@ -27,7 +28,7 @@
   if (total == 0) {
     return route.backend();
   }
-  std::uint64_t offset = draw % total;
+  std::uint64_t offset = random % total;
   for (const proto::WeightedBackend& weighted : route.split()) {
     if (offset < weighted.weight()) {
       return weighted.backend();
@@ -52,8 +53,8 @@
   const auto found = std::lower_bound(
       configuration.backends().begin(), configuration.backends().end(), name,
       [](const proto::Backend& backend, std::string_view key) { return backend.name() < key; });
-  const bool there = found != configuration.backends().end() && found->name() == name;
-  return there ? &*found : nullptr;
+  const bool matches = found != configuration.backends().end() && found->name() == name;
+  return matches ? &*found : nullptr;
 }
 
 }  // namespace cloverbank
--- a/src/routing/route_match.h
+++ b/src/routing/route_match.h
@@ -18,7 +18,7 @@
 
 /// @return the back end whose weight range `draw` falls into: the same draw keeps its back end as
 /// long as the weights stay.
-std::string ChooseBackend(const proto::Route& route, std::uint64_t draw);
+std::string ChooseBackend(const proto::Route& route, std::uint64_t random);
 
 /// Whether some of the route's calls may go to `backend`.
 bool AllowsBackend(const proto::Route& route, std::string_view backend);
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr std::uint32_t kPercent = 100;
-constexpr std::uint32_t kDefaultCapacityReservePercent = 70;
+constexpr std::uint32_t kDefaultBatchCapacityPercent = 70;
 /// Where loads are not reported, a gateway leaves some of its quota free for live calls.
-constexpr std::uint32_t kUnreportedCapacityReservePercent = 90;
-constexpr std::uint32_t kElsewhereRank = 4;   // After own zone and region, busy or not.
-constexpr std::uint32_t kLastResortRank = 5;  // Added to the rank of a suspect.
-constexpr Duration kLastResortCost = seconds(10);
+constexpr std::uint32_t kUnreportedBatchCapacityPercent = 90;
+constexpr std::uint32_t kOtherZoneRank = 4;          // After own zone and region, busy or not.
+constexpr std::uint32_t kLastResortRankPenalty = 5;  // Added to the rank of a suspect.
+constexpr Duration kLastResortCostPenalty = seconds(10);
 
 /// A replica with its rendezvous weight for one key.
 struct WeightedReplica {
@@ -30,10 +30,10 @@
   return found != list.end() && found->name() == name ? &*found : nullptr;
 }
 
-std::uint32_t CapacityReservePercent(const proto::RoutingConfiguration& configuration,
-                                     std::uint32_t standard) {
+std::uint32_t BatchCapacityPercent(const proto::RoutingConfiguration& configuration,
+                                   std::uint32_t default_percent) {
   const std::uint32_t percent = configuration.batch().live_headroom_percent();
-  return percent == 0 ? standard : std::min(percent, kPercent);
+  return percent == 0 ? default_percent : std::min(percent, kPercent);
 }
 
 }  // namespace
@@ -130,7 +130,7 @@
       continue;
     }
     healthy = true;
-    Candidate candidate = Examine(*replica, query, now);
+    Candidate candidate = MakeCandidate(*replica, query, now);
     candidate.last_resort = usability == Usability::kLastResort;
     candidate.rank = RankOf(candidate, *query.configuration);
     if (candidate.has_capacity) {
@@ -149,8 +149,8 @@
   return candidates;
 }
 
-Router::Candidate Router::Examine(const ReplicaRecord& replica, const RoutingQuery& query,
-                                  TimePoint now) const {
+Router::Candidate Router::MakeCandidate(const ReplicaRecord& replica, const RoutingQuery& query,
+                                        TimePoint now) const {
   Candidate candidate;
   candidate.replica = &replica;
   const auto found = loads_.find(replica.id);
@@ -163,13 +163,13 @@
                             query.excluded->end();
   const bool allowance_spent = options_.load_reported && health_.IsInSlowStart(replica.id, now) &&
                                load.slow_start_allowance(now) == 0;
-  const bool paced = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
-  const bool throttled = allowance_spent || paced;
-  const bool barred = excluded || throttled || load.Refusing(now);
-  candidate.has_capacity = candidate.load < candidate.limit && !barred;
+  const bool rate_limited = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
+  const bool limited = allowance_spent || rate_limited;
+  const bool blocked = excluded || limited || load.IsRefusing(now);
+  candidate.has_capacity = candidate.load < candidate.limit && !blocked;
   if (query.work == WorkKind::kBatch) {
     candidate.has_capacity =
-        candidate.has_capacity && BatchCapacity(replica, *query.configuration, now) > 0;
+        candidate.has_capacity && BatchSlotsAt(replica, *query.configuration, now) > 0;
   }
   return candidate;
 }
@@ -185,7 +185,7 @@
   });
 }
 
-std::vector<const ReplicaRecord*> Router::Homes(const RoutingQuery& query) const {
+std::vector<const ReplicaRecord*> Router::PreferredReplicas(const RoutingQuery& query) const {
   if (query.prefix_key.empty()) {
     return {};
   }
@@ -198,29 +198,29 @@
       preferred = {weight, replica};
     }
   }
-  std::vector<const ReplicaRecord*> homes;
-  homes.reserve(best.size());
+  std::vector<const ReplicaRecord*> preferred_replicas;
+  preferred_replicas.reserve(best.size());
   for (const auto& [zone, preferred] : best) {
-    homes.push_back(preferred.replica);
+    preferred_replicas.push_back(preferred.replica);
   }
-  return homes;
+  return preferred_replicas;
 }
 
-Duration Router::PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool home,
+Duration Router::PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool preferred,
                              TimePoint now) const {
   const ReplicaRecord& replica = *candidate.replica;
-  const std::uint32_t tokens = prefill_->TokensToRead(replica.id, query.prompt, home);
-  Duration cost = prefill_->Backlog(replica.id, now) + prefill_->TimeFor(replica.id, tokens);
+  const std::uint32_t tokens = prefill_->TokensToRead(replica.id, query.prompt, preferred);
+  Duration cost = prefill_->Backlog(replica.id, now) + prefill_->PrefillTime(replica.id, tokens);
   cost += candidate.load * options_.running_call_cost;
   cost += std::chrono::duration_cast<Duration>(prefill_->RecentLoad(replica.id, now) *
                                                options_.recent_load_weight);
   cost += replica.zone == options_.zone ? Duration::zero() : options_.other_zone_cost;
-  cost += candidate.last_resort ? kLastResortCost : Duration::zero();
-  const bool for_long_ones = directory_.AcceptsLongPrompts(replica);
+  cost += candidate.last_resort ? kLastResortCostPenalty : Duration::zero();
+  const bool accepts_long_prompts = directory_.AcceptsLongPrompts(replica);
   if (prefill_->IsLong(query.prompt.prompt_tokens)) {
-    cost += for_long_ones ? Duration::zero() : options_.long_elsewhere_cost;
-  } else if (for_long_ones && prefill_->ExpectsLongPrompts(replica.id, now)) {
-    cost += options_.short_beside_long_cost;
+    cost += accepts_long_prompts ? Duration::zero() : options_.misplaced_long_prompt_cost;
+  } else if (accepts_long_prompts && prefill_->ExpectsLongPrompts(replica.id, now)) {
+    cost += options_.misplaced_short_prompt_cost;
   }
   return cost;
 }
@@ -229,12 +229,13 @@
                                                  const RoutingQuery& query, TimePoint now) const {
   const Candidate* best = nullptr;
   Duration best_cost{};
-  const std::vector<const ReplicaRecord*> homes = Homes(query);
+  const std::vector<const ReplicaRecord*> preferred_replicas = PreferredReplicas(query);
   const std::size_t first = query.tie_breaker % candidates.size();
   for (std::size_t step = 0; step < candidates.size(); ++step) {
     const Candidate& candidate = candidates[(first + step) % candidates.size()];
-    const bool home = std::find(homes.begin(), homes.end(), candidate.replica) != homes.end();
-    const Duration cost = PrefillCost(candidate, query, home, now);
+    const bool preferred = std::find(preferred_replicas.begin(), preferred_replicas.end(),
+                                     candidate.replica) != preferred_replicas.end();
+    const Duration cost = PrefillCost(candidate, query, preferred, now);
     if (best == nullptr || cost < best_cost) {
       best = &candidate;
       best_cost = cost;
@@ -275,25 +276,25 @@
       const proto::Zone* zone = FindZone(configuration, replica->zone);
       const bool open = zone != nullptr && zone->state() == proto::ZONE_STATE_OPEN;
       const bool healthy = health_.GetUsability(replica->id, now) == Usability::kYes;
-      slots += open && healthy ? BatchCapacity(*replica, configuration, now) : 0;
+      slots += open && healthy ? BatchSlotsAt(*replica, configuration, now) : 0;
     }
   }
   return slots;
 }
 
-std::uint32_t Router::BatchCapacity(const ReplicaRecord& replica,
-                                    const proto::RoutingConfiguration& configuration,
-                                    TimePoint now) const {
+std::uint32_t Router::BatchSlotsAt(const ReplicaRecord& replica,
+                                   const proto::RoutingConfiguration& configuration,
+                                   TimePoint now) const {
   const auto found = loads_.find(replica.id);
   if (!options_.load_reported) {
-    const bool refusing = found != loads_.end() && found->second.Refusing(now);
-    const bool paced = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
-    const bool reading =
-        prefill_ != nullptr && prefill_->Backlog(replica.id, now) > options_.batch_backlog;
-    const bool closed = refusing || paced || reading;
-    return closed ? 0 : UnreportedCapacityReserve(replica, configuration, now).free;
+    const bool refusing = found != loads_.end() && found->second.IsRefusing(now);
+    const bool rate_limited = slow_start_ != nullptr && !slow_start_->CanStart(replica.id, now);
+    const bool backlogged =
+        prefill_ != nullptr && prefill_->Backlog(replica.id, now) > options_.maximum_batch_backlog;
+    const bool blocked = refusing || rate_limited || backlogged;
+    return blocked ? 0 : UnreportedBatchCapacity(replica, configuration, now).free;
   }
-  if (found == loads_.end() || found->second.Refusing(now)) {
+  if (found == loads_.end() || found->second.IsRefusing(now)) {
     return 0;
   }
   std::uint32_t slots = std::min(CapacityReserveFor(replica, configuration, now).free,
@@ -304,14 +305,14 @@
   return slots;
 }
 
-Router::BatchCapacityReserve Router::UnreportedCapacityReserve(
+Router::BatchCapacityReserve Router::UnreportedBatchCapacity(
     const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
     TimePoint now) const {
   const auto found = loads_.find(replica.id);
   const std::uint32_t own = found == loads_.end() ? 0 : found->second.own();
-  const std::uint32_t all =
-      replica.capacity * CapacityReservePercent(configuration, kUnreportedCapacityReservePercent) /
-      kPercent;
+  const std::uint32_t all = replica.capacity *
+                            BatchCapacityPercent(configuration, kUnreportedBatchCapacityPercent) /
+                            kPercent;
   BatchCapacityReserve reserve;
   reserve.bound = std::min(quota_.SlotsFor(replica.id, replica.zone, all),
                            health_.GetLimit(replica.id, replica.capacity, now));
@@ -330,8 +331,7 @@
   const std::uint32_t capacity = load.Capacity(replica.capacity);
   // At least one, or batches would never run on replicas that take one call at a time.
   const std::uint32_t bound = std::max(
-      1U,
-      capacity * CapacityReservePercent(configuration, kDefaultCapacityReservePercent) / kPercent);
+      1U, capacity * BatchCapacityPercent(configuration, kDefaultBatchCapacityPercent) / kPercent);
   BatchCapacityReserve reserve;
   reserve.bound = std::min(bound, health_.GetLimit(replica.id, capacity, now));
   reserve.free = reserve.bound - std::min(reserve.bound, load.total());
@@ -344,12 +344,12 @@
   const proto::Zone* own = FindZone(configuration, options_.zone);
   const proto::Zone* other = FindZone(configuration, zone);
   const bool same_region = own != nullptr && other != nullptr && own->region() == other->region();
-  std::uint32_t rank = kElsewhereRank;
+  std::uint32_t rank = kOtherZoneRank;
   if (zone == options_.zone || same_region) {
     const bool busy = candidate.load >= options_.busy_ratio * candidate.limit;
     rank = (zone == options_.zone ? 0 : 1) + (busy ? 2 : 0);
   }
-  return rank + (candidate.last_resort ? kLastResortRank : 0);
+  return rank + (candidate.last_resort ? kLastResortRankPenalty : 0);
 }
 
 }  // namespace cloverbank
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -45,10 +45,10 @@
   double recent_load_weight = 0.2;
   /// Where long prompts are expected, some replicas of each zone accept them and short prompts
   /// avoid these. Costs of sending a long prompt elsewhere, and a short one there.
-  Duration long_elsewhere_cost = milliseconds(80);
-  Duration short_beside_long_cost = milliseconds(60);
+  Duration misplaced_long_prompt_cost = milliseconds(80);
+  Duration misplaced_short_prompt_cost = milliseconds(60);
   /// Prefill backlog above which no batch item is started at a replica.
-  Duration batch_backlog = milliseconds(10);
+  Duration maximum_batch_backlog = milliseconds(10);
 };
 
 struct RoutingQuery {
@@ -139,22 +139,22 @@
 
   std::vector<Candidate> Candidates(const RoutingQuery& query, TimePoint now,
                                     RoutingFailure* failure) const;
-  Candidate Examine(const ReplicaRecord& replica, const RoutingQuery& query, TimePoint now) const;
-  std::uint32_t BatchCapacity(const ReplicaRecord& replica,
-                              const proto::RoutingConfiguration& configuration,
-                              TimePoint now) const;
+  Candidate MakeCandidate(const ReplicaRecord& replica, const RoutingQuery& query,
+                          TimePoint now) const;
+  std::uint32_t BatchSlotsAt(const ReplicaRecord& replica,
+                             const proto::RoutingConfiguration& configuration, TimePoint now) const;
   /// Own zone, then own region, while not busy; then the same while busy; then all other zones.
   /// Suspected replicas rank last.
   std::uint32_t RankOf(const Candidate& candidate,
                        const proto::RoutingConfiguration& configuration) const;
   /// Capacity where loads are not reported: this gateway's quota of the bound, less its own calls.
-  BatchCapacityReserve UnreportedCapacityReserve(const ReplicaRecord& replica,
-                                                 const proto::RoutingConfiguration& configuration,
-                                                 TimePoint now) const;
+  BatchCapacityReserve UnreportedBatchCapacity(const ReplicaRecord& replica,
+                                               const proto::RoutingConfiguration& configuration,
+                                               TimePoint now) const;
   /// @return the preferred replica of each zone for the query's key.
-  std::vector<const ReplicaRecord*> Homes(const RoutingQuery& query) const;
+  std::vector<const ReplicaRecord*> PreferredReplicas(const RoutingQuery& query) const;
   /// @param home whether the candidate is the preferred replica for the query's key.
-  Duration PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool home,
+  Duration PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool preferred,
                        TimePoint now) const;
   /// @return the candidate with the lowest cost.
   const Candidate* ChooseByPrefill(const std::vector<Candidate>& candidates,
--- a/tests/replicas/gateway_quota_test.cc
+++ b/tests/replicas/gateway_quota_test.cc
@@ -15,7 +15,7 @@
 constexpr std::uint32_t kFew = 3;
 constexpr std::uint32_t kMany = 58;
 
-std::vector<GatewayQuota> Zone(const std::string& zone, std::uint32_t count) {
+std::vector<GatewayQuota> QuotasOfZone(const std::string& zone, std::uint32_t count) {
   std::vector<GatewayQuota> quotas;
   for (std::uint32_t index = 0; index < count; ++index) {
     quotas.push_back({zone, index, count});
@@ -27,7 +27,7 @@
   for (const std::uint32_t count : {1U, kFew, 12U, kMany}) {
     for (std::uint32_t replica = 0; replica < 50; ++replica) {
       std::uint32_t sum = 0;
-      for (const GatewayQuota& quota : Zone("a", count)) {
+      for (const GatewayQuota& quota : QuotasOfZone("a", count)) {
         sum += quota.SlotsFor("r" + std::to_string(replica), "a", 10);
       }
       EXPECT_EQ(sum, 10U) << count << " gateways";
@@ -36,7 +36,7 @@
 }
 
 TEST(GatewayQuotaTest, ManyGatewaysDrawDifferentReplicas) {
-  for (const GatewayQuota& quota : Zone("a", kMany)) {
+  for (const GatewayQuota& quota : QuotasOfZone("a", kMany)) {
     std::uint32_t slots = 0;
     for (std::uint32_t replica = 0; replica < 500; ++replica) {
       slots += quota.SlotsFor("r" + std::to_string(replica), "a", 10);
@@ -55,10 +55,10 @@
   for (const std::uint32_t count : {1U, kFew, 12U, kMany}) {
     for (const double rate : {1.0, 13.0, 31.0}) {
       double sum = 0;
-      for (const GatewayQuota& quota : Zone("a", count)) {
-        const double slot = quota.RateFor("r", "a", rate);
-        EXPECT_TRUE(slot == 0 || slot >= 2 || rate < 2) << slot;
-        sum += slot;
+      for (const GatewayQuota& quota : QuotasOfZone("a", count)) {
+        const double quota_rate = quota.RateFor("r", "a", rate);
+        EXPECT_TRUE(quota_rate == 0 || quota_rate >= 2 || rate < 2) << quota_rate;
+        sum += quota_rate;
       }
       EXPECT_NEAR(sum, rate, 1e-9);
     }
@@ -71,7 +71,7 @@
   static constexpr double kPerSecond = 13;
 
   void SetWarmingUpEverywhere() {
-    for (const GatewayQuota& quota : Zone("a", GetParam())) {
+    for (const GatewayQuota& quota : QuotasOfZone("a", GetParam())) {
       gateways_.emplace_back().SetWarmingUp("r", quota.RateFor("r", "a", kPerSecond),
                                             now_ + seconds(30), now_);
     }
@@ -86,16 +86,16 @@
       }
     }
   }
-  std::size_t MostInASecond() const {
-    std::size_t most = 0;
+  std::size_t MaximumStartsPerSecond() const {
+    std::size_t maximum = 0;
     std::size_t first = 0;
     for (std::size_t last = 0; last < starts_.size(); ++last) {
       while (starts_[last] - starts_[first] >= seconds(1)) {
         ++first;
       }
-      most = std::max(most, last - first + 1);
+      maximum = std::max(maximum, last - first + 1);
     }
-    return most;
+    return maximum;
   }
 
   TimePoint now_{seconds(1000)};
@@ -107,7 +107,7 @@
 TEST_P(SlowStartReplicaTest, GatewaysTogetherStayWithinTheRate) {
   SetWarmingUpEverywhere();
   RunFor(seconds(3));
-  EXPECT_LE(static_cast<double>(MostInASecond()), kPerSecond * 1.5);
+  EXPECT_LE(static_cast<double>(MaximumStartsPerSecond()), kPerSecond * 1.5);
   EXPECT_GE(static_cast<double>(starts_.size()), kPerSecond * 2.5);
 }
 
@@ -115,26 +115,26 @@
   SetWarmingUpEverywhere();
   RunFor(milliseconds(700));
   // A third of the gateways is gone; the others hear of it one after the other.
-  const std::uint32_t left = GetParam() - GetParam() / 3;
-  gateways_.resize(left);
-  for (std::uint32_t index = 0; index < left; ++index) {
-    const double rate = GatewayQuota{"a", index, left}.RateFor("r", "a", kPerSecond);
+  const std::uint32_t remaining = GetParam() - GetParam() / 3;
+  gateways_.resize(remaining);
+  for (std::uint32_t index = 0; index < remaining; ++index) {
+    const double rate = GatewayQuota{"a", index, remaining}.RateFor("r", "a", kPerSecond);
     gateways_[index].ChangeRates([rate](const std::string&) { return rate; }, milliseconds(1500),
                                  now_);
-    RunFor(milliseconds(700) / left);
+    RunFor(milliseconds(700) / remaining);
   }
   RunFor(seconds(4));
-  EXPECT_LE(static_cast<double>(MostInASecond()), kPerSecond * 1.5 + 5);
+  EXPECT_LE(static_cast<double>(MaximumStartsPerSecond()), kPerSecond * 1.5 + 5);
 }
 
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartReplicaTest, testing::Values(1U, 3U, 12U, 14U, 58U));
 
 TEST(SlowStartTest, WarmReplicasAreUnlimited) {
-  SlowStart pacing;
+  SlowStart slow_start;
   const TimePoint now{seconds(1000)};
-  pacing.SetWarmingUp("r", 0, now + seconds(3), now);
-  EXPECT_FALSE(pacing.CanStart("r", now));
-  EXPECT_TRUE(pacing.CanStart("r", now + seconds(3)));
+  slow_start.SetWarmingUp("r", 0, now + seconds(3), now);
+  EXPECT_FALSE(slow_start.CanStart("r", now));
+  EXPECT_TRUE(slow_start.CanStart("r", now + seconds(3)));
 }
 
 }  // namespace
--- a/tests/replicas/prefill_gossip_test.cc
+++ b/tests/replicas/prefill_gossip_test.cc
@@ -18,11 +18,11 @@
 /// Longer than prompts are gathered and told.
 constexpr Duration kPropagationDelay = milliseconds(20);
 
-struct HeardPrompt {
+struct ReceivedPrompt {
   std::string replica;
   std::uint32_t tokens = 0;
   std::uint64_t key = 0;
-  bool operator==(const HeardPrompt&) const = default;
+  bool operator==(const ReceivedPrompt&) const = default;
 };
 
 class PrefillGossipTest : public testing::Test {
@@ -35,7 +35,7 @@
         auto gossip = std::make_shared<PrefillGossip>(
             environment, [this, name] { return NeighboursOf(name); },
             [this, name](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
-              heard_[name].push_back({replica, tokens, key});
+              received_[name].push_back({replica, tokens, key});
             });
         gossips_[name] = gossip.get();
         return gossip;
@@ -60,44 +60,44 @@
 
   SimulatedWorld world_{7};
   std::map<std::string, PrefillGossip*> gossips_;
-  std::map<std::string, std::vector<HeardPrompt>> heard_;
+  std::map<std::string, std::vector<ReceivedPrompt>> received_;
 };
 
 TEST_F(PrefillGossipTest, AnnouncesAPromptOnceToEachNeighbour) {
   gossips_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
-  const std::vector<HeardPrompt> expected = {{"r1", 1'200, 42}};
-  EXPECT_EQ(heard_["g1"], expected);
-  EXPECT_EQ(heard_["g2"], expected);
-  EXPECT_TRUE(heard_["g0"].empty());
+  const std::vector<ReceivedPrompt> expected = {{"r1", 1'200, 42}};
+  EXPECT_EQ(received_["g1"], expected);
+  EXPECT_EQ(received_["g2"], expected);
+  EXPECT_TRUE(received_["g0"].empty());
 }
 
 TEST_F(PrefillGossipTest, BatchedPromptsArriveInOrder) {
   gossips_["g0"]->Announce("r1", 1'200, 1);
   gossips_["g0"]->Announce("r2", 800, 2);
   world_.RunFor(kPropagationDelay);
-  const std::vector<HeardPrompt> expected = {{"r1", 1'200, 1}, {"r2", 800, 2}};
-  EXPECT_EQ(heard_["g1"], expected);
+  const std::vector<ReceivedPrompt> expected = {{"r1", 1'200, 1}, {"r2", 800, 2}};
+  EXPECT_EQ(received_["g1"], expected);
 }
 
 TEST_F(PrefillGossipTest, DoesNotAnnounceTheShortestPrompts) {
   gossips_["g0"]->Announce("r1", 100, 1);
   world_.RunFor(kPropagationDelay);
-  EXPECT_TRUE(heard_["g1"].empty());
+  EXPECT_TRUE(received_["g1"].empty());
 }
 
 TEST_F(PrefillGossipTest, ADeadNeighbourDelaysNoOthers) {
   world_.machine("g1").Kill();
   gossips_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
-  EXPECT_EQ(heard_["g2"].size(), 1U);
+  EXPECT_EQ(received_["g2"].size(), 1U);
 }
 
 // What a gateway knows of a replica's backlog is then close to the truth although most of the
 // prompts there come from others: it is this that keeps prompts from meeting.
 TEST_F(PrefillGossipTest, ABacklogMadeByOthersIsKnown) {
   PrefillOptions options;
-  options.first_tokens_per_ms = 100;
+  options.initial_tokens_per_ms = 100;
   PrefillLoad load(options);
   const TimePoint now{seconds(1)};
   for (int prompt = 0; prompt < 5; ++prompt) {
@@ -105,7 +105,7 @@
     gossips_["g1"]->Announce("r1", 1'000, 0);
   }
   world_.RunFor(kPropagationDelay);
-  for (const HeardPrompt& prompt : heard_["g2"]) {
+  for (const ReceivedPrompt& prompt : received_["g2"]) {
     load.OnStart(prompt.replica, prompt.tokens, prompt.key, now);
   }
   EXPECT_EQ(load.Backlog("r1", now), milliseconds(100));
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -7,7 +7,7 @@
 
 PrefillOptions Options() {
   PrefillOptions options;
-  options.first_tokens_per_ms = 100;
+  options.initial_tokens_per_ms = 100;
   options.keys_per_replica = 2;
   return options;
 }
@@ -46,7 +46,7 @@
 }
 
 TEST_F(PrefillLoadTest, LearnsThroughputFromUndelayedResponses) {
-  const Duration fixed = Options().first_fixed_latency;
+  const Duration fixed = Options().initial_fixed_latency;
   load_.Watch("slow", "model");
   load_.Watch("fast", "model");
   for (int sample = 0; sample < 40; ++sample) {
@@ -58,7 +58,7 @@
 }
 
 TEST_F(PrefillLoadTest, AssumesThePeersThroughputAtFirst) {
-  const Duration fixed = Options().first_fixed_latency;
+  const Duration fixed = Options().initial_fixed_latency;
   load_.Watch("known", "model");
   load_.Watch("new", "model");
   load_.Watch("foreign", "other-model");
@@ -70,7 +70,7 @@
 }
 
 TEST_F(PrefillLoadTest, IgnoresShortAndDelayedSamples) {
-  const Duration fixed = Options().first_fixed_latency;
+  const Duration fixed = Options().initial_fixed_latency;
   for (int sample = 0; sample < 40; ++sample) {
     load_.OnFirstByte("r", 8'000, milliseconds(100), fixed + milliseconds(160), now_);
     load_.OnFirstByte("r", 100, Duration::zero(), fixed + milliseconds(160), now_);
@@ -79,10 +79,10 @@
 }
 
 TEST_F(PrefillLoadTest, DelayedResponsesDoNotLowerThroughput) {
-  const Duration fixed = Options().first_fixed_latency;
+  const Duration fixed = Options().initial_fixed_latency;
   for (int sample = 0; sample < 60; ++sample) {
-    const Duration unknown = sample % 2 == 0 ? milliseconds(300) : Duration::zero();
-    load_.OnFirstByte("r", 8'000, Duration::zero(), fixed + milliseconds(160) + unknown, now_);
+    const Duration delay = sample % 2 == 0 ? milliseconds(300) : Duration::zero();
+    load_.OnFirstByte("r", 8'000, Duration::zero(), fixed + milliseconds(160) + delay, now_);
   }
   EXPECT_NEAR(load_.TokensPerMillisecond("r", 8'000), 50, 1);
 }
@@ -93,9 +93,9 @@
       load_.OnFirstByte("r", 200, Duration::zero(), fixed + milliseconds(4), now_);
       load_.OnFirstByte("r", 8'000, Duration::zero(), fixed + milliseconds(160), now_);
     }
-    const auto known = std::chrono::duration<double, std::milli>(load_.FixedLatency("r"));
+    const auto learned = std::chrono::duration<double, std::milli>(load_.FixedLatency("r"));
     const auto expected = std::chrono::duration<double, std::milli>(fixed);
-    EXPECT_NEAR(known.count(), expected.count(), 0.5);
+    EXPECT_NEAR(learned.count(), expected.count(), 0.5);
     EXPECT_NEAR(load_.TokensPerMillisecond("r", 8'000), 50, 1);
   }
 }
@@ -110,7 +110,7 @@
   EXPECT_TRUE(load_.ExpectsLongPrompts("r", now_));
   EXPECT_TRUE(load_.ExpectsLongPrompts("peer", now_));
   EXPECT_FALSE(load_.ExpectsLongPrompts("foreign", now_));
-  const Duration expected = Options().long_prompts_expected;
+  const Duration expected = Options().long_prompts_expected_for;
   EXPECT_TRUE(load_.ExpectsLongPrompts("peer", now_ + expected));
   EXPECT_FALSE(load_.ExpectsLongPrompts("peer", now_ + expected + milliseconds(1)));
 }
@@ -125,7 +125,7 @@
 }
 
 TEST_F(PrefillLoadTest, ADelayWithinTheToleranceIsNoSign) {
-  const Duration expected = milliseconds(1) + Options().first_fixed_latency;
+  const Duration expected = milliseconds(1) + Options().initial_fixed_latency;
   load_.OnFirstByte("r", 100, Duration::zero(), expected + Options().delay_tolerance, now_);
   EXPECT_EQ(load_.Backlog("r", now_), Duration::zero());
 }
@@ -133,8 +133,8 @@
 TEST_F(PrefillLoadTest, UnexpectedDelayCountsAndDecays) {
   load_.OnFirstByte("r", 100, Duration::zero(), milliseconds(213) + Options().delay_tolerance,
                     now_);
-  const Duration at_once = load_.Backlog("r", now_);
-  EXPECT_EQ(at_once, milliseconds(100));
+  const Duration initial = load_.Backlog("r", now_);
+  EXPECT_EQ(initial, milliseconds(100));
   const Duration later = load_.Backlog("r", now_ + Options().delay_half_life);
   EXPECT_EQ(later, milliseconds(50));
 }
--- a/tests/replicas/prefill_throughput_test.cc
+++ b/tests/replicas/prefill_throughput_test.cc
@@ -10,7 +10,7 @@
 
 TEST(RecentQuantileTest, IsNotKnownFromAFewSamples) {
   RecentQuantile quantile(2);
-  for (std::size_t sample = 1; sample < RecentQuantile::kLeastSamples; ++sample) {
+  for (std::size_t sample = 1; sample < RecentQuantile::kMinimumSamples; ++sample) {
     quantile.Add(100);
     EXPECT_FALSE(quantile.value().has_value());
   }
@@ -30,45 +30,45 @@
 }
 
 TEST(PrefillThroughputTest, SlowAnswersAmongFastOnesHardlyCount) {
-  PrefillThroughput speed;
+  PrefillThroughput throughput;
   for (int sample = 0; sample < 30; ++sample) {
-    speed.Add(kShort, sample % 2 == 0 ? 100 : 5);
+    throughput.Add(kShort, sample % 2 == 0 ? 100 : 5);
   }
-  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 100);
+  EXPECT_EQ(throughput.TokensPerMillisecond(kShort), 100);
 }
 
 TEST(PrefillThroughputTest, IgnoresASingleFastOutlier) {
-  PrefillThroughput speed;
+  PrefillThroughput throughput;
   for (int sample = 0; sample < 15; ++sample) {
-    speed.Add(kShort, 100);
+    throughput.Add(kShort, 100);
   }
-  speed.Add(kShort, 1000);
-  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 100);
+  throughput.Add(kShort, 1000);
+  EXPECT_EQ(throughput.TokensPerMillisecond(kShort), 100);
 }
 
 TEST(PrefillThroughputTest, FollowsAReplicaThatBecameSlower) {
-  PrefillThroughput speed;
+  PrefillThroughput throughput;
   for (int sample = 0; sample < 16; ++sample) {
-    speed.Add(kShort, 100);
+    throughput.Add(kShort, 100);
   }
   for (int sample = 0; sample < 16; ++sample) {
-    speed.Add(kShort, 40);
+    throughput.Add(kShort, 40);
   }
-  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 40);
+  EXPECT_EQ(throughput.TokensPerMillisecond(kShort), 40);
 }
 
 TEST(PrefillThroughputTest, LongPromptsHaveARateOfTheirOwn) {
-  PrefillThroughput speed;
-  EXPECT_FALSE(speed.TokensPerMillisecond(kShort).has_value());
+  PrefillThroughput throughput;
+  EXPECT_FALSE(throughput.TokensPerMillisecond(kShort).has_value());
   for (int sample = 0; sample < 16; ++sample) {
-    speed.Add(kShort, 160);
+    throughput.Add(kShort, 160);
   }
-  EXPECT_EQ(speed.TokensPerMillisecond(kLong), 160) << "the nearest length that is known";
+  EXPECT_EQ(throughput.TokensPerMillisecond(kLong), 160) << "the nearest length that is known";
   for (int sample = 0; sample < 16; ++sample) {
-    speed.Add(kLong, 90);
+    throughput.Add(kLong, 90);
   }
-  EXPECT_EQ(speed.TokensPerMillisecond(kLong), 90);
-  EXPECT_EQ(speed.TokensPerMillisecond(kShort), 160);
+  EXPECT_EQ(throughput.TokensPerMillisecond(kLong), 90);
+  EXPECT_EQ(throughput.TokensPerMillisecond(kShort), 160);
 }
 
 }  // namespace
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -13,11 +13,11 @@
     health_.Reset(id, "model", Duration::zero());
     health_.OnProbe(id, true, warm, now_);
   }
-  void End(const std::string& id, CallEnd end) {
+  void RunCall(const std::string& id, CallEnd end) {
     health_.OnCallStarted(id, now_);
     health_.OnCallEnded(id, end, now_);
   }
-  Usability Use(const std::string& id) { return health_.GetUsability(id, now_); }
+  Usability UsabilityOf(const std::string& id) { return health_.GetUsability(id, now_); }
 
   TimePoint now_ = TimePoint(seconds(1000));
   ReplicaHealthOptions options_;
@@ -26,32 +26,32 @@
 
 TEST_F(ReplicaHealthTest, NeedsAGoodProbeFirstAndWaitsItsDelay) {
   health_.Reset("x", "model", milliseconds(500));
-  EXPECT_EQ(Use("x"), Usability::kNo);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   health_.OnProbe("x", false, false, now_);
-  EXPECT_EQ(Use("x"), Usability::kNo);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   health_.OnProbe("x", true, false, now_);
-  EXPECT_EQ(Use("x"), Usability::kNo);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   now_ += milliseconds(500);
-  EXPECT_EQ(Use("x"), Usability::kYes);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
 }
 
 TEST_F(ReplicaHealthTest, TimeoutsEjectAndATrialRestores) {
   Add("x");
-  End("x", CallEnd::kNoResponse);
-  EXPECT_EQ(Use("x"), Usability::kLastResort);
+  RunCall("x", CallEnd::kNoResponse);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kLastResort);
   health_.OnProbe("x", true, false, now_);
-  EXPECT_EQ(Use("x"), Usability::kYes);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
   health_.OnProbe("x", false, false, now_);
-  End("x", CallEnd::kNotConnected);
-  EXPECT_EQ(Use("x"), Usability::kNo);
+  RunCall("x", CallEnd::kNotConnected);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   health_.OnProbe("x", true, false, now_);  // Too early.
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
   now_ += options_.base_ejection;
-  EXPECT_EQ(Use("x"), Usability::kNo);  // Not before a good probe.
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);  // Not before a good probe.
   health_.OnProbe("x", true, false, now_);
-  EXPECT_EQ(Use("x"), Usability::kYes);
+  EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
   health_.OnCallStarted("x", now_);
-  EXPECT_EQ(Use("x"), Usability::kNo);  // One trial at a time.
+  EXPECT_EQ(UsabilityOf("x"), Usability::kNo);  // One trial at a time.
   health_.OnCallEnded("x", CallEnd::kSuccess, now_);
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kHealthy);
   EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Cold again.
@@ -61,8 +61,8 @@
   Add("x");
   Duration expected = options_.base_ejection;
   for (int round = 0; round < 8; ++round) {
-    End("x", CallEnd::kNoResponse);
-    End("x", CallEnd::kNoResponse);
+    RunCall("x", CallEnd::kNoResponse);
+    RunCall("x", CallEnd::kNoResponse);
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
     health_.OnProbe("x", true, false, now_ + expected - milliseconds(1));
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
@@ -71,13 +71,13 @@
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
     expected = std::min(expected * 2, options_.maximum_ejection);
   }
-  End("x", CallEnd::kSuccess);
+  RunCall("x", CallEnd::kSuccess);
   for (int round = 0; round < 10; ++round) {
-    now_ += options_.forgive_after;
+    now_ += options_.ejection_decay_interval;
     health_.Evaluate(now_);
   }
-  End("x", CallEnd::kNoResponse);
-  End("x", CallEnd::kNoResponse);
+  RunCall("x", CallEnd::kNoResponse);
+  RunCall("x", CallEnd::kNoResponse);
   now_ += options_.base_ejection;
   health_.OnProbe("x", true, false, now_);
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
@@ -89,12 +89,12 @@
   }
   for (int round = 0; round < 20; ++round) {
     for (int index = 0; index < 9; ++index) {
-      End(std::to_string(index), CallEnd::kFailed);
+      RunCall(std::to_string(index), CallEnd::kFailed);
     }
   }
   int ejected = 0;
   for (int index = 0; index < 9; ++index) {
-    ejected += Use(std::to_string(index)) == Usability::kNo ? 1 : 0;
+    ejected += UsabilityOf(std::to_string(index)) == Usability::kNo ? 1 : 0;
   }
   EXPECT_EQ(ejected, 4);
 }
@@ -102,13 +102,13 @@
 TEST_F(ReplicaHealthTest, TheSlowOneOfManyIsEjected) {
   for (int index = 0; index < 4; ++index) {
     Add(std::to_string(index));
-    for (std::uint32_t sample = 0; sample < options_.slow_samples; ++sample) {
+    for (std::uint32_t sample = 0; sample < options_.minimum_latency_samples; ++sample) {
       health_.OnLatency(std::to_string(index), index == 2 ? seconds(3) : milliseconds(400));
     }
   }
   health_.Evaluate(now_);
   for (int index = 0; index < 4; ++index) {
-    EXPECT_EQ(Use(std::to_string(index)), index == 2 ? Usability::kNo : Usability::kYes);
+    EXPECT_EQ(UsabilityOf(std::to_string(index)), index == 2 ? Usability::kNo : Usability::kYes);
   }
 }
 
@@ -141,20 +141,20 @@
   for (int step = 0; step < 100'000; ++step) {
     now_ += milliseconds(random() % 50);
     const std::string& id = ids[random() % ids.size()];
-    const Usability use = Use(id);
+    const Usability usability = UsabilityOf(id);
     const ReplicaCondition condition = health_.GetCondition(id);
     if (condition == ReplicaCondition::kTrial && in_flight[id] > 0) {
-      ASSERT_EQ(use, Usability::kNo);
+      ASSERT_EQ(usability, Usability::kNo);
     }
     if (condition == ReplicaCondition::kUnproven || condition == ReplicaCondition::kEjected) {
-      ASSERT_EQ(use, Usability::kNo);
+      ASSERT_EQ(usability, Usability::kNo);
     }
     const std::uint32_t limit = health_.GetLimit(id, 8, now_);
     ASSERT_GE(limit, 1U);
     ASSERT_LE(limit, 8U);
     if (random() % 3 == 0) {
       health_.OnProbe(id, random() % 4 != 0, false, now_);
-    } else if (use != Usability::kNo && random() % 2 == 0) {
+    } else if (usability != Usability::kNo && random() % 2 == 0) {
       health_.OnCallStarted(id, now_);
       ++in_flight[id];
     } else if (in_flight[id] > 0) {
--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -22,7 +22,7 @@
 /// What the platform shows, and who asked it.
 struct FakePlatform {
   std::uint32_t replicas = 1;
-  bool answers = true;
+  bool responds = true;
   std::map<std::string, int> reads;  ///< By gateway.
 };
 
@@ -33,7 +33,7 @@
 
   void Read(Duration deadline, std::function<void(ListReading)> done) override {
     ++platform_.reads[gateway_];
-    const Duration delay = platform_.answers ? milliseconds(3) : deadline;
+    const Duration delay = platform_.responds ? milliseconds(3) : deadline;
     environment_.ScheduleAfter(delay,
                                [this, alive = std::weak_ptr<bool>(alive_), done = std::move(done)] {
                                  if (!alive.expired()) {
@@ -45,7 +45,7 @@
  private:
   ListReading MakeReading() const {
     ListReading reading;
-    if (!platform_.answers) {
+    if (!platform_.responds) {
       return reading;
     }
     reading.end = ListReadEnd::kRead;
@@ -109,8 +109,8 @@
       SimulatedMachine& machine = world_.AddMachine(name, "10.0.1." + std::to_string(number + 1));
       Gateway& gateway = gateways_[name];
       gateway.sources = std::vector<ListSource>();
-      for (int before = 0; before < std::min(number, 3); ++before) {
-        gateway.sources->push_back({world_.machine(Name(before)).endpoint()});
+      for (int earlier = 0; earlier < std::min(number, 3); ++earlier) {
+        gateway.sources->push_back({world_.machine(Name(earlier)).endpoint()});
       }
       machine.SetProgram([this, name, &gateway](Environment& environment, DataFolder&) {
         return std::make_shared<GatewayProgram>(environment, name, platform_, gateway);
@@ -127,13 +127,13 @@
   }
 
   /// @return whether every running gateway was fresh all the time.
-  bool RunFresh(Duration duration) {
+  bool StaysFreshFor(Duration duration) {
     bool fresh = true;
     for (Duration passed{}; passed < duration; passed += kStep) {
       world_.RunFor(kStep);
       for (const auto& [name, gateway] : gateways_) {
-        const bool counts = world_.machine(name).running() && name != stopped_;
-        fresh = fresh && (!counts || (gateway.poller->loaded() && gateway.poller->Fresh()));
+        const bool checked = world_.machine(name).running() && name != stopped_;
+        fresh = fresh && (!checked || (gateway.poller->loaded() && gateway.poller->Fresh()));
       }
     }
     return fresh;
@@ -166,9 +166,9 @@
 TEST_F(SharedListReaderTest, OneGatewayOfTheZoneReadsThePlatform) {
   StartAll();
   world_.RunFor(seconds(2));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
   EXPECT_EQ(platform_.reads.count("g3"), 0U);
   EXPECT_TRUE(AllKnow(1));
 }
@@ -192,13 +192,13 @@
   world_.RunFor(seconds(3));
   stopped_ = "g0";
   world_.machine("g0").Kill();
-  EXPECT_TRUE(RunFresh(seconds(2)));
+  EXPECT_TRUE(StaysFreshFor(seconds(2)));
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(milliseconds(1500)));
+  EXPECT_TRUE(StaysFreshFor(milliseconds(1500)));
   EXPECT_TRUE(AllKnow(3));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 14) << "g1 reads each second; the others only try g0 again";
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 14) << "g1 reads each second; the others only try g0 again";
 }
 
 TEST_F(SharedListReaderTest, AFrozenSourceCostsNobodyItsFreshness) {
@@ -207,9 +207,9 @@
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
-  EXPECT_TRUE(RunFresh(milliseconds(2500)));
+  EXPECT_TRUE(StaysFreshFor(milliseconds(2500)));
   EXPECT_TRUE(AllKnow(4));
-  EXPECT_TRUE(RunFresh(seconds(10)));
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
 }
 
 TEST_F(SharedListReaderTest, DistrustsAnOldAnswerAfterAFreeze) {
@@ -232,19 +232,19 @@
   StartAll();
   world_.RunFor(milliseconds(5200));
   EXPECT_TRUE(AllKnow(1));
-  EXPECT_TRUE(RunFresh(seconds(5)));
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
 }
 
 TEST_F(SharedListReaderTest, SimultaneousStartsReadThePlatformOnce) {
-  std::map<std::string, std::vector<ListSource>> told;
+  std::map<std::string, std::vector<ListSource>> sources;
   for (auto& [name, gateway] : gateways_) {
-    told[name] = *std::exchange(gateway.sources, std::nullopt);
+    sources[name] = *std::exchange(gateway.sources, std::nullopt);
   }
   StartAll();
   world_.RunFor(seconds(1));
   EXPECT_EQ(Reads(), 0) << "the coordinators are still being formed";
   for (auto& [name, gateway] : gateways_) {
-    gateway.sources = told[name];
+    gateway.sources = sources[name];
   }
   world_.RunFor(milliseconds(200));
   EXPECT_TRUE(AllKnow(1));
@@ -255,10 +255,10 @@
 TEST_F(SharedListReaderTest, KeepsTheListWhileThePlatformTimesOut) {
   StartAll();
   world_.RunFor(seconds(3));
-  platform_.answers = false;
+  platform_.responds = false;
   world_.RunFor(seconds(5));
-  EXPECT_TRUE(RunFresh(seconds(5)));
-  platform_.answers = true;
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
+  platform_.responds = true;
   platform_.replicas = 2;
   world_.RunFor(seconds(5));
   EXPECT_TRUE(AllKnow(2));
@@ -270,7 +270,7 @@
   StartAll();
   world_.RunFor(seconds(1));
   EXPECT_TRUE(AllKnow(1));
-  EXPECT_TRUE(RunFresh(seconds(5)));
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
 }
 
 /// g0 is the first of one zone; g1 the first of another, whose others are g2 to g4.
@@ -288,9 +288,9 @@
 };
 
 TEST_F(SharedListOverZonesTest, OneGatewayOfTheFleetReadsThePlatform) {
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
   platform_.replicas = 2;
   world_.RunFor(milliseconds(1100));
   EXPECT_TRUE(AllKnow(2));
@@ -300,30 +300,30 @@
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(milliseconds(2500)));
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(milliseconds(2500)));
   EXPECT_TRUE(AllKnow(4));
-  EXPECT_TRUE(RunFresh(seconds(7)));
-  EXPECT_LE(Reads() - before, 12) << "the others go on asking g1";
+  EXPECT_TRUE(StaysFreshFor(seconds(7)));
+  EXPECT_LE(Reads() - earlier_reads, 12) << "the others go on asking g1";
 }
 
 TEST_F(SharedListOverZonesTest, PartitionedZonesHaveAReaderEach) {
   world_.Cut("g0", "g1");
   world_.Cut("g1", "g0");
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(seconds(3)));
+  EXPECT_TRUE(StaysFreshFor(seconds(3)));
   EXPECT_TRUE(AllKnow(3));
   world_.HealAll();
   world_.RunFor(seconds(12));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
 }
 
 TEST_F(SharedListOverZonesTest, StaysFreshUnderAOneWayPartition) {
   world_.Cut("g0", "g1");
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(seconds(3)));
+  EXPECT_TRUE(StaysFreshFor(seconds(3)));
   EXPECT_TRUE(AllKnow(3));
 }
 
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -128,14 +128,14 @@
     Add("a" + std::to_string(index), "a", kCapacity);
   }
   Load();
-  const std::string home = Choose("prefix").replica->id;
-  std::set<std::string> homes;
+  const std::string preferred = Choose("prefix").replica->id;
+  std::set<std::string> chosen;
   for (int key = 0; key < 200; ++key) {
     const std::string prefix = "key-" + std::to_string(key);
-    homes.insert(Choose(prefix).replica->id);
+    chosen.insert(Choose(prefix).replica->id);
     ASSERT_EQ(Choose(prefix).replica->id, Choose(prefix).replica->id);
   }
-  EXPECT_EQ(homes.size(), static_cast<std::size_t>(kReplicas));
+  EXPECT_EQ(chosen.size(), static_cast<std::size_t>(kReplicas));
   // Skewed keys, random ends: no replica ever gets a call beyond the bound.
   std::vector<std::string> running;
   for (int step = 0; step < 20'000; ++step) {
@@ -162,10 +162,10 @@
     running.push_back(choice.replica->id);
   }
   Load();
-  excluded_ = {home};
+  excluded_ = {preferred};
   loads_.clear();
   const std::string second = Choose("prefix").replica->id;
-  EXPECT_NE(second, home);
+  EXPECT_NE(second, preferred);
 }
 
 TEST_F(RouterTest, LeastLoadedWithoutPrefix) {
@@ -251,11 +251,11 @@
   }
   ReplicaDirectory directory;
   ASSERT_TRUE(directory.Apply(list).ok());
-  std::map<std::string, int> places;
+  std::map<std::string, int> selected;
   for (const auto& [id, record] : directory.records()) {
-    places[record.zone] += directory.AcceptsLongPrompts(record) ? 1 : 0;
+    selected[record.zone] += directory.AcceptsLongPrompts(record) ? 1 : 0;
   }
-  EXPECT_EQ(places, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
+  EXPECT_EQ(selected, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
 }
 
 TEST(ReplicaDirectoryTest, ReportsWhichReplicasWarmUp) {
@@ -322,14 +322,14 @@
     }
     return chosen;
   }
-  std::set<std::string> KeptForLongPrompts() {
-    std::set<std::string> kept;
+  std::set<std::string> LongPromptReplicas() {
+    std::set<std::string> long_prompt_replicas;
     for (const auto& [id, record] : directory_.records()) {
       if (directory_.AcceptsLongPrompts(record)) {
-        kept.insert(id);
+        long_prompt_replicas.insert(id);
       }
     }
-    return kept;
+    return long_prompt_replicas;
   }
 
   PrefillLoad prefill_{PrefillOptions()};
@@ -354,15 +354,15 @@
 }
 
 TEST_F(PromptRoutingTest, ShortPromptsAvoidLongPromptReplicas) {
-  const std::set<std::string> kept = KeptForLongPrompts();
-  ASSERT_FALSE(kept.empty());
-  prefill_.OnStart(*kept.begin(), 30'000, 0, now_);
+  const std::set<std::string> long_prompt_replicas = LongPromptReplicas();
+  ASSERT_FALSE(long_prompt_replicas.empty());
+  prefill_.OnStart(*long_prompt_replicas.begin(), 30'000, 0, now_);
   now_ += seconds(5);  // It is read by now.
   for (const std::string& chosen : ChosenFor(1'000)) {
-    EXPECT_FALSE(kept.contains(chosen)) << chosen;
+    EXPECT_FALSE(long_prompt_replicas.contains(chosen)) << chosen;
   }
   for (const std::string& chosen : ChosenFor(30'000)) {
-    EXPECT_TRUE(kept.contains(chosen)) << chosen;
+    EXPECT_TRUE(long_prompt_replicas.contains(chosen)) << chosen;
   }
 }
 
