--- a/src/replicas/gateway_quota.cc
+++ b/src/replicas/gateway_quota.cc
@@ -8,15 +8,16 @@
 namespace cloverbank {
 namespace {
 
-/// A gateway that starts calls evenly spaced at a rate of two a second or more starts at most one
-/// and a half of its rate in any second.
+/// Calls per second. A gateway that spaces its starts evenly at 2 calls per second or more starts
+/// at most 1.5 times its rate in any second.
 constexpr double kMinimumRate = 2;
 
 }  // namespace
 
 bool GatewayQuota::IsSelected(std::string_view replica_id, std::uint32_t selected_count) const {
-  // A fraction of the ring rather than a place: when a gateway comes or goes, few places move.
-  constexpr double kHashRange = 18446744073709551616.0;  // 2 to the power of 64.
+  // The first selected gateway is at a fixed fraction of the ring of gateways, not at a fixed
+  // index, so that few selections change when a gateway joins or leaves.
+  constexpr double kHashRange = 18446744073709551616.0;  // 2^64.
   const double fraction = static_cast<double>(Checksum(replica_id)) / kHashRange;
   const auto first = static_cast<std::uint32_t>(fraction * count);
   return (index + count - std::min(first, count - 1)) % count < selected_count;
--- a/src/replicas/prefill_gossip.cc
+++ b/src/replicas/prefill_gossip.cc
@@ -8,11 +8,11 @@
 namespace {
 
 constexpr std::string_view kMethod = "gateway.NotePrefill";
-/// Prompts below are not told.
+/// Prompts with fewer tokens are not announced.
 constexpr std::uint32_t kMinimumTokens = 300;
-/// Calls that start within this time are told together.
+/// Calls that start within this time are announced in one message.
 constexpr Duration kBatchingDelay = milliseconds(2);
-/// What comes later is of no use.
+/// An announcement that arrives later is of no use.
 constexpr Duration kDeadline = milliseconds(250);
 
 }  // namespace
--- a/src/replicas/prefill_gossip.h
+++ b/src/replicas/prefill_gossip.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Announces to the gateways of the same zone which prompts go to which replica, and receives their
-/// announcements: they send to the same replicas, and concurrent prompts at one replica are the
-/// main cause of late responses. A lost message only makes an estimate less exact. The shortest
-/// prompts are not announced.
+/// Announces to the gateways of the same zone which prompts this gateway sends to which replica,
+/// and receives their announcements: they send to the same replicas, and concurrent prompts at one
+/// replica are the main cause of late responses. Messages are not retried, since a lost one only
+/// makes an estimate less exact. The shortest prompts are not announced.
 ///
 /// Threads: the owner's event loop only.
 
@@ -20,11 +20,12 @@
 
 class PrefillGossip {
  public:
-  /// Runs for each announced call of another gateway.
+  /// Runs for each call that another gateway announced.
+  /// @param tokens number of tokens to prefill. @param key of the shared prefix; 0: none.
   using AnnouncementHandler =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
 
-  /// The current neighbours.
+  /// @return the endpoints to announce to, as they are at the time of each message.
   using Neighbours = std::function<std::vector<Endpoint>()>;
 
   PrefillGossip(Environment& environment, Neighbours neighbours,
@@ -33,7 +34,8 @@
   PrefillGossip(const PrefillGossip&) = delete;
   PrefillGossip& operator=(const PrefillGossip&) = delete;
 
-  /// Announces a call of this gateway. Batched.
+  /// Announces a call of this gateway. Calls within a short time are sent in one message.
+  /// @param tokens number of tokens to prefill. @param key of the shared prefix; 0: none.
   void Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
 
  private:
--- a/src/replicas/prefill_load.cc
+++ b/src/replicas/prefill_load.cc
@@ -8,7 +8,8 @@
 
 constexpr double kMinimumTokensPerMs = 10;
 constexpr double kMaximumTokensPerMs = 2000;
-/// An answer that waited for other prompts for a larger part of its latency tells no rate.
+/// A response is a sample only if its latency is at least this multiple of the backlog. Otherwise
+/// the wait for other prompts dominates, and the latency says nothing about the throughput.
 constexpr int kMinimumLatencyOverBacklog = 4;
 
 double ToMilliseconds(Duration duration) {
--- a/src/replicas/prefill_throughput.cc
+++ b/src/replicas/prefill_throughput.cc
@@ -3,7 +3,8 @@
 namespace cloverbank {
 namespace {
 
-/// Longest prompt of the first class; each further class reaches four times as far.
+/// Longest prompt of the first length class, in tokens; the limit of each further class is four
+/// times that of the one before.
 constexpr std::uint32_t kFirstClassLimit = 4'000;
 constexpr std::uint32_t kClassLimitFactor = 4;
 
--- a/src/replicas/prefill_throughput.h
+++ b/src/replicas/prefill_throughput.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Prefill throughput of model replicas, learned from the times to first token. Concurrent prompts
-/// of other gateways delay a response and never speed it up, so the estimate is a high quantile of
-/// recent samples. Long prompts are prefilled at a lower rate than short ones (attention grows with
-/// the square of the length), so each class of lengths has an estimate of its own. Pure.
+/// Prefill throughput of model replicas, learned from times to first token. Concurrent prompts of
+/// other gateways delay a response and never speed it up, so the estimate is a high quantile of
+/// recent samples. Long prompts are prefilled at a lower rate than short ones (the cost of
+/// attention grows with the square of the length), so each length class has its own estimate. Pure.
 
 #include <array>
 #include <cstdint>
@@ -15,14 +15,16 @@
 
 class PrefillThroughput {
  public:
-  /// Adds a sample: a lower bound of the throughput for a prompt of that length.
+  /// Adds a sample. @param tokens length of the prompt. @param tokens_per_ms measured throughput; a
+  /// lower bound, since other prompts may have delayed the response.
   void Add(std::uint32_t tokens, double tokens_per_ms);
-  /// @return the throughput for prompts of that length, or of the nearest length class with
-  /// samples; nothing while there are none.
+  /// @return the throughput for prompts of that length, or of the nearest length class that has an
+  /// estimate; nothing if no class has one.
   std::optional<double> TokensPerMillisecond(std::uint32_t tokens) const;
 
  private:
   static constexpr std::size_t kClasses = 4;
+  /// @return the index of the length class.
   static std::size_t ClassOf(std::uint32_t tokens);
 
   std::array<RecentQuantile, kClasses> rates_{RecentQuantile(2), RecentQuantile(2),
--- a/src/replicas/rate_pacer.cc
+++ b/src/replicas/rate_pacer.cc
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kMinimumRatio = 1.0 / 256;
-constexpr Duration kCollisionPause = milliseconds(500);  // Collisions closer together are one.
+constexpr Duration kCollisionPause = milliseconds(500);  // Closer collisions count as one.
 constexpr double kRandomRange = 18446744073709551616.0;  // 2^64.
 
 }  // namespace
--- a/src/replicas/rate_pacer.h
+++ b/src/replicas/rate_pacer.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The fraction of a replica's free capacity that one gateway uses at a time. Every gateway sees
-/// the same free capacity and none knows how many others do, so the fraction adapts as TCP's
-/// congestion window does: additive increase without collisions, multiplicative decrease after one.
-/// Pure.
+/// The fraction of a replica's free capacity that one gateway uses at a time. All gateways see the
+/// same free capacity, and none knows how many others see it, so the fraction adapts like TCP's
+/// congestion window: additive increase without collisions, multiplicative decrease after one. A
+/// collision is when gateways together exceed the intended load. Pure.
 
 #include <cstdint>
 
@@ -13,17 +13,20 @@
 
 class RatePacer {
  public:
-  /// @param ratio initial fraction. @param growth added with each report without a collision.
+  /// @param ratio initial fraction, from 0 to 1. @param growth added with each report without a
+  /// collision.
   RatePacer(double ratio, double growth) : ratio_(ratio), growth_(growth) {}
 
-  /// A replica with calls of this gateway reported more load than intended.
+  /// A replica that runs calls of this gateway reported more load than intended.
   void OnCollision(TimePoint now);
-  /// A replica with calls of this gateway reported a load within its bound.
+  /// A replica that runs calls of this gateway reported a load within its bound.
   void OnSmoothReport();
-  /// @return how many calls may start in `free` slots until the next report, rounded up or down at
-  /// random, so that a small ratio means an occasional start.
+  /// @param free slots of the replica. @param random a random number.
+  /// @return how many calls may start until the next report. Fractions are rounded up or down at
+  /// random, so that a small ratio still allows an occasional call.
   std::uint32_t Allowance(std::uint32_t free, std::uint64_t random) const;
 
+  /// The current fraction, from 0 to 1.
   double ratio() const { return ratio_; }
 
  private:
--- a/src/replicas/replica_directory.h
+++ b/src/replicas/replica_directory.h
@@ -2,9 +2,9 @@
 /// @file
 /// The platform's list of replicas as last read: which are ready, draining or new. Pure.
 ///
-/// The list lags behind the truth (health is observed apart from it, replica_health.h), but a
-/// replica that it reports as draining, or no longer names, gets no new call from the moment it was
-/// applied.
+/// The list lags behind the actual state, so health is observed separately (replica_health.h). But
+/// as soon as a list is applied, replicas that it reports as draining, or no longer contains, get
+/// no new calls.
 
 #include <cstdint>
 #include <map>
@@ -27,11 +27,11 @@
   Endpoint endpoint;
   std::string zone;
   proto::BackendKind kind = proto::BACKEND_KIND_UNSPECIFIED;
-  std::string backend;         ///< Model or service name.
-  std::uint32_t capacity = 1;  ///< Calls it runs at once; at least 1.
-  std::string instance_id;     ///< New at each start of the replica.
+  std::string backend;         ///< Name of the model or service.
+  std::uint32_t capacity = 1;  ///< Calls that it runs concurrently; at least 1.
+  std::string instance_id;     ///< Changes at each start of the replica.
   bool ready = false;          ///< False while draining.
-  Duration cold_left{};        ///< As of the list; zero once it is warm.
+  Duration cold_left{};        ///< Remaining warm-up time as of the list; zero once it is warm.
   bool operator==(const ReplicaRecord&) const = default;
 };
 
@@ -41,23 +41,23 @@
   /// again after draining.
   std::vector<std::string> warming_up;
   std::vector<std::string> stopped;  ///< Ids that went from ready to draining.
-  std::vector<std::string> removed;  ///< Ids no longer named.
-  std::uint32_t skipped = 0;         ///< Malformed or repeated entries, which are left out.
+  std::vector<std::string> removed;  ///< Ids that the list no longer contains.
+  std::uint32_t skipped = 0;         ///< Malformed or duplicate entries, which are ignored.
 };
 
 class ReplicaDirectory {
  public:
-  /// Replaces the list. @return what changed; kInvalidArgument for a list without a version, in
-  /// which case the previous one stays in use.
+  /// Replaces the list. @return what changed; kInvalidArgument for a list without a version (0), in
+  /// which case the previous list stays in use.
   Result<DirectoryChange> Apply(const proto::ReplicaList& list);
 
   /// @return the record, or nullptr. Valid until the next `Apply`.
   const ReplicaRecord* Find(std::string_view id) const;
-  /// @return the ready replicas of a back end, by id. Valid until the next `Apply`.
+  /// @return the ready replicas of a back end, sorted by id. Valid until the next `Apply`.
   const std::vector<const ReplicaRecord*>& Ready(proto::BackendKind kind,
                                                  const std::string& backend) const;
-  /// Whether the replica is one of those of its zone that long prompts are sent to: one in three of
-  /// each back end, at least one; every gateway selects the same ones.
+  /// Whether long prompts should be sent to the replica. In each zone, one in three ready replicas
+  /// of each back end is selected for that, at least one; all gateways select the same ones.
   bool AcceptsLongPrompts(const ReplicaRecord& replica) const {
     return long_prompt_replicas_.contains(replica.id);
   }
--- a/src/replicas/replica_health.cc
+++ b/src/replicas/replica_health.cc
@@ -6,8 +6,8 @@
 namespace {
 
 constexpr std::uint32_t kMaximumEjectionDoublings = 10;
-constexpr std::int64_t kLatencyWeight = 5;  // Of the past, against 1 for the newest.
-constexpr std::size_t kMinimumPeers = 3;    // A median of fewer says nothing.
+constexpr std::int64_t kLatencyWeight = 5;  // Of the previous average; a new sample has 1.
+constexpr std::size_t kMinimumPeers = 3;    // The median of fewer is meaningless.
 constexpr std::uint32_t kPercent = 100;
 
 }  // namespace
@@ -240,7 +240,7 @@
 void ReplicaHealth::OnWorkSeen(const std::string& id, TimePoint now) {
   ReplicaState* state = Find(id);
   if (state != nullptr && state->condition == ReplicaCondition::kTrial) {
-    MarkHealthy(*state, now);  // Others have tried it already.
+    MarkHealthy(*state, now);  // A served call of any gateway completes the trial.
   }
   if (state != nullptr && state->condition == ReplicaCondition::kHealthy && !state->seen_serving) {
     state->seen_serving = true;
@@ -301,10 +301,10 @@
 
 void ReplicaHealth::Eject(ReplicaState& state, TimePoint now) {
   if (state.condition == ReplicaCondition::kUnproven) {
-    return;  // Gets no call before a good probe anyway.
+    return;  // It gets no calls before a good probe anyway.
   }
   if (state.condition == ReplicaCondition::kEjected) {
-    return;  // Ends of calls that began before the ejection.
+    return;  // A call that began before the ejection has ended.
   }
   const std::uint32_t doublings = std::min(state.ejections, kMaximumEjectionDoublings);
   const Duration ejection_time = options_.base_ejection * (std::int64_t{1} << doublings);
--- a/src/replicas/replica_list_poller.cc
+++ b/src/replicas/replica_list_poller.cc
@@ -8,8 +8,8 @@
 namespace cloverbank {
 namespace {
 
-/// Between two reads of which the second waits for news by itself.
-constexpr Duration kMinimumGap = milliseconds(20);
+/// Maximum delay from the end of a read to the start of the next one, if that one is a long poll.
+constexpr Duration kLongPollGap = milliseconds(20);
 
 }  // namespace
 ReplicaListPoller::ReplicaListPoller(Environment& environment, HttpClient& client,
@@ -75,7 +75,7 @@
   const Duration elapsed = environment_.Now() - sent_at;
   const Duration remaining =
       elapsed >= options_.interval ? Duration::zero() : options_.interval - elapsed;
-  const Duration delay = next_is_long_poll ? std::min(remaining, kMinimumGap) : remaining;
+  const Duration delay = next_is_long_poll ? std::min(remaining, kLongPollGap) : remaining;
   timer_ = environment_.ScheduleAfter(delay, [this] { Poll(); });
 }
 
--- a/src/replicas/replica_list_poller.h
+++ b/src/replicas/replica_list_poller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Reads the platform's list of replicas periodically, independently of the control plane. A list
-/// that can not be read leaves the previous one in use.
+/// Reads the platform's list of replicas periodically, independently of the control plane. If the
+/// list cannot be read, the previous one stays in use.
 /// Threads: the owner's event loop only.
 
 #include <cstdint>
@@ -19,7 +19,7 @@
 
 class ReplicaListPoller {
  public:
-  /// @param on_list takes each new list; @return whether it could be used.
+  /// Runs for each new list. @return Ok if the list is in use now, otherwise why it cannot be used.
   using ListHandler = std::function<Status(const proto::ReplicaList&)>;
 
   ReplicaListPoller(Environment& environment, HttpClient& client, ReplicaListOptions options,
@@ -28,17 +28,20 @@
   ReplicaListPoller(const ReplicaListPoller&) = delete;
   ReplicaListPoller& operator=(const ReplicaListPoller&) = delete;
 
+  /// Polls for the first time; later polls follow at the configured interval.
   void Start();
-  /// Whether the last poll, successful or not, is recent enough to act on the list. False after the
-  /// process was frozen, until the first new poll has completed.
+  /// Whether the last completed poll, successful or not, is recent enough to act on the list (see
+  /// `ReplicaListOptions::stale_after`). False after the process was frozen, until the next poll
+  /// has completed.
   bool Fresh() const;
-  /// Whether a list was ever read.
+  /// Whether any list was read and could be used.
   bool loaded() const { return loaded_; }
 
  private:
   void Poll();
   void OnReading(TimePoint sent_at, const ListReading& reading);
-  /// @return "unchanged", "changed", or why the list could not be read.
+  /// @return the value of the metric label "result": "unchanged", "changed", or why the list could
+  /// not be read or used.
   std::string Apply(const ListReading& reading);
   void ScheduleNext(TimePoint sent_at, bool next_is_long_poll);
 
@@ -47,7 +50,7 @@
   std::unique_ptr<ReplicaListReader> reader_;
   ListHandler on_list_;
   bool loaded_ = false;
-  TimePoint last_queried_at_{};
+  TimePoint last_queried_at_{};  ///< When the platform was queried for the last completed poll.
   bool polled_ = false;
   TimerId timer_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -18,40 +18,42 @@
 
 enum class ListReadEnd : std::uint8_t {
   kRead,          ///< A complete list was received.
-  kUnchanged,     ///< The same as the last accepted one.
+  kUnchanged,     ///< The list is the same as the last accepted one.
   kRefused,       ///< The platform responded without a list.
   kMalformed,     ///< The response is not a list.
-  kNotConnected,  ///< No connection could be made.
+  kNotConnected,  ///< No connection could be established.
   kNoResponse,    ///< No response before the deadline.
 };
 
 struct ListReading {
   ListReadEnd end = ListReadEnd::kNoResponse;
-  proto::ReplicaList list;  ///< Set when read.
-  std::string reason;       ///< For people, when malformed.
-  /// When the platform was queried, if not when `Read` was called.
+  proto::ReplicaList list;  ///< Set if `end` is kRead.
+  std::string reason;       ///< Readable description of the error if `end` is kMalformed.
+  /// When the platform was queried; not set if that was when `Read` was called.
   std::optional<TimePoint> read_at;
-  /// The next `Read` is a long poll: it may be called immediately.
+  /// The next `Read` is a long poll, so it may be called immediately.
   bool next_is_long_poll = false;
 };
 
 class ReplicaListReader {
  public:
   virtual ~ReplicaListReader() = default;
-  /// Reads the list; `done` runs once, within `deadline`, unless the reader is destroyed before.
+  /// Reads the list. `done` runs once, within `deadline`, unless the reader is destroyed before
+  /// that.
   virtual void Read(Duration deadline, std::function<void(ListReading)> done) = 0;
-  /// The last list was applied: later ones may be reported as unchanged.
+  /// The last list read was applied, so the same list may be reported as unchanged from now on.
   virtual void Accepted() {}
 };
 
-/// @return the result of a call without a response.
+/// @return how the read ended, for a call without a response.
 ListReadEnd EndWithoutAnswer(const HttpOutcome& outcome);
 
-/// Makes the reader that the options ask for.
+/// Creates the reader that `options` specify.
 std::unique_ptr<ReplicaListReader> MakeListReader(HttpClient& client,
                                                   const ReplicaListOptions& options);
 
-/// Reads `GET /replicas`: one JSON document with an entity tag.
+/// Creates a reader of `GET /replicas` (see `ReplicaListOptions::path`): one JSON document with an
+/// entity tag.
 std::unique_ptr<ReplicaListReader> MakeJsonListReader(HttpClient& client,
                                                       const ReplicaListOptions& options);
 
--- a/src/replicas/replica_load.h
+++ b/src/replicas/replica_load.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The load of a replica as one gateway knows it: its own calls, and the total that the replica
-/// last reported. Gateways share replicas without knowing of each other, so the calls of others are
-/// the reported total less the own ones. Pure.
+/// The load of a replica as one gateway knows it: the gateway's own calls, and the total that the
+/// replica last reported. Gateways share replicas without knowing each other's calls, so the calls
+/// of others are computed as the reported total minus the own calls. Pure.
 
 #include <cstdint>
 #include <optional>
@@ -12,25 +12,26 @@
 
 namespace cloverbank {
 
-/// Header of replicas' responses: "<running>/<queued>/<capacity>", including this call.
+/// Header of replicas' responses: "<running>/<queued>/<capacity>". The counts include the call that
+/// the response belongs to.
 inline constexpr std::string_view kLoadHeader = "x-cloverbank-load";
 
-/// The whole load of a replica as it reports it.
+/// The load of a replica as the replica reports it, with the calls of all gateways.
 struct LoadReport {
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
-  std::uint32_t capacity = 0;  ///< Calls it runs concurrently now; 0: unknown.
+  std::uint32_t capacity = 0;  ///< Calls that it can run concurrently now; 0: unknown.
 };
 
-/// @return the report, or nothing if `value` is not of the form of `kLoadHeader`.
+/// @return the report, or nothing if `value` does not have the format of `kLoadHeader`.
 std::optional<LoadReport> ParseLoadReport(std::string_view value);
 
-/// How long no call is sent to a replica that refused one as full.
+/// How long no call is sent to a replica after it refused one because it was full.
 inline constexpr Duration kRefusalPause = milliseconds(200);
 
-/// How long a report of a replica in slow start is acted on.
+/// How long a load report of a replica in slow start is acted on.
 inline constexpr Duration kSlowStartReportLifetime = milliseconds(150);
-/// How long a report is acted on for batch work.
+/// How long a load report is acted on for batch work.
 inline constexpr Duration kBatchReportLifetime = milliseconds(1200);
 
 /// Whether a call is live or batch work; live work has priority.
@@ -38,36 +39,39 @@
 
 class ReplicaLoad {
  public:
+  /// A call of this gateway starts at the replica, or ends.
   void OnStart(WorkKind kind);
   void OnEnd(WorkKind kind);
   /// A load report was received.
   void OnReport(const LoadReport& report);
-  /// The replica refused a call as full; see `kRefusalPause`.
+  /// The replica refused a call because it was full; see `kRefusalPause`.
   void OnRefused(TimePoint now);
-  /// Whether it refused a call just now.
+  /// Whether it refused a call within `kRefusalPause`, and has reported no free capacity since.
   bool IsRefusing(TimePoint now) const { return now < refusing_until_; }
 
-  /// Own calls under way.
+  /// Calls of this gateway that are in progress.
   std::uint32_t own() const { return own_live_ + own_batch_; }
   std::uint32_t own_batch() const { return own_batch_; }
-  /// Calls of others, running or queued, as of the last report.
+  /// Calls of other gateways, running or queued, as of the last report.
   std::uint32_t others() const { return others_; }
-  /// Best estimate of all calls at the replica.
+  /// Estimate of the number of calls of all gateways at the replica.
   std::uint32_t total() const { return own() + others_; }
-  /// @return its capacity: the listed one, or the reported one if that is smaller.
+  /// @return the concurrent calls that the replica can run: the reported capacity if it is known
+  /// and smaller than `listed`, the one in the replica list; otherwise `listed`.
   std::uint32_t Capacity(std::uint32_t listed) const;
-  /// Calls that may still start before the next report at a replica in slow start. Expires soon,
-  /// since other gateways act on the same report.
+  /// Calls that may still start before the next report at a replica in slow start. Expires after
+  /// `kSlowStartReportLifetime`, since other gateways act on the same report.
   std::uint32_t slow_start_allowance(TimePoint now) const {
     return now < slow_start_allowance_until_ ? slow_start_allowance_ : 0;
   }
   void SetSlowStartAllowance(std::uint32_t calls, TimePoint now);
-  /// Batch items that may still start before the next report: every gateway sees the same free
-  /// capacity, so each uses only a part of it.
+  /// Batch items that may still start before the next report. All gateways see the same free
+  /// capacity, so each uses only a part of it. Expires after `kBatchReportLifetime`.
   std::uint32_t batch_allowance(TimePoint now) const {
     return now < batch_allowance_until_ ? batch_allowance_ : 0;
   }
   void SetBatchAllowance(std::uint32_t items, TimePoint now);
+  /// Whether the replica has ever reported its load.
   bool reported() const { return reported_; }
 
  private:
--- a/src/replicas/replica_prober.cc
+++ b/src/replicas/replica_prober.cc
@@ -62,8 +62,8 @@
 }
 
 void ReplicaProber::Tick() {
-  // Urgent probes repeat themselves while replicas start, so they must not take every turn: a round
-  // that is due gets every other one.
+  // Urgent probes are repeated while replicas are in slow start, so they must not take every tick:
+  // when the regular round is due, it gets every other tick.
   const bool round_due = !round_.empty() && environment_.Now() >= next_in_round_;
   const bool urgent_turn = !urgent_.empty() && !(round_due && last_was_urgent_);
   last_was_urgent_ = urgent_turn;
@@ -106,7 +106,7 @@
   const std::string id = target.id;
   const std::string instance_id = target.instance_id;
   if (const auto previous = running_.find(id); previous != running_.end()) {
-    previous->second->Cancel();  // It asked an earlier life of the replica.
+    previous->second->Cancel();  // Its target may be an earlier instance of the replica.
   }
   running_[id] = client_.Call(target.endpoint, std::move(request), options_.deadline,
                               [this, alive, id, instance_id](const HttpOutcome& outcome) {
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -10,30 +10,31 @@
 namespace {
 
 constexpr std::string_view kMethod = "gateway.GetReplicaList";
-/// How long a call waits at a source for its next reading.
+/// How long a request waits at a source of the same zone for the source's next list.
 constexpr Duration kLongPollTime = milliseconds(1100);
-/// The same at a source of another zone: one that is lost must be noticed while the gateways of the
-/// own zone still wait.
+/// The same for a source of another zone. It is shorter, so that the loss of such a source is
+/// noticed while the gateways of this zone still wait for this one.
 constexpr Duration kRemoteLongPollTime = milliseconds(500);
-/// The same for the first list: a source may have started at the same time, and one of the own zone
-/// may itself wait for one of another.
+/// The same for the first list, at a source of the same zone and of another. A source may have
+/// started at the same time, and a source of the same zone may itself wait for one of another zone.
 constexpr Duration kFirstLongPollTime = milliseconds(600);
 constexpr Duration kFirstRemoteLongPollTime = milliseconds(300);
-/// What a call may take beside that.
+/// Added to the wait at the source for the deadline of the call.
 constexpr Duration kRoundTripAllowance = milliseconds(250);
-/// A list that was read longer ago is not taken from a source.
+/// A list that was read from the platform longer ago is not accepted from a source.
 constexpr Duration kMaximumAge = milliseconds(1600);
-/// The same of an answer that was waited for: a source answers with its next reading, so an older
-/// one means that the source itself waits for something. With an older list of its own a gateway
-/// does not wait either.
+/// The same for a response to a long poll that reports the list as unchanged. A source responds
+/// when it has read the list again, so an older list means that the source is itself waiting. A
+/// gateway whose own list is older sends no long poll.
 constexpr Duration kMaximumLongPollAge = milliseconds(600);
-/// How long a source that failed is passed over.
+/// How long a source that failed is skipped.
 constexpr Duration kSourceBackoff = seconds(10);
-/// A gateway that has just started waits this long for the coordinators to name its sources. Before
-/// their word it has no configuration either, and serves nothing.
+/// How long a gateway that has just started waits for the coordinators to name its sources. Before
+/// that it has no configuration either, and serves no calls.
 constexpr Duration kSourcesTimeout = seconds(5);
 constexpr Duration kSourcesCheckInterval = milliseconds(50);
 
+/// @return an id of the list's content without its version; never 0.
 std::uint64_t ContentId(proto::ReplicaList list) {
   list.clear_version();
   const std::uint64_t checksum = Checksum(list.SerializeAsString());
@@ -148,7 +149,8 @@
     return;
   }
   backoff_until_[source] = environment_.Now() + kSourceBackoff;
-  // Time was lost with a source that was silent or failed itself: no second one is waited for.
+  // A source that did not respond, or that is failing itself, has cost time already. So a second
+  // source is tried only if the first could not be reached.
   const bool unreachable = !response.ok() && response.status().code() == StatusCode::kUnavailable;
   if (unreachable) {
     RequestFromSource();
@@ -161,7 +163,7 @@
                                       const proto::GetReplicaListResponse& response) {
   ListReading reading;
   reading.next_is_long_poll = true;
-  // A lower bound also if this process was stopped before it took the answer in.
+  // A lower bound, even if this process was frozen before it handled the response.
   reading.read_at =
       sent + milliseconds(response.waited_ms()) - Duration(milliseconds(response.read_ms_ago()));
   if (response.has_list()) {
--- a/src/routing/route_match.h
+++ b/src/routing/route_match.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Which route a request belongs to, by host and path, and which of the route's back ends takes it.
-/// Pure.
+/// Matches a request to a route by host and path, and chooses one of the route's back ends. Pure
+/// functions without state.
 
 #include <cstdint>
 #include <string>
@@ -11,19 +11,22 @@
 
 namespace cloverbank {
 
-/// @return the HTTP route of `host` with the longest prefix that begins `path`, or nullptr. Hosts
-/// are compared without regard to case.
+/// @return the HTTP route of `host` with the longest path prefix of `path`, or nullptr if there is
+/// none. The comparison of hosts ignores case.
 const proto::Route* MatchRoute(const proto::RoutingConfiguration& configuration,
                                std::string_view host, std::string_view path);
 
-/// @return the back end whose weight range `draw` falls into: the same draw keeps its back end as
-/// long as the weights stay.
+/// Chooses a back end of the route's split with a probability proportional to its weight.
+/// @param random a random number; the same number selects the same back end while the weights are
+/// unchanged.
+/// @return the name of the back end; the route's single back end if no weight is set.
 std::string ChooseBackend(const proto::Route& route, std::uint64_t random);
 
-/// Whether some of the route's calls may go to `backend`.
+/// Whether the route can send calls to `backend`: as its single back end, or with a weight above 0.
 bool AllowsBackend(const proto::Route& route, std::string_view backend);
 
-/// @return the settings of a back end, or nullptr. Requires that they are sorted by name.
+/// @return the settings of a back end, or nullptr. The back ends of the configuration must be
+/// sorted by name.
 const proto::Backend* FindBackend(const proto::RoutingConfiguration& configuration,
                                   std::string_view name);
 
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -9,11 +9,12 @@
 namespace {
 
 constexpr std::uint32_t kPercent = 100;
+/// Part of a replica's capacity up to which batch work may start, unless configured.
 constexpr std::uint32_t kDefaultBatchCapacityPercent = 70;
-/// Where loads are not reported, a gateway leaves some of its quota free for live calls.
+/// If loads are not reported, a gateway keeps the rest of its quota free for live calls.
 constexpr std::uint32_t kUnreportedBatchCapacityPercent = 90;
-constexpr std::uint32_t kOtherZoneRank = 4;          // After own zone and region, busy or not.
-constexpr std::uint32_t kLastResortRankPenalty = 5;  // Added to the rank of a suspect.
+constexpr std::uint32_t kOtherZoneRank = 4;  // After the gateway's zone and region, busy or not.
+constexpr std::uint32_t kLastResortRankPenalty = 5;  // Added to the rank of a last resort.
 constexpr Duration kLastResortCostPenalty = seconds(10);
 
 /// A replica with its rendezvous weight for one key.
@@ -325,11 +326,11 @@
     TimePoint now) const {
   const auto found = loads_.find(replica.id);
   if (found == loads_.end() || !found->second.reported()) {
-    return {};  // Its load is not known.
+    return {};  // Without a report the load of the replica is unknown.
   }
   const ReplicaLoad& load = found->second;
   const std::uint32_t capacity = load.Capacity(replica.capacity);
-  // At least one, or batches would never run on replicas that take one call at a time.
+  // At least 1, otherwise batches would never run on replicas that take one call at a time.
   const std::uint32_t bound = std::max(
       1U, capacity * BatchCapacityPercent(configuration, kDefaultBatchCapacityPercent) / kPercent);
   BatchCapacityReserve reserve;
