--- a/tests/replicas/fake_http.h
+++ b/tests/replicas/fake_http.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Fakes of the HTTP interfaces on simulated time: a client whose calls reach scripted replicas, a
-/// responder that records what a caller sees, and a router that finds the handler.
+/// Fakes of the HTTP interfaces on simulated time: a client whose calls are handled by scripts, a
+/// responder that records the response to a caller, and a router that finds the handler.
 
 #include <functional>
 #include <map>
@@ -15,7 +15,8 @@
 
 namespace cloverbank {
 
-/// One outgoing call as the scripted side sees it. Nothing happens after it ended or was cancelled.
+/// One outgoing call, as seen by the script that plays the server. After the call has ended or was
+/// cancelled, nothing has an effect.
 class FakeExchange : public HttpCall, public std::enable_shared_from_this<FakeExchange> {
  public:
   FakeExchange(Environment& environment, HttpRequest sent)
@@ -40,7 +41,7 @@
       callbacks.on_head(status, headers);
     }
   }
-  /// Queues bytes of the body; they are read when the reader asks for more.
+  /// Queues bytes of the body. They are delivered when the reader asks for more.
   void Bytes(const std::string& bytes) {
     buffer_ += bytes;
     Deliver();
@@ -57,7 +58,7 @@
 
   HttpRequest request;
   HttpStreamCallbacks callbacks;          ///< Of a streamed call.
-  std::function<void(HttpOutcome)> done;  ///< Of a whole one.
+  std::function<void(HttpOutcome)> done;  ///< Of a call that is not streamed.
   bool cancelled = false;
 
  private:
@@ -106,7 +107,8 @@
 
 using ExchangePtr = std::shared_ptr<FakeExchange>;
 
-/// Reaches scripted sides by endpoint. An endpoint without a script refuses connections.
+/// Passes each call to the script of its endpoint. An endpoint without a script refuses
+/// connections.
 class FakeHttpClient : public HttpClient {
  public:
   using Script = std::function<void(const ExchangePtr&)>;
@@ -129,7 +131,7 @@
     return exchange;
   }
 
-  std::map<std::string, Script> scripts;  ///< By endpoint as text.
+  std::map<std::string, Script> scripts;  ///< By `Endpoint::ToString`.
   Duration connect_time = milliseconds(1);
 
  private:
@@ -153,7 +155,7 @@
   Environment& environment_;
 };
 
-/// What one caller saw.
+/// Records the response to one caller.
 class FakeResponder : public HttpResponder {
  public:
   void Send(HttpResponse response) override {
@@ -195,12 +197,12 @@
   std::function<void()> disconnect;
 };
 
-/// Finds handlers by method and the pattern's fixed start.
+/// Finds handlers by method and the part of their path pattern before the first parameter.
 class FakeRouter : public HttpRouter {
  public:
   void Handle(std::string_view method, std::string_view pattern, HttpHandler handler) override {
-    const std::string start(pattern.substr(0, pattern.find('{')));
-    handlers.emplace(std::string(method) + " " + start, std::move(handler));
+    const std::string prefix(pattern.substr(0, pattern.find('{')));
+    handlers.emplace(std::string(method) + " " + prefix, std::move(handler));
   }
   std::shared_ptr<FakeResponder> Post(const std::string& path, const std::string& body,
                                       HttpHeaders headers = {}) {
--- a/tests/replicas/gateway_quota_test.cc
+++ b/tests/replicas/gateway_quota_test.cc
@@ -1,4 +1,5 @@
-// Shares of a replica's room, and cold replicas under all gateways together.
+// Quotas of a replica's capacity, and the rate of calls that all gateways together send to a
+// replica that is warming up.
 #include "replicas/gateway_quota.h"
 
 #include <gtest/gtest.h>
@@ -35,7 +36,7 @@
   }
 }
 
-TEST(GatewayQuotaTest, ManyGatewaysDrawDifferentReplicas) {
+TEST(GatewayQuotaTest, EachGatewayGetsItsPartOfManyReplicas) {
   for (const GatewayQuota& quota : QuotasOfZone("a", kMany)) {
     std::uint32_t slots = 0;
     for (std::uint32_t replica = 0; replica < 500; ++replica) {
@@ -45,13 +46,13 @@
   }
 }
 
-TEST(GatewayQuotaTest, HasNoQuotaOfOtherZones) {
+TEST(GatewayQuotaTest, HasNoQuotaOfReplicasInOtherZones) {
   const GatewayQuota quota{"a", 0, kFew};
   EXPECT_EQ(quota.SlotsFor("r", "b", 10), 0U);
   EXPECT_EQ(quota.RateFor("r", "b", 30), 0);
 }
 
-TEST(GatewayQuotaTest, RatesAddUpWithinTheBound) {
+TEST(GatewayQuotaTest, RateQuotasAddUpToTheRate) {
   for (const std::uint32_t count : {1U, kFew, 12U, kMany}) {
     for (const double rate : {1.0, 13.0, 31.0}) {
       double sum = 0;
@@ -65,7 +66,7 @@
   }
 }
 
-/// Calls at one cold replica, from gateways that always have one ready.
+/// Calls to one replica that is warming up, from gateways that always have a call to send.
 class SlowStartReplicaTest : public testing::TestWithParam<std::uint32_t> {
  protected:
   static constexpr double kPerSecond = 13;
@@ -103,7 +104,8 @@
   std::vector<TimePoint> starts_;
 };
 
-// With equal shares the first calls of 58 gateways met: 25 in a second where 24.5 were allowed.
+// Guards against equal quotas: with these, the first calls of 58 gateways coincided, and 25 calls
+// started in a second in which 24.5 were allowed.
 TEST_P(SlowStartReplicaTest, GatewaysTogetherStayWithinTheRate) {
   SetWarmingUpEverywhere();
   RunFor(seconds(3));
@@ -114,7 +116,7 @@
 TEST_P(SlowStartReplicaTest, StaysWithinTheBoundWhileRanksChange) {
   SetWarmingUpEverywhere();
   RunFor(milliseconds(700));
-  // A third of the gateways is gone; the others hear of it one after the other.
+  // A third of the gateways has left; the others learn of it one after the other.
   const std::uint32_t remaining = GetParam() - GetParam() / 3;
   gateways_.resize(remaining);
   for (std::uint32_t index = 0; index < remaining; ++index) {
--- a/tests/replicas/prefill_gossip_test.cc
+++ b/tests/replicas/prefill_gossip_test.cc
@@ -1,4 +1,4 @@
-// Gateways of one zone that tell each other of the prompts they send.
+// Gateways of one zone that announce to each other which prompts they send.
 #include "replicas/prefill_gossip.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr int kGateways = 3;
-/// Longer than prompts are gathered and told.
+/// Longer than it takes to batch and deliver announcements.
 constexpr Duration kPropagationDelay = milliseconds(20);
 
 struct ReceivedPrompt {
@@ -86,16 +86,17 @@
   EXPECT_TRUE(received_["g1"].empty());
 }
 
-TEST_F(PrefillGossipTest, ADeadNeighbourDelaysNoOthers) {
+TEST_F(PrefillGossipTest, ADeadNeighbourDoesNotDelayOthers) {
   world_.machine("g1").Kill();
   gossips_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
   EXPECT_EQ(received_["g2"].size(), 1U);
 }
 
-// What a gateway knows of a replica's backlog is then close to the truth although most of the
-// prompts there come from others: it is this that keeps prompts from meeting.
-TEST_F(PrefillGossipTest, ABacklogMadeByOthersIsKnown) {
+// With announcements, a gateway's estimate of a replica's backlog is close to the actual backlog
+// although most prompts come from other gateways. This keeps gateways from sending prompts to the
+// same replica at the same time.
+TEST_F(PrefillGossipTest, BacklogIncludesPromptsOfOtherGateways) {
   PrefillOptions options;
   options.initial_tokens_per_ms = 100;
   PrefillLoad load(options);
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -18,7 +18,7 @@
   PrefillLoad load_{Options()};
 };
 
-TEST_F(PrefillLoadTest, PromptsQueueUpAndAreReadInTime) {
+TEST_F(PrefillLoadTest, BacklogAddsUpAndShrinksWithTime) {
   load_.OnStart("r", 10'000, 0, now_);
   load_.OnStart("r", 5'000, 0, now_);
   EXPECT_EQ(load_.Backlog("r", now_), milliseconds(150));
@@ -29,14 +29,14 @@
 
 TEST_F(PrefillLoadTest, DoesNotCountCachedPrefixes) {
   const PromptShape shape{1000, 600, 42};
-  EXPECT_EQ(load_.TokensToRead("r", shape, /*home=*/false), 1000U);
-  EXPECT_EQ(load_.TokensToRead("r", shape, /*home=*/true), 400U);
+  EXPECT_EQ(load_.TokensToRead("r", shape, /*preferred=*/false), 1000U);
+  EXPECT_EQ(load_.TokensToRead("r", shape, /*preferred=*/true), 400U);
   load_.OnStart("r", 1000, 42, now_);
   EXPECT_EQ(load_.TokensToRead("r", shape, false), 400U);
   EXPECT_EQ(load_.TokensToRead("other", shape, false), 1000U);
 }
 
-TEST_F(PrefillLoadTest, TheKeyUsedLongestAgoIsForgotten) {
+TEST_F(PrefillLoadTest, DropsTheLeastRecentlyUsedKey) {
   for (const std::uint64_t key : {1U, 2U, 1U, 3U}) {
     load_.OnStart("r", 10, key, now_);
   }
@@ -124,13 +124,13 @@
   EXPECT_EQ(load_.RecentLoad("other", now_), Duration::zero());
 }
 
-TEST_F(PrefillLoadTest, ADelayWithinTheToleranceIsNoSign) {
+TEST_F(PrefillLoadTest, IgnoresDelaysWithinTheTolerance) {
   const Duration expected = milliseconds(1) + Options().initial_fixed_latency;
   load_.OnFirstByte("r", 100, Duration::zero(), expected + Options().delay_tolerance, now_);
   EXPECT_EQ(load_.Backlog("r", now_), Duration::zero());
 }
 
-TEST_F(PrefillLoadTest, UnexpectedDelayCountsAndDecays) {
+TEST_F(PrefillLoadTest, UnexpectedDelayCountsAsBacklogAndDecays) {
   load_.OnFirstByte("r", 100, Duration::zero(), milliseconds(213) + Options().delay_tolerance,
                     now_);
   const Duration initial = load_.Backlog("r", now_);
--- a/tests/replicas/prefill_throughput_test.cc
+++ b/tests/replicas/prefill_throughput_test.cc
@@ -8,7 +8,7 @@
 constexpr std::uint32_t kShort = 1'500;
 constexpr std::uint32_t kLong = 30'000;
 
-TEST(RecentQuantileTest, IsNotKnownFromAFewSamples) {
+TEST(RecentQuantileTest, HasNoValueFromTooFewSamples) {
   RecentQuantile quantile(2);
   for (std::size_t sample = 1; sample < RecentQuantile::kMinimumSamples; ++sample) {
     quantile.Add(100);
@@ -18,7 +18,7 @@
   EXPECT_EQ(quantile.value(), 100);
 }
 
-TEST(RecentQuantileTest, TheLowOneAndTheHighOneLieApart) {
+TEST(RecentQuantileTest, LowAndHighQuantilesDiffer) {
   RecentQuantile low(1);
   RecentQuantile high(2);
   for (int sample = 1; sample <= 16; ++sample) {
@@ -29,7 +29,7 @@
   EXPECT_EQ(high.value(), 11);
 }
 
-TEST(PrefillThroughputTest, SlowAnswersAmongFastOnesHardlyCount) {
+TEST(PrefillThroughputTest, IgnoresSlowSamplesAmongFastOnes) {
   PrefillThroughput throughput;
   for (int sample = 0; sample < 30; ++sample) {
     throughput.Add(kShort, sample % 2 == 0 ? 100 : 5);
@@ -57,13 +57,14 @@
   EXPECT_EQ(throughput.TokensPerMillisecond(kShort), 40);
 }
 
-TEST(PrefillThroughputTest, LongPromptsHaveARateOfTheirOwn) {
+TEST(PrefillThroughputTest, LongPromptsHaveTheirOwnThroughput) {
   PrefillThroughput throughput;
   EXPECT_FALSE(throughput.TokensPerMillisecond(kShort).has_value());
   for (int sample = 0; sample < 16; ++sample) {
     throughput.Add(kShort, 160);
   }
-  EXPECT_EQ(throughput.TokensPerMillisecond(kLong), 160) << "the nearest length that is known";
+  EXPECT_EQ(throughput.TokensPerMillisecond(kLong), 160)
+      << "of the nearest length class with samples";
   for (int sample = 0; sample < 16; ++sample) {
     throughput.Add(kLong, 90);
   }
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -24,7 +24,7 @@
   ReplicaHealth health_{options_};
 };
 
-TEST_F(ReplicaHealthTest, NeedsAGoodProbeFirstAndWaitsItsDelay) {
+TEST_F(ReplicaHealthTest, UsableAfterAGoodProbeAndTheStartDelay) {
   health_.Reset("x", "model", milliseconds(500));
   EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   health_.OnProbe("x", false, false, now_);
@@ -35,7 +35,7 @@
   EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
 }
 
-TEST_F(ReplicaHealthTest, TimeoutsEjectAndATrialRestores) {
+TEST_F(ReplicaHealthTest, TimeoutsEjectAndASuccessfulTrialRestores) {
   Add("x");
   RunCall("x", CallEnd::kNoResponse);
   EXPECT_EQ(UsabilityOf("x"), Usability::kLastResort);
@@ -54,10 +54,10 @@
   EXPECT_EQ(UsabilityOf("x"), Usability::kNo);  // One trial at a time.
   health_.OnCallEnded("x", CallEnd::kSuccess, now_);
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kHealthy);
-  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Cold again.
+  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // In slow start again.
 }
 
-TEST_F(ReplicaHealthTest, EjectionsGrowAndAreForgiven) {
+TEST_F(ReplicaHealthTest, EjectionTimeGrowsAndDecays) {
   Add("x");
   Duration expected = options_.base_ejection;
   for (int round = 0; round < 8; ++round) {
@@ -99,7 +99,7 @@
   EXPECT_EQ(ejected, 4);
 }
 
-TEST_F(ReplicaHealthTest, TheSlowOneOfManyIsEjected) {
+TEST_F(ReplicaHealthTest, EjectsTheSlowReplicaAmongItsPeers) {
   for (int index = 0; index < 4; ++index) {
     Add(std::to_string(index));
     for (std::uint32_t sample = 0; sample < options_.minimum_latency_samples; ++sample) {
@@ -112,10 +112,10 @@
   }
 }
 
-TEST_F(ReplicaHealthTest, SlowStartBeginsWithWorkAndGrowsEvenly) {
+TEST_F(ReplicaHealthTest, SlowStartBeginsWithAServedCallAndGrowsLinearly) {
   Add("x", false);
   now_ += seconds(100);
-  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Idle time warms nothing.
+  EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Idle time does not raise it.
   health_.OnWorkSeen("x", now_);
   std::uint32_t last = 0;
   for (int step = 0; step <= 60; ++step) {
@@ -129,8 +129,8 @@
   EXPECT_FALSE(health_.IsInSlowStart("x", now_));
 }
 
-/// Whatever happens: no call to an ejected or unproven replica, one at most on trial, and the limit
-/// stays between 1 and the capacity.
+/// After any sequence of events, ejected and unproven replicas get no call, a replica on trial gets
+/// at most one, and the limit stays between 1 and the capacity.
 TEST_F(ReplicaHealthTest, RandomEventsKeepTheInvariants) {
   std::mt19937_64 random(17);
   const std::vector<std::string> ids = {"a", "b", "c"};
--- a/tests/replicas/replica_prober_test.cc
+++ b/tests/replicas/replica_prober_test.cc
@@ -12,7 +12,8 @@
 namespace cloverbank {
 namespace {
 
-/// Three replicas that are in slow start for ever, and one whose first probe comes too early.
+/// Probes three replicas that stay in slow start, and one that is still loading at its first probe,
+/// so that only the regular round probes it again.
 class ProberProgram {
  public:
   ProberProgram(Environment& environment, std::map<std::string, int>* probes)
@@ -20,7 +21,7 @@
     std::vector<ReplicaProber::Target> targets;
     for (const char* name : {"idle-1", "idle-2", "idle-3", "loading"}) {
       const Endpoint endpoint{"10.0.0." + std::to_string(targets.size() + 1), 8000};
-      targets.push_back({name, endpoint, "life"});
+      targets.push_back({name, endpoint, "instance-1"});
       client_.scripts[endpoint.ToString()] = [](const ExchangePtr& exchange) {
         exchange->Answer({200, {}, "ok"});
       };
@@ -43,7 +44,7 @@
   ReplicaProber prober_;
 };
 
-TEST(ReplicaProberTest, UrgentProbesDoNotStarveTheRound) {
+TEST(ReplicaProberTest, UrgentProbesDoNotStarveTheRegularRound) {
   SimulatedWorld world(1);
   SimulatedMachine& machine = world.AddMachine("gateway", "10.0.1.1");
   std::map<std::string, int> probes;
@@ -52,7 +53,7 @@
   });
   machine.Start();
   world.RunFor(seconds(20));
-  EXPECT_GE(probes["loading"], 10) << "its ordinary interval is one second";
+  EXPECT_GE(probes["loading"], 10) << "its regular interval is one second";
   EXPECT_GE(probes["idle-1"], 50) << "those in slow start are probed more often";
 }
 
--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -1,4 +1,4 @@
-// Gateways of one zone that read the list of replicas from one of them.
+// Gateways that read the list of replicas from each other, so that only one reads the platform.
 #include "replicas/shared_list_reader.h"
 
 #include <gtest/gtest.h>
@@ -19,11 +19,11 @@
 constexpr int kGateways = 5;
 constexpr Duration kStep = milliseconds(50);
 
-/// What the platform shows, and who asked it.
+/// The platform's current list, and how often each gateway has read it.
 struct FakePlatform {
   std::uint32_t replicas = 1;
   bool responds = true;
-  std::map<std::string, int> reads;  ///< By gateway.
+  std::map<std::string, int> reads;  ///< By name of the gateway.
 };
 
 class FakePlatformReader final : public ReplicaListReader {
@@ -61,7 +61,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// What one gateway holds.
+/// What the test observes and sets at one gateway.
 struct Gateway {
   int known_replicas = 0;
   int lists = 0;
@@ -126,7 +126,7 @@
     }
   }
 
-  /// @return whether every running gateway was fresh all the time.
+  /// Runs for `duration`. @return whether all running gateways had a fresh list all the time.
   bool StaysFreshFor(Duration duration) {
     bool fresh = true;
     for (Duration passed{}; passed < duration; passed += kStep) {
@@ -139,7 +139,7 @@
     return fresh;
   }
 
-  /// @return whether all gateways but the stopped one know so many replicas.
+  /// @return whether all gateways except the stopped one know that number of replicas.
   bool AllKnow(int replicas) const {
     for (const auto& [name, gateway] : gateways_) {
       if (name != stopped_ && gateway.known_replicas != replicas) {
@@ -181,7 +181,7 @@
   EXPECT_TRUE(AllKnow(2));
 }
 
-TEST_F(SharedListReaderTest, AnUnchangedListIsTakenInOnce) {
+TEST_F(SharedListReaderTest, AppliesAnUnchangedListOnce) {
   StartAll();
   world_.RunFor(seconds(10));
   EXPECT_EQ(gateways_["g4"].lists, 1);
@@ -201,7 +201,7 @@
   EXPECT_LE(Reads() - earlier_reads, 14) << "g1 reads each second; the others only try g0 again";
 }
 
-TEST_F(SharedListReaderTest, AFrozenSourceCostsNobodyItsFreshness) {
+TEST_F(SharedListReaderTest, AllStayFreshWhenASourceFreezes) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g0";
@@ -212,7 +212,7 @@
   EXPECT_TRUE(StaysFreshFor(seconds(10)));
 }
 
-TEST_F(SharedListReaderTest, DistrustsAnOldAnswerAfterAFreeze) {
+TEST_F(SharedListReaderTest, DistrustsAnOldResponseAfterAFreeze) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g4";
@@ -242,14 +242,14 @@
   }
   StartAll();
   world_.RunFor(seconds(1));
-  EXPECT_EQ(Reads(), 0) << "the coordinators are still being formed";
+  EXPECT_EQ(Reads(), 0) << "the coordinators have not named sources yet";
   for (auto& [name, gateway] : gateways_) {
     gateway.sources = sources[name];
   }
   world_.RunFor(milliseconds(200));
   EXPECT_TRUE(AllKnow(1));
   EXPECT_EQ(platform_.reads.size(), 1U);
-  EXPECT_LE(Reads(), 2) << "its second reading is due as well";
+  EXPECT_LE(Reads(), 2) << "its second read may be due already";
 }
 
 TEST_F(SharedListReaderTest, KeepsTheListWhileThePlatformTimesOut) {
@@ -264,8 +264,8 @@
   EXPECT_TRUE(AllKnow(2));
 }
 
-// The coordinators' word may be older at one gateway than at another.
-TEST_F(SharedListReaderTest, TwoThatAskEachOtherGoToThePlatform) {
+// One gateway may have older sources than another, so two can be each other's source for a while.
+TEST_F(SharedListReaderTest, MutualSourcesReadThePlatform) {
   gateways_["g0"].sources = {{world_.machine("g1").endpoint()}};
   StartAll();
   world_.RunFor(seconds(1));
@@ -273,7 +273,7 @@
   EXPECT_TRUE(StaysFreshFor(seconds(5)));
 }
 
-/// g0 is the first of one zone; g1 the first of another, whose others are g2 to g4.
+/// g0 is the first gateway of one zone, and g1 the first of another, to which g2 to g4 also belong.
 class SharedListOverZonesTest : public SharedListReaderTest {
  protected:
   SharedListOverZonesTest() {
@@ -296,7 +296,7 @@
   EXPECT_TRUE(AllKnow(2));
 }
 
-TEST_F(SharedListOverZonesTest, FrozenRemoteSourceCostsOneReaderAZone) {
+TEST_F(SharedListOverZonesTest, OneGatewayReadsWhileTheRemoteSourceIsFrozen) {
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
@@ -304,10 +304,10 @@
   EXPECT_TRUE(StaysFreshFor(milliseconds(2500)));
   EXPECT_TRUE(AllKnow(4));
   EXPECT_TRUE(StaysFreshFor(seconds(7)));
-  EXPECT_LE(Reads() - earlier_reads, 12) << "the others go on asking g1";
+  EXPECT_LE(Reads() - earlier_reads, 12) << "the others continue to read from g1";
 }
 
-TEST_F(SharedListOverZonesTest, PartitionedZonesHaveAReaderEach) {
+TEST_F(SharedListOverZonesTest, PartitionedZonesReadThePlatformSeparately) {
   world_.Cut("g0", "g1");
   world_.Cut("g1", "g0");
   platform_.replicas = 3;
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -68,7 +68,7 @@
   Router router_{RouterOptions{"a"}, directory_, health_, loads_};
 };
 
-TEST_F(RouterTest, NamesWhatIsMissing) {
+TEST_F(RouterTest, ReportsWhyNoReplicaIsChosen) {
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoReadyReplica);
   Add("b1", "b");
   Load();
@@ -102,14 +102,15 @@
     order.push_back(replica->zone);
   }
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoCapacity);
-  // 7 of 8 in each near zone, the rest of both, and only then the far region.
+  // The near zones a and b get 7 of their 8 calls each, then their last ones; only then follows c
+  // in the far region.
   const std::vector<std::string> near_first(order.begin(), order.begin() + 16);
   EXPECT_EQ(std::count(order.begin(), order.begin() + 7, "a"), 7);
   EXPECT_EQ(std::count(order.begin() + 7, order.begin() + 14, "b"), 7);
   EXPECT_EQ(std::count(near_first.begin(), near_first.end(), "c"), 0);
 }
 
-TEST_F(RouterTest, SuspectsAndTriedReplicasComeLast) {
+TEST_F(RouterTest, ChoosesSuspectsLastAndExcludedReplicasNever) {
   Add("a1", "a");
   Add("c1", "c");
   Load();
@@ -136,7 +137,7 @@
     ASSERT_EQ(Choose(prefix).replica->id, Choose(prefix).replica->id);
   }
   EXPECT_EQ(chosen.size(), static_cast<std::size_t>(kReplicas));
-  // Skewed keys, random ends: no replica ever gets a call beyond the bound.
+  // With skewed keys and calls that end in random order, no replica gets a call beyond the bound.
   std::vector<std::string> running;
   for (int step = 0; step < 20'000; ++step) {
     if (!running.empty() && random_() % 100 < 50) {
@@ -177,10 +178,10 @@
   EXPECT_EQ(Choose().replica->id, "a2");
 }
 
-TEST_F(RouterTest, BatchesKeepTheCapacityReserve) {
+TEST_F(RouterTest, BatchesLeaveCapacityForLiveCalls) {
   Add("a1", "a", 10);
   Load();
-  EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);  // Nothing allowed yet.
+  EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);  // No allowance yet.
   loads_["a1"].SetBatchAllowance(100, now_);
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 7U);
   loads_["a1"].OnReport({5, 1, 10});
@@ -198,7 +199,7 @@
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);
 }
 
-TEST(ReplicaLoadTest, SeparatesOthersFromOwn) {
+TEST(ReplicaLoadTest, SeparatesCallsOfOtherGatewaysFromOwn) {
   ReplicaLoad load;
   load.OnStart(WorkKind::kLive);
   load.OnStart(WorkKind::kBatch);
@@ -219,7 +220,7 @@
   RatePacer pacer(0.25, 0.01);
   TimePoint now(seconds(10));
   pacer.OnCollision(now);
-  pacer.OnCollision(now + milliseconds(100));  // The same one.
+  pacer.OnCollision(now + milliseconds(100));  // Counts as the same collision.
   EXPECT_DOUBLE_EQ(pacer.ratio(), 0.125);
   std::mt19937_64 random(3);
   std::uint32_t sum = 0;
@@ -272,7 +273,7 @@
   replica->set_backend("s");
   replica->set_state(proto::REPLICA_STATE_READY);
   replica->set_instance_id("1");
-  *list.add_replicas() = *replica;  // Named twice.
+  *list.add_replicas() = *replica;  // Duplicate.
   list.add_replicas()->set_id("no endpoint");
   const auto apply = [&] {
     list.set_version(list.version() + 1);
@@ -295,7 +296,7 @@
   EXPECT_EQ(apply().removed, x);
 }
 
-/// Choice by what replicas have to read, three replicas in one zone.
+/// Routing by prefill cost among three replicas of one zone.
 class PromptRoutingTest : public RouterTest {
  protected:
   PromptRoutingTest() {
@@ -335,21 +336,21 @@
   PrefillLoad prefill_{PrefillOptions()};
 };
 
-TEST_F(PromptRoutingTest, APromptGoesWhereItIsReadSoonest) {
+TEST_F(PromptRoutingTest, ChoosesReplicaWithShortestBacklog) {
   prefill_.OnStart("r1", 9'000, 0, now_);
   prefill_.OnStart("r2", 18'000, 0, now_);
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r3"});
 }
 
-TEST_F(PromptRoutingTest, PrefersTheLeastRecentPrefillLoad) {
+TEST_F(PromptRoutingTest, PrefersReplicaWithLowestRecentLoad) {
   prefill_.OnStart("r1", 9'000, 0, now_);
   prefill_.OnStart("r2", 1'800, 0, now_);
   prefill_.OnStart("r3", 9'000, 0, now_);
-  now_ += milliseconds(60);  // Everything is read by now.
+  now_ += milliseconds(60);  // All prompts are prefilled by now.
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r2"});
 }
 
-TEST_F(PromptRoutingTest, ReservesNothingWithoutLongPrompts) {
+TEST_F(PromptRoutingTest, UsesAllReplicasWithoutLongPrompts) {
   EXPECT_EQ(ChosenFor(1'000).size(), 3U);
 }
 
@@ -357,7 +358,7 @@
   const std::set<std::string> long_prompt_replicas = LongPromptReplicas();
   ASSERT_FALSE(long_prompt_replicas.empty());
   prefill_.OnStart(*long_prompt_replicas.begin(), 30'000, 0, now_);
-  now_ += seconds(5);  // It is read by now.
+  now_ += seconds(5);  // The long prompt is prefilled by now.
   for (const std::string& chosen : ChosenFor(1'000)) {
     EXPECT_FALSE(long_prompt_replicas.contains(chosen)) << chosen;
   }
