--- a/src/replicas/replica_directory.cc
+++ b/src/replicas/replica_directory.cc
@@ -43,7 +43,8 @@
 
 Result<DirectoryChange> ReplicaDirectory::Apply(const proto::ReplicaList& list) {
   if (list.version() == 0) {
-    return Status(StatusCode::kInvalidArgument, "the replica list names no version");
+    return Status(StatusCode::kInvalidArgument,
+                  "the replica list has version 0; expected at least 1");
   }
   DirectoryChange change;
   std::map<std::string, ReplicaRecord, std::less<>> records;
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -235,7 +235,8 @@
 void SharedListReader::Serve(const proto::GetReplicaListRequest& request,
                              const std::string& address, Reply reply) {
   if (pending_source_.has_value() && pending_source_->host == address) {
-    reply(Status(StatusCode::kUnavailable, "this gateway waits for the asking one's list"));
+    reply(Status(StatusCode::kUnavailable,
+                 "this gateway is waiting for the replica list of the requesting gateway"));
     return;
   }
   PendingRequest pending{request.known_id(), environment_.Now(), 0, std::move(reply)};
@@ -255,7 +256,7 @@
 
 void SharedListReader::Respond(const PendingRequest& pending) const {
   if (list_id_ == 0) {
-    pending.reply(Status(StatusCode::kUnavailable, "no list of replicas was read yet"));
+    pending.reply(Status(StatusCode::kUnavailable, "this gateway has not read a replica list yet"));
     return;
   }
   proto::GetReplicaListResponse response;
