--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -1,4 +1,4 @@
-// Gateways of one zone that read the list of replicas from one of them.
+// Gateways that read the list of replicas from each other, so that only one reads the platform.
 #include "replicas/shared_list_reader.h"
 
 #include <gtest/gtest.h>
@@ -19,11 +19,11 @@
 constexpr int kGateways = 5;
 constexpr Duration kStep = milliseconds(50);
 
-/// What the platform shows, and who asked it.
+/// The platform's current list, and how often each gateway has read it.
 struct FakePlatform {
   std::uint32_t replicas = 1;
-  bool answers = true;
-  std::map<std::string, int> reads;  ///< By gateway.
+  bool responds = true;
+  std::map<std::string, int> reads;  ///< By name of the gateway.
 };
 
 class FakePlatformReader final : public ReplicaListReader {
@@ -33,7 +33,7 @@
 
   void Read(Duration deadline, std::function<void(ListReading)> done) override {
     ++platform_.reads[gateway_];
-    const Duration delay = platform_.answers ? milliseconds(3) : deadline;
+    const Duration delay = platform_.responds ? milliseconds(3) : deadline;
     environment_.ScheduleAfter(delay,
                                [this, alive = std::weak_ptr<bool>(alive_), done = std::move(done)] {
                                  if (!alive.expired()) {
@@ -45,7 +45,7 @@
  private:
   ListReading MakeReading() const {
     ListReading reading;
-    if (!platform_.answers) {
+    if (!platform_.responds) {
       return reading;
     }
     reading.end = ListReadEnd::kRead;
@@ -61,7 +61,7 @@
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
-/// What one gateway holds.
+/// What the test observes and sets at one gateway.
 struct Gateway {
   int known_replicas = 0;
   int lists = 0;
@@ -109,8 +109,8 @@
       SimulatedMachine& machine = world_.AddMachine(name, "10.0.1." + std::to_string(number + 1));
       Gateway& gateway = gateways_[name];
       gateway.sources = std::vector<ListSource>();
-      for (int before = 0; before < std::min(number, 3); ++before) {
-        gateway.sources->push_back({world_.machine(Name(before)).endpoint()});
+      for (int earlier = 0; earlier < std::min(number, 3); ++earlier) {
+        gateway.sources->push_back({world_.machine(Name(earlier)).endpoint()});
       }
       machine.SetProgram([this, name, &gateway](Environment& environment, DataFolder&) {
         return std::make_shared<GatewayProgram>(environment, name, platform_, gateway);
@@ -126,20 +126,20 @@
     }
   }
 
-  /// @return whether every running gateway was fresh all the time.
-  bool RunFresh(Duration duration) {
+  /// Runs for `duration`. @return whether all running gateways had a fresh list all the time.
+  bool StaysFreshFor(Duration duration) {
     bool fresh = true;
     for (Duration passed{}; passed < duration; passed += kStep) {
       world_.RunFor(kStep);
       for (const auto& [name, gateway] : gateways_) {
-        const bool counts = world_.machine(name).running() && name != stopped_;
-        fresh = fresh && (!counts || (gateway.poller->loaded() && gateway.poller->Fresh()));
+        const bool checked = world_.machine(name).running() && name != stopped_;
+        fresh = fresh && (!checked || (gateway.poller->loaded() && gateway.poller->Fresh()));
       }
     }
     return fresh;
   }
 
-  /// @return whether all gateways but the stopped one know so many replicas.
+  /// @return whether all gateways except the stopped one know that number of replicas.
   bool AllKnow(int replicas) const {
     for (const auto& [name, gateway] : gateways_) {
       if (name != stopped_ && gateway.known_replicas != replicas) {
@@ -166,9 +166,9 @@
 TEST_F(SharedListReaderTest, OneGatewayOfTheZoneReadsThePlatform) {
   StartAll();
   world_.RunFor(seconds(2));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
   EXPECT_EQ(platform_.reads.count("g3"), 0U);
   EXPECT_TRUE(AllKnow(1));
 }
@@ -181,7 +181,7 @@
   EXPECT_TRUE(AllKnow(2));
 }
 
-TEST_F(SharedListReaderTest, AnUnchangedListIsTakenInOnce) {
+TEST_F(SharedListReaderTest, AppliesAnUnchangedListOnce) {
   StartAll();
   world_.RunFor(seconds(10));
   EXPECT_EQ(gateways_["g4"].lists, 1);
@@ -192,27 +192,27 @@
   world_.RunFor(seconds(3));
   stopped_ = "g0";
   world_.machine("g0").Kill();
-  EXPECT_TRUE(RunFresh(seconds(2)));
+  EXPECT_TRUE(StaysFreshFor(seconds(2)));
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(milliseconds(1500)));
+  EXPECT_TRUE(StaysFreshFor(milliseconds(1500)));
   EXPECT_TRUE(AllKnow(3));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 14) << "g1 reads each second; the others only try g0 again";
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 14) << "g1 reads each second; the others only try g0 again";
 }
 
-TEST_F(SharedListReaderTest, AFrozenSourceCostsNobodyItsFreshness) {
+TEST_F(SharedListReaderTest, AllStayFreshWhenASourceFreezes) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
-  EXPECT_TRUE(RunFresh(milliseconds(2500)));
+  EXPECT_TRUE(StaysFreshFor(milliseconds(2500)));
   EXPECT_TRUE(AllKnow(4));
-  EXPECT_TRUE(RunFresh(seconds(10)));
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
 }
 
-TEST_F(SharedListReaderTest, DistrustsAnOldAnswerAfterAFreeze) {
+TEST_F(SharedListReaderTest, DistrustsAnOldResponseAfterAFreeze) {
   StartAll();
   world_.RunFor(seconds(3));
   stopped_ = "g4";
@@ -232,48 +232,48 @@
   StartAll();
   world_.RunFor(milliseconds(5200));
   EXPECT_TRUE(AllKnow(1));
-  EXPECT_TRUE(RunFresh(seconds(5)));
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
 }
 
 TEST_F(SharedListReaderTest, SimultaneousStartsReadThePlatformOnce) {
-  std::map<std::string, std::vector<ListSource>> told;
+  std::map<std::string, std::vector<ListSource>> sources;
   for (auto& [name, gateway] : gateways_) {
-    told[name] = *std::exchange(gateway.sources, std::nullopt);
+    sources[name] = *std::exchange(gateway.sources, std::nullopt);
   }
   StartAll();
   world_.RunFor(seconds(1));
-  EXPECT_EQ(Reads(), 0) << "the coordinators are still being formed";
+  EXPECT_EQ(Reads(), 0) << "the coordinators have not named sources yet";
   for (auto& [name, gateway] : gateways_) {
-    gateway.sources = told[name];
+    gateway.sources = sources[name];
   }
   world_.RunFor(milliseconds(200));
   EXPECT_TRUE(AllKnow(1));
   EXPECT_EQ(platform_.reads.size(), 1U);
-  EXPECT_LE(Reads(), 2) << "its second reading is due as well";
+  EXPECT_LE(Reads(), 2) << "its second read may be due already";
 }
 
 TEST_F(SharedListReaderTest, KeepsTheListWhileThePlatformTimesOut) {
   StartAll();
   world_.RunFor(seconds(3));
-  platform_.answers = false;
+  platform_.responds = false;
   world_.RunFor(seconds(5));
-  EXPECT_TRUE(RunFresh(seconds(5)));
-  platform_.answers = true;
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
+  platform_.responds = true;
   platform_.replicas = 2;
   world_.RunFor(seconds(5));
   EXPECT_TRUE(AllKnow(2));
 }
 
-// The coordinators' word may be older at one gateway than at another.
-TEST_F(SharedListReaderTest, TwoThatAskEachOtherGoToThePlatform) {
+// One gateway may have older sources than another, so two can be each other's source for a while.
+TEST_F(SharedListReaderTest, MutualSourcesReadThePlatform) {
   gateways_["g0"].sources = {{world_.machine("g1").endpoint()}};
   StartAll();
   world_.RunFor(seconds(1));
   EXPECT_TRUE(AllKnow(1));
-  EXPECT_TRUE(RunFresh(seconds(5)));
+  EXPECT_TRUE(StaysFreshFor(seconds(5)));
 }
 
-/// g0 is the first of one zone; g1 the first of another, whose others are g2 to g4.
+/// g0 is the first gateway of one zone, and g1 the first of another, to which g2 to g4 also belong.
 class SharedListOverZonesTest : public SharedListReaderTest {
  protected:
   SharedListOverZonesTest() {
@@ -288,42 +288,42 @@
 };
 
 TEST_F(SharedListOverZonesTest, OneGatewayOfTheFleetReadsThePlatform) {
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
   platform_.replicas = 2;
   world_.RunFor(milliseconds(1100));
   EXPECT_TRUE(AllKnow(2));
 }
 
-TEST_F(SharedListOverZonesTest, FrozenRemoteSourceCostsOneReaderAZone) {
+TEST_F(SharedListOverZonesTest, OneGatewayReadsWhileTheRemoteSourceIsFrozen) {
   stopped_ = "g0";
   world_.machine("g0").Freeze();
   platform_.replicas = 4;
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(milliseconds(2500)));
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(milliseconds(2500)));
   EXPECT_TRUE(AllKnow(4));
-  EXPECT_TRUE(RunFresh(seconds(7)));
-  EXPECT_LE(Reads() - before, 12) << "the others go on asking g1";
+  EXPECT_TRUE(StaysFreshFor(seconds(7)));
+  EXPECT_LE(Reads() - earlier_reads, 12) << "the others continue to read from g1";
 }
 
-TEST_F(SharedListOverZonesTest, PartitionedZonesHaveAReaderEach) {
+TEST_F(SharedListOverZonesTest, PartitionedZonesReadThePlatformSeparately) {
   world_.Cut("g0", "g1");
   world_.Cut("g1", "g0");
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(seconds(3)));
+  EXPECT_TRUE(StaysFreshFor(seconds(3)));
   EXPECT_TRUE(AllKnow(3));
   world_.HealAll();
   world_.RunFor(seconds(12));
-  const int before = Reads();
-  EXPECT_TRUE(RunFresh(seconds(10)));
-  EXPECT_LE(Reads() - before, 11);
+  const int earlier_reads = Reads();
+  EXPECT_TRUE(StaysFreshFor(seconds(10)));
+  EXPECT_LE(Reads() - earlier_reads, 11);
 }
 
 TEST_F(SharedListOverZonesTest, StaysFreshUnderAOneWayPartition) {
   world_.Cut("g0", "g1");
   platform_.replicas = 3;
-  EXPECT_TRUE(RunFresh(seconds(3)));
+  EXPECT_TRUE(StaysFreshFor(seconds(3)));
   EXPECT_TRUE(AllKnow(3));
 }
 
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -68,7 +68,7 @@
   Router router_{RouterOptions{"a"}, directory_, health_, loads_};
 };
 
-TEST_F(RouterTest, NamesWhatIsMissing) {
+TEST_F(RouterTest, ReportsWhyNoReplicaIsChosen) {
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoReadyReplica);
   Add("b1", "b");
   Load();
@@ -102,14 +102,15 @@
     order.push_back(replica->zone);
   }
   EXPECT_EQ(Choose().failure, RoutingFailure::kNoCapacity);
-  // 7 of 8 in each near zone, the rest of both, and only then the far region.
+  // The near zones a and b get 7 of their 8 calls each, then their last ones; only then follows c
+  // in the far region.
   const std::vector<std::string> near_first(order.begin(), order.begin() + 16);
   EXPECT_EQ(std::count(order.begin(), order.begin() + 7, "a"), 7);
   EXPECT_EQ(std::count(order.begin() + 7, order.begin() + 14, "b"), 7);
   EXPECT_EQ(std::count(near_first.begin(), near_first.end(), "c"), 0);
 }
 
-TEST_F(RouterTest, SuspectsAndTriedReplicasComeLast) {
+TEST_F(RouterTest, ChoosesSuspectsLastAndExcludedReplicasNever) {
   Add("a1", "a");
   Add("c1", "c");
   Load();
@@ -128,15 +129,15 @@
     Add("a" + std::to_string(index), "a", kCapacity);
   }
   Load();
-  const std::string home = Choose("prefix").replica->id;
-  std::set<std::string> homes;
+  const std::string preferred = Choose("prefix").replica->id;
+  std::set<std::string> chosen;
   for (int key = 0; key < 200; ++key) {
     const std::string prefix = "key-" + std::to_string(key);
-    homes.insert(Choose(prefix).replica->id);
+    chosen.insert(Choose(prefix).replica->id);
     ASSERT_EQ(Choose(prefix).replica->id, Choose(prefix).replica->id);
   }
-  EXPECT_EQ(homes.size(), static_cast<std::size_t>(kReplicas));
-  // Skewed keys, random ends: no replica ever gets a call beyond the bound.
+  EXPECT_EQ(chosen.size(), static_cast<std::size_t>(kReplicas));
+  // With skewed keys and calls that end in random order, no replica gets a call beyond the bound.
   std::vector<std::string> running;
   for (int step = 0; step < 20'000; ++step) {
     if (!running.empty() && random_() % 100 < 50) {
@@ -162,10 +163,10 @@
     running.push_back(choice.replica->id);
   }
   Load();
-  excluded_ = {home};
+  excluded_ = {preferred};
   loads_.clear();
   const std::string second = Choose("prefix").replica->id;
-  EXPECT_NE(second, home);
+  EXPECT_NE(second, preferred);
 }
 
 TEST_F(RouterTest, LeastLoadedWithoutPrefix) {
@@ -177,10 +178,10 @@
   EXPECT_EQ(Choose().replica->id, "a2");
 }
 
-TEST_F(RouterTest, BatchesKeepTheCapacityReserve) {
+TEST_F(RouterTest, BatchesLeaveCapacityForLiveCalls) {
   Add("a1", "a", 10);
   Load();
-  EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);  // Nothing allowed yet.
+  EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);  // No allowance yet.
   loads_["a1"].SetBatchAllowance(100, now_);
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 7U);
   loads_["a1"].OnReport({5, 1, 10});
@@ -198,7 +199,7 @@
   EXPECT_EQ(router_.FreeBatchSlots(configuration_, "model", now_), 0U);
 }
 
-TEST(ReplicaLoadTest, SeparatesOthersFromOwn) {
+TEST(ReplicaLoadTest, SeparatesCallsOfOtherGatewaysFromOwn) {
   ReplicaLoad load;
   load.OnStart(WorkKind::kLive);
   load.OnStart(WorkKind::kBatch);
@@ -219,7 +220,7 @@
   RatePacer pacer(0.25, 0.01);
   TimePoint now(seconds(10));
   pacer.OnCollision(now);
-  pacer.OnCollision(now + milliseconds(100));  // The same one.
+  pacer.OnCollision(now + milliseconds(100));  // Counts as the same collision.
   EXPECT_DOUBLE_EQ(pacer.ratio(), 0.125);
   std::mt19937_64 random(3);
   std::uint32_t sum = 0;
@@ -251,11 +252,11 @@
   }
   ReplicaDirectory directory;
   ASSERT_TRUE(directory.Apply(list).ok());
-  std::map<std::string, int> places;
+  std::map<std::string, int> selected;
   for (const auto& [id, record] : directory.records()) {
-    places[record.zone] += directory.AcceptsLongPrompts(record) ? 1 : 0;
+    selected[record.zone] += directory.AcceptsLongPrompts(record) ? 1 : 0;
   }
-  EXPECT_EQ(places, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
+  EXPECT_EQ(selected, (std::map<std::string, int>{{"a", 1}, {"b", 1}, {"c", 10}}));
 }
 
 TEST(ReplicaDirectoryTest, ReportsWhichReplicasWarmUp) {
@@ -272,7 +273,7 @@
   replica->set_backend("s");
   replica->set_state(proto::REPLICA_STATE_READY);
   replica->set_instance_id("1");
-  *list.add_replicas() = *replica;  // Named twice.
+  *list.add_replicas() = *replica;  // Duplicate.
   list.add_replicas()->set_id("no endpoint");
   const auto apply = [&] {
     list.set_version(list.version() + 1);
@@ -295,7 +296,7 @@
   EXPECT_EQ(apply().removed, x);
 }
 
-/// Choice by what replicas have to read, three replicas in one zone.
+/// Routing by prefill cost among three replicas of one zone.
 class PromptRoutingTest : public RouterTest {
  protected:
   PromptRoutingTest() {
@@ -322,47 +323,47 @@
     }
     return chosen;
   }
-  std::set<std::string> KeptForLongPrompts() {
-    std::set<std::string> kept;
+  std::set<std::string> LongPromptReplicas() {
+    std::set<std::string> long_prompt_replicas;
     for (const auto& [id, record] : directory_.records()) {
       if (directory_.AcceptsLongPrompts(record)) {
-        kept.insert(id);
+        long_prompt_replicas.insert(id);
       }
     }
-    return kept;
+    return long_prompt_replicas;
   }
 
   PrefillLoad prefill_{PrefillOptions()};
 };
 
-TEST_F(PromptRoutingTest, APromptGoesWhereItIsReadSoonest) {
+TEST_F(PromptRoutingTest, ChoosesReplicaWithShortestBacklog) {
   prefill_.OnStart("r1", 9'000, 0, now_);
   prefill_.OnStart("r2", 18'000, 0, now_);
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r3"});
 }
 
-TEST_F(PromptRoutingTest, PrefersTheLeastRecentPrefillLoad) {
+TEST_F(PromptRoutingTest, PrefersReplicaWithLowestRecentLoad) {
   prefill_.OnStart("r1", 9'000, 0, now_);
   prefill_.OnStart("r2", 1'800, 0, now_);
   prefill_.OnStart("r3", 9'000, 0, now_);
-  now_ += milliseconds(60);  // Everything is read by now.
+  now_ += milliseconds(60);  // All prompts are prefilled by now.
   EXPECT_EQ(ChosenFor(1'000), std::set<std::string>{"r2"});
 }
 
-TEST_F(PromptRoutingTest, ReservesNothingWithoutLongPrompts) {
+TEST_F(PromptRoutingTest, UsesAllReplicasWithoutLongPrompts) {
   EXPECT_EQ(ChosenFor(1'000).size(), 3U);
 }
 
 TEST_F(PromptRoutingTest, ShortPromptsAvoidLongPromptReplicas) {
-  const std::set<std::string> kept = KeptForLongPrompts();
-  ASSERT_FALSE(kept.empty());
-  prefill_.OnStart(*kept.begin(), 30'000, 0, now_);
-  now_ += seconds(5);  // It is read by now.
+  const std::set<std::string> long_prompt_replicas = LongPromptReplicas();
+  ASSERT_FALSE(long_prompt_replicas.empty());
+  prefill_.OnStart(*long_prompt_replicas.begin(), 30'000, 0, now_);
+  now_ += seconds(5);  // The long prompt is prefilled by now.
   for (const std::string& chosen : ChosenFor(1'000)) {
-    EXPECT_FALSE(kept.contains(chosen)) << chosen;
+    EXPECT_FALSE(long_prompt_replicas.contains(chosen)) << chosen;
   }
   for (const std::string& chosen : ChosenFor(30'000)) {
-    EXPECT_TRUE(kept.contains(chosen)) << chosen;
+    EXPECT_TRUE(long_prompt_replicas.contains(chosen)) << chosen;
   }
 }
 
