--- a/src/consensus/disk_full_handler.cc
+++ b/src/consensus/disk_full_handler.cc
@@ -27,7 +27,7 @@
   context_.execute_effects();
 }
 
-void DiskFullHandler::OnWritten() {
+void DiskFullHandler::OnWriteSucceeded() {
   if (!std::exchange(disk_full_, false)) {
     return;
   }
--- a/src/consensus/disk_full_handler.h
+++ b/src/consensus/disk_full_handler.h
@@ -21,7 +21,7 @@
   /// A write found the disk full.
   void OnDiskFull(const Status& status);
   /// A write succeeded.
-  void OnWritten();
+  void OnWriteSucceeded();
   /// Cancels the retry.
   void Stop();
 
--- a/src/consensus/pending_proposals.cc
+++ b/src/consensus/pending_proposals.cc
@@ -22,7 +22,7 @@
   }
 }
 
-void PendingProposals::FailLost() {
+void PendingProposals::FailFromLostTerms() {
   // A callback may end the leadership or propose again, so the term is read for each proposal.
   while (!proposals_.empty()) {
     const auto first = proposals_.begin();
--- a/src/consensus/pending_proposals.h
+++ b/src/consensus/pending_proposals.h
@@ -24,7 +24,7 @@
   /// another term gets kNotLeader: it was certainly not committed.
   void Complete(const proto::RaftEntry& entry, std::string result);
   /// Fails proposals of terms that this member no longer leads with kUnknownOutcome.
-  void FailLost();
+  void FailFromLostTerms();
 
  private:
   struct Proposal {
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -84,15 +84,15 @@
     TickLeader(now);  // A leader that was suspended detects here that its quorum is lost.
   }
   if (role_ != RaftRole::kLeader) {
-    Refuse(RaftRefusal::kNotLeader);
+    RecordRefusal(RaftRefusal::kNotLeader);
     return Status(StatusCode::kNotLeader, "this member does not lead the group");
   }
   if (transfer_target_ != 0) {
-    Refuse(RaftRefusal::kTransferInProgress);
+    RecordRefusal(RaftRefusal::kTransferInProgress);
     return Status(StatusCode::kNotLeader, "this member is handing leadership over");
   }
   if (log_.last_index() - commit_index_ >= options_.maximum_uncommitted_entries) {
-    Refuse(RaftRefusal::kTooManyUncommitted);
+    RecordRefusal(RaftRefusal::kTooManyUncommitted);
     return Status(StatusCode::kResourceExhausted, "too many commands wait for their commit");
   }
   proto::RaftEntry entry;
@@ -122,14 +122,14 @@
 
 Status RaftCore::AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id) {
   if (recipient_id != member_id()) {
-    Refuse(RaftRefusal::kWrongRecipient);
+    RecordRefusal(RaftRefusal::kWrongRecipient);
     return {StatusCode::kNotFound, "another member has taken the place of the one called"};
   }
   if (cluster_id == metadata_.cluster_id() && cluster_id != 0) {
     return Status::Ok();
   }
   if (cluster_id == 0 || !IsEmpty()) {
-    Refuse(RaftRefusal::kOtherCluster);
+    RecordRefusal(RaftRefusal::kOtherCluster);
     return {StatusCode::kConflict, "the sender belongs to another cluster"};
   }
   metadata_.set_cluster_id(cluster_id);
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -137,7 +137,7 @@
   void AppendToLog(proto::RaftEntry entry);
   RaftWrite& AddWrite();
   void Reply(RaftReply reply, RaftWriteId after);
-  void Refuse(RaftRefusal reason) { effects_.refusals.push_back(reason); }
+  void RecordRefusal(RaftRefusal reason) { effects_.refusals.push_back(reason); }
   void Fail(std::string_view reason);
   Duration RandomBetween(Duration minimum, Duration maximum);
   void SetCommitIndex(std::uint64_t index);
@@ -198,7 +198,7 @@
   /// Whether `member` is a learner that has not answered for `replace_unresponsive_after`.
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
   /// Whether a responsive learner already replaces `voter`: a second one would make the group grow.
-  bool HasResponsiveSuccessor(TimePoint now, std::uint64_t voter) const;
+  bool HasResponsiveReplacement(TimePoint now, std::uint64_t voter) const;
   /// @return the configuration without learners that `joining` displaces or that are unresponsive.
   proto::RaftConfiguration RemoveDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
                                                    std::uint64_t replaces) const;
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -103,11 +103,11 @@
 
 bool RaftCore::IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request) {
   if (request.term() < term() || (request.pre_vote() && request.term() == term())) {
-    Refuse(RaftRefusal::kVoteStaleTerm);
+    RecordRefusal(RaftRefusal::kVoteStaleTerm);
     return false;
   }
   if (!request.leadership_transfer() && MustWithholdVote(now)) {
-    Refuse(RaftRefusal::kVoteLeaderAlive);
+    RecordRefusal(RaftRefusal::kVoteLeaderAlive);
     return false;
   }
   if (!request.pre_vote() && request.term() > term()) {
@@ -115,11 +115,11 @@
   }
   const std::uint64_t voted_for = metadata_.voted_for();
   if (!request.pre_vote() && voted_for != 0 && voted_for != request.candidate_id()) {
-    Refuse(RaftRefusal::kVoteGivenToAnother);
+    RecordRefusal(RaftRefusal::kVoteGivenToAnother);
     return false;
   }
   if (!IsUpToDate(request)) {
-    Refuse(RaftRefusal::kVoteLogBehind);
+    RecordRefusal(RaftRefusal::kVoteLogBehind);
     return false;
   }
   return true;
@@ -147,10 +147,11 @@
     BecomeFollower(now, response.term(), 0);
     return;
   }
-  const bool counts = response.granted() && response.voter_id() == request.recipient_id();
+  const bool granted_by_recipient =
+      response.granted() && response.voter_id() == request.recipient_id();
   const bool pre_vote_pending = role_ == RaftRole::kPreCandidate && request.term() == term() + 1;
   const bool vote_pending = role_ == RaftRole::kCandidate && request.term() == term();
-  if (counts && (request.pre_vote() ? pre_vote_pending : vote_pending)) {
+  if (granted_by_recipient && (request.pre_vote() ? pre_vote_pending : vote_pending)) {
     CountVote(now, response.voter_id());
   }
 }
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -8,7 +8,7 @@
 
 bool RaftCore::AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id) {
   if (leader_term < term()) {
-    Refuse(RaftRefusal::kLeaderStaleTerm);
+    RecordRefusal(RaftRefusal::kLeaderStaleTerm);
     return false;
   }
   if (role_ == RaftRole::kLeader && leader_term == term()) {
@@ -74,7 +74,7 @@
   for (const proto::RaftEntry& entry : request.entries()) {
     ++expected_index;
     if (entry.index() != expected_index || entry.term() > request.term()) {
-      Refuse(RaftRefusal::kMalformedEntries);
+      RecordRefusal(RaftRefusal::kMalformedEntries);
       return false;
     }
     if (entry.index() <= log_.base_index()) {
@@ -128,15 +128,16 @@
 }
 
 std::uint64_t RaftCore::AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request) {
-  const bool same = incoming_term_ == request.term() &&
-                    incoming_snapshot_.last_included_index() == request.last_included_index();
-  if (!same || request.offset() == 0) {
+  const bool same_snapshot =
+      incoming_term_ == request.term() &&
+      incoming_snapshot_.last_included_index() == request.last_included_index();
+  if (!same_snapshot || request.offset() == 0) {
     incoming_snapshot_.Clear();
     incoming_snapshot_.set_last_included_index(request.last_included_index());
     incoming_term_ = request.term();
   }
   if (request.offset() != incoming_snapshot_.state().size()) {
-    Refuse(RaftRefusal::kSnapshotOffset);
+    RecordRefusal(RaftRefusal::kSnapshotOffset);
     return incoming_snapshot_.state().size();
   }
   incoming_snapshot_.mutable_state()->append(request.data());
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -34,18 +34,18 @@
 
 proto::RaftConfiguration RemoveMember(const proto::RaftConfiguration& configuration,
                                       std::uint64_t member_id) {
-  proto::RaftConfiguration rest;
+  proto::RaftConfiguration reduced;
   for (const proto::RaftMember& member : configuration.members()) {
     if (member.member_id() == member_id) {
       continue;
     }
-    proto::RaftMember* remaining = rest.add_members();
+    proto::RaftMember* remaining = reduced.add_members();
     *remaining = member;
     if (remaining->replaces() == member_id) {
       remaining->clear_replaces();
     }
   }
-  return rest;
+  return reduced;
 }
 
 proto::RaftConfiguration PromoteMember(const proto::RaftConfiguration& configuration,
@@ -77,7 +77,7 @@
     return Status::Ok();
   }
   if (!CanChangeMembership()) {
-    Refuse(RaftRefusal::kMembershipChangePending);
+    RecordRefusal(RaftRefusal::kMembershipChangePending);
     return {StatusCode::kUnavailable, "another membership change is under way"};
   }
   if (known != nullptr) {
@@ -101,10 +101,10 @@
                                                            std::uint64_t replaces) const {
   // Learners do not count for a majority, so they can be removed along with another change.
   proto::RaftConfiguration remaining;
-  for (const proto::RaftMember& present : configuration().members()) {
-    const bool displaced = SameEndpoint(present, joining) || present.member_id() == replaces;
-    if (!present.learner() || !(displaced || IsUnresponsiveLearner(now, present))) {
-      *remaining.add_members() = present;
+  for (const proto::RaftMember& existing : configuration().members()) {
+    const bool displaced = SameEndpoint(existing, joining) || existing.member_id() == replaces;
+    if (!existing.learner() || !(displaced || IsUnresponsiveLearner(now, existing))) {
+      *remaining.add_members() = existing;
     }
   }
   return remaining;
@@ -114,11 +114,11 @@
                                            const proto::RaftMember& joining,
                                            std::uint64_t replaces) const {
   std::uint64_t replaced = FindMember(configuration(), replaces) != nullptr ? replaces : 0;
-  for (const proto::RaftMember& present : remaining.members()) {
+  for (const proto::RaftMember& existing : remaining.members()) {
     // The member that had this endpoint no longer exists, so it is replaced before one that is only
     // named.
-    if (SameEndpoint(present, joining)) {
-      replaced = present.member_id();
+    if (SameEndpoint(existing, joining)) {
+      replaced = existing.member_id();
     }
   }
   return replaced == 0 && IsFull(remaining) ? FindLongestUnresponsiveVoter(now) : replaced;
@@ -127,11 +127,11 @@
 Status RaftCore::CheckReplacement(const proto::RaftConfiguration& remaining,
                                   std::uint64_t replaced) {
   if (replaced == member_id()) {
-    Refuse(RaftRefusal::kReplacesLeader);
+    RecordRefusal(RaftRefusal::kReplacesLeader);
     return {StatusCode::kConflict, "the leader can not be replaced"};
   }
   if (replaced == 0 && IsFull(remaining)) {
-    Refuse(RaftRefusal::kGroupFull);
+    RecordRefusal(RaftRefusal::kGroupFull);
     return {StatusCode::kConflict, "the group is complete; name the member to replace"};
   }
   return Status::Ok();
@@ -142,8 +142,8 @@
 }
 
 TimePoint RaftCore::LastContact(const RaftPeer& peer) const {
-  const TimePoint begin = std::max(term_started_, peer.member_since);
-  return std::max(begin, peer.last_contact.value_or(begin));
+  const TimePoint tracked_since = std::max(term_started_, peer.member_since);
+  return std::max(tracked_since, peer.last_contact.value_or(tracked_since));
 }
 
 bool RaftCore::IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const {
@@ -153,7 +153,7 @@
          now - LastContact(peer->second) >= options_.replace_unresponsive_after;
 }
 
-bool RaftCore::HasResponsiveSuccessor(TimePoint now, std::uint64_t voter) const {
+bool RaftCore::HasResponsiveReplacement(TimePoint now, std::uint64_t voter) const {
   return std::any_of(peers_.begin(), peers_.end(), [this, now, voter](const auto& entry) {
     const proto::RaftMember& member = entry.second.member;
     return member.replaces() == voter && !IsUnresponsiveLearner(now, member);
@@ -164,24 +164,25 @@
   if (options_.replace_unresponsive_after <= Duration::zero()) {
     return 0;
   }
-  std::uint64_t longest = 0;
-  TimePoint longest_since = now - options_.replace_unresponsive_after;
+  std::uint64_t longest_unresponsive = 0;
+  TimePoint unresponsive_since = now - options_.replace_unresponsive_after;
   for (const auto& [id, peer] : peers_) {
     const TimePoint since = LastContact(peer);
-    if (!peer.member.learner() && since <= longest_since && !HasResponsiveSuccessor(now, id)) {
-      longest = id;
-      longest_since = since;
+    if (!peer.member.learner() && since <= unresponsive_since &&
+        !HasResponsiveReplacement(now, id)) {
+      longest_unresponsive = id;
+      unresponsive_since = since;
     }
   }
-  return longest;
+  return longest_unresponsive;
 }
 
 Status RaftCore::UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member) {
   // The same disk at another address: the set of voters does not change, so this is always safe.
   proto::RaftConfiguration next = configuration();
-  for (proto::RaftMember& present : *next.mutable_members()) {
-    if (present.member_id() == member.member_id()) {
-      *present.mutable_endpoint() = member.endpoint();
+  for (proto::RaftMember& existing : *next.mutable_members()) {
+    if (existing.member_id() == member.member_id()) {
+      *existing.mutable_endpoint() = member.endpoint();
     }
   }
   ProposeConfiguration(now, next);
@@ -247,9 +248,9 @@
   for (const proto::RaftMember& member : configuration().members()) {
     const proto::RaftMember* replaced = FindMember(configuration(), member.replaces());
     const bool promotable = member.learner() && IsCaughtUp(now, member.member_id());
-    const bool old_is_unresponsive = replaced != nullptr && !IsActive(now, replaced->member_id());
+    const bool replaced_is_inactive = replaced != nullptr && !IsActive(now, replaced->member_id());
     if (replaced != nullptr && replaced->member_id() != member_id() &&
-        (!member.learner() || (promotable && old_is_unresponsive))) {
+        (!member.learner() || (promotable && replaced_is_inactive))) {
       return RemoveMember(configuration(), replaced->member_id());
     }
     if (promotable && (member.replaces() != 0 || VoterCount() < options_.maximum_members)) {
--- a/src/consensus/raft_core_replication.cc
+++ b/src/consensus/raft_core_replication.cc
@@ -17,7 +17,7 @@
 
 /// @return the highest value that a majority of `values`, one a voter, reaches.
 template <typename Value>
-Value ReachedByMajority(std::vector<Value> values) {
+Value HighestReachedByMajority(std::vector<Value> values) {
   std::sort(values.begin(), values.end(), std::greater<>());
   return values[values.size() / 2];
 }
@@ -26,7 +26,7 @@
 
 void RaftCore::TickLeader(TimePoint now) {
   if (now >= LastQuorumContact(now, true) + options_.maximum_election_timeout) {
-    Refuse(RaftRefusal::kQuorumLost);
+    RecordRefusal(RaftRefusal::kQuorumLost);
     BecomeFollower(now, term(), 0);
     return;
   }
@@ -40,10 +40,10 @@
 
 void RaftCore::ReplicateTo(TimePoint now, RaftPeer& peer, bool heartbeat) {
   const Duration resend_after = kResendAfterHeartbeats * options_.heartbeat_interval;
-  if (peer.in_flight != 0 && now - peer.in_flight_since >= resend_after) {
-    peer.in_flight = 0;
+  if (peer.in_flight_sequence != 0 && now - peer.in_flight_since >= resend_after) {
+    peer.in_flight_sequence = 0;
   }
-  const bool may_send_data = peer.in_flight == 0 && !peer.probing;
+  const bool may_send_data = peer.in_flight_sequence == 0 && !peer.probing;
   if (may_send_data && (peer.snapshot || peer.next_index <= log_.base_index())) {
     SendSnapshotChunk(now, peer);
   } else if (may_send_data && peer.next_index <= log_.last_index()) {
@@ -69,7 +69,8 @@
   request.set_sequence(AllocateSequence(now, peer));
   // A heartbeat may overtake entries in flight, so its previous entry is one that is known to
   // match.
-  const std::uint64_t previous = peer.in_flight != 0 ? peer.match_index : peer.next_index - 1;
+  const std::uint64_t previous =
+      peer.in_flight_sequence != 0 ? peer.match_index : peer.next_index - 1;
   if (const std::optional<std::uint64_t> previous_term = log_.TermAt(previous)) {
     request.set_previous_log_index(previous);
     request.set_previous_log_term(*previous_term);
@@ -81,7 +82,7 @@
          log_.Slice(peer.next_index, options_.maximum_append_entries, limit)) {
       *request.add_entries() = std::move(entry);
     }
-    peer.in_flight = request.sequence();
+    peer.in_flight_sequence = request.sequence();
     peer.in_flight_since = now;
   }
   effects_.messages.push_back(
@@ -109,7 +110,7 @@
                                 : options_.snapshot_chunk_bytes;
   request.set_data(state.substr(peer.snapshot_offset, chunk));
   request.set_done(peer.snapshot_offset + request.data().size() == state.size());
-  peer.in_flight = request.sequence();
+  peer.in_flight_sequence = request.sequence();
   peer.in_flight_since = now;
   effects_.messages.push_back(
       {peer.member.member_id(), ToEndpoint(peer.member.endpoint()), std::move(request)});
@@ -151,8 +152,8 @@
   if (peer == nullptr) {
     return;
   }
-  if (peer->in_flight == response.sequence()) {
-    peer->in_flight = 0;
+  if (peer->in_flight_sequence == response.sequence()) {
+    peer->in_flight_sequence = 0;
   }
   if (!response.success()) {
     DecrementNextIndex(now, *peer, response.match_index());
@@ -186,10 +187,10 @@
   RaftPeer* peer =
       RecordResponse(now, response.term(), response.follower_id(), response.sequence());
   // Only the response to the latest chunk counts: an earlier one may belong to another snapshot.
-  if (peer == nullptr || peer->in_flight != response.sequence() || !peer->snapshot) {
+  if (peer == nullptr || peer->in_flight_sequence != response.sequence() || !peer->snapshot) {
     return;
   }
-  peer->in_flight = 0;
+  peer->in_flight_sequence = 0;
   peer->snapshot_offset = response.next_offset();
   if (response.next_offset() >= peer->snapshot->state().size()) {
     const std::uint64_t index = peer->snapshot->last_included_index();
@@ -208,40 +209,41 @@
   }
   RaftPeer& peer = found->second;
   peer.probing = true;  // The next heartbeat probes it without entries.
-  if (peer.in_flight == sequence) {
-    peer.in_flight = 0;
+  if (peer.in_flight_sequence == sequence) {
+    peer.in_flight_sequence = 0;
   }
 }
 
 TimePoint RaftCore::LastQuorumContact(TimePoint now, bool count_start_of_term) const {
-  const TimePoint never = count_start_of_term ? term_started_ : TimePoint::min();
-  std::vector<TimePoint> times;
+  const TimePoint without_contact = count_start_of_term ? term_started_ : TimePoint::min();
+  std::vector<TimePoint> contact_times;
   for (const proto::RaftMember& member : configuration().members()) {
     if (member.learner()) {
       continue;
     }
     const auto peer = peers_.find(member.member_id());
     if (member.member_id() == member_id()) {
-      times.push_back(now);
+      contact_times.push_back(now);
     } else {
-      const bool heard = peer != peers_.end() && peer->second.last_contact;
-      times.push_back(heard ? std::max(never, *peer->second.last_contact) : never);
+      const bool has_contact = peer != peers_.end() && peer->second.last_contact;
+      contact_times.push_back(has_contact ? std::max(without_contact, *peer->second.last_contact)
+                                          : without_contact);
     }
   }
-  return ReachedByMajority(std::move(times));
+  return HighestReachedByMajority(std::move(contact_times));
 }
 
 void RaftCore::AdvanceCommit(TimePoint now) {
-  std::vector<std::uint64_t> matches;
+  std::vector<std::uint64_t> match_indexes;
   for (const proto::RaftMember& member : configuration().members()) {
     if (member.learner()) {
       continue;
     }
     const auto peer = peers_.find(member.member_id());
-    const bool own = member.member_id() == member_id();
-    matches.push_back(own ? synced_index_ : peer->second.match_index);
+    const bool is_self = member.member_id() == member_id();
+    match_indexes.push_back(is_self ? synced_index_ : peer->second.match_index);
   }
-  const std::uint64_t majority_match = ReachedByMajority(std::move(matches));
+  const std::uint64_t majority_match = HighestReachedByMajority(std::move(match_indexes));
   // An entry of an earlier term is committed only together with one of this term (Raft, 5.4.2 and
   // figure 8).
   if (majority_match > commit_index_ && log_.TermAt(majority_match) == term()) {
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -36,7 +36,7 @@
   }
   const auto target = peers_.find(transfer_target_);
   if (now >= transfer_deadline_ || target == peers_.end()) {
-    Refuse(RaftRefusal::kTransferFailed);
+    RecordRefusal(RaftRefusal::kTransferFailed);
     transfer_target_ = 0;
     if (transfer_sent_) {
       BecomeFollower(now, term(), 0);
@@ -62,7 +62,7 @@
     leader_id_ = 0;
     StartElection(now, true);
   } else {
-    Refuse(RaftRefusal::kTransferStale);
+    RecordRefusal(RaftRefusal::kTransferStale);
   }
 }
 
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -6,7 +6,8 @@
 namespace {
 
 /// Whether the group knows this member by its present endpoint.
-bool Contains(const proto::RaftConfiguration& configuration, const FormationRound& round) {
+bool ContainsMemberAtEndpoint(const proto::RaftConfiguration& configuration,
+                              const FormationRound& round) {
   const auto& members = configuration.members();
   return std::any_of(members.begin(), members.end(), [&round](const proto::RaftMember& member) {
     return member.member_id() == round.member_id && ToEndpoint(member.endpoint()) == round.endpoint;
@@ -15,13 +16,13 @@
 
 /// @return the group to join, if a response shows one.
 FormationDecision DecideJoin(const FormationRound& round) {
-  for (const auto& [endpoint, answer] : round.answers) {
-    const bool other_cluster = !round.empty && answer.cluster_id() != round.cluster_id;
-    const Endpoint leader = ToEndpoint(answer.leader());
-    if (answer.empty() || other_cluster || !leader.valid() || leader == round.endpoint) {
+  for (const auto& [endpoint, response] : round.responses) {
+    const bool other_cluster = !round.empty && response.cluster_id() != round.cluster_id;
+    const Endpoint leader = ToEndpoint(response.leader());
+    if (response.empty() || other_cluster || !leader.valid() || leader == round.endpoint) {
       continue;
     }
-    if (!Contains(answer.configuration(), round)) {
+    if (!ContainsMemberAtEndpoint(response.configuration(), round)) {
       return JoinGroup{leader};
     }
   }
@@ -42,12 +43,12 @@
     if (seed == round.endpoint) {
       member.set_member_id(round.member_id);
     } else {
-      const auto answer = round.answers.find(seed);
-      if (answer == round.answers.end() || !answer->second.empty() ||
-          ToEndpoint(answer->second.endpoint()) != seed) {
+      const auto response = round.responses.find(seed);
+      if (response == round.responses.end() || !response->second.empty() ||
+          ToEndpoint(response->second.endpoint()) != seed) {
         return KeepWaiting{};
       }
-      member.set_member_id(answer->second.member_id());
+      member.set_member_id(response->second.member_id());
     }
     *bootstrap.configuration.add_members() = std::move(member);
   }
@@ -58,8 +59,8 @@
 
 FormationDecision DecideFormation(const FormationRound& round) {
   const bool group_exists =
-      !round.empty || std::any_of(round.answers.begin(), round.answers.end(),
-                                  [](const auto& answer) { return !answer.second.empty(); });
+      !round.empty || std::any_of(round.responses.begin(), round.responses.end(),
+                                  [](const auto& response) { return !response.second.empty(); });
   if (group_exists) {
     return DecideJoin(round);
   }
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -45,7 +45,7 @@
   /// Whether this may be the first start of the system, so that a group may be bootstrapped.
   bool can_bootstrap = true;
   /// Responses of others, by the endpoint called.
-  std::map<Endpoint, proto::DiscoverResponse> answers;
+  std::map<Endpoint, proto::DiscoverResponse> responses;
 };
 
 /// Nothing to do in this round.
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -22,7 +22,7 @@
 
 /// Responses of one discovery round.
 struct RaftFormationDriver::Round {
-  FormationRound answers;
+  FormationRound formation;
   std::size_t pending_responses = 0;
 };
 
@@ -78,32 +78,32 @@
                                     kDiscover, MakeDiscoverRequest(),
                                     context_.options.election_timeout,
                                     [this, alive = std::weak_ptr<bool>(alive_), request,
-                                     reply](const Result<proto::DiscoverResponse>& present) {
+                                     reply](const Result<proto::DiscoverResponse>& discovered) {
                                       if (!alive.expired()) {
-                                        reply(CompleteJoin(request, present));
+                                        reply(CompleteJoin(request, discovered));
                                       }
                                     });
 }
 
 Result<proto::JoinResponse> RaftFormationDriver::CompleteJoin(
-    const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& present) {
-  if (!present.ok() || present->member_id() != request.member().member_id()) {
+    const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& discovered) {
+  if (!discovered.ok() || discovered->member_id() != request.member().member_id()) {
     context_.RecordRefusal(RaftRefusal::kJoinUnconfirmed);
     return Status(StatusCode::kUnavailable, "no such member answers at its endpoint");
   }
-  return AdmitJoining(request.member(), request.replaces());
+  return AdmitJoiningMember(request.member(), request.replaces());
 }
 
-Result<proto::JoinResponse> RaftFormationDriver::AdmitJoining(const proto::RaftMember& member,
-                                                              std::uint64_t replaces) {
+Result<proto::JoinResponse> RaftFormationDriver::AdmitJoiningMember(const proto::RaftMember& member,
+                                                                    std::uint64_t replaces) {
   if (context_.stopped) {
     return Status(StatusCode::kNotLeader, "this member has stopped");
   }
   const Endpoint endpoint = ToEndpoint(member.endpoint());
-  const bool replaces_outsiders = context_.options.replace_unresponsive_after <= Duration::zero();
-  const std::uint64_t outsider = replaces_outsiders ? FindMemberOutsideSeeds(endpoint) : 0;
+  const bool replaces_non_seeds = context_.options.replace_unresponsive_after <= Duration::zero();
+  const std::uint64_t non_seed_member = replaces_non_seeds ? FindNonSeedMember(endpoint) : 0;
   Status status = context_.core->AdmitMember(context_.environment.Now(), member,
-                                             replaces != 0 ? replaces : outsider);
+                                             replaces != 0 ? replaces : non_seed_member);
   context_.execute_effects();
   if (!status.ok()) {
     return status;
@@ -116,7 +116,7 @@
   return response;
 }
 
-std::uint64_t RaftFormationDriver::FindMemberOutsideSeeds(const Endpoint& joining) const {
+std::uint64_t RaftFormationDriver::FindNonSeedMember(const Endpoint& joining) const {
   const std::set<Endpoint> seeds(context_.options.seeds.begin(), context_.options.seeds.end());
   if (!seeds.contains(joining)) {
     return 0;
@@ -177,50 +177,50 @@
 }
 
 std::set<Endpoint> RaftFormationDriver::FindDiscoverTargets() const {
-  std::set<Endpoint> others(context_.options.seeds.begin(), context_.options.seeds.end());
-  others.insert(reported_members_.begin(), reported_members_.end());
+  std::set<Endpoint> targets(context_.options.seeds.begin(), context_.options.seeds.end());
+  targets.insert(reported_members_.begin(), reported_members_.end());
   for (const LogMember& member : context_.Members()) {
-    others.insert(member.endpoint);
+    targets.insert(member.endpoint);
   }
-  others.erase(context_.environment.peer_endpoint());
-  return others;
+  targets.erase(context_.environment.peer_endpoint());
+  return targets;
 }
 
 void RaftFormationDriver::StartRound() {
-  const std::set<Endpoint> others = FindDiscoverTargets();
+  const std::set<Endpoint> targets = FindDiscoverTargets();
   const auto round = std::make_shared<Round>();
-  round->pending_responses = others.size();
-  if (others.empty()) {
-    FinishRound(round->answers);
+  round->pending_responses = targets.size();
+  if (targets.empty()) {
+    FinishRound(round->formation);
   }
-  for (const Endpoint& other : others) {
-    CallPeer<proto::DiscoverResponse>(context_.environment, other, kDiscover, MakeDiscoverRequest(),
-                                      context_.options.election_timeout,
+  for (const Endpoint& target : targets) {
+    CallPeer<proto::DiscoverResponse>(context_.environment, target, kDiscover,
+                                      MakeDiscoverRequest(), context_.options.election_timeout,
                                       [this, alive = std::weak_ptr<bool>(alive_), round,
-                                       other](const Result<proto::DiscoverResponse>& answer) {
+                                       target](const Result<proto::DiscoverResponse>& response) {
                                         if (!alive.expired() && !context_.stopped) {
-                                          HandleDiscoverResponse(*round, other, answer);
+                                          HandleDiscoverResponse(*round, target, response);
                                         }
                                       });
   }
 }
 
 void RaftFormationDriver::HandleDiscoverResponse(Round& round, const Endpoint& from,
-                                                 const Result<proto::DiscoverResponse>& answer) {
-  if (answer.ok()) {
-    directory_.RecordMember(from, answer->member_id());
-    round.answers.answers[from] = *answer;
+                                                 const Result<proto::DiscoverResponse>& response) {
+  if (response.ok()) {
+    directory_.RecordMember(from, response->member_id());
+    round.formation.responses[from] = *response;
   }
   --round.pending_responses;
   if (round.pending_responses == 0) {
-    FinishRound(round.answers);
+    FinishRound(round.formation);
   }
 }
 
-void RaftFormationDriver::RecordReportedMembers(const FormationRound& answers) {
+void RaftFormationDriver::RecordReportedMembers(const FormationRound& completed) {
   std::set<Endpoint> reported;
-  for (const auto& [endpoint, answer] : answers.answers) {
-    for (const proto::RaftMember& member : answer.configuration().members()) {
+  for (const auto& [endpoint, response] : completed.responses) {
+    for (const proto::RaftMember& member : response.configuration().members()) {
       reported.insert(ToEndpoint(member.endpoint()));
     }
   }
@@ -229,10 +229,10 @@
   }
 }
 
-void RaftFormationDriver::FinishRound(const FormationRound& answers) {
-  RecordReportedMembers(answers);
+void RaftFormationDriver::FinishRound(const FormationRound& completed) {
+  RecordReportedMembers(completed);
   RaftCore& core = *context_.core;
-  FormationRound round = answers;
+  FormationRound round = completed;
   round.member_id = core.member_id();
   round.endpoint = context_.environment.peer_endpoint();
   round.empty = core.IsEmpty();
--- a/src/consensus/raft_formation_driver.h
+++ b/src/consensus/raft_formation_driver.h
@@ -37,12 +37,13 @@
   Result<proto::DiscoverResponse> HandleDiscover(const proto::DiscoverRequest& request);
   void HandleJoin(const proto::JoinRequest& request,
                   const std::function<void(Result<proto::JoinResponse>)>& reply);
-  /// Second step of `HandleJoin`: `present` is the response of the member at the request's
+  /// Second step of `HandleJoin`: `discovered` is the response of the member at the request's
   /// endpoint.
   Result<proto::JoinResponse> CompleteJoin(const proto::JoinRequest& request,
-                                           const Result<proto::DiscoverResponse>& present);
-  Result<proto::JoinResponse> AdmitJoining(const proto::RaftMember& member, std::uint64_t replaces);
-  std::uint64_t FindMemberOutsideSeeds(const Endpoint& joining) const;
+                                           const Result<proto::DiscoverResponse>& discovered);
+  Result<proto::JoinResponse> AdmitJoiningMember(const proto::RaftMember& member,
+                                                 std::uint64_t replaces);
+  std::uint64_t FindNonSeedMember(const Endpoint& joining) const;
   void UpdateOwnEndpoint();
   proto::DiscoverRequest MakeDiscoverRequest() const;
   bool NeedsGroup() const;
@@ -51,9 +52,9 @@
   void StartRound();
   std::set<Endpoint> FindDiscoverTargets() const;
   void HandleDiscoverResponse(Round& round, const Endpoint& from,
-                              const Result<proto::DiscoverResponse>& answer);
-  void FinishRound(const FormationRound& answers);
-  void RecordReportedMembers(const FormationRound& answers);
+                              const Result<proto::DiscoverResponse>& response);
+  void FinishRound(const FormationRound& completed);
+  void RecordReportedMembers(const FormationRound& completed);
   void RequestJoin(const Endpoint& leader);
   void HandleJoinResponse(const Result<proto::JoinResponse>& response);
 
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -124,7 +124,7 @@
     return;
   }
   context_.identity_durable = true;
-  disk_full_handler_.OnWritten();
+  disk_full_handler_.OnWriteSucceeded();
   context_.core->HandlePersisted(context_.environment.Now(), write);
   ExecuteEffects();
 }
@@ -137,7 +137,7 @@
   for (RaftEffects effects = context_.core->TakeEffects(); !effects.empty() && !context_.stopped;
        effects = context_.core->TakeEffects()) {
     Execute(effects);
-    proposals_.FailLost();
+    proposals_.FailFromLostTerms();
     NotifyLeadership();
   }
   executing_effects_ = false;
@@ -239,7 +239,7 @@
   formation_.Stop();
   disk_full_handler_.Stop();
   transport_.FailPendingReplies();
-  proposals_.FailLost();
+  proposals_.FailFromLostTerms();
   NotifyLeadership();
   if (context_.options.on_fatal) {
     context_.options.on_fatal(status);
--- a/src/consensus/raft_peer.h
+++ b/src/consensus/raft_peer.h
@@ -19,7 +19,7 @@
   /// First index to send next (nextIndex).
   std::uint64_t next_index = 1;
   /// Sequence number of the pending message with entries or snapshot data; 0 if none is.
-  std::uint64_t in_flight = 0;
+  std::uint64_t in_flight_sequence = 0;
   TimePoint in_flight_since;
   /// The last call failed: only empty messages are sent until the member answers.
   bool probing = false;
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -11,15 +11,15 @@
 constexpr char kSnapshotFile[] = "consensus/snapshot";
 constexpr char kLogFile[] = "consensus/log";
 /// Seed of the records' checksums: records of other files fail the check.
-constexpr std::uint64_t kRecordSeed = 0x7261667431ULL;
+constexpr std::uint64_t kChecksumSeed = 0x7261667431ULL;
 
-Status Corrupt(const std::string& file, const std::string& problem) {
+Status CorruptFile(const std::string& file, const std::string& problem) {
   return {StatusCode::kCorrupt, file + ": " + problem};
 }
 
 /// Adds one entry as read from the log; it may overwrite earlier ones. @return false if it does not
 /// follow.
-bool PutEntry(RaftDurableState& state, const proto::RaftEntry& entry) {
+bool ReplayEntry(RaftDurableState& state, const proto::RaftEntry& entry) {
   const std::uint64_t last_index = state.base_index + state.entries.size();
   if (entry.index() <= state.base_index || entry.index() > last_index + 1) {
     return false;
@@ -35,7 +35,7 @@
 }
 
 /// @return whether the log contains the entry with which the snapshot ends.
-bool ContainsEndOfSnapshot(const RaftDurableState& state) {
+bool ContainsLastSnapshotEntry(const RaftDurableState& state) {
   const std::uint64_t index = state.snapshot->last_included_index();
   const std::uint64_t term = state.snapshot->last_included_term();
   if (index == state.base_index) {
@@ -54,17 +54,18 @@
   for (const proto::RaftEntry& entry : write.entries) {
     *record.add_entries() = entry;
   }
-  return EncodeRecord(record.SerializeAsString(), kRecordSeed);
+  return EncodeRecord(record.SerializeAsString(), kChecksumSeed);
 }
 
 }  // namespace
 
 RaftStorage::RaftStorage(DataFolder& folder, std::function<void(RaftWriteId)> on_persisted,
-                         std::function<void(Status)> on_failed, std::function<void(Status)> on_full)
+                         std::function<void(Status)> on_failed,
+                         std::function<void(Status)> on_disk_full)
     : folder_(folder),
       on_persisted_(std::move(on_persisted)),
       on_failed_(std::move(on_failed)),
-      on_full_(std::move(on_full)) {}
+      on_disk_full_(std::move(on_disk_full)) {}
 
 Result<RaftDurableState> RaftStorage::Load() {
   RaftDurableState state;
@@ -83,11 +84,11 @@
   if (Status status = LoadLog(state); !status.ok()) {
     return status;
   }
-  if (Status status = Reconcile(state); !status.ok()) {
+  if (Status status = ReconcileFiles(state); !status.ok()) {
     return status;
   }
   if (log_needs_rewrite_) {
-    QueueRewrite(state);
+    QueueLogRewrite(state);
   }
   return state;
 }
@@ -110,10 +111,10 @@
   if (!present) {
     return Status::Ok();
   }
-  RecordReader reader(*bytes, kRecordSeed);
+  RecordReader reader(*bytes, kChecksumSeed);
   const auto payload = reader.Next();
   if (!payload || !message.ParseFromArray(payload->data(), static_cast<int>(payload->size()))) {
-    return Corrupt(name, "checksum or format is wrong");
+    return CorruptFile(name, "checksum or format is wrong");
   }
   return Status::Ok();
 }
@@ -123,12 +124,12 @@
   if (!bytes.ok()) {
     return bytes.status();
   }
-  RecordReader reader(*bytes, kRecordSeed);
+  RecordReader reader(*bytes, kChecksumSeed);
   bool first = true;
   while (const auto payload = reader.Next()) {
     proto::RaftLogRecord record;
     if (!record.ParseFromArray(payload->data(), static_cast<int>(payload->size()))) {
-      return Corrupt(kLogFile, "a record can not be parsed");
+      return CorruptFile(kLogFile, "a record can not be parsed");
     }
     if (first) {
       state.base_index = record.base_index();
@@ -136,28 +137,28 @@
     }
     first = false;
     for (const proto::RaftEntry& entry : record.entries()) {
-      if (!PutEntry(state, entry)) {
-        return Corrupt(kLogFile, "entries are out of order");
+      if (!ReplayEntry(state, entry)) {
+        return CorruptFile(kLogFile, "entries are out of order");
       }
     }
   }
   if (reader.tail() == RecordTail::kCorrupt) {
-    return Corrupt(kLogFile, "a damaged record is followed by later writes");
+    return CorruptFile(kLogFile, "a damaged record is followed by later writes");
   }
   log_needs_rewrite_ = reader.tail() != RecordTail::kClean;
   return Status::Ok();
 }
 
-Status RaftStorage::Reconcile(RaftDurableState& state) {
+Status RaftStorage::ReconcileFiles(RaftDurableState& state) {
   const bool has_log = state.base_index != 0 || !state.entries.empty();
   if ((state.snapshot || has_log) && state.metadata.cluster_id() == 0) {
-    return Corrupt(kMetadataFile, "missing, though there is a log or a snapshot");
+    return CorruptFile(kMetadataFile, "missing, though there is a log or a snapshot");
   }
   const std::uint64_t snapshot_index = state.snapshot ? state.snapshot->last_included_index() : 0;
   if (state.base_index > snapshot_index) {
-    return Corrupt(kSnapshotFile, "missing, though the log starts after it");
+    return CorruptFile(kSnapshotFile, "missing, though the log starts after it");
   }
-  if (state.snapshot && !ContainsEndOfSnapshot(state)) {
+  if (state.snapshot && !ContainsLastSnapshotEntry(state)) {
     state.entries.clear();
     state.base_index = snapshot_index;
     state.base_term = state.snapshot->last_included_term();
@@ -166,12 +167,12 @@
   const std::uint64_t last_term =
       state.entries.empty() ? state.base_term : state.entries.back().term();
   if (last_term > state.metadata.current_term()) {
-    return Corrupt(kMetadataFile, "older than the log");
+    return CorruptFile(kMetadataFile, "older than the log");
   }
   return Status::Ok();
 }
 
-void RaftStorage::QueueRewrite(const RaftDurableState& state) {
+void RaftStorage::QueueLogRewrite(const RaftDurableState& state) {
   RaftWrite rewrite;
   rewrite.replaces_log = true;
   rewrite.base_index = state.base_index;
@@ -182,70 +183,73 @@
 
 void RaftStorage::Write(RaftWrite write) {
   queue_.push_back(std::move(write));
-  StartNext();
+  StartNextWrite();
 }
 
 void RaftStorage::Start() {
   started_ = true;
-  StartNext();
+  StartNextWrite();
 }
 
-void RaftStorage::StartNext() {
-  if (!started_ || busy_ || failed_ || queue_.empty()) {
+void RaftStorage::StartNextWrite() {
+  if (!started_ || write_in_progress_ || failed_ || queue_.empty()) {
     return;
   }
-  busy_ = true;
-  current_ = std::move(queue_.front());
+  write_in_progress_ = true;
+  current_write_ = std::move(queue_.front());
   queue_.pop_front();
   // Group commit: queued writes are merged as long as they only append to the log.
   while (!queue_.empty() && !queue_.front().snapshot && !queue_.front().replaces_log) {
     RaftWrite& next = queue_.front();
-    current_.id = next.id;
+    current_write_.id = next.id;
     if (next.metadata) {
-      current_.metadata = std::move(next.metadata);
+      current_write_.metadata = std::move(next.metadata);
     }
-    current_.entries.insert(current_.entries.end(), std::make_move_iterator(next.entries.begin()),
-                            std::make_move_iterator(next.entries.end()));
+    current_write_.entries.insert(current_write_.entries.end(),
+                                  std::make_move_iterator(next.entries.begin()),
+                                  std::make_move_iterator(next.entries.end()));
     queue_.pop_front();
   }
   WriteMetadata();
 }
 
 void RaftStorage::WriteMetadata() {
-  if (!current_.metadata) {
+  if (!current_write_.metadata) {
     WriteSnapshot();
     return;
   }
-  folder_.Replace(kMetadataFile, EncodeRecord(current_.metadata->SerializeAsString(), kRecordSeed),
+  folder_.Replace(kMetadataFile,
+                  EncodeRecord(current_write_.metadata->SerializeAsString(), kChecksumSeed),
                   ContinueWith(&RaftStorage::WriteMetadata, &RaftStorage::WriteSnapshot));
 }
 
 void RaftStorage::WriteSnapshot() {
-  if (!current_.snapshot) {
+  if (!current_write_.snapshot) {
     WriteLog();
     return;
   }
-  folder_.Replace(kSnapshotFile, EncodeRecord(current_.snapshot->SerializeAsString(), kRecordSeed),
+  folder_.Replace(kSnapshotFile,
+                  EncodeRecord(current_write_.snapshot->SerializeAsString(), kChecksumSeed),
                   ContinueWith(&RaftStorage::WriteSnapshot, &RaftStorage::WriteLog));
 }
 
 void RaftStorage::WriteLog() {
-  if (current_.replaces_log) {
-    folder_.Replace(kLogFile, SerializeLogRecord(current_),
-                    ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
-  } else if (!current_.entries.empty()) {
-    folder_.Append(kLogFile, SerializeLogRecord(current_),
-                   ContinueWith(&RaftStorage::WriteLog, &RaftStorage::Finish));
+  if (current_write_.replaces_log) {
+    folder_.Replace(kLogFile, SerializeLogRecord(current_write_),
+                    ContinueWith(&RaftStorage::WriteLog, &RaftStorage::FinishWrite));
+  } else if (!current_write_.entries.empty()) {
+    folder_.Append(kLogFile, SerializeLogRecord(current_write_),
+                   ContinueWith(&RaftStorage::WriteLog, &RaftStorage::FinishWrite));
   } else {
-    Finish();
+    FinishWrite();
   }
 }
 
-void RaftStorage::Finish() {
-  busy_ = false;
-  const RaftWriteId finished = current_.id;
-  current_ = {};
-  StartNext();
+void RaftStorage::FinishWrite() {
+  write_in_progress_ = false;
+  const RaftWriteId finished = current_write_.id;
+  current_write_ = {};
+  StartNextWrite();
   on_persisted_(finished);
 }
 
@@ -264,8 +268,8 @@
 
 void RaftStorage::HandleFailure(Step step, Status status) {
   if (status.code() == StatusCode::kResourceExhausted) {
-    pending_step_ = step;
-    on_full_(std::move(status));
+    step_to_retry_ = step;
+    on_disk_full_(std::move(status));
     return;
   }
   failed_ = true;
@@ -273,7 +277,7 @@
 }
 
 void RaftStorage::Retry() {
-  if (const Step step = std::exchange(pending_step_, nullptr)) {
+  if (const Step step = std::exchange(step_to_retry_, nullptr)) {
     (this->*step)();
   }
 }
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -34,10 +34,10 @@
   /// @param on_persisted gets the number of the last write that is synced, writes before it
   /// included.
   /// @param on_failed gets the first failure other than a full disk; nothing is written after it.
-  /// @param on_full runs at each attempt of a write that finds the disk full, from the folder's
-  /// completions.
+  /// @param on_disk_full runs at each attempt of a write that finds the disk full, from the
+  /// folder's completions.
   RaftStorage(DataFolder& folder, std::function<void(RaftWriteId)> on_persisted,
-              std::function<void(Status)> on_failed, std::function<void(Status)> on_full);
+              std::function<void(Status)> on_failed, std::function<void(Status)> on_disk_full);
 
   /// @return the state on the disk; `metadata.member_id()` is 0 if it is empty. kCorrupt if synced
   /// bytes are damaged or missing: the member has to restart with an empty disk and a new id.
@@ -54,13 +54,13 @@
   Result<std::string> ReadIfPresent(const std::string& name);
   Status LoadRecord(const std::string& name, google::protobuf::MessageLite& message, bool& present);
   Status LoadLog(RaftDurableState& state);
-  Status Reconcile(RaftDurableState& state);
-  void QueueRewrite(const RaftDurableState& state);
-  void StartNext();
+  Status ReconcileFiles(RaftDurableState& state);
+  void QueueLogRewrite(const RaftDurableState& state);
+  void StartNextWrite();
   void WriteMetadata();
   void WriteSnapshot();
   void WriteLog();
-  void Finish();
+  void FinishWrite();
   /// @return a callback that continues with `next` unless the write failed or this object was
   /// destroyed.
   /// @param step the step of the write, to be repeated if the disk is full.
@@ -70,13 +70,13 @@
   DataFolder& folder_;
   std::function<void(RaftWriteId)> on_persisted_;
   std::function<void(Status)> on_failed_;
-  std::function<void(Status)> on_full_;
+  std::function<void(Status)> on_disk_full_;
   std::deque<RaftWrite> queue_;
-  RaftWrite current_;
+  RaftWrite current_write_;
   bool started_ = false;
-  bool busy_ = false;
+  bool write_in_progress_ = false;
   bool failed_ = false;
-  Step pending_step_ = nullptr;  ///< To be repeated once the disk has space; null if none.
+  Step step_to_retry_ = nullptr;  ///< To be repeated once the disk has space; null if none.
   bool log_needs_rewrite_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/consensus/raft_transport.cc
+++ b/src/consensus/raft_transport.cc
@@ -50,11 +50,11 @@
           return;
         }
         const RaftReplyToken token = ++last_token_;
-        pending_replies_[token] = [reply = std::move(reply)](const RaftReply* answer) {
-          if (answer == nullptr) {
+        pending_replies_[token] = [reply = std::move(reply)](const RaftReply* core_reply) {
+          if (core_reply == nullptr) {
             reply(Status(StatusCode::kUnavailable, "this member has stopped"));
           } else {
-            reply(std::get<Response>(answer->response));
+            reply(std::get<Response>(core_reply->response));
           }
         };
         (context_.core.get()->*handle)(context_.environment.Now(), request, token);
--- a/tests/consensus/raft_cluster.cc
+++ b/tests/consensus/raft_cluster.cc
@@ -6,7 +6,7 @@
 
 namespace cloverbank {
 
-std::string ListMachine::Apply(std::uint64_t index, const std::string& command) {
+std::string CommandListStateMachine::Apply(std::uint64_t index, const std::string& command) {
   if (!commands_.empty() && index <= commands_.rbegin()->first) {
     record_.Fail("index " + std::to_string(index) + " applied out of order");
   }
@@ -14,7 +14,7 @@
   return std::to_string(index);
 }
 
-void ListMachine::Check(std::uint64_t index, const std::string& command) {
+void CommandListStateMachine::Check(std::uint64_t index, const std::string& command) {
   const auto [known, added] = record_.applied.emplace(index, command);
   if (!added && known->second != command) {
     record_.Fail("members applied different commands at " + std::to_string(index));
@@ -22,7 +22,7 @@
   commands_[index] = command;
 }
 
-std::string ListMachine::TakeSnapshot() const {
+std::string CommandListStateMachine::TakeSnapshot() const {
   std::ostringstream text;
   for (const auto& [index, command] : commands_) {
     text << index << ' ' << command << '\n';
@@ -30,7 +30,7 @@
   return text.str();
 }
 
-Status ListMachine::RestoreSnapshot(const std::string& snapshot) {
+Status CommandListStateMachine::RestoreSnapshot(const std::string& snapshot) {
   commands_.clear();
   std::istringstream text(snapshot);
   std::uint64_t index = 0;
@@ -41,9 +41,9 @@
   return Status::Ok();
 }
 
-MemberProcess::MemberProcess(Environment& real, DataFolder& folder, int clock_rate,
+MemberProcess::MemberProcess(Environment& inner, DataFolder& folder, int clock_rate,
                              RunRecord& record, RaftNodeOptions options)
-    : environment(real, clock_rate),
+    : environment(inner, clock_rate),
       machine(record),
       node(environment, folder, machine, [&options, &record] {
         options.on_fatal = [&record](const Status& status) {
@@ -60,7 +60,7 @@
   node.Start();
   environment.RegisterPeerMethod(
       "test.Propose", [this, &record](const PeerRequest& request, PeerReplyCallback reply) {
-        if (request.body.starts_with("handover")) {
+        if (request.body.starts_with("transfer")) {
           reply({node.TransferLeadership(), {}});
           return;
         }
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -35,9 +35,9 @@
 };
 
 /// An ordered list of commands, compared with what other members applied.
-class ListMachine final : public StateMachine {
+class CommandListStateMachine final : public StateMachine {
  public:
-  explicit ListMachine(RunRecord& record) : record_(record) {}
+  explicit CommandListStateMachine(RunRecord& record) : record_(record) {}
   std::string Apply(std::uint64_t index, const std::string& command) override;
   std::string TakeSnapshot() const override;
   Status RestoreSnapshot(const std::string& snapshot) override;
@@ -60,12 +60,12 @@
   std::int64_t WallMilliseconds() const override { return inner_.WallMilliseconds(); }
   std::uint64_t Random() override { return inner_.Random(); }
   TimerId ScheduleAfter(Duration delay, std::function<void()> action) override {
-    return inner_.ScheduleAfter(ToWorld(delay), std::move(action));
+    return inner_.ScheduleAfter(ToWorldTime(delay), std::move(action));
   }
   void CancelTimer(TimerId timer) override { inner_.CancelTimer(timer); }
   void CallPeer(const Endpoint& to, std::string_view method, std::string body, Duration deadline,
                 PeerReplyCallback done) override {
-    inner_.CallPeer(to, method, std::move(body), ToWorld(deadline), std::move(done));
+    inner_.CallPeer(to, method, std::move(body), ToWorldTime(deadline), std::move(done));
   }
   void RegisterPeerMethod(std::string_view method, PeerHandler handler) override {
     inner_.RegisterPeerMethod(method, std::move(handler));
@@ -74,7 +74,7 @@
   Metrics& metrics() override { return inner_.metrics(); }
 
  private:
-  Duration ToWorld(Duration local) const { return local * 100 / rate_ + Duration(1); }
+  Duration ToWorldTime(Duration local) const { return local * 100 / rate_ + Duration(1); }
 
   Environment& inner_;
   int rate_;
@@ -82,11 +82,11 @@
 
 /// One process of a member. "test.Propose" proposes the body; "handover..." transfers leadership.
 struct MemberProcess {
-  MemberProcess(Environment& real, DataFolder& folder, int clock_rate, RunRecord& record,
+  MemberProcess(Environment& inner, DataFolder& folder, int clock_rate, RunRecord& record,
                 RaftNodeOptions options);
 
   DriftingEnvironment environment;
-  ListMachine machine;
+  CommandListStateMachine machine;
   RaftNode node;
   bool loaded = false;
 };
--- a/tests/consensus/raft_core_fixture.h
+++ b/tests/consensus/raft_core_fixture.h
@@ -8,7 +8,7 @@
 
 namespace cloverbank {
 
-inline constexpr std::uint64_t kCluster = 77;
+inline constexpr std::uint64_t kClusterId = 77;
 
 inline proto::RaftMember Member(std::uint64_t id, bool learner = false) {
   proto::RaftMember member;
@@ -39,7 +39,7 @@
       *configuration.mutable_configuration()->add_members() = Member(id);
     }
     state_.metadata.set_member_id(1);
-    state_.metadata.set_cluster_id(kCluster);
+    state_.metadata.set_cluster_id(kClusterId);
     state_.metadata.set_current_term(1);
     state_.entries.push_back(configuration);
     options_.trailing_entries = 0;
@@ -48,20 +48,21 @@
   }
 
   void Restart() { core_.emplace(options_, state_, now_); }
-  RaftEffects Take() { return core_->TakeEffects(); }
+  RaftEffects TakeEffects() { return core_->TakeEffects(); }
   /// Confirms all writes. @return the effects of that.
-  RaftEffects Sync() {
-    RaftEffects before = Take();
-    if (!before.writes.empty()) {
-      core_->HandlePersisted(now_, before.writes.back().id);
+  RaftEffects SyncWrites() {
+    RaftEffects unsynced = TakeEffects();
+    if (!unsynced.writes.empty()) {
+      core_->HandlePersisted(now_, unsynced.writes.back().id);
     }
-    return Take();
+    return TakeEffects();
   }
   /// From then on the member may vote.
   void PassElectionTimeout() { now_ += options_.minimum_election_timeout; }
 
-  static proto::RequestVoteRequest Vote(std::uint64_t candidate, std::uint64_t term,
-                                        std::uint64_t last_index = 1, std::uint64_t last_term = 1) {
+  static proto::RequestVoteRequest MakeVoteRequest(std::uint64_t candidate, std::uint64_t term,
+                                                   std::uint64_t last_index = 1,
+                                                   std::uint64_t last_term = 1) {
     proto::RequestVoteRequest request;
     request.set_term(term);
     request.set_candidate_id(candidate);
@@ -69,10 +70,9 @@
     request.set_last_log_term(last_term);
     return request;
   }
-  static proto::AppendEntriesRequest Append(std::uint64_t term, std::uint64_t previous_index,
-                                            std::uint64_t previous_term,
-                                            const std::vector<proto::RaftEntry>& entries = {},
-                                            std::uint64_t commit = 0) {
+  static proto::AppendEntriesRequest MakeAppendRequest(
+      std::uint64_t term, std::uint64_t previous_index, std::uint64_t previous_term,
+      const std::vector<proto::RaftEntry>& entries = {}, std::uint64_t commit = 0) {
     proto::AppendEntriesRequest request;
     request.set_term(term);
     request.set_leader_id(2);
@@ -83,27 +83,27 @@
     return request;
   }
   /// @return the response to a vote request, which must come as soon as writes are synced.
-  proto::RequestVoteResponse VoteAnswer(const proto::RequestVoteRequest& request) {
+  proto::RequestVoteResponse VoteResponseTo(const proto::RequestVoteRequest& request) {
     core_->HandleRequestVote(now_, request, 1);
-    RaftEffects effects = Take();
+    RaftEffects effects = TakeEffects();
     if (effects.replies.empty()) {
       core_->HandlePersisted(now_, effects.writes.back().id);
-      effects = Take();
+      effects = TakeEffects();
     }
     return std::get<proto::RequestVoteResponse>(effects.replies.at(0).response);
   }
-  proto::AppendEntriesResponse AppendAnswer(const proto::AppendEntriesRequest& request) {
+  proto::AppendEntriesResponse AppendResponseTo(const proto::AppendEntriesRequest& request) {
     core_->HandleAppendEntries(now_, request, 1);
-    RaftEffects effects = Take();
+    RaftEffects effects = TakeEffects();
     if (effects.replies.empty()) {
       core_->HandlePersisted(now_, effects.writes.back().id);
-      effects = Take();
+      effects = TakeEffects();
     }
     return std::get<proto::AppendEntriesResponse>(effects.replies.at(0).response);
   }
   /// @return the last message of one kind to `member`.
   template <typename Request>
-  static Request Find(const RaftEffects& effects, std::uint64_t member) {
+  static Request FindMessage(const RaftEffects& effects, std::uint64_t member) {
     Request found;
     for (const RaftMessage& message : effects.messages) {
       if (message.member_id == member && std::holds_alternative<Request>(message.request)) {
@@ -112,22 +112,22 @@
     }
     return found;
   }
-  RaftEffects Grant(const RaftEffects& asked, std::uint64_t voter) {
-    const auto request = Find<proto::RequestVoteRequest>(asked, voter);
+  RaftEffects GrantVote(const RaftEffects& requested, std::uint64_t voter) {
+    const auto request = FindMessage<proto::RequestVoteRequest>(requested, voter);
     proto::RequestVoteResponse response;
     response.set_term(core_->term());
     response.set_granted(true);
     response.set_voter_id(voter);
     core_->HandleRequestVoteResponse(now_, request, response);
-    return Take();
+    return TakeEffects();
   }
   /// Elects member 1 with the vote of 2. @return the effects of that, with its no-op unsynced.
   RaftEffects Elect() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
-    RaftEffects effects = Grant(Take(), 2);
+    RaftEffects effects = GrantVote(TakeEffects(), 2);
     core_->HandlePersisted(now_, effects.writes.back().id);
-    return Grant(Take(), 2);
+    return GrantVote(TakeEffects(), 2);
   }
   void Acknowledge(std::uint64_t member, const proto::AppendEntriesRequest& request) {
     proto::AppendEntriesResponse response;
@@ -141,7 +141,7 @@
   }
   /// Syncs all writes and acknowledges all entries for `answering` members; calls to others fail.
   void Exchange(RaftEffects effects, const std::set<std::uint64_t>& answering) {
-    for (; !effects.empty(); effects = Take()) {
+    for (; !effects.empty(); effects = TakeEffects()) {
       if (!effects.writes.empty()) {
         core_->HandlePersisted(now_, effects.writes.back().id);
       }
@@ -156,7 +156,7 @@
     }
   }
   /// Elects member 1 and commits its no-op (index 2) with member 2.
-  void Lead() {
+  void BecomeReadyLeader() {
     Exchange(Elect(), {2});
     ASSERT_TRUE(core_->IsReadyLeader());
   }
@@ -164,7 +164,7 @@
   RaftEffects Heartbeat() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
-    return Take();
+    return TakeEffects();
   }
 
   RaftCoreOptions options_;
--- a/tests/consensus/raft_core_membership_test.cc
+++ b/tests/consensus/raft_core_membership_test.cc
@@ -43,7 +43,7 @@
 }
 
 TEST_F(RaftMembershipTest, FullGroupAdmitsOnlyReplacements) {
-  Lead();
+  BecomeReadyLeader();
   EXPECT_EQ(core_->AdmitMember(now_, Member(14), 0).code(), StatusCode::kConflict);
   EXPECT_EQ(core_->AdmitMember(now_, Member(11), 0).code(), StatusCode::kConflict);
   EXPECT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
@@ -54,7 +54,7 @@
 TEST_F(RaftMembershipTest, ReplacesAnUnresponsiveVoter) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
-  Lead();
+  BecomeReadyLeader();
   Exchange(Heartbeat(), {2, 3});
   EXPECT_EQ(core_->AdmitMember(now_, Member(14), 0).code(), StatusCode::kConflict);
   ExchangeHeartbeats(30, {2});  // Member 3 does not answer.
@@ -67,11 +67,11 @@
 TEST_F(RaftMembershipTest, AdmitsOneSuccessorOfAVoterAtATime) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
-  Lead();
+  BecomeReadyLeader();
   Exchange(Heartbeat(), {2, 3});
   ExchangeHeartbeats(30, {2});  // Member 3 does not answer.
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 0).ok());
-  Exchange(Take(), {2});
+  Exchange(TakeEffects(), {2});
   Exchange(Heartbeat(), {2});
   EXPECT_EQ(core_->AdmitMember(now_, Member(15), 0).code(), StatusCode::kConflict);
   ExchangeHeartbeats(30, {2});  // Nor does its successor.
@@ -82,7 +82,7 @@
 }
 
 TEST_F(RaftMembershipTest, ReplacesTheSameEndpointBeforeANamedMember) {
-  Lead();
+  BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 2).ok());  // The endpoint of member 3.
   for (const proto::RaftMember& member : core_->configuration().members()) {
     if (member.member_id() == 13) {
@@ -92,9 +92,9 @@
 }
 
 TEST_F(RaftMembershipTest, RemovesADeadVoterBeforePromotingItsSuccessor) {
-  Lead();
+  BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());  // The endpoint of member 3.
-  Exchange(Take(), {2, 13});
+  Exchange(TakeEffects(), {2, 13});
   Exchange(Heartbeat(), {2, 13});
   std::vector<std::string> steps;
   for (std::uint64_t index = 2; index <= core_->log().last_index(); ++index) {
@@ -110,10 +110,10 @@
 }
 
 TEST_F(RaftMembershipTest, PromotesASuccessorBeforeRemovingALiveVoter) {
-  Lead();
+  BecomeReadyLeader();
   Exchange(Heartbeat(), {2, 3});
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 3).ok());
-  Exchange(Take(), {2, 3, 14});
+  Exchange(TakeEffects(), {2, 3, 14});
   Exchange(Heartbeat(), {2, 3, 14});
   EXPECT_EQ(core_->log().ConfigurationAt(3).members_size(), 4);
   EXPECT_EQ(core_->log().ConfigurationAt(4).members_size(), 4);
@@ -122,16 +122,16 @@
 }
 
 TEST_F(RaftMembershipTest, DoesNotPromoteALaggingLearner) {
-  Lead();
+  BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
-  Exchange(Take(), {2});
+  Exchange(TakeEffects(), {2});
   const RaftEffects sent = Heartbeat();
   proto::AppendEntriesResponse behind;
   behind.set_term(core_->term());
   behind.set_follower_id(13);
-  behind.set_sequence(Find<proto::AppendEntriesRequest>(sent, 13).sequence());
+  behind.set_sequence(FindMessage<proto::AppendEntriesRequest>(sent, 13).sequence());
   core_->HandleAppendEntriesResponse(now_, behind);
-  Exchange(Take(), {2});
+  Exchange(TakeEffects(), {2});
   Exchange(Heartbeat(), {2});
   EXPECT_EQ(core_->configuration().members_size(), 4);
 }
@@ -140,25 +140,25 @@
   constexpr std::size_t kCommandBytes = 30'000;
   options_.catch_up_bytes = 2 * kCommandBytes + 1'000;
   Restart();
-  Lead();
+  BecomeReadyLeader();
   for (int count = 0; count < 20; ++count) {
     ASSERT_TRUE(core_->Propose(now_, std::string(kCommandBytes, 'c')).ok());
-    Exchange(Take(), {2, 3});
+    Exchange(TakeEffects(), {2, 3});
   }
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());  // The endpoint of member 3.
-  Exchange(Take(), {2});
+  Exchange(TakeEffects(), {2});
   proto::AppendEntriesResponse empty;
   empty.set_term(core_->term());
   empty.set_follower_id(13);
-  empty.set_sequence(Find<proto::AppendEntriesRequest>(Heartbeat(), 13).sequence());
+  empty.set_sequence(FindMessage<proto::AppendEntriesRequest>(Heartbeat(), 13).sequence());
   core_->HandleAppendEntriesResponse(now_, empty);
-  RaftEffects first = Take();
+  RaftEffects first = TakeEffects();
   for (const RaftMessage& message : first.messages) {
     if (const auto* append = std::get_if<proto::AppendEntriesRequest>(&message.request)) {
       Acknowledge(message.member_id, *append);
     }
   }
-  Exchange(Take(), {2});
+  Exchange(TakeEffects(), {2});
   std::size_t heartbeats = 0;
   while (core_->configuration().members_size() == 4 && heartbeats < 100) {
     ++heartbeats;
@@ -175,7 +175,7 @@
         Acknowledge(message.member_id, *append);
       }
     }
-    const RaftEffects after = Take();
+    const RaftEffects after = TakeEffects();
     for (const RaftMessage& message : after.messages) {
       const auto* append = std::get_if<proto::AppendEntriesRequest>(&message.request);
       if (append != nullptr && message.member_id == 13) {
@@ -190,10 +190,10 @@
 }
 
 TEST_F(RaftMembershipTest, LearnersDoNotCountForCommit) {
-  Lead();
+  BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
   const std::uint64_t before = core_->commit_index();
-  Exchange(Take(), {13});
+  Exchange(TakeEffects(), {13});
   EXPECT_EQ(core_->commit_index(), before);
   Exchange(Heartbeat(), {2});
   EXPECT_GT(core_->commit_index(), before);
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -42,7 +42,7 @@
         },
         limit);
   }
-  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
+  void FillDisk(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
   void FreeAllDisks() {
     for (std::size_t member = 0; member < kMembers; ++member) {
       cluster.machine(member).SetDiskLimit(kAmpleDiskBytes);
@@ -57,7 +57,7 @@
   FullDiskRun run(1);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
-  run.Fill(leader);
+  run.FillDisk(leader);
   ASSERT_TRUE(run.Acknowledges(seconds(2)));
   run.cluster.RunFor(seconds(1));
   ASSERT_TRUE(run.HasLeader(seconds(2)));
@@ -73,8 +73,8 @@
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
   const std::uint64_t term = run.Term(leader);
-  run.Fill((leader + 1) % kMembers);
-  run.Fill((leader + 2) % kMembers);
+  run.FillDisk((leader + 1) % kMembers);
+  run.FillDisk((leader + 2) % kMembers);
   for (int second = 0; second < 10; ++second) {
     ASSERT_TRUE(run.Acknowledges(seconds(1)));
     run.cluster.RunFor(seconds(1));
@@ -89,7 +89,7 @@
   FullDiskRun run(3);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   for (std::size_t member = 0; member < kMembers; ++member) {
-    run.Fill(member);
+    run.FillDisk(member);
   }
   EXPECT_FALSE(run.Acknowledges(seconds(3)));
   run.FreeAllDisks();
@@ -105,7 +105,7 @@
     for (int round = 0; round < kRounds; ++round) {
       SimulatedWorld& world = run.cluster.world();
       for (std::uint64_t count = 1 + world.RandomBelow(3); count > 0; --count) {
-        run.Fill(world.RandomBelow(kMembers));
+        run.FillDisk(world.RandomBelow(kMembers));
       }
       for (int step = 0; step < 20; ++step) {
         if (run.cluster.Leader() < kMembers) {
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -26,9 +26,9 @@
   return options;
 }
 
-class LossesRun {
+class MachineLossRun {
  public:
-  explicit LossesRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
+  explicit MachineLossRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
 
   /// @return machines of the voters in the leader's configuration.
   std::vector<std::size_t> Voters() {
@@ -38,11 +38,12 @@
       return voters;
     }
     for (const LogMember& member : cluster.process(leader)->node.members()) {
-      for (std::size_t at = 0; at < cluster.size(); ++at) {
-        const bool here = cluster.process(at) != nullptr &&
-                          cluster.process(at)->node.core().member_id() == member.member_id;
-        if (here && !member.learner) {
-          voters.push_back(at);
+      for (std::size_t machine = 0; machine < cluster.size(); ++machine) {
+        const bool runs_member =
+            cluster.process(machine) != nullptr &&
+            cluster.process(machine)->node.core().member_id() == member.member_id;
+        if (runs_member && !member.learner) {
+          voters.push_back(machine);
         }
       }
     }
@@ -64,7 +65,7 @@
     return cluster.record().acknowledged.size() > before;
   }
   /// @return two voters, the leader among them in every other round.
-  std::vector<std::size_t> DrawTwo(int round) {
+  std::vector<std::size_t> DrawTwoVoters(int round) {
     std::vector<std::size_t> voters = Voters();
     const std::size_t leader = cluster.Leader();
     std::vector<std::size_t> drawn;
@@ -72,9 +73,9 @@
       drawn.push_back(leader);
     }
     while (drawn.size() < 2) {
-      const std::size_t at = voters[cluster.world().RandomBelow(voters.size())];
-      if (std::find(drawn.begin(), drawn.end(), at) == drawn.end()) {
-        drawn.push_back(at);
+      const std::size_t machine = voters[cluster.world().RandomBelow(voters.size())];
+      if (std::find(drawn.begin(), drawn.end(), machine) == drawn.end()) {
+        drawn.push_back(machine);
       }
     }
     return drawn;
@@ -86,11 +87,11 @@
 TEST(RaftLossesTest, SurvivesRepeatedLossOfTwoDisks) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
-      for (const std::size_t lost : run.DrawTwo(round)) {
+      for (const std::size_t lost : run.DrawTwoVoters(round)) {
         run.cluster.machine(lost).LoseDisk();
       }
       run.cluster.RunFor(milliseconds(300));
@@ -105,7 +106,7 @@
 TEST(RaftLossesTest, SparesReplaceAllSeeds) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (std::size_t removed = 0; removed < kSeeds; ++removed) {
       run.cluster.machine(removed).LosePower();  // For good.
@@ -120,10 +121,10 @@
 TEST(RaftLossesTest, ReplacesTwoVotersWithoutPower) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
-      for (const std::size_t lost : run.DrawTwo(round)) {
+      for (const std::size_t lost : run.DrawTwoVoters(round)) {
         run.cluster.machine(lost).LosePower();
       }
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -14,7 +14,7 @@
   explicit RaftNodeTest(const ClusterOptions& options = {.size = 3, .seed = 1})
       : cluster(options) {}
 
-  void Form() {
+  void FormGroup() {
     cluster.StartAll();
     ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
   }
@@ -30,7 +30,9 @@
   /// @return a member that does not lead.
   std::size_t Follower() { return cluster.Leader() == 0 ? 1 : 0; }
   RunRecord& record() { return cluster.record(); }
-  std::uint64_t Id(std::size_t member) { return cluster.process(member)->node.core().member_id(); }
+  std::uint64_t MemberId(std::size_t member) {
+    return cluster.process(member)->node.core().member_id();
+  }
 
   RaftCluster cluster;
 };
@@ -48,7 +50,7 @@
 };
 
 TEST_F(RaftNodeTest, SeedsFormOneGroup) {
-  Form();
+  FormGroup();
   ProposeAndWait(20);
   EXPECT_TRUE(record().failures.empty());
 }
@@ -63,7 +65,7 @@
 }
 
 TEST_F(RaftNodeTest, EmptiedSeedsFormNoNewGroup) {
-  Form();
+  FormGroup();
   ProposeAndWait(3);
   cluster.machine(0).LoseDisk();
   cluster.machine(1).LoseDisk();
@@ -76,21 +78,21 @@
 }
 
 TEST_F(RaftNodeTest, EmptiedMemberRejoinsUnderANewId) {
-  Form();
+  FormGroup();
   ProposeAndWait(30);
   const std::size_t member = Follower();
-  const std::uint64_t old_id = Id(member);
+  const std::uint64_t old_id = MemberId(member);
   cluster.machine(member).LoseDisk();
   cluster.machine(member).Start();
   EXPECT_FALSE(cluster.IsComplete());
   ASSERT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
-  EXPECT_NE(Id(member), old_id);
+  EXPECT_NE(MemberId(member), old_id);
   ProposeAndWait(1);
   EXPECT_TRUE(record().failures.empty());
 }
 
 TEST_F(RaftNodeTest, ReplacesAMemberThatIsNoLongerASeed) {
-  Form();
+  FormGroup();
   ProposeAndWait(5);
   cluster.ReplaceMachine(2, "10.0.0.9");
   cluster.machine(2).Start();
@@ -104,9 +106,9 @@
 }
 
 TEST_F(RaftNodeTest, MovedDiskKeepsItsMemberId) {
-  Form();
+  FormGroup();
   ProposeAndWait(5);
-  const std::uint64_t id = Id(2);
+  const std::uint64_t id = MemberId(2);
   SimulatedMachine& old_machine = cluster.machine(2);
   cluster.ReplaceMachine(2, "10.0.0.9");
   for (const char* file : {"consensus/metadata", kLogFile}) {
@@ -120,13 +122,13 @@
            cluster.process(leader)->node.members().at(2).endpoint == cluster.machine(2).endpoint();
   };
   ASSERT_TRUE(cluster.RunUntil(reached, seconds(8)));
-  EXPECT_EQ(Id(2), id);
+  EXPECT_EQ(MemberId(2), id);
   ProposeAndWait(1);
   EXPECT_TRUE(record().failures.empty());
 }
 
 TEST_F(RaftNodeTest, TransfersLeadershipWithoutATimeout) {
-  Form();
+  FormGroup();
   ProposeAndWait(5);
   for (int round = 0; round < 20; ++round) {
     const std::size_t old_leader = cluster.Leader();
@@ -142,7 +144,7 @@
 }
 
 TEST_F(RaftNodeTest, AcknowledgedCommandsSurvivePowerLoss) {
-  Form();
+  FormGroup();
   ProposeAndWait(30);
   for (std::size_t member = 0; member < cluster.size(); ++member) {
     cluster.machine(member).LosePower();
@@ -154,7 +156,7 @@
 }
 
 TEST_F(RaftNodeTest, ResumedLeaderHasNoLease) {
-  Form();
+  FormGroup();
   const std::size_t old_leader = cluster.Leader();
   ASSERT_TRUE(cluster.process(old_leader)->node.HasLeaderLease());
   cluster.machine(old_leader).Freeze();
@@ -167,7 +169,7 @@
 }
 
 TEST_F(RaftNodeTest, RejoiningMemberDoesNotDisturbTheLeader) {
-  Form();
+  FormGroup();
   const std::uint64_t term = cluster.process(cluster.Leader())->node.term();
   const std::size_t member = Follower();
   cluster.world().Isolate(cluster.name(member));
@@ -178,7 +180,7 @@
 }
 
 TEST_F(RaftNodeTest, FailedSyncStopsTheMember) {
-  Form();
+  FormGroup();
   const std::size_t leader = cluster.Leader();
   cluster.machine(leader).FailSyncs(true);
   cluster.Propose(leader);
@@ -191,7 +193,7 @@
 }
 
 TEST_F(RaftNodeTest, DetectsDamageBeforeTheLastWrite) {
-  Form();
+  FormGroup();
   ProposeAndWait(1);
   ProposeAndWait(1);
   const std::size_t member = Follower();
@@ -203,7 +205,7 @@
 }
 
 TEST_F(RaftNodeSnapshotTest, LaggingMemberCatchesUpFromASnapshot) {
-  Form();
+  FormGroup();
   const std::size_t member = Follower();
   cluster.machine(member).Kill();
   for (int count = 0; count < 50; ++count) {
--- a/tests/consensus/raft_simulation_test.cc
+++ b/tests/consensus/raft_simulation_test.cc
@@ -53,14 +53,14 @@
 
   const std::vector<std::string>& Run() {
     cluster_.StartAll();
-    ProposeForEver();
-    if (Below(4) != 0) {  // Else faults strike while the group is formed.
+    ProposePeriodically();
+    if (RandomBelow(4) != 0) {  // Else faults strike while the group is formed.
       cluster_.RunUntil([this] { return cluster_.IsComplete(); }, seconds(5));
     }
     for (int fault = 0; fault < kFaultsInSchedule && Failures().empty(); ++fault) {
       ApplyFault();
-      if (Below(3) != 0) {  // Else the next one strikes at the same moment.
-        cluster_.RunFor(milliseconds(Below(900)));
+      if (RandomBelow(3) != 0) {  // Else the next one strikes at the same moment.
+        cluster_.RunFor(milliseconds(RandomBelow(900)));
       }
       cluster_.CheckLogs();
     }
@@ -85,27 +85,28 @@
     return options;
   }
 
-  std::uint64_t Below(std::uint64_t bound) { return world_.RandomBelow(bound); }
-  std::size_t AnyMember() { return Below(cluster_.size()); }
+  std::uint64_t RandomBelow(std::uint64_t bound) { return world_.RandomBelow(bound); }
+  std::size_t PickMember() { return RandomBelow(cluster_.size()); }
   /// @return the leader more often than others.
-  std::size_t Victim() {
+  std::size_t PickVictim() {
     const std::size_t leader = cluster_.Leader();
-    return leader == cluster_.size() || Below(2) == 0 ? AnyMember() : leader;
+    return leader == cluster_.size() || RandomBelow(2) == 0 ? PickMember() : leader;
   }
   const std::vector<std::string>& Failures() { return cluster_.record().failures; }
 
   /// Bursts with pauses: while all logs are of the same length, any member can be elected.
-  void ProposeForEver() {
-    cluster_.Propose(AnyMember());
-    if (const std::size_t leader = cluster_.Leader(); leader != cluster_.size() && Below(60) == 0) {
-      cluster_.Propose(leader, "handover");
+  void ProposePeriodically() {
+    cluster_.Propose(PickMember());
+    if (const std::size_t leader = cluster_.Leader();
+        leader != cluster_.size() && RandomBelow(60) == 0) {
+      cluster_.Propose(leader, "transfer");
     }
-    const std::uint64_t pause = Below(20) == 0 ? 1500 : 30;
-    world_.ScheduleAfter(milliseconds(5 + Below(pause)), [this] { ProposeForEver(); });
+    const std::uint64_t pause = RandomBelow(20) == 0 ? 1500 : 30;
+    world_.ScheduleAfter(milliseconds(5 + RandomBelow(pause)), [this] { ProposePeriodically(); });
   }
 
   void StartLater(std::size_t member) {
-    world_.ScheduleAfter(milliseconds(Below(1500)), [this, member] {
+    world_.ScheduleAfter(milliseconds(RandomBelow(1500)), [this, member] {
       if (!cluster_.machine(member).running()) {
         cluster_.machine(member).Start();
       }
@@ -113,11 +114,11 @@
   }
 
   void HealLater() {
-    world_.ScheduleAfter(milliseconds(100 + Below(2500)), [this] { world_.HealAll(); });
+    world_.ScheduleAfter(milliseconds(100 + RandomBelow(2500)), [this] { world_.HealAll(); });
   }
 
   void ApplyFault() {
-    switch (Below(11)) {
+    switch (RandomBelow(11)) {
       case 0:
         return Crash(false);
       case 1:
@@ -127,7 +128,7 @@
       case 3:
         return Freeze();
       case 4:
-        world_.Isolate(cluster_.name(Victim()));
+        world_.Isolate(cluster_.name(PickVictim()));
         return HealLater();
       case 5:
         return PartitionOneWay();
@@ -144,11 +145,11 @@
     }
   }
 
-  void Crash(bool power) {
-    const std::uint64_t victims = Below(4) == 0 ? cluster_.size() : 1 + Below(2);
+  void Crash(bool power_loss) {
+    const std::uint64_t victims = RandomBelow(4) == 0 ? cluster_.size() : 1 + RandomBelow(2);
     for (std::uint64_t count = 0; count < victims; ++count) {
-      const std::size_t member = victims == cluster_.size() ? count : Victim();
-      if (power) {
+      const std::size_t member = victims == cluster_.size() ? count : PickVictim();
+      if (power_loss) {
         cluster_.machine(member).LosePower();
       } else {
         cluster_.machine(member).Kill();
@@ -162,7 +163,7 @@
     if (!cluster_.RunUntil([this] { return cluster_.IsComplete(); }, seconds(1))) {
       return;
     }
-    const std::size_t member = Victim();
+    const std::size_t member = PickVictim();
     cluster_.machine(member).LoseDisk();
     StartLater(member);
   }
@@ -170,11 +171,11 @@
   /// One member is cut off from the leader; a follower that has heard the leader restarts.
   void RestartVoter() {
     const std::size_t leader = cluster_.Leader();
-    const std::size_t lonely = AnyMember();
-    const std::size_t voter = AnyMember();
-    if (leader != cluster_.size() && lonely != leader && voter != leader && voter != lonely) {
-      world_.Cut(cluster_.name(leader), cluster_.name(lonely));
-      cluster_.RunFor(milliseconds(500 + Below(500)));
+    const std::size_t isolated = PickMember();
+    const std::size_t voter = PickMember();
+    if (leader != cluster_.size() && isolated != leader && voter != leader && voter != isolated) {
+      world_.Cut(cluster_.name(leader), cluster_.name(isolated));
+      cluster_.RunFor(milliseconds(500 + RandomBelow(500)));
       cluster_.machine(voter).Kill();
       cluster_.machine(voter).Start();
     }
@@ -184,33 +185,33 @@
   /// Members lose unsynced writes just when they vote.
   void LosePowerInElection() {
     SlowDisks();
-    cluster_.machine(Victim()).LosePower();
-    cluster_.RunFor(milliseconds(300 + Below(700)));
-    const std::size_t voter = AnyMember();
+    cluster_.machine(PickVictim()).LosePower();
+    cluster_.RunFor(milliseconds(300 + RandomBelow(700)));
+    const std::size_t voter = PickMember();
     cluster_.machine(voter).LosePower();
     cluster_.machine(voter).Start();
     cluster_.StartAll();
   }
 
   void Freeze() {
-    const std::size_t member = Victim();
+    const std::size_t member = PickVictim();
     cluster_.machine(member).Freeze();
-    world_.ScheduleAfter(milliseconds(Below(2500)),
+    world_.ScheduleAfter(milliseconds(RandomBelow(2500)),
                          [this, member] { cluster_.machine(member).Wake(); });
   }
 
   void PartitionOneWay() {
-    const std::size_t from = Victim();
-    const std::size_t to = AnyMember();
+    const std::size_t from = PickVictim();
+    const std::size_t to = PickMember();
     if (from != to) {
-      const bool outward = Below(2) == 0;
+      const bool outward = RandomBelow(2) == 0;
       world_.Cut(cluster_.name(outward ? from : to), cluster_.name(outward ? to : from));
     }
     HealLater();
   }
 
   void Split() {
-    const std::uint64_t sides = Below(1ULL << cluster_.size());
+    const std::uint64_t sides = RandomBelow(1ULL << cluster_.size());
     for (std::size_t from = 0; from < cluster_.size(); ++from) {
       for (std::size_t to = 0; to < cluster_.size(); ++to) {
         if (((sides >> from) & 1U) != ((sides >> to) & 1U)) {
@@ -225,13 +226,13 @@
     world_.network().request_loss = 0.3;
     world_.network().reply_loss = 0.3;
     world_.network().request_duplication = 0.3;
-    world_.network().maximum_delay = milliseconds(Below(2) == 0 ? 5 : 300);
-    world_.ScheduleAfter(milliseconds(Below(2000)), [this] { world_.network() = network_; });
+    world_.network().maximum_delay = milliseconds(RandomBelow(2) == 0 ? 5 : 300);
+    world_.ScheduleAfter(milliseconds(RandomBelow(2000)), [this] { world_.network() = network_; });
   }
 
   void SlowDisks() {
-    world_.disks().maximum_sync = milliseconds(50 + Below(800));
-    world_.ScheduleAfter(milliseconds(Below(2000)), [this] { world_.disks() = disks_; });
+    world_.disks().maximum_sync = milliseconds(50 + RandomBelow(800));
+    world_.ScheduleAfter(milliseconds(RandomBelow(2000)), [this] { world_.disks() = disks_; });
   }
 
   void CheckProgressAfterHeal() {
