--- a/src/consensus/disk_full_handler.cc
+++ b/src/consensus/disk_full_handler.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Between attempts of a write that finds the disk full.
+/// Time between attempts of a write that finds the disk full.
 constexpr Duration kRetryInterval = milliseconds(200);
 
 }  // namespace
--- a/src/consensus/disk_full_handler.h
+++ b/src/consensus/disk_full_handler.h
@@ -11,16 +11,18 @@
 
 class DiskFullHandler {
  public:
-  /// Both must outlive this.
+  /// `context` and `storage` must outlive this object.
   DiskFullHandler(RaftNodeContext& context, RaftStorage& storage)
       : context_(context), storage_(storage) {}
   ~DiskFullHandler() { Stop(); }
   DiskFullHandler(const DiskFullHandler&) = delete;
   DiskFullHandler& operator=(const DiskFullHandler&) = delete;
 
-  /// A write found the disk full.
+  /// To be called at each attempt of a write that finds the disk full. Makes the member unable to
+  /// lead and vote, and schedules the next attempt.
   void OnDiskFull(const Status& status);
-  /// A write succeeded.
+  /// To be called when a write has succeeded. If the disk was full, the member may lead and vote
+  /// again.
   void OnWriteSucceeded();
   /// Cancels the retry.
   void Stop();
--- a/src/consensus/endpoint_proto.h
+++ b/src/consensus/endpoint_proto.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Endpoints to and from their message.
+/// Converts endpoints to and from their protobuf message.
 
 #include <cstdint>
 
--- a/src/consensus/pending_proposals.h
+++ b/src/consensus/pending_proposals.h
@@ -16,14 +16,17 @@
  public:
   using Done = std::function<void(Result<std::string>)>;
 
-  /// @param context must outlive this.
+  /// @param context must outlive this object.
   explicit PendingProposals(const RaftNodeContext& context) : context_(context) {}
 
+  /// Keeps `done` until an entry at the index of `position` is applied or the term is lost; it runs
+  /// exactly once while this object lives.
   void Add(const RaftPosition& position, Done done);
   /// Completes the proposal at the index of `entry`, which was applied with `result`. A proposal of
   /// another term gets kNotLeader: it was certainly not committed.
   void Complete(const proto::RaftEntry& entry, std::string result);
-  /// Fails proposals of terms that this member no longer leads with kUnknownOutcome.
+  /// Passes kUnknownOutcome to the callbacks of all proposals of terms that this member no longer
+  /// leads.
   void FailFromLostTerms();
 
  private:
--- a/src/consensus/raft_applier.h
+++ b/src/consensus/raft_applier.h
@@ -13,16 +13,17 @@
 
 class RaftApplier {
  public:
-  /// Both must outlive this.
+  /// `context` and `state_machine` must outlive this object.
   RaftApplier(RaftNodeContext& context, StateMachine& state_machine)
       : context_(context), state_machine_(state_machine) {}
 
-  /// Replaces the complete state. @return kCorrupt if the snapshot can not be read.
+  /// Replaces the complete state. @return kCorrupt if the snapshot cannot be read.
   Status Restore(const proto::RaftSnapshot& snapshot);
   /// Applies the next entry. @return the state machine's result; empty for an entry without a
   /// command.
   std::string Apply(const proto::RaftEntry& entry);
-  /// Gives the core a snapshot if the thresholds since the last one are reached.
+  /// Takes a snapshot and passes it to the core, if the entries or bytes since the last one have
+  /// reached their threshold (`RaftNodeOptions`) and none is being written.
   void TakeSnapshotIfDue();
 
  private:
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -22,7 +22,7 @@
   }
   synced_index_ = log_.last_index();
   commit_index_ = snapshot_ ? snapshot_->last_included_index() : 0;
-  // When it last heard a leader is not on the disk: assume that it did just now.
+  // The time of the last contact with a leader is not stored, so assume that it was just now.
   RecordLeaderContact(now);
 }
 
--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -46,9 +46,9 @@
   /// votes at first.
   RaftCore(const RaftCoreOptions& options, RaftDurableState state, TimePoint now);
 
-  /// Handles timeouts: elections, heartbeats, check quorum. To be called at `NextWakeup` or later.
+  /// Handles timeouts: elections, heartbeats, check quorum. Does nothing before `NextWakeup`.
   void Tick(TimePoint now);
-  /// Sets whether writes reach the disk. A member that can not write transfers leadership or steps
+  /// Sets whether writes reach the disk. A member that cannot write transfers leadership or steps
   /// down, does not stand for election, and sends no response that depends on pending writes.
   void SetWritable(TimePoint now, bool writable);
   TimePoint NextWakeup() const { return next_wakeup_; }
@@ -63,7 +63,8 @@
   void HandleInstallSnapshot(TimePoint now, const proto::InstallSnapshotRequest& request,
                              RaftReplyToken token);
 
-  /// The leader hands over to this member.
+  /// Stands for election at once, because the leader transfers leadership to this member. Ignored
+  /// unless this member is a voter that can write and follows the sender in its term.
   void HandleTimeoutNow(TimePoint now, const proto::TimeoutNowRequest& request);
 
   // Outcomes of this member's own requests.
@@ -71,30 +72,36 @@
                                  const proto::RequestVoteResponse& response);
   void HandleAppendEntriesResponse(TimePoint now, const proto::AppendEntriesResponse& response);
   void HandleInstallSnapshotResponse(TimePoint now, const proto::InstallSnapshotResponse& response);
-  /// No answer came to the message `sequence` that was sent to `member_id`.
+  /// To be called when the message `sequence` to `member_id` got no answer.
   void HandleCallFailed(std::uint64_t member_id, std::uint64_t sequence);
 
-  /// Every write up to `write` is synced.
+  /// To be called when every write up to and including `write` is synced.
   void HandlePersisted(TimePoint now, RaftWriteId write);
 
-  /// Appends a command. kNotLeader: not appended; kResourceExhausted: not appended, too many are
-  /// uncommitted.
+  /// Appends a command. @return its position. kNotLeader: not appended, because this member does
+  /// not lead or is transferring leadership; kResourceExhausted: not appended, because
+  /// `maximum_uncommitted_entries` are uncommitted.
   Result<RaftPosition> Propose(TimePoint now, std::string command);
-  /// Adds `member` as a learner, to replace the member at its endpoint or else `replaces` (0: none
-  /// named). A present member gets its new endpoint instead. kUnavailable: another change is
-  /// pending; kConflict: the group is full, or the leader would be replaced.
+  /// Adds `member` as a learner. It replaces the member that has its endpoint, else the member
+  /// `replaces` (0: none named), else, in a full group, the voter that has been unresponsive for
+  /// longest. A member that the group already contains gets its new endpoint instead. kNotLeader:
+  /// this member does not lead; kUnavailable: another change is pending; kConflict: the group is
+  /// full, or the leader would be replaced.
   Status AdmitMember(TimePoint now, const proto::RaftMember& member, std::uint64_t replaces);
   /// Transfers leadership to the voter with the longest log, e.g. before this process ends
   /// (dissertation, 3.10): refuses proposals, and once that voter has all entries makes it stand
-  /// for election. From then on this leader has no lease. kUnavailable: no other voter is active.
+  /// for election. From then on this leader has no lease. kNotLeader: this member is not a ready
+  /// leader; kUnavailable: no other voter is active.
   Status TransferLeadership(TimePoint now);
-  /// Writes a snapshot of the applied state up to `index`, and compacts the log once it is durable
-  /// (Raft, section 7).
+  /// Writes `state`, a snapshot of the state after the entry `index`, and compacts the log once the
+  /// snapshot is synced (Raft, section 7). Does nothing while another snapshot is being written, if
+  /// the last snapshot is not older, or if `index` is not committed.
   void StoreSnapshot(std::uint64_t index, std::string state);
 
   /// Checks that a message of `cluster_id` to `recipient_id` is meant for this member. A member
-  /// without a configuration adopts the cluster of whoever knows its id, since only seeds and
-  /// leaders have learned it. kNotFound: another recipient; kConflict: another cluster.
+  /// without a configuration adopts `cluster_id` if the sender knows this member's id, since only
+  /// seeds and leaders have learned that id. kNotFound: another recipient; kConflict: another
+  /// cluster.
   Status AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id);
   /// Writes the first configuration of a new cluster. Requires `IsEmpty()`.
   void Bootstrap(std::uint64_t cluster_id, const proto::RaftConfiguration& configuration);
@@ -104,7 +111,7 @@
   bool HasLeaderLease(TimePoint now) const;
   /// Whether this member leads and has committed an entry of its own term.
   bool IsReadyLeader() const;
-  /// Whether this member has never had a configuration: it can not have acknowledged anything.
+  /// Whether this member has never had a configuration: it cannot have acknowledged anything.
   bool IsEmpty() const { return log_.configuration().members().empty(); }
   /// Whether the latest configuration in the log contains this member.
   bool IsMember() const;
@@ -125,7 +132,7 @@
  private:
   struct UnsyncedWrite {
     RaftWriteId id = 0;
-    std::uint64_t last_index = 0;  ///< That it leaves in the log.
+    std::uint64_t last_index = 0;  ///< Last index of the log after this write.
   };
 
   // raft_core.cc: terms, timers, writes.
@@ -136,6 +143,7 @@
   void WriteMetadata();
   void AppendToLog(proto::RaftEntry entry);
   RaftWrite& AddWrite();
+  /// Replies once the write `after` is synced.
   void Reply(RaftReply reply, RaftWriteId after);
   void RecordRefusal(RaftRefusal reason) { effects_.refusals.push_back(reason); }
   void Fail(std::string_view reason);
@@ -157,15 +165,18 @@
 
   // raft_core_follower.cc
   bool AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id);
-  /// Stores the entries and advances the commit index. @return whether they follow on this log; the
-  /// match index in `response` says how far it agrees.
+  /// Stores the entries and advances the commit index. @return whether the previous entry matches
+  /// and the entries are well-formed. Sets the match index in `response`: on success the last index
+  /// that is known to match the leader's log, otherwise the index after which the leader has to
+  /// resume.
   bool AcceptEntries(const proto::AppendEntriesRequest& request,
                      proto::AppendEntriesResponse& response);
   bool MatchesPrevious(const proto::AppendEntriesRequest& request) const;
+  /// @return the index after which the leader has to resume when the previous entry does not match.
   std::uint64_t FindConflictHint(const proto::AppendEntriesRequest& request) const;
   bool StoreEntries(const proto::AppendEntriesRequest& request);
   void TruncateLog(std::uint64_t index);
-  /// @return the offset from which the leader should go on.
+  /// @return the offset in bytes from which the leader has to continue.
   std::uint64_t AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request);
   void InstallReceivedSnapshot(const proto::InstallSnapshotRequest& request);
   void CompactLog(std::uint64_t snapshot_index);
@@ -180,24 +191,30 @@
   void ReplicateToAll(TimePoint now);
   /// Sends a voter its next entries at once; a learner gets them with the next heartbeat.
   void ContinueReplication(TimePoint now, std::uint64_t member);
+  /// Steps down if the response is of a later term. Otherwise records that the follower has heard
+  /// this leader. @return the follower; null if the response is to be ignored.
   RaftPeer* RecordResponse(TimePoint now, std::uint64_t response_term, std::uint64_t follower_id,
                            std::uint64_t sequence);
   void DecrementNextIndex(TimePoint now, RaftPeer& peer, std::uint64_t hint);
   void AdvanceCommit(TimePoint now);
+  /// @return the latest time such that a majority of the voters has heard this leader then or
+  /// later, judged by when the messages that they answered were sent.
+  /// @param count_start_of_term whether the start of the term counts as contact with every voter.
   TimePoint LastQuorumContact(TimePoint now, bool count_start_of_term) const;
 
   // raft_core_transfer.cc
   void AdvanceTransfer(TimePoint now);
 
   // raft_core_membership.cc
-  /// @return the voter that has not answered for the longest time, if long enough to be replaced;
-  /// else 0.
+  /// @return the voter that has not answered for the longest time, among those that have not for
+  /// `replace_unresponsive_after` and have no responsive replacement; 0 if none.
   std::uint64_t FindLongestUnresponsiveVoter(TimePoint now) const;
   /// @return when `peer` last answered; the start of the term or of its membership if it never did.
   TimePoint LastContact(const RaftPeer& peer) const;
   /// Whether `member` is a learner that has not answered for `replace_unresponsive_after`.
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
-  /// Whether a responsive learner already replaces `voter`: a second one would make the group grow.
+  /// Whether another member, unless it is an unresponsive learner, already replaces `voter`: a
+  /// second one would make the group grow.
   bool HasResponsiveReplacement(TimePoint now, std::uint64_t voter) const;
   /// @return the configuration without learners that `joining` displaces or that are unresponsive.
   proto::RaftConfiguration RemoveDisplacedLearners(TimePoint now, const proto::RaftMember& joining,
@@ -221,7 +238,7 @@
   RaftEffects effects_;
   std::uint64_t random_state_;
 
-  // Durable state and how much of it is synced.
+  // Durable state, and how much of it is synced.
   proto::RaftMetadata metadata_;
   RaftLog log_;
   std::shared_ptr<const proto::RaftSnapshot> snapshot_;
@@ -242,8 +259,9 @@
   TimePoint withhold_votes_until_;
   bool writable_ = true;
 
-  // Candidates.
-  std::set<std::uint64_t> votes_;
+  // Candidate and pre-candidate.
+  std::set<std::uint64_t> votes_;  ///< Members that have granted their vote, itself included.
+  /// The write of this candidate's vote for itself.
   RaftWriteId vote_write_ = 0;
   bool vote_requests_sent_ = false;
   bool elected_by_transfer_ = false;
@@ -258,7 +276,7 @@
   bool transfer_sent_ = false;
   TimePoint transfer_deadline_;
 
-  // The snapshot that is being received: its chunks so far.
+  // The chunks of an incoming snapshot so far, and the term of the leader that sends it.
   proto::RaftSnapshot incoming_snapshot_;
   std::uint64_t incoming_term_ = 0;
 };
--- a/src/consensus/raft_core_election.cc
+++ b/src/consensus/raft_core_election.cc
@@ -1,4 +1,4 @@
-// Elections: Raft section 5.2 and 5.4.1; pre-vote and check-quorum: Ongaro's dissertation, 9.6
+// Elections: Raft sections 5.2 and 5.4.1; pre-vote and check quorum: Ongaro's dissertation, 9.6
 // and 6.2.
 #include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
@@ -14,8 +14,8 @@
   }
   role_ = RaftRole::kPreCandidate;
   votes_.clear();
-  // A refused pre-vote disturbs nobody, so it is repeated soon: the others may have heard the
-  // leader only slightly later than this member.
+  // A refused pre-vote does not disrupt the group, so it is repeated soon: the other members may
+  // have heard the leader only slightly later than this one.
   ResetElectionTimer(now, options_.heartbeat_interval, 2 * options_.heartbeat_interval);
   SendVoteRequests();
   CountVote(now, member_id());
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -54,7 +54,7 @@
 bool RaftCore::MatchesPrevious(const proto::AppendEntriesRequest& request) const {
   const std::uint64_t previous = request.previous_log_index();
   if (previous < log_.base_index()) {
-    return true;  // Part of a snapshot, hence committed, hence the same on every leader.
+    return true;  // Covered by a snapshot, hence committed and the same on every leader.
   }
   return log_.TermAt(previous) == request.previous_log_term();
 }
@@ -165,7 +165,8 @@
   // Nothing of the new log is synced until it has been rewritten.
   synced_index_ = 0;
   unsynced_writes_.clear();
-  // Entries committed by the same input precede the snapshot.
+  // Entries that the same input committed precede the end of the snapshot, which contains their
+  // effects.
   effects_.committed.clear();
   effects_.restore = snapshot_;
   AddWrite().snapshot = snapshot_;
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -1,15 +1,19 @@
-// Membership: one member at a time (Ongaro's dissertation, 4.1-4.3), new ones as learners first.
+// Membership changes: one member at a time (Ongaro's dissertation, 4.1-4.3); new members start as
+// learners.
 //
-// Replacing a member whose disk was lost. In the group {A, B, C}, C' is C's machine with an empty
-// disk and a new id. Replacing C by C' in one entry would be unsafe: the majorities {A, C} and {B,
-// C'} do not intersect, and C's disk may return. So there are two steps of one voter each:
-//  - C does not answer: remove C, then promote C'. A and B are both needed before and between the
-//    steps, so nothing is lost; with four voters (promoting first) A, B and C' would all be needed.
-//  - C still answers (replacement by another machine): promote C', then remove C. The group {A, B}
-//    in between would tolerate no failure, while four voters tolerate one.
+// Replacing a member: in the group {A, B, C}, C' replaces C, for example as C's machine with an
+// empty disk and a new id. Replacing C by C' in one entry would be unsafe: the majorities {A, C}
+// and {B, C'} do not intersect, and C's disk may return. So the change has two steps of one voter
+// each:
+//  - If C does not answer: remove C, then promote C'. A commit needs both A and B before the steps
+//    and between them, so removing C costs no availability. With four voters (promoting first), A,
+//    B and C' would all be needed.
+//  - If C still answers (replacement by another machine): promote C', then remove C. In the other
+//    order the group would be {A, B} in between and tolerate no failure, while four voters tolerate
+//    one.
 //
-// A step is taken only while a majority of the next configuration is active. Its state is in the
-// configuration (`RaftMember.replaces`), so that a new leader completes the change.
+// A step is taken only while a majority of the next configuration is active. The state of the
+// change is in the configuration (`RaftMember.replaces`), so that a new leader can complete it.
 #include <algorithm>
 
 #include "consensus/raft_core.h"
@@ -62,8 +66,8 @@
 }  // namespace
 
 bool RaftCore::CanChangeMembership() const {
-  // A leader must have committed an entry of its own term first (Ongaro's correction of 2015), and
-  // the last change must be committed.
+  // The leader must first have committed an entry of its own term (Ongaro's correction of 2015 to
+  // single-server changes), and the last change must be committed.
   return IsReadyLeader() && log_.configuration_index() <= commit_index_;
 }
 
@@ -115,8 +119,8 @@
                                            std::uint64_t replaces) const {
   std::uint64_t replaced = FindMember(configuration(), replaces) != nullptr ? replaces : 0;
   for (const proto::RaftMember& existing : remaining.members()) {
-    // The member that had this endpoint no longer exists, so it is replaced before one that is only
-    // named.
+    // The member that had this endpoint no longer exists, so it takes precedence over one that the
+    // request names.
     if (SameEndpoint(existing, joining)) {
       replaced = existing.member_id();
     }
@@ -178,7 +182,8 @@
 }
 
 Status RaftCore::UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member) {
-  // The same disk at another address: the set of voters does not change, so this is always safe.
+  // The same disk runs at another address. The set of voters does not change, so this is always
+  // safe.
   proto::RaftConfiguration next = configuration();
   for (proto::RaftMember& existing : *next.mutable_members()) {
     if (existing.member_id() == member.member_id()) {
--- a/src/consensus/raft_core_replication.cc
+++ b/src/consensus/raft_core_replication.cc
@@ -1,5 +1,5 @@
-// The leader: log replication (Raft section 5.3 and 5.4.2), heartbeats, check-quorum, sending
-// snapshots.
+// What a leader does: log replication (Raft sections 5.3 and 5.4.2), heartbeats, check quorum,
+// sending snapshots.
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -11,11 +11,12 @@
 namespace cloverbank {
 namespace {
 
-/// A message with entries or snapshot data is resent when it was not answered for this many
-/// heartbeats. Receiving it twice is harmless.
+/// A message with entries or snapshot data is resent if it is not answered within this many
+/// heartbeat intervals. Receiving it twice is harmless.
 constexpr int kResendAfterHeartbeats = 3;
 
-/// @return the highest value that a majority of `values`, one a voter, reaches.
+/// @param values one per voter.
+/// @return the highest value that a majority of `values` reaches or exceeds.
 template <typename Value>
 Value HighestReachedByMajority(std::vector<Value> values) {
   std::sort(values.begin(), values.end(), std::greater<>());
@@ -135,7 +136,7 @@
   RaftPeer& peer = found->second;
   const auto sent = peer.sent_at.find(sequence);
   if (sent == peer.sent_at.end()) {
-    return nullptr;  // Sent in an earlier term, or already answered.
+    return nullptr;  // The request was sent in an earlier term, or is already answered.
   }
   if (!peer.last_contact || *peer.last_contact < sent->second) {
     peer.last_contact = sent->second;
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -1,8 +1,8 @@
 // Leadership transfer: Ongaro's dissertation, 3.10.
 //
-// A vote in a transfer is granted even to members that have recently heard this leader, which
-// breaks the assumption of its lease. So the lease ends before TimeoutNow is sent, and this leader
-// steps down whatever the outcome.
+// In a transfer, members vote even if they have recently heard this leader, which breaks the
+// assumption of its lease. So the lease ends before TimeoutNow is sent, and from then on this
+// leader steps down whatever the outcome.
 #include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
@@ -41,7 +41,7 @@
     if (transfer_sent_) {
       BecomeFollower(now, term(), 0);
     }
-    return;  // Before TimeoutNow was sent, this leader stays leader.
+    return;  // If TimeoutNow has not been sent, this member stays leader.
   }
   if (transfer_sent_ || target->second.match_index < log_.last_index()) {
     return;
--- a/src/consensus/raft_formation.cc
+++ b/src/consensus/raft_formation.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Whether the group knows this member by its present endpoint.
+/// Whether `configuration` contains this member with its current endpoint.
 bool ContainsMemberAtEndpoint(const proto::RaftConfiguration& configuration,
                               const FormationRound& round) {
   const auto& members = configuration.members();
@@ -14,7 +14,8 @@
   });
 }
 
-/// @return the group to join, if a response shows one.
+/// @return `JoinGroup` if a response names the leader of a group that this member has to join, else
+/// `KeepWaiting`.
 FormationDecision DecideJoin(const FormationRound& round) {
   for (const auto& [endpoint, response] : round.responses) {
     const bool other_cluster = !round.empty && response.cluster_id() != round.cluster_id;
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// How a member without a group joins one or bootstraps a new one. A pure decision over the seeds'
-/// responses.
+/// Decides how a member without a group joins one or bootstraps a new one. Pure functions of the
+/// responses in one discovery round.
 ///
 /// Bootstrap. Only the seed with the lowest endpoint bootstraps the group, and only when in one
 /// round every seed answered that it has no configuration. Why that is safe:
-///  - There can not be two such members: the lowest endpoint is one machine, which runs one process
+///  - There cannot be two such members: the lowest endpoint is one machine, which runs one process
 ///    at a time. (All members must be given the same seeds.)
 ///  - A seed that fails before it answers stops the round: no group is formed until all seeds run.
 ///  - A bootstrapping member that crashes before its configuration is synced has sent it to nobody
@@ -14,7 +14,8 @@
 ///  - Another seed that loses its disk between its answer and the bootstrap is replaced like any
 ///    member: its old id is in the configuration, its new one joins.
 ///  - If the group loses two of three disks, the third member is still not empty, so no new group
-///    is formed. The group is unavailable until an operator decides; it loses nothing silently.
+///    is formed. The group stays unavailable until an operator decides what to do; nothing is lost
+///    silently.
 ///  - A bootstrapping member that loses its disk after others stored its configuration finds them
 ///    not empty and joins. If none of them stored it, nothing was committed, and a second bootstrap
 ///    loses nothing. A delayed message of the first one is refused, because its sender's id is
@@ -44,7 +45,7 @@
   std::vector<Endpoint> seeds;
   /// Whether this may be the first start of the system, so that a group may be bootstrapped.
   bool can_bootstrap = true;
-  /// Responses of others, by the endpoint called.
+  /// Responses of other members, by the endpoint called.
   std::map<Endpoint, proto::DiscoverResponse> responses;
 };
 
@@ -63,8 +64,8 @@
 /// @return what the member has to do after the round; see the top of this file.
 FormationDecision DecideFormation(const FormationRound& round);
 
-/// Which member id was last seen at each endpoint. An id that was followed by another one there
-/// stays superseded, in whatever order delayed messages arrive.
+/// Records which member id was last seen at each endpoint. Once another id has been seen at an
+/// endpoint, the earlier id stays superseded, in whatever order delayed messages arrive.
 class MemberDirectory {
  public:
   void RecordMember(const Endpoint& endpoint, std::uint64_t member_id);
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -14,8 +14,8 @@
 constexpr std::string_view kDiscover = "raft.Discover";
 constexpr std::string_view kJoin = "raft.Join";
 
-/// Interval of discovery rounds, in election timeouts, of a member that is in a group but knows no
-/// leader, or that a full group refused. Others start one each election timeout.
+/// Mean interval of discovery rounds, in election timeouts, for a member that is in a group or that
+/// a full group refused. The interval of others is one election timeout.
 constexpr int kSlowRoundElectionTimeouts = 4;
 
 }  // namespace
@@ -72,8 +72,8 @@
                  leader.valid() ? leader.ToString() : std::string()));
     return;
   }
-  // The request may be a delayed one of a member whose disk was lost since: confirm who runs there
-  // now.
+  // The request may be delayed, and its sender may have lost its disk since: confirm which member
+  // runs at the endpoint now.
   CallPeer<proto::DiscoverResponse>(context_.environment, ToEndpoint(request.member().endpoint()),
                                     kDiscover, MakeDiscoverRequest(),
                                     context_.options.election_timeout,
@@ -130,7 +130,8 @@
 }
 
 void RaftFormationDriver::UpdateOwnEndpoint() {
-  // A leader that restarted at another address can not be reached by referrals to the old one.
+  // A leader that restarted at another address cannot be reached by callers that members refer to
+  // its old address.
   const Endpoint own_endpoint = context_.environment.peer_endpoint();
   if (!context_.IsReadyLeader() || context_.LeaderEndpoint() == own_endpoint) {
     return;
@@ -161,7 +162,7 @@
   const bool urgent = !context_.core->IsMember() && !group_full_;
   const Duration timeout = context_.options.election_timeout;
   const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
-  // With jitter, so that members do not call in lockstep.
+  // Jitter keeps the members from calling each other in lockstep.
   const Duration delay =
       interval / 2 +
       Duration(static_cast<Duration::rep>(context_.environment.Random() %
--- a/src/consensus/raft_formation_driver.h
+++ b/src/consensus/raft_formation_driver.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Discovers, bootstraps or joins the group: calls seeds and members in rounds, executes what
-/// `DecideFormation` returns, and answers raft.Discover and raft.Join. Threads: the environment's
+/// `DecideFormation` decides, and serves raft.Discover and raft.Join. Threads: the environment's
 /// event loop only.
 
 #include <cstdint>
@@ -16,15 +16,16 @@
 
 class RaftFormationDriver {
  public:
-  /// @param context must outlive this.
+  /// @param context must outlive this object.
   explicit RaftFormationDriver(RaftNodeContext& context) : context_(context) {}
   ~RaftFormationDriver() { Stop(); }
   RaftFormationDriver(const RaftFormationDriver&) = delete;
   RaftFormationDriver& operator=(const RaftFormationDriver&) = delete;
 
-  /// Registers the peer methods. This must live as long as the environment's handlers.
+  /// Registers the peer methods. This object must live as long as the environment can call them.
   void Serve();
-  /// Begins to look for a group while this member has none.
+  /// Starts periodic discovery rounds. A round is skipped while this member is in a group and knows
+  /// its leader.
   void Start();
   /// Starts no further round.
   void Stop();
@@ -43,6 +44,7 @@
                                            const Result<proto::DiscoverResponse>& discovered);
   Result<proto::JoinResponse> AdmitJoiningMember(const proto::RaftMember& member,
                                                  std::uint64_t replaces);
+  /// @return a member, other than this one, that is not a seed, if `joining` is a seed; else 0.
   std::uint64_t FindNonSeedMember(const Endpoint& joining) const;
   void UpdateOwnEndpoint();
   proto::DiscoverRequest MakeDiscoverRequest() const;
@@ -61,9 +63,10 @@
   RaftNodeContext& context_;
   TimerId round_timer_ = 0;
   MemberDirectory directory_;
-  /// Members as other members reported them last: no seed may be left by the time they are needed.
+  /// Endpoints of the members as other members last reported them. They are kept because no seed
+  /// may be left by the time this member looks for a group.
   std::set<Endpoint> reported_members_;
-  /// The group was full when this member last asked to join, so it asks less often.
+  /// Whether a full group refused this member's last request to join. It then asks less often.
   bool group_full_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/consensus/raft_log.h
+++ b/src/consensus/raft_log.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// A member's in-memory copy of the replicated log: the entries after a base, and the group
-/// configurations that they contain. Pure data; the owner keeps it in step with the disk. Threads:
+/// configurations that they contain. It does no I/O; its owner writes each change to disk. Threads:
 /// the owner's event loop only.
 
 #include <cstdint>
@@ -13,10 +13,10 @@
 
 namespace cloverbank {
 
-/// The entries (base, last].
+/// The entries after `base_index` up to and including `last_index`.
 class RaftLog {
  public:
-  /// @param configuration in force at the base.
+  /// @param configuration the configuration in force at the base.
   RaftLog(std::uint64_t base_index, std::uint64_t base_term,
           proto::RaftConfiguration configuration);
 
@@ -25,13 +25,14 @@
   std::uint64_t last_index() const { return base_index_ + entries_.size(); }
   std::uint64_t last_term() const;
 
-  /// @return the term of the entry at `index`; none before the base and after the end.
+  /// @return the term of the entry at `index`, the base included; none before the base or after the
+  /// end.
   std::optional<std::uint64_t> TermAt(std::uint64_t index) const;
   /// Requires base < index <= last.
   const proto::RaftEntry& At(std::uint64_t index) const;
   /// @return the index of the first entry in the log that has the term of the entry at `index`.
   std::uint64_t FirstIndexOfTermAt(std::uint64_t index) const;
-  /// @return entries from `first` on, at least one if there is one, within both limits.
+  /// @return entries from `first` on, within both limits, but at least one if there is one.
   std::vector<proto::RaftEntry> Slice(std::uint64_t first, std::size_t maximum_entries,
                                       std::size_t maximum_bytes) const;
 
--- a/src/consensus/raft_node.cc
+++ b/src/consensus/raft_node.cc
@@ -49,7 +49,8 @@
   }
   context_.identity_durable = state->metadata.member_id() != 0;
   if (!context_.identity_durable) {
-    // The disk is empty: a new member, which must not be mistaken for one that has voted.
+    // The disk is empty. This is a new member, with a new id, so that it is not mistaken for one
+    // that has voted.
     state->metadata.set_member_id(std::max<std::uint64_t>(1, context_.environment.Random()));
     RaftWrite identity;
     identity.metadata = state->metadata;
@@ -131,7 +132,7 @@
 
 void RaftNode::ExecuteEffects() {
   if (executing_effects_ || context_.stopped) {
-    return;  // Called from a callback of the loop below, which takes the effects.
+    return;  // A nested call from the loop below, which executes the new effects, or stopped.
   }
   executing_effects_ = true;
   for (RaftEffects effects = context_.core->TakeEffects(); !effects.empty() && !context_.stopped;
@@ -213,7 +214,9 @@
 void RaftNode::ScheduleWakeup() {
   const TimePoint due = context_.core->NextWakeup();
   if (wakeup_timer_ != 0 && wakeup_at_ <= due) {
-    return;  // Fires early and is then scheduled anew: cheaper than a timer a heartbeat.
+    // The timer fires early and is then scheduled anew, which is cheaper than a timer per
+    // heartbeat.
+    return;
   }
   context_.environment.CancelTimer(wakeup_timer_);
   wakeup_at_ = due;
--- a/src/consensus/raft_node.h
+++ b/src/consensus/raft_node.h
@@ -37,13 +37,14 @@
   RaftNode& operator=(const RaftNode&) = delete;
 
   /// Reads the disk and restores the state machine. kCorrupt: the disk lost or damaged synced
-  /// bytes; the member must not start on it.
+  /// bytes; the member must not start with it.
   Status Load();
   /// Starts to serve peers and to write. Requires a successful `Load`.
   void Start();
 
-  /// Besides the documented outcomes, kResourceExhausted: not appended, too many commands are
-  /// uncommitted. `done` gets a refusal before the call returns.
+  /// Besides the outcomes that `ReplicatedLog` documents, kResourceExhausted: not appended, because
+  /// too many commands are uncommitted. If the command is refused, `done` runs before the call
+  /// returns.
   void Propose(std::string command, std::function<void(Result<std::string>)> done) override;
   /// Implies `IsReadyLeader`.
   bool HasLeaderLease() const override;
@@ -54,8 +55,9 @@
   void OnLeadershipChange(std::function<void(bool leads)> observer) override;
   void OnApplied(std::function<void(std::uint64_t index)> observer) override;
 
-  /// Transfers leadership to another member, e.g. before the process ends; complete when the
-  /// observers of the leadership run. kNotLeader, or kUnavailable when no other voter is active.
+  /// Starts to transfer leadership to another member, e.g. before the process ends. The transfer is
+  /// complete when the leadership observers run. kNotLeader: this member is not a ready leader;
+  /// kUnavailable: no other voter is active.
   Status TransferLeadership();
 
   /// For status pages and tests. Requires a successful `Load`.
@@ -64,7 +66,7 @@
 
  private:
   RaftCoreOptions CoreOptions();
-  /// Executes the core's effects until it has none. Calls from within it return at once.
+  /// Executes the core's effects until there are none. Nested calls return at once.
   void ExecuteEffects();
   void Execute(RaftEffects& effects);
   /// Restores the snapshot, applies committed entries, and takes a snapshot if one is due.
@@ -83,7 +85,7 @@
   RaftTransport transport_;
   bool executing_effects_ = false;
 
-  /// The term in which the observers know this member as leader; 0 if none.
+  /// The term in which the observers were last told that this member leads; 0 if none.
   std::uint64_t notified_term_ = 0;
   std::vector<std::function<void(bool)>> leadership_observers_;
   std::vector<std::function<void(std::uint64_t)>> applied_observers_;
--- a/src/consensus/raft_node_context.h
+++ b/src/consensus/raft_node_context.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// State that the parts of one `RaftNode` share: environment, options, the core, and how far the
-/// member has come. Threads: the environment's event loop only.
+/// State that the parts of one `RaftNode` share: environment, options, the core, and the member's
+/// progress. Threads: the environment's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -21,8 +21,8 @@
   /// Executes the core's effects; to be called after each input to the core.
   std::function<void()> execute_effects;
   std::unique_ptr<RaftCore> core;  ///< Null before `RaftNode::Load`.
-  /// The member id is synced. Until then the member answers nobody, since a crash would lose the
-  /// id.
+  /// Whether the member id is synced. Until then the member answers no peer, since a crash would
+  /// lose the id.
   bool identity_durable = false;
   bool stopped = false;  ///< After a fatal error: the member neither answers nor leads.
   std::uint64_t applied_index = 0;
@@ -32,7 +32,7 @@
   bool IsReadyLeader() const;
   /// @return the term that this member leads, ready or not; 0 if none.
   std::uint64_t LeadingTerm() const;
-  /// @return the leader's endpoint as far as known; invalid if unknown.
+  /// @return the leader's endpoint; invalid if it is unknown.
   Endpoint LeaderEndpoint() const;
   std::vector<LogMember> Members() const;
   void RecordRefusal(RaftRefusal reason) const;
--- a/src/consensus/raft_node_options.h
+++ b/src/consensus/raft_node_options.h
@@ -19,16 +19,16 @@
   /// Whether seeds that are all empty may bootstrap a new group. True only on the first start of
   /// the system: later a member with an empty disk can only join.
   bool can_bootstrap = true;
-  /// Voters of a full group, if more than there are seeds. A group needs 2n + 1 to tolerate n
-  /// failures at once.
+  /// Number of voters in a full group; the number of seeds, if that is larger. A group needs 2n + 1
+  /// voters to tolerate n failures at once.
   std::size_t wanted_voters = 0;
-  /// See `RaftCoreOptions`. If set, a member that is no seed is not replaced for that reason: the
-  /// list of seeds may be outdated.
+  /// See `RaftCoreOptions`. If this is zero, a joining seed replaces a member that is not a seed;
+  /// if not, no member is replaced for that reason, since the list of seeds may be outdated.
   Duration replace_unresponsive_after{};
   /// Shortest election timeout; the longest is twice that.
   Duration election_timeout = milliseconds(400);
   Duration heartbeat_interval = milliseconds(100);
-  /// A snapshot is taken after this many commands or bytes of commands.
+  /// A snapshot is taken after this many log entries or bytes of commands.
   std::uint64_t snapshot_threshold_entries = 10000;
   std::uint64_t snapshot_threshold_bytes = 4U << 20U;
   /// Entries before a snapshot that stay in the log, so that a slow member needs no snapshot.
--- a/src/consensus/raft_refusal.h
+++ b/src/consensus/raft_refusal.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Why consensus refused or gave up something, for the metric `raft_refusals_total`.
+/// Reasons for which consensus refuses a request or abandons an operation; labels of the metric
+/// `raft_refusals_total`.
 
 #include <cstdint>
 #include <string_view>
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -10,15 +10,16 @@
 constexpr char kMetadataFile[] = "consensus/metadata";
 constexpr char kSnapshotFile[] = "consensus/snapshot";
 constexpr char kLogFile[] = "consensus/log";
-/// Seed of the records' checksums: records of other files fail the check.
+/// Seed of the records' checksums, so that records of other files fail the check.
 constexpr std::uint64_t kChecksumSeed = 0x7261667431ULL;
 
 Status CorruptFile(const std::string& file, const std::string& problem) {
   return {StatusCode::kCorrupt, file + ": " + problem};
 }
 
-/// Adds one entry as read from the log; it may overwrite earlier ones. @return false if it does not
-/// follow.
+/// Applies one entry that was read from the log file: it replaces the entry at its index, if there
+/// is one, and removes all later ones. @return false if it leaves a gap, lies at or before the
+/// base, or has a lower term than its predecessor.
 bool ReplayEntry(RaftDurableState& state, const proto::RaftEntry& entry) {
   const std::uint64_t last_index = state.base_index + state.entries.size();
   if (entry.index() <= state.base_index || entry.index() > last_index + 1) {
@@ -34,7 +35,7 @@
   return true;
 }
 
-/// @return whether the log contains the entry with which the snapshot ends.
+/// @return whether the log contains the last entry that the snapshot includes.
 bool ContainsLastSnapshotEntry(const RaftDurableState& state) {
   const std::uint64_t index = state.snapshot->last_included_index();
   const std::uint64_t term = state.snapshot->last_included_term();
@@ -198,7 +199,7 @@
   write_in_progress_ = true;
   current_write_ = std::move(queue_.front());
   queue_.pop_front();
-  // Group commit: queued writes are merged as long as they only append to the log.
+  // Group commit: merges the queued writes up to the first that has a snapshot or replaces the log.
   while (!queue_.empty() && !queue_.front().snapshot && !queue_.front().replaces_log) {
     RaftWrite& next = queue_.front();
     current_write_.id = next.id;
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -1,20 +1,20 @@
 #pragma once
 /// @file
 /// A member's files: "consensus/metadata" and "consensus/snapshot" (one framed record each,
-/// replaced atomically), and "consensus/log" (framed `RaftLogRecord`s, one a write).
+/// replaced atomically), and "consensus/log" (framed `RaftLogRecord`s, one per write).
 ///
 /// Writes are executed one after another, with group commit of those that are queued. So at most
 /// the last record of the log can be torn, and the files can be loaded after each step:
 ///  - a torn write of the log is dropped; no response depended on it;
 ///  - a conflicting suffix is overwritten by the same record that appends its replacement, so that
-///    the suffix can not reappear alone;
+///    the suffix cannot reappear without it;
 ///  - a snapshot is written before the log is compacted: until then the log starts earlier than
 ///    needed;
 ///  - a received snapshot that conflicts with the log is written before the log is cleared: a log
 ///    that does not contain the snapshot's last entry is dropped at load.
 ///
-/// A write that finds the disk full leaves nothing behind. It stays pending, with all later ones,
-/// until `Retry` repeats it.
+/// A write that finds the disk full leaves no partial data. It stays pending, with all later
+/// writes, until `Retry` repeats it.
 ///
 /// Threads: the owner's event loop only.
 
@@ -31,11 +31,11 @@
 
 class RaftStorage {
  public:
-  /// @param on_persisted gets the number of the last write that is synced, writes before it
-  /// included.
+  /// @param on_persisted gets the id of the last write that is synced; all earlier writes are
+  /// synced too.
   /// @param on_failed gets the first failure other than a full disk; nothing is written after it.
   /// @param on_disk_full runs at each attempt of a write that finds the disk full, from the
-  /// folder's completions.
+  /// completion callback of `folder`.
   RaftStorage(DataFolder& folder, std::function<void(RaftWriteId)> on_persisted,
               std::function<void(Status)> on_failed, std::function<void(Status)> on_disk_full);
 
@@ -61,8 +61,8 @@
   void WriteSnapshot();
   void WriteLog();
   void FinishWrite();
-  /// @return a callback that continues with `next` unless the write failed or this object was
-  /// destroyed.
+  /// @return a completion callback for `step`: it runs `next` if the write succeeded, else
+  /// `HandleFailure`. It does nothing if this object has been destroyed or has failed.
   /// @param step the step of the write, to be repeated if the disk is full.
   DataFolder::Done ContinueWith(Step step, Step next);
   void HandleFailure(Step step, Status status);
@@ -76,7 +76,7 @@
   bool started_ = false;
   bool write_in_progress_ = false;
   bool failed_ = false;
-  Step step_to_retry_ = nullptr;  ///< To be repeated once the disk has space; null if none.
+  Step step_to_retry_ = nullptr;  ///< The step that found the disk full; null if none.
   bool log_needs_rewrite_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/consensus/raft_transport.cc
+++ b/src/consensus/raft_transport.cc
@@ -13,7 +13,8 @@
 constexpr std::string_view kInstallSnapshot = "raft.InstallSnapshot";
 constexpr std::string_view kTimeoutNow = "raft.TimeoutNow";
 
-/// Deadline of messages with data, in election timeouts: the receiver syncs before it answers.
+/// Deadline of messages with data, in election timeouts. It is long because the receiver syncs
+/// before it answers.
 constexpr int kDataDeadlineElectionTimeouts = 4;
 
 }  // namespace
@@ -125,7 +126,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::AppendEntriesRequest& request) {
-  // A late response to a heartbeat is useless; one to entries still confirms them.
+  // A late response to a heartbeat is useless, while a late one to entries still confirms them.
   const Duration timeout = context_.options.election_timeout;
   const Duration deadline =
       request.entries().empty() ? timeout : kDataDeadlineElectionTimeouts * timeout;
@@ -142,7 +143,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::TimeoutNowRequest& request) {
-  // The response is not needed: the leader waits for the new term, up to a deadline.
+  // The response is not needed: the leader waits for a message of the new term, up to a deadline.
   CallPeer<proto::TimeoutNowResponse>(context_.environment, message.endpoint, kTimeoutNow, request,
                                       context_.options.election_timeout,
                                       [](const Result<proto::TimeoutNowResponse>&) {});
--- a/src/consensus/raft_transport.h
+++ b/src/consensus/raft_transport.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Raft's messages over peer calls: passes requests of other members to the core, and sends the
-/// core's requests and replies. Threads: the environment's event loop only.
+/// Carries Raft's messages over peer calls: passes requests of other members to the core, and sends
+/// the core's requests and replies. Threads: the environment's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -16,17 +16,18 @@
 
 class RaftTransport {
  public:
-  /// Both must outlive this.
+  /// `context` and `directory` must outlive this object.
   RaftTransport(RaftNodeContext& context, const MemberDirectory& directory)
       : context_(context), directory_(directory) {}
 
-  /// Registers the peer methods. This must live as long as the environment's handlers.
+  /// Registers the peer methods. This object must live as long as the environment can call them.
   void Serve();
-  /// Sends a request; the core gets its outcome.
+  /// Sends a request, and passes its response or its failure to the core.
   void Send(const RaftMessage& message);
   /// Answers the request that the core got with the reply's token.
   void SendReply(const RaftReply& reply);
-  /// Fails all requests that the core has not answered: this member has stopped.
+  /// Replies kUnavailable to all requests that the core has not answered, because this member has
+  /// stopped.
   void FailPendingReplies();
 
  private:
@@ -48,7 +49,7 @@
   void SendRequest(const RaftMessage& message, const proto::AppendEntriesRequest& request);
   void SendRequest(const RaftMessage& message, const proto::InstallSnapshotRequest& request);
   void SendRequest(const RaftMessage& message, const proto::TimeoutNowRequest& request);
-  /// Sends a request of the leader; the core gets its response or its failure.
+  /// Sends a request of the leader, and passes its response or its failure to the core.
   template <typename Request, typename Response>
   void SendLeaderRequest(const RaftMessage& message, std::string_view method,
                          const Request& request, Duration deadline,
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What goes into `RaftCore` and comes out of it: options, durable state, effects.
+/// Inputs and outputs of `RaftCore`: options, durable state, messages and effects.
 
 #include <cstdint>
 #include <memory>
@@ -23,38 +23,39 @@
 
 struct RaftCoreOptions {
   /// A member votes for nobody for this long after it heard a leader (dissertation, 4.2.3
-  /// and 6.4.1). The leader's lease rests on it.
+  /// and 6.4.1). The leader's lease depends on this.
   Duration minimum_election_timeout = milliseconds(400);
   /// Election timeouts are drawn between the minimum and this. A leader that no majority answers
   /// for this long steps down (check quorum, dissertation 6.2).
   Duration maximum_election_timeout = milliseconds(800);
   /// Between AppendEntries messages of a leader to each member.
   Duration heartbeat_interval = milliseconds(100);
-  /// The lease is this share of the minimum election timeout shorter, to allow for clock drift.
+  /// The lease is shorter than the minimum election timeout by this share of it, to allow for clock
+  /// drift.
   std::uint32_t lease_margin_percent = 10;
   /// Limits of one AppendEntries message.
   std::size_t maximum_append_entries = 1024;
   std::size_t maximum_append_bytes = 1U << 20U;
   /// Snapshot data in one InstallSnapshot message.
   std::size_t snapshot_chunk_bytes = 256U << 10U;
-  /// Limit of what a learner is sent in one heartbeat interval while it catches up. The rest of the
-  /// leader's bandwidth is left for voters and for the heartbeats of nodes, whose leases must not
-  /// expire meanwhile.
+  /// Limit of the entries or snapshot data that a learner is sent in one heartbeat interval while
+  /// it catches up. This leaves bandwidth of the leader for voters and for the heartbeats of nodes,
+  /// whose leases must not expire meanwhile.
   std::size_t catch_up_bytes = 128U << 10U;
   /// Entries before a snapshot that stay in the log, so that a slow follower needs no snapshot.
   std::uint64_t trailing_entries = 512;
-  /// Limit of the trailing entries' size. The complete log is in memory, and a snapshot rewrites it
-  /// on disk.
+  /// Limit of the trailing entries' total size, because the complete log is kept in memory and each
+  /// snapshot rewrites it on disk.
   std::size_t trailing_bytes = 2U << 20U;
   /// Proposals are refused while this many entries are uncommitted.
   std::uint64_t maximum_uncommitted_entries = 16384;
-  /// Voters of a full group. A join that replaces no member is refused when there are as many
-  /// members.
+  /// Number of voters in a full group. A join that replaces no member is refused when the group has
+  /// this many members.
   std::size_t maximum_members = 3;
   /// A voter that has not answered for this long is replaced by a joining member at another
   /// endpoint that names no member to replace. Zero: never.
   Duration replace_unresponsive_after{};
-  /// Seeds the election timeouts. Differs from member to member.
+  /// Seed of the random election timeouts. It has to differ between members.
   std::uint64_t random_seed = 1;
 };
 
@@ -110,9 +111,9 @@
   std::shared_ptr<const proto::RaftSnapshot> restore;
   /// Committed entries in order of their index, each of them once.
   std::vector<proto::RaftEntry> committed;
-  /// For the metrics.
+  /// Refusals to be counted in the metrics.
   std::vector<RaftRefusal> refusals;
-  /// A broken invariant or damaged state: the member must stop.
+  /// Set if an invariant is violated or the state is damaged: the member must stop.
   std::optional<Status> fatal;
 
   bool empty() const {
