--- a/src/consensus/pending_proposals.cc
+++ b/src/consensus/pending_proposals.cc
@@ -18,7 +18,10 @@
   if (proposal.term == entry.term()) {
     proposal.done(std::move(result));
   } else {
-    proposal.done(Status(StatusCode::kNotLeader, "another leader's command took its place"));
+    proposal.done(Status(StatusCode::kNotLeader,
+                         "the command at index " + std::to_string(entry.index()) + " of term " +
+                             std::to_string(proposal.term) + " was replaced by an entry of term " +
+                             std::to_string(entry.term())));
   }
 }
 
@@ -31,7 +34,8 @@
     }
     const Done done = std::move(first->second.done);
     proposals_.erase(first);
-    done(Status(StatusCode::kUnknownOutcome, "leadership was lost before the commit"));
+    done(Status(StatusCode::kUnknownOutcome,
+                "this member lost leadership before the command was committed"));
   }
 }
 
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -89,11 +89,14 @@
   }
   if (transfer_target_ != 0) {
     RecordRefusal(RaftRefusal::kTransferInProgress);
-    return Status(StatusCode::kNotLeader, "this member is handing leadership over");
+    return Status(StatusCode::kNotLeader, "this member is transferring leadership to another");
   }
   if (log_.last_index() - commit_index_ >= options_.maximum_uncommitted_entries) {
     RecordRefusal(RaftRefusal::kTooManyUncommitted);
-    return Status(StatusCode::kResourceExhausted, "too many commands wait for their commit");
+    return Status(StatusCode::kResourceExhausted,
+                  std::to_string(log_.last_index() - commit_index_) +
+                      " entries are not committed yet; the limit is " +
+                      std::to_string(options_.maximum_uncommitted_entries));
   }
   proto::RaftEntry entry;
   entry.set_index(log_.last_index() + 1);
@@ -123,14 +126,17 @@
 Status RaftCore::AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id) {
   if (recipient_id != member_id()) {
     RecordRefusal(RaftRefusal::kWrongRecipient);
-    return {StatusCode::kNotFound, "another member has taken the place of the one called"};
+    return {StatusCode::kNotFound, "the message is for member " + std::to_string(recipient_id) +
+                                       ", but this is member " + std::to_string(member_id())};
   }
   if (cluster_id == metadata_.cluster_id() && cluster_id != 0) {
     return Status::Ok();
   }
   if (cluster_id == 0 || !IsEmpty()) {
     RecordRefusal(RaftRefusal::kOtherCluster);
-    return {StatusCode::kConflict, "the sender belongs to another cluster"};
+    return {StatusCode::kConflict, "the sender's cluster id is " + std::to_string(cluster_id) +
+                                       ", but this member's is " +
+                                       std::to_string(metadata_.cluster_id())};
   }
   metadata_.set_cluster_id(cluster_id);
   WriteMetadata();
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -12,7 +12,8 @@
     return false;
   }
   if (role_ == RaftRole::kLeader && leader_term == term()) {
-    Fail("two leaders in one term");
+    Fail("two leaders in term " + std::to_string(term()) + ": this member, " +
+         std::to_string(member_id()) + ", and member " + std::to_string(leader_id));
     return false;
   }
   BecomeFollower(now, leader_term, leader_id);
@@ -86,7 +87,9 @@
     }
     if (stored_term) {
       if (entry.index() <= commit_index_) {
-        Fail("a leader contradicts a committed entry");
+        Fail("the leader sent entry " + std::to_string(entry.index()) + " of term " +
+             std::to_string(entry.term()) + ", but the committed entry at this index is of term " +
+             std::to_string(*stored_term));
         return false;
       }
       TruncateLog(entry.index());
--- a/src/consensus/raft_core_membership.cc
+++ b/src/consensus/raft_core_membership.cc
@@ -82,7 +82,9 @@
   }
   if (!CanChangeMembership()) {
     RecordRefusal(RaftRefusal::kMembershipChangePending);
-    return {StatusCode::kUnavailable, "another membership change is under way"};
+    return {
+        StatusCode::kUnavailable,
+        "a membership change is pending, or this leader has committed no entry of its term yet"};
   }
   if (known != nullptr) {
     return UpdateMemberEndpoint(now, member);
@@ -132,11 +134,14 @@
                                   std::uint64_t replaced) {
   if (replaced == member_id()) {
     RecordRefusal(RaftRefusal::kReplacesLeader);
-    return {StatusCode::kConflict, "the leader can not be replaced"};
+    return {StatusCode::kConflict,
+            "the leader, member " + std::to_string(replaced) + ", cannot be replaced"};
   }
   if (replaced == 0 && IsFull(remaining)) {
     RecordRefusal(RaftRefusal::kGroupFull);
-    return {StatusCode::kConflict, "the group is complete; name the member to replace"};
+    return {StatusCode::kConflict, "the group is full with " +
+                                       std::to_string(remaining.members_size()) +
+                                       " members; name the member to replace"};
   }
   return Status::Ok();
 }
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -23,7 +23,8 @@
     }
   }
   if (transfer_target_ == 0) {
-    return {StatusCode::kUnavailable, "no other voter is heard"};
+    return {StatusCode::kUnavailable,
+            "no other voter has answered recently enough to become leader"};
   }
   transfer_deadline_ = now + options_.maximum_election_timeout;
   AdvanceTransfer(now);
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -48,7 +48,8 @@
 Result<proto::DiscoverResponse> RaftFormationDriver::HandleDiscover(
     const proto::DiscoverRequest& request) {
   if (!context_.CanAnswerPeers()) {
-    return Status(StatusCode::kUnavailable, "this member does not take part");
+    return Status(StatusCode::kUnavailable,
+                  "this member has stopped, or its id is not yet synced to disk");
   }
   if (request.member_id() != 0) {
     directory_.RecordMember(ToEndpoint(request.endpoint()), request.member_id());
@@ -89,7 +90,9 @@
     const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& discovered) {
   if (!discovered.ok() || discovered->member_id() != request.member().member_id()) {
     context_.RecordRefusal(RaftRefusal::kJoinUnconfirmed);
-    return Status(StatusCode::kUnavailable, "no such member answers at its endpoint");
+    return Status(StatusCode::kUnavailable,
+                  "member " + std::to_string(request.member().member_id()) +
+                      " does not answer at " + ToEndpoint(request.member().endpoint()).ToString());
   }
   return AdmitJoiningMember(request.member(), request.replaces());
 }
--- a/src/consensus/raft_storage.cc
+++ b/src/consensus/raft_storage.cc
@@ -115,7 +115,7 @@
   RecordReader reader(*bytes, kChecksumSeed);
   const auto payload = reader.Next();
   if (!payload || !message.ParseFromArray(payload->data(), static_cast<int>(payload->size()))) {
-    return CorruptFile(name, "checksum or format is wrong");
+    return CorruptFile(name, "its record has a wrong checksum or cannot be parsed");
   }
   return Status::Ok();
 }
@@ -130,7 +130,7 @@
   while (const auto payload = reader.Next()) {
     proto::RaftLogRecord record;
     if (!record.ParseFromArray(payload->data(), static_cast<int>(payload->size()))) {
-      return CorruptFile(kLogFile, "a record can not be parsed");
+      return CorruptFile(kLogFile, "a record with a valid checksum cannot be parsed");
     }
     if (first) {
       state.base_index = record.base_index();
@@ -139,12 +139,15 @@
     first = false;
     for (const proto::RaftEntry& entry : record.entries()) {
       if (!ReplayEntry(state, entry)) {
-        return CorruptFile(kLogFile, "entries are out of order");
+        return CorruptFile(kLogFile, "entry " + std::to_string(entry.index()) + " of term " +
+                                         std::to_string(entry.term()) +
+                                         " is out of order after entry " +
+                                         std::to_string(state.base_index + state.entries.size()));
       }
     }
   }
   if (reader.tail() == RecordTail::kCorrupt) {
-    return CorruptFile(kLogFile, "a damaged record is followed by later writes");
+    return CorruptFile(kLogFile, "a damaged record is followed by a valid one");
   }
   log_needs_rewrite_ = reader.tail() != RecordTail::kClean;
   return Status::Ok();
@@ -153,11 +156,14 @@
 Status RaftStorage::ReconcileFiles(RaftDurableState& state) {
   const bool has_log = state.base_index != 0 || !state.entries.empty();
   if ((state.snapshot || has_log) && state.metadata.cluster_id() == 0) {
-    return CorruptFile(kMetadataFile, "missing, though there is a log or a snapshot");
+    return CorruptFile(kMetadataFile,
+                       "missing or without a cluster id, though there is a log or a snapshot");
   }
   const std::uint64_t snapshot_index = state.snapshot ? state.snapshot->last_included_index() : 0;
   if (state.base_index > snapshot_index) {
-    return CorruptFile(kSnapshotFile, "missing, though the log starts after it");
+    return CorruptFile(kSnapshotFile,
+                       "missing or too old: it ends at index " + std::to_string(snapshot_index) +
+                           ", but the log starts after index " + std::to_string(state.base_index));
   }
   if (state.snapshot && !ContainsLastSnapshotEntry(state)) {
     state.entries.clear();
@@ -168,7 +174,9 @@
   const std::uint64_t last_term =
       state.entries.empty() ? state.base_term : state.entries.back().term();
   if (last_term > state.metadata.current_term()) {
-    return CorruptFile(kMetadataFile, "older than the log");
+    return CorruptFile(kMetadataFile, "its term " + std::to_string(state.metadata.current_term()) +
+                                          " is lower than the last term of the log, " +
+                                          std::to_string(last_term));
   }
   return Status::Ok();
 }
--- a/src/consensus/raft_transport.cc
+++ b/src/consensus/raft_transport.cc
@@ -79,11 +79,13 @@
 Status RaftTransport::AdmitSender(std::uint64_t sender, std::uint64_t cluster_id,
                                   std::uint64_t recipient_id) {
   if (!context_.CanAnswerPeers()) {
-    return {StatusCode::kUnavailable, "this member does not take part"};
+    return {StatusCode::kUnavailable,
+            "this member has stopped, or its id is not yet synced to disk"};
   }
   if (context_.core->IsEmpty() && directory_.IsSuperseded(sender)) {
     context_.RecordRefusal(RaftRefusal::kSupersededSender);
-    return {StatusCode::kConflict, "the sender's disk has been emptied since"};
+    return {StatusCode::kConflict, "the sender, member " + std::to_string(sender) +
+                                       ", has been superseded by another at its endpoint"};
   }
   return context_.core->AdmitSender(cluster_id, recipient_id);
 }
