--- a/tests/consensus/raft_cluster.cc
+++ b/tests/consensus/raft_cluster.cc
@@ -8,7 +8,7 @@
 
 std::string CommandListStateMachine::Apply(std::uint64_t index, const std::string& command) {
   if (!commands_.empty() && index <= commands_.rbegin()->first) {
-    record_.Fail("index " + std::to_string(index) + " applied out of order");
+    record_.Fail("index " + std::to_string(index) + " was applied out of order");
   }
   Check(index, command);
   return std::to_string(index);
@@ -17,7 +17,7 @@
 void CommandListStateMachine::Check(std::uint64_t index, const std::string& command) {
   const auto [known, added] = record_.applied.emplace(index, command);
   if (!added && known->second != command) {
-    record_.Fail("members applied different commands at " + std::to_string(index));
+    record_.Fail("members applied different commands at index " + std::to_string(index));
   }
   commands_[index] = command;
 }
--- a/tests/consensus/raft_cluster.h
+++ b/tests/consensus/raft_cluster.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A group of `RaftNode`s on a `SimulatedWorld`, with clocks of unequal rate and checks of Raft's
-/// safety properties after every event.
+/// A group of `RaftNode`s in a `SimulatedWorld`, whose clocks may run at different rates. Checks
+/// Raft's safety properties after every event.
 
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
 
 namespace cloverbank {
 
-/// What was observed of all members of one run. Violated invariants are collected in `failures`.
+/// What was observed of all members in one run. Violated invariants are collected in `failures`.
 struct RunRecord {
   struct EntryId {
     std::uint64_t index = 0;
@@ -24,17 +24,19 @@
     }
   };
 
-  std::map<std::uint64_t, std::string> applied;       ///< Command by index.
-  std::map<std::string, std::uint64_t> acknowledged;  ///< Index by command.
-  std::map<std::uint64_t, std::uint64_t> leaders;     ///< Member id by term.
-  std::map<EntryId, std::string> entries;             ///< Content of each entry.
+  std::map<std::uint64_t, std::string> applied;       ///< Applied command by index.
+  std::map<std::string, std::uint64_t> acknowledged;  ///< Index by acknowledged command.
+  std::map<std::uint64_t, std::uint64_t> leaders;     ///< Leader's member id by term.
+  /// Content of each entry, together with the term of its predecessor.
+  std::map<EntryId, std::string> entries;
   std::uint64_t highest_acknowledged = 0;
   std::vector<std::string> failures;
 
   void Fail(std::string what) { failures.push_back(std::move(what)); }
 };
 
-/// An ordered list of commands, compared with what other members applied.
+/// A state machine that keeps its commands by index, and records a failure if another member
+/// applied a different command at the same index.
 class CommandListStateMachine final : public StateMachine {
  public:
   explicit CommandListStateMachine(RunRecord& record) : record_(record) {}
@@ -50,7 +52,7 @@
   std::map<std::uint64_t, std::string> commands_;
 };
 
-/// `Environment` whose clock runs at `rate_percent` of the world's.
+/// An `Environment` whose clock runs at `rate_percent` of the simulated world's clock.
 class DriftingEnvironment final : public Environment {
  public:
   DriftingEnvironment(Environment& inner, int rate_percent) : inner_(inner), rate_(rate_percent) {}
@@ -80,7 +82,8 @@
   int rate_;
 };
 
-/// One process of a member. "test.Propose" proposes the body; "handover..." transfers leadership.
+/// One process of a member. Its peer method "test.Propose" proposes the request's body as a
+/// command; a body that starts with "transfer" transfers leadership instead.
 struct MemberProcess {
   MemberProcess(Environment& inner, DataFolder& folder, int clock_rate, RunRecord& record,
                 RaftNodeOptions options);
@@ -93,9 +96,9 @@
 
 struct ClusterOptions {
   std::size_t size = 3;
-  std::size_t seeds = 0;  ///< The first so many members; 0 is all.
+  std::size_t seeds = 0;  ///< This many of the first members are seeds; 0: all are.
   std::uint64_t seed = 1;
-  std::vector<int> clock_rates = {100};  ///< Percent; taken in turn.
+  std::vector<int> clock_rates = {100};  ///< In percent; assigned to the members in turn.
   RaftNodeOptions node = {};
 };
 
@@ -108,23 +111,28 @@
   std::size_t size() const { return names_.size(); }
   const std::string& name(std::size_t member) const { return names_[member]; }
   SimulatedMachine& machine(std::size_t member) { return world_.machine(names_[member]); }
-  /// @return null while the member does not run.
+  /// @return the process of `member`; null if it does not run or could not load its disk.
   MemberProcess* process(std::size_t member);
+  /// Starts all members that do not run.
   void StartAll();
-  /// Replaces the machine of `member`, also among the seeds, by one with an empty disk at `host`.
-  /// Members read the changed seeds when they start next.
+  /// Replaces the machine of `member`, which must be a seed, by one with an empty disk at `host`,
+  /// also in the list of seeds. Members read the changed list when they next start.
   void ReplaceMachine(std::size_t member, const std::string& host);
   /// Lets time pass and checks the invariants after each event.
   void RunFor(Duration time);
+  /// Like `RunFor`, up to `limit`. @return whether `condition` became true.
   bool RunUntil(const std::function<bool()>& condition, Duration limit);
-  /// Sends a new command, `text` and a counter, to `member`.
+  /// Sends a new command, `text` followed by a counter, to `member`.
   void Propose(std::size_t member, const std::string& text = "c");
-  /// @return the member that is a ready leader in the highest term, or size().
+  /// @return the member that is a ready leader in the highest term; size() if there is none.
   std::size_t Leader();
-  /// Whether there is a leader whose committed configuration is exactly the running members.
+  /// Whether all members run, and there is a ready leader whose committed configuration has exactly
+  /// them as voters.
   bool IsComplete();
   /// Whether every member runs and has applied all commands that any member applied.
   bool HasConverged();
+  /// Checks that entries of the same index and term are the same in all logs seen in this run, and
+  /// so are the terms of their predecessors.
   void CheckLogs();
 
  private:
--- a/tests/consensus/raft_core_fixture.h
+++ b/tests/consensus/raft_core_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A `RaftCore` of a group of three members, without a driver.
+/// One `RaftCore` in a group of three members, without a driver.
 
 #include <gtest/gtest.h>
 
@@ -27,8 +27,8 @@
   return entry;
 }
 
-/// Member 1 of the group {1, 2, 3}, whose log starts with the configuration. The tests make the
-/// requests and responses of members 2 and 3.
+/// Member 1 of the group {1, 2, 3}, whose log starts with the configuration. The tests act as
+/// members 2 and 3.
 class RaftCoreTest : public testing::Test {
  protected:
   RaftCoreTest() {
@@ -49,7 +49,7 @@
 
   void Restart() { core_.emplace(options_, state_, now_); }
   RaftEffects TakeEffects() { return core_->TakeEffects(); }
-  /// Confirms all writes. @return the effects of that.
+  /// Confirms that all writes are synced. @return the effects of this.
   RaftEffects SyncWrites() {
     RaftEffects unsynced = TakeEffects();
     if (!unsynced.writes.empty()) {
@@ -57,7 +57,7 @@
     }
     return TakeEffects();
   }
-  /// From then on the member may vote.
+  /// Lets the time pass after which the member may vote.
   void PassElectionTimeout() { now_ += options_.minimum_election_timeout; }
 
   static proto::RequestVoteRequest MakeVoteRequest(std::uint64_t candidate, std::uint64_t term,
@@ -82,7 +82,7 @@
     *request.mutable_entries() = {entries.begin(), entries.end()};
     return request;
   }
-  /// @return the response to a vote request, which must come as soon as writes are synced.
+  /// @return the response to a vote request, which must come at once or when writes are synced.
   proto::RequestVoteResponse VoteResponseTo(const proto::RequestVoteRequest& request) {
     core_->HandleRequestVote(now_, request, 1);
     RaftEffects effects = TakeEffects();
@@ -92,6 +92,8 @@
     }
     return std::get<proto::RequestVoteResponse>(effects.replies.at(0).response);
   }
+  /// @return the response to entries or a heartbeat, which must come at once or when writes are
+  /// synced.
   proto::AppendEntriesResponse AppendResponseTo(const proto::AppendEntriesRequest& request) {
     core_->HandleAppendEntries(now_, request, 1);
     RaftEffects effects = TakeEffects();
@@ -101,7 +103,7 @@
     }
     return std::get<proto::AppendEntriesResponse>(effects.replies.at(0).response);
   }
-  /// @return the last message of one kind to `member`.
+  /// @return the last `Request` to `member`; an empty one if there is none.
   template <typename Request>
   static Request FindMessage(const RaftEffects& effects, std::uint64_t member) {
     Request found;
@@ -112,6 +114,7 @@
     }
     return found;
   }
+  /// Grants the vote of `voter` that `requested` asks for. @return the effects of this.
   RaftEffects GrantVote(const RaftEffects& requested, std::uint64_t voter) {
     const auto request = FindMessage<proto::RequestVoteRequest>(requested, voter);
     proto::RequestVoteResponse response;
@@ -121,7 +124,8 @@
     core_->HandleRequestVoteResponse(now_, request, response);
     return TakeEffects();
   }
-  /// Elects member 1 with the vote of 2. @return the effects of that, with its no-op unsynced.
+  /// Elects member 1 with the vote of member 2. @return the effects of this; its no-op entry is not
+  /// synced yet.
   RaftEffects Elect() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
@@ -129,6 +133,7 @@
     core_->HandlePersisted(now_, effects.writes.back().id);
     return GrantVote(TakeEffects(), 2);
   }
+  /// Acknowledges, as `member`, all entries up to the last one of `request`.
   void Acknowledge(std::uint64_t member, const proto::AppendEntriesRequest& request) {
     proto::AppendEntriesResponse response;
     response.set_term(core_->term());
@@ -139,7 +144,8 @@
                              static_cast<std::uint64_t>(request.entries_size()));
     core_->HandleAppendEntriesResponse(now_, response);
   }
-  /// Syncs all writes and acknowledges all entries for `answering` members; calls to others fail.
+  /// Executes `effects` and those that follow: syncs all writes, and acknowledges all entries as
+  /// the `answering` members; calls to other members fail.
   void Exchange(RaftEffects effects, const std::set<std::uint64_t>& answering) {
     for (; !effects.empty(); effects = TakeEffects()) {
       if (!effects.writes.empty()) {
@@ -155,12 +161,12 @@
       }
     }
   }
-  /// Elects member 1 and commits its no-op (index 2) with member 2.
+  /// Elects member 1 and commits its no-op entry (index 2) together with member 2.
   void BecomeReadyLeader() {
     Exchange(Elect(), {2});
     ASSERT_TRUE(core_->IsReadyLeader());
   }
-  /// Lets time pass to the next tick. @return its effects.
+  /// Lets time pass until the next tick, and ticks. @return the effects of this.
   RaftEffects Heartbeat() {
     now_ = core_->NextWakeup();
     core_->Tick(now_);
--- a/tests/consensus/raft_core_membership_test.cc
+++ b/tests/consensus/raft_core_membership_test.cc
@@ -37,7 +37,7 @@
   }
 };
 
-TEST_F(RaftMembershipTest, RefusesChangesBeforeAnEntryOfItsTerm) {
+TEST_F(RaftMembershipTest, RefusesChangesBeforeCommittingAnEntryOfItsTerm) {
   Elect();
   EXPECT_EQ(core_->AdmitMember(now_, Member(13), 0).code(), StatusCode::kUnavailable);
 }
@@ -49,8 +49,8 @@
   EXPECT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());
 }
 
-// A machine is replaced by an empty one at another address: otherwise the group would be left with
-// two voters and tolerate no further loss.
+// An empty machine at another address replaces one that does not answer. Otherwise the group would
+// be left with two voters and tolerate no further loss.
 TEST_F(RaftMembershipTest, ReplacesAnUnresponsiveVoter) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
@@ -64,7 +64,7 @@
   EXPECT_THAT(Learners(), ElementsAre());
 }
 
-TEST_F(RaftMembershipTest, AdmitsOneSuccessorOfAVoterAtATime) {
+TEST_F(RaftMembershipTest, AdmitsOneReplacementOfAVoterAtATime) {
   options_.replace_unresponsive_after = seconds(2);
   Restart();
   BecomeReadyLeader();
@@ -74,14 +74,14 @@
   Exchange(TakeEffects(), {2});
   Exchange(Heartbeat(), {2});
   EXPECT_EQ(core_->AdmitMember(now_, Member(15), 0).code(), StatusCode::kConflict);
-  ExchangeHeartbeats(30, {2});  // Nor does its successor.
+  ExchangeHeartbeats(30, {2});  // Its replacement does not answer either.
   ASSERT_TRUE(core_->AdmitMember(now_, Member(15), 0).ok());
   ExchangeHeartbeats(4, {2, 15});
   EXPECT_THAT(Voters(), UnorderedElementsAre(1, 2, 15));
   EXPECT_THAT(Learners(), ElementsAre());
 }
 
-TEST_F(RaftMembershipTest, ReplacesTheSameEndpointBeforeANamedMember) {
+TEST_F(RaftMembershipTest, PrefersTheMemberAtTheSameEndpointToTheNamedOne) {
   BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 2).ok());  // The endpoint of member 3.
   for (const proto::RaftMember& member : core_->configuration().members()) {
@@ -91,7 +91,7 @@
   }
 }
 
-TEST_F(RaftMembershipTest, RemovesADeadVoterBeforePromotingItsSuccessor) {
+TEST_F(RaftMembershipTest, RemovesAnUnresponsiveVoterBeforePromotingItsReplacement) {
   BecomeReadyLeader();
   ASSERT_TRUE(core_->AdmitMember(now_, Member(13), 0).ok());  // The endpoint of member 3.
   Exchange(TakeEffects(), {2, 13});
@@ -109,7 +109,7 @@
   EXPECT_THAT(steps, ElementsAre("1 2 3 13l ", "1 2 13l ", "1 2 13 "));
 }
 
-TEST_F(RaftMembershipTest, PromotesASuccessorBeforeRemovingALiveVoter) {
+TEST_F(RaftMembershipTest, PromotesAReplacementBeforeRemovingAResponsiveVoter) {
   BecomeReadyLeader();
   Exchange(Heartbeat(), {2, 3});
   ASSERT_TRUE(core_->AdmitMember(now_, Member(14), 3).ok());
@@ -136,7 +136,7 @@
   EXPECT_EQ(core_->configuration().members_size(), 4);
 }
 
-TEST_F(RaftMembershipTest, SendsALearnerOneBoundedMessageAHeartbeat) {
+TEST_F(RaftMembershipTest, SendsALearnerOneBoundedMessagePerHeartbeat) {
   constexpr std::size_t kCommandBytes = 30'000;
   options_.catch_up_bytes = 2 * kCommandBytes + 1'000;
   Restart();
@@ -180,12 +180,12 @@
       const auto* append = std::get_if<proto::AppendEntriesRequest>(&message.request);
       if (append != nullptr && message.member_id == 13) {
         EXPECT_LT(append->ByteSizeLong(), kCommandBytes)
-            << "more entries before the next heartbeat";
+            << "the learner got more entries before the next heartbeat";
       }
     }
     Exchange(after, {2, 13});
   }
-  EXPECT_GE(heartbeats, 9U);  // Two commands each; the first message came before.
+  EXPECT_GE(heartbeats, 9U);  // Two commands each; the first message was sent earlier.
   EXPECT_EQ(core_->configuration().members_size(), 3);
 }
 
--- a/tests/consensus/raft_core_test.cc
+++ b/tests/consensus/raft_core_test.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-TEST_F(RaftCoreTest, AnswersAVoteOnlyOnceSynced) {
+TEST_F(RaftCoreTest, AnswersAVoteRequestOnlyOnceTheVoteIsSynced) {
   PassElectionTimeout();
   core_->HandleRequestVote(now_, MakeVoteRequest(2, 5), 9);
   const RaftEffects before_sync = TakeEffects();
@@ -32,7 +32,7 @@
 
 TEST_F(RaftCoreTest, WithholdsVotesAfterARestart) {
   EXPECT_FALSE(VoteResponseTo(MakeVoteRequest(2, 5)).granted())
-      << "it may have heard a leader before";
+      << "it may have heard a leader before the restart";
 }
 
 TEST_F(RaftCoreTest, WithholdsVotesAfterLeaderContact) {
@@ -62,7 +62,7 @@
   EXPECT_TRUE(VoteResponseTo(MakeVoteRequest(3, 2)).granted());
 }
 
-TEST_F(RaftCoreTest, RequestsVotesOnlyOnceItsOwnIsSynced) {
+TEST_F(RaftCoreTest, RequestsVotesOnlyOnceItsOwnVoteIsSynced) {
   now_ = core_->NextWakeup();
   core_->Tick(now_);
   const RaftEffects pre_votes = TakeEffects();
@@ -74,7 +74,7 @@
   EXPECT_EQ(TakeEffects().messages.size(), 2U);
 }
 
-TEST_F(RaftCoreTest, IgnoresAVoteOfAnotherMemberId) {
+TEST_F(RaftCoreTest, IgnoresAVoteFromAnotherMemberId) {
   now_ = core_->NextWakeup();
   core_->Tick(now_);
   auto request = FindMessage<proto::RequestVoteRequest>(TakeEffects(), 2);
@@ -144,7 +144,7 @@
   EXPECT_EQ(core_->commit_index(), 0U);
 }
 
-TEST_F(RaftCoreTest, LeaseStartsAtTheRequestLessAMargin) {
+TEST_F(RaftCoreTest, LeaseCountsFromTheRequestMinusAMargin) {
   BecomeReadyLeader();
   const RaftEffects sent = Heartbeat();
   const TimePoint sent_at = now_;
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -1,4 +1,4 @@
-// Members whose disks are temporarily full.
+// Members whose disks are full for a time must neither stop nor lose acknowledged commands.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,6 +30,7 @@
   bool HasLeader(Duration limit) {
     return cluster.RunUntil([this] { return cluster.Leader() != cluster.size(); }, limit);
   }
+  /// Proposes commands until one is acknowledged. @return whether that was within `limit`.
   bool Acknowledges(Duration limit) {
     const std::size_t before = cluster.record().acknowledged.size();
     return cluster.RunUntil(
@@ -53,7 +54,7 @@
   RaftCluster cluster;
 };
 
-TEST(RaftFullDiskTest, LeaderWithAFullDiskHandsOver) {
+TEST(RaftFullDiskTest, LeaderWithAFullDiskTransfersLeadership) {
   FullDiskRun run(1);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -1,4 +1,5 @@
-// A group of five voters that tolerates two failures at once, and again after each repair.
+// A group of five voters, with three spares, must survive two failures at once, and two more after
+// each repair.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,7 +31,7 @@
  public:
   explicit MachineLossRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
 
-  /// @return machines of the voters in the leader's configuration.
+  /// @return the machines on which voters of the leader's configuration run; none without a leader.
   std::vector<std::size_t> Voters() {
     std::vector<std::size_t> voters;
     const std::size_t leader = cluster.Leader();
@@ -49,10 +50,11 @@
     }
     return voters;
   }
-  /// Whether all voters are present within `limit`.
+  /// @return whether all voters of a full group run within `limit`.
   bool WaitForAllVoters(Duration limit) {
     return cluster.RunUntil([this] { return Voters().size() == kVoters; }, limit);
   }
+  /// Proposes commands until one is acknowledged. @return whether that was within `limit`.
   bool Acknowledges(Duration limit) {
     const std::size_t before = cluster.record().acknowledged.size();
     const TimePoint end = cluster.world().Now() + limit;
@@ -64,7 +66,7 @@
     }
     return cluster.record().acknowledged.size() > before;
   }
-  /// @return two voters, the leader among them in every other round.
+  /// @return the machines of two random voters, with the leader's among them in even rounds.
   std::vector<std::size_t> DrawTwoVoters(int round) {
     std::vector<std::size_t> voters = Voters();
     const std::size_t leader = cluster.Leader();
@@ -109,7 +111,7 @@
     MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (std::size_t removed = 0; removed < kSeeds; ++removed) {
-      run.cluster.machine(removed).LosePower();  // For good.
+      run.cluster.machine(removed).LosePower();  // It does not start again.
       run.cluster.RunFor(seconds(8));
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "seed machine " << removed;
       EXPECT_EQ(run.Voters().size(), kVoters) << "seed machine " << removed;
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -64,7 +64,7 @@
   EXPECT_TRUE(cluster.RunUntil([this] { return cluster.IsComplete(); }, seconds(5)));
 }
 
-TEST_F(RaftNodeTest, EmptiedSeedsFormNoNewGroup) {
+TEST_F(RaftNodeTest, SeedsWithEmptiedDisksFormNoNewGroup) {
   FormGroup();
   ProposeAndWait(3);
   cluster.machine(0).LoseDisk();
@@ -77,7 +77,7 @@
   EXPECT_EQ(cluster.Leader(), cluster.size());
 }
 
-TEST_F(RaftNodeTest, EmptiedMemberRejoinsUnderANewId) {
+TEST_F(RaftNodeTest, MemberWithAnEmptiedDiskRejoinsUnderANewId) {
   FormGroup();
   ProposeAndWait(30);
   const std::size_t member = Follower();
@@ -137,7 +137,8 @@
     ASSERT_TRUE(cluster.RunUntil(
         [&] { return cluster.Leader() != old_leader && cluster.Leader() != cluster.size(); },
         seconds(2)));
-    EXPECT_LT(cluster.world().Now() - start, milliseconds(200)) << "no election timeout passes";
+    EXPECT_LT(cluster.world().Now() - start, milliseconds(200))
+        << "the transfer must not wait for an election timeout";
     cluster.RunFor(milliseconds(300));
   }
   EXPECT_TRUE(record().failures.empty());
@@ -221,7 +222,7 @@
   EXPECT_TRUE(record().failures.empty());
 }
 
-TEST(RaftBootstrapTest, SingleSeedLeadsItself) {
+TEST(RaftBootstrapTest, SingleSeedBecomesLeader) {
   RaftCluster cluster({.size = 1, .seed = 1});
   cluster.StartAll();
   ASSERT_TRUE(cluster.RunUntil([&] { return cluster.IsComplete(); }, seconds(3)));
@@ -231,7 +232,8 @@
   EXPECT_TRUE(cluster.process(0)->node.HasLeaderLease());
 }
 
-// A seed fails at every moment of the bootstrap.
+// One seed loses its power or its disk at a time that moves through the bootstrap in steps of 10
+// ms.
 TEST(RaftBootstrapTest, SurvivesTheLossOfASeedAtAnyMoment) {
   for (int moment = 0; moment < 120; ++moment) {
     RaftCluster cluster({.size = 3, .seed = 1 + static_cast<std::uint64_t>(moment)});
--- a/tests/consensus/raft_simulation_test.cc
+++ b/tests/consensus/raft_simulation_test.cc
@@ -1,30 +1,32 @@
-// Random faults against whole groups. A failing seed is printed; run it alone with
-// CLOVERBANK_SEED=<seed>, or more of them with CLOVERBANK_SCHEDULES=<count>.
+// Runs whole groups under random faults and checks Raft's safety properties. A failing seed is
+// printed: run it alone with CLOVERBANK_SEED=<seed>, or run more seeds with
+// CLOVERBANK_SCHEDULES=<count>.
 //
-// Which planted faults these tests detect: schedules 1 to 3000 (number of failing ones, and the
-// first) and the other tests of this folder, with one fault at a time:
+// Faults that were injected into the code one at a time, and which tests detect them: the number of
+// failing schedules among seeds 1 to 3000, with the first failing one, and the other tests of this
+// folder that fail.
 //
-//   planted fault                                   schedules  other tests that fail
-//   vote answered before it is synced               4 (325)    AnswersAVoteOnlyOnceSynced
-//   votes asked for before the own one is synced    -          RequestsVotesOnlyOnce...
-//   emptied disk votes under its old id             83 (53)    EmptiedMemberRejoins...
-//   lease without its margin                        5 (361)    LeaseStartsAtTheRequest...
-//   lease counted from the answer                   16 (27)    LeaseStartsAtTheRequest...
-//   lease that does not run out                     561 (7)    LeaseStartsAtTheRequest...
-//   votes in spite of a living leader               5 (216)    WithholdsVotesAfterLeader...
-//   promise forgotten at a restart                  1 (1457)   WithholdsVotesAfterARestart
+//   injected fault                                  schedules  other tests that fail
+//   vote answered before it is synced               4 (325)    AnswersAVoteRequest...
+//   votes requested before own vote is synced       -          RequestsVotesOnlyOnce...
+//   emptied disk votes under its old id             83 (53)    MemberWithAnEmptiedDisk...
+//   lease without the margin for clock drift        5 (361)    LeaseCountsFrom...
+//   lease counted from the response                 16 (27)    LeaseCountsFrom...
+//   lease that does not expire                      561 (7)    LeaseCountsFrom...
+//   votes despite recent contact with a leader      5 (216)    WithholdsVotesAfterLeader...
+//   votes not withheld after a restart              1 (1457)   WithholdsVotesAfterARestart
 //   entries of earlier terms committed alone        -          DoesNotCommitEntriesOf...
 //   leader counts entries it has not synced         10 (276)   LeaderCountsOnlyIts...
 //   entries acknowledged before they are synced     51 (22)    AcknowledgesEntriesOnly...
-//   heartbeat vouches for unsynced entries          -          AcknowledgesEntriesOnly...
+//   heartbeat response covers unsynced entries      -          AcknowledgesEntriesOnly...
 //   votes without comparing logs                    422 (7)    RefusesAVoteForAStaleLog
-//   overruled suffix of the log reappears           26 (78)    PowerLossLeavesTheState...
-//   torn tail not cut before the next write         1 (1138)   PowerLossLeavesTheState...
-//   contradicting log kept beside a new snapshot    -          PowerLossLeavesTheState...
-//   log emptied before the snapshot is written      2 (479)    InstallsASnapshotOver...
-//   learners count                                  610 (1)    LearnersDoNotCount...
+//   overwritten suffix of the log reappears         26 (78)    PowerLossKeepsAPrefix...
+//   torn tail not cut before the next write         1 (1138)   PowerLossKeepsAPrefix...
+//   conflicting log kept beside a new snapshot      -          PowerLossKeepsAPrefix...
+//   log cleared before the snapshot is written      2 (479)    InstallsASnapshotOver...
+//   learners count for a majority                   610 (1)    LearnersDoNotCount...
 //   learner promoted before it has caught up        -          DoesNotPromoteALagging...
-//   members exchanged in one step                   -          RemovesADeadVoterBefore...
+//   member replaced in one step                     -          RemovesAnUnresponsive...
 //   membership changed before an entry of the term  -          RefusesChangesBefore...
 #include <gtest/gtest.h>
 
@@ -37,11 +39,11 @@
 constexpr std::uint64_t kDefaultSchedules = 150;
 constexpr int kFaultsInSchedule = 16;
 
-/// One run: a group, a client, and a sequence of faults drawn from the seed.
+/// One run: a group, a client, and a random sequence of faults that the seed determines.
 class Schedule {
  public:
   explicit Schedule(std::uint64_t seed) : cluster_(Options(seed)), world_(cluster_.world()) {
-    if (seed % 4 == 1) {  // Elections so quick that a lease a little too long shows.
+    if (seed % 4 == 1) {  // Elections so fast that a slightly too long lease is detected.
       network_.minimum_delay = std::chrono::microseconds(100);
       network_.maximum_delay = milliseconds(1);
       disks_.minimum_sync = std::chrono::microseconds(100);
@@ -54,12 +56,12 @@
   const std::vector<std::string>& Run() {
     cluster_.StartAll();
     ProposePeriodically();
-    if (RandomBelow(4) != 0) {  // Else faults strike while the group is formed.
+    if (RandomBelow(4) != 0) {  // Else faults occur while the group is being formed.
       cluster_.RunUntil([this] { return cluster_.IsComplete(); }, seconds(5));
     }
     for (int fault = 0; fault < kFaultsInSchedule && Failures().empty(); ++fault) {
       ApplyFault();
-      if (RandomBelow(3) != 0) {  // Else the next one strikes at the same moment.
+      if (RandomBelow(3) != 0) {  // Else the next fault occurs at the same moment.
         cluster_.RunFor(milliseconds(RandomBelow(900)));
       }
       cluster_.CheckLogs();
@@ -87,14 +89,15 @@
 
   std::uint64_t RandomBelow(std::uint64_t bound) { return world_.RandomBelow(bound); }
   std::size_t PickMember() { return RandomBelow(cluster_.size()); }
-  /// @return the leader more often than others.
+  /// @return a random member, the leader more often than others.
   std::size_t PickVictim() {
     const std::size_t leader = cluster_.Leader();
     return leader == cluster_.size() || RandomBelow(2) == 0 ? PickMember() : leader;
   }
   const std::vector<std::string>& Failures() { return cluster_.record().failures; }
 
-  /// Bursts with pauses: while all logs are of the same length, any member can be elected.
+  /// Proposes in bursts with pauses, since any member can be elected while all logs are of the same
+  /// length.
   void ProposePeriodically() {
     cluster_.Propose(PickMember());
     if (const std::size_t leader = cluster_.Leader();
@@ -168,7 +171,8 @@
     StartLater(member);
   }
 
-  /// One member is cut off from the leader; a follower that has heard the leader restarts.
+  /// Cuts one member off from the leader's messages, and restarts a follower that has heard the
+  /// leader: it must not vote for the isolated member at once.
   void RestartVoter() {
     const std::size_t leader = cluster_.Leader();
     const std::size_t isolated = PickMember();
@@ -182,7 +186,7 @@
     HealLater();
   }
 
-  /// Members lose unsynced writes just when they vote.
+  /// Makes members lose unsynced writes while they vote.
   void LosePowerInElection() {
     SlowDisks();
     cluster_.machine(PickVictim()).LosePower();
@@ -236,7 +240,7 @@
   }
 
   void CheckProgressAfterHeal() {
-    cluster_.RunFor(seconds(3));  // All scheduled repairs have happened.
+    cluster_.RunFor(seconds(3));  // By then all scheduled repairs have run.
     world_.HealAll();
     cluster_.StartAll();
     const std::size_t before = cluster_.record().acknowledged.size();
@@ -259,8 +263,8 @@
     }
   }
 
-  NetworkBehaviour network_;  ///< Without faults.
-  DiskBehaviour disks_;
+  NetworkBehaviour network_;  ///< The behaviour without faults.
+  DiskBehaviour disks_;       ///< The behaviour without faults.
   RaftCluster cluster_;
   SimulatedWorld& world_;
 };
--- a/tests/consensus/raft_storage_test.cc
+++ b/tests/consensus/raft_storage_test.cc
@@ -59,14 +59,17 @@
   return writes;
 }
 
-/// "snapshot base:term,term,..." after each write. A received snapshot applies before the log is
-/// cleared.
+/// The state on the disk before the first write and after each write, as `DescribeState` shows it.
+/// A received snapshot takes effect before the log is cleared.
 constexpr std::array<std::string_view, 10> kStateAfterWrite = {
     "0 0:", "0 0:", "0 0:1,1,1,1,1,", "0 0:1,1,2,", "0 0:1,1,2,2,2,2,2,",
     "6 6:", "6 6:", "6 6:4,4,",       "8 6:4,4,",   "8 7:4,"};
-/// The lowest possible term on the disk after each write: metadata is written before the log.
+/// The lowest possible term on the disk before the first write and after each write. It can be
+/// higher, since metadata is written before the log.
 constexpr std::array<std::uint64_t, 10> kLowestTermAfterWrite = {0, 1, 1, 2, 4, 4, 4, 4, 4, 4};
 
+/// @return "<snapshot index> <base index>:<term>,<term>,...", with the term of each entry in the
+/// log.
 std::string DescribeState(const RaftDurableState& state) {
   const std::uint64_t snapshot = state.snapshot ? state.snapshot->last_included_index() : 0;
   std::string text = std::to_string(snapshot) + " " + std::to_string(state.base_index) + ":";
@@ -76,7 +79,7 @@
   return text;
 }
 
-/// One process of the machine.
+/// One process of the machine, which loads the storage and describes what it found.
 struct StorageProcess {
   StorageProcess(DataFolder& folder, RaftWriteId& persisted)
       : storage(
@@ -98,7 +101,7 @@
   std::uint64_t last_index = 0;
 };
 
-/// One machine whose storage has been started.
+/// A world with one machine, whose storage has been started.
 struct StorageWorld {
   explicit StorageWorld(std::uint64_t seed) : world(seed) {
     machine.SetProgram([this](Environment&, DataFolder& folder) {
@@ -115,7 +118,7 @@
   std::shared_ptr<StorageProcess> process;
 };
 
-/// A write after a torn tail must be readable.
+/// Checks that a write after a possibly torn tail is readable after another power loss.
 void CheckThatTheNextWriteIsDurable(SimulatedWorld& world, SimulatedMachine& machine,
                                     const std::shared_ptr<StorageProcess>& process) {
   RaftWrite write = Metadata(9);
@@ -130,7 +133,7 @@
   EXPECT_EQ(process->loaded_state, expected);
 }
 
-TEST(RaftStorageTest, PowerLossLeavesTheStateAfterSomeWrite) {
+TEST(RaftStorageTest, PowerLossKeepsAPrefixOfTheWrites) {
   for (std::uint64_t moment = 0; moment < 300; ++moment) {
     StorageWorld storage_world(moment + 1);
     auto& [world, machine, persisted, process] = storage_world;
