--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -146,6 +146,7 @@
   /// Replies once the write `after` is synced.
   void Reply(RaftReply reply, RaftWriteId after);
   void RecordRefusal(RaftRefusal reason) { effects_.refusals.push_back(reason); }
+  /// Reports a violated invariant, at which the driver has to stop the member.
   void Fail(std::string_view reason);
   Duration RandomBetween(Duration minimum, Duration maximum);
   void SetCommitIndex(std::uint64_t index);
@@ -155,15 +156,21 @@
 
   // raft_core_election.cc
   void StartPreVote(TimePoint now);
+  /// @param transfer whether the leader asked for the election: other members then vote even if
+  /// they have recently heard a leader.
   void StartElection(TimePoint now, bool transfer);
   void CountVote(TimePoint now, std::uint64_t voter_id);
   void SendVoteRequests();
   void BecomeLeader(TimePoint now);
+  /// Whether this member has recently heard a leader, or leads and has recently heard a majority.
+  /// It then votes for nobody, since a leader's lease may depend on that.
   bool MustWithholdVote(TimePoint now) const;
   bool IsVoteAllowed(TimePoint now, const proto::RequestVoteRequest& request);
   bool IsUpToDate(const proto::RequestVoteRequest& request) const;
 
   // raft_core_follower.cc
+  /// Follows the sender of a leader's message. @return false if its term is over, or if this member
+  /// leads in the same term (a violated invariant).
   bool AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id);
   /// Stores the entries and advances the commit index. @return whether the previous entry matches
   /// and the entries are well-formed. Sets the match index in `response`: on success the last index
@@ -179,11 +186,15 @@
   /// @return the offset in bytes from which the leader has to continue.
   std::uint64_t AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request);
   void InstallReceivedSnapshot(const proto::InstallSnapshotRequest& request);
+  /// Removes the entries up to `snapshot_index` from the log, except the trailing ones.
   void CompactLog(std::uint64_t snapshot_index);
+  /// Replaces the log on the disk by the one in memory.
   void RewriteLog();
 
   // raft_core_replication.cc
   void TickLeader(TimePoint now);
+  /// Sends `peer` its next entries or snapshot chunk unless data is in flight or the last call
+  /// failed. Otherwise sends an empty message if `heartbeat` is set.
   void ReplicateTo(TimePoint now, RaftPeer& peer, bool heartbeat);
   void SendEntries(TimePoint now, RaftPeer& peer, bool with_entries);
   void SendSnapshotChunk(TimePoint now, RaftPeer& peer);
@@ -203,6 +214,7 @@
   TimePoint LastQuorumContact(TimePoint now, bool count_start_of_term) const;
 
   // raft_core_transfer.cc
+  /// Sends TimeoutNow once the target has all entries. Gives the transfer up at its deadline.
   void AdvanceTransfer(TimePoint now);
 
   // raft_core_membership.cc
@@ -227,10 +239,15 @@
   Status UpdateMemberEndpoint(TimePoint now, const proto::RaftMember& member);
   void ProposeConfiguration(TimePoint now, const proto::RaftConfiguration& configuration);
   void RebuildPeers(TimePoint now);
+  /// Takes the next step of a pending membership change if a majority of the new configuration is
+  /// active.
   void AdvanceMembership(TimePoint now);
+  /// @return the configuration after the next step of a pending change; none if no step is due.
   std::optional<proto::RaftConfiguration> ComputeNextConfiguration(TimePoint now) const;
   bool HasActiveMajority(TimePoint now, const proto::RaftConfiguration& configuration) const;
+  /// Whether the member heard this leader less than the maximum election timeout ago and answered.
   bool IsActive(TimePoint now, std::uint64_t member_id) const;
+  /// Whether the member is active and has synced all committed entries.
   bool IsCaughtUp(TimePoint now, std::uint64_t member_id) const;
   bool CanChangeMembership() const;
 
--- a/src/consensus/raft_formation.h
+++ b/src/consensus/raft_formation.h
@@ -7,12 +7,13 @@
 /// round every seed answered that it has no configuration. Why that is safe:
 ///  - There cannot be two such members: the lowest endpoint is one machine, which runs one process
 ///    at a time. (All members must be given the same seeds.)
-///  - A seed that fails before it answers stops the round: no group is formed until all seeds run.
+///  - A seed that fails before it answers prevents the bootstrap: no group is formed until all
+///    seeds run.
 ///  - A bootstrapping member that crashes before its configuration is synced has sent it to nobody
 ///    and is empty again. If it crashes afterwards, it restarts with the configuration and answers
 ///    as not empty.
 ///  - Another seed that loses its disk between its answer and the bootstrap is replaced like any
-///    member: its old id is in the configuration, its new one joins.
+///    member: its old id is in the configuration, and its new id joins.
 ///  - If the group loses two of three disks, the third member is still not empty, so no new group
 ///    is formed. The group stays unavailable until an operator decides what to do; nothing is lost
 ///    silently.
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -14,8 +14,9 @@
 constexpr std::string_view kDiscover = "raft.Discover";
 constexpr std::string_view kJoin = "raft.Join";
 
-/// Mean interval of discovery rounds, in election timeouts, for a member that is in a group or that
-/// a full group refused. The interval of others is one election timeout.
+/// Mean interval of discovery rounds, in election timeouts, for a member that is in a group or
+/// whose last request to join was refused with kConflict. The interval of others is one election
+/// timeout.
 constexpr int kSlowRoundElectionTimeouts = 4;
 
 }  // namespace
@@ -162,7 +163,7 @@
 }
 
 void RaftFormationDriver::ScheduleRound() {
-  const bool urgent = !context_.core->IsMember() && !group_full_;
+  const bool urgent = !context_.core->IsMember() && !join_conflict_;
   const Duration timeout = context_.options.election_timeout;
   const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
   // Jitter keeps the members from calling each other in lockstep.
@@ -268,7 +269,7 @@
 }
 
 void RaftFormationDriver::HandleJoinResponse(const Result<proto::JoinResponse>& response) {
-  group_full_ = response.status().code() == StatusCode::kConflict;
+  join_conflict_ = response.status().code() == StatusCode::kConflict;
   if (!response.ok()) {
     Log(LogLevel::kInfo, "raft_join_refused", {{"reason", response.status().ToString()}});
   }
--- a/src/consensus/raft_formation_driver.h
+++ b/src/consensus/raft_formation_driver.h
@@ -66,8 +66,9 @@
   /// Endpoints of the members as other members last reported them. They are kept because no seed
   /// may be left by the time this member looks for a group.
   std::set<Endpoint> reported_members_;
-  /// Whether a full group refused this member's last request to join. It then asks less often.
-  bool group_full_ = false;
+  /// Whether the last request to join was refused with kConflict: the group is full, or the leader
+  /// would be replaced. This member then asks less often.
+  bool join_conflict_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/consensus/raft_node_options.h
+++ b/src/consensus/raft_node_options.h
@@ -31,11 +31,12 @@
   /// A snapshot is taken after this many log entries or bytes of commands.
   std::uint64_t snapshot_threshold_entries = 10000;
   std::uint64_t snapshot_threshold_bytes = 4U << 20U;
-  /// Entries before a snapshot that stay in the log, so that a slow member needs no snapshot.
+  /// Number of entries before a snapshot that stay in the log, so that a slow member needs no
+  /// snapshot.
   std::uint64_t trailing_entries = 512;
-  /// Limit of entries in one message.
+  /// Limit of the number of entries in one message.
   std::size_t maximum_append_entries = 1024;
-  /// Snapshot bytes in one message.
+  /// Limit of the snapshot data in one message, in bytes.
   std::size_t snapshot_chunk_bytes = 256U << 10U;
   /// Runs once when the member has stopped after a fatal error (a failed sync, damaged state). It
   /// then neither answers nor leads; the process should end. A full disk is not fatal: the member
--- a/src/consensus/raft_storage.h
+++ b/src/consensus/raft_storage.h
@@ -52,9 +52,14 @@
   using Step = void (RaftStorage::*)();
 
   Result<std::string> ReadIfPresent(const std::string& name);
+  /// Reads a file of one record into `message`. `present` tells whether the file exists and is not
+  /// empty.
   Status LoadRecord(const std::string& name, google::protobuf::MessageLite& message, bool& present);
   Status LoadLog(RaftDurableState& state);
+  /// Checks that the files belong together, and drops a log that does not contain the last entry of
+  /// the snapshot.
   Status ReconcileFiles(RaftDurableState& state);
+  /// Queues a write that replaces the log file, after its torn tail or its entries were dropped.
   void QueueLogRewrite(const RaftDurableState& state);
   void StartNextWrite();
   void WriteMetadata();
--- a/src/consensus/raft_types.h
+++ b/src/consensus/raft_types.h
@@ -28,7 +28,7 @@
   /// Election timeouts are drawn between the minimum and this. A leader that no majority answers
   /// for this long steps down (check quorum, dissertation 6.2).
   Duration maximum_election_timeout = milliseconds(800);
-  /// Between AppendEntries messages of a leader to each member.
+  /// Interval between AppendEntries messages of a leader to each member.
   Duration heartbeat_interval = milliseconds(100);
   /// The lease is shorter than the minimum election timeout by this share of it, to allow for clock
   /// drift.
@@ -36,13 +36,14 @@
   /// Limits of one AppendEntries message.
   std::size_t maximum_append_entries = 1024;
   std::size_t maximum_append_bytes = 1U << 20U;
-  /// Snapshot data in one InstallSnapshot message.
+  /// Limit of the snapshot data in one InstallSnapshot message.
   std::size_t snapshot_chunk_bytes = 256U << 10U;
   /// Limit of the entries or snapshot data that a learner is sent in one heartbeat interval while
   /// it catches up. This leaves bandwidth of the leader for voters and for the heartbeats of nodes,
   /// whose leases must not expire meanwhile.
   std::size_t catch_up_bytes = 128U << 10U;
-  /// Entries before a snapshot that stay in the log, so that a slow follower needs no snapshot.
+  /// Number of entries before a snapshot that stay in the log, so that a slow follower needs no
+  /// snapshot.
   std::uint64_t trailing_entries = 512;
   /// Limit of the trailing entries' total size, because the complete log is kept in memory and each
   /// snapshot rewrites it on disk.
--- a/tests/consensus/raft_node_test.cc
+++ b/tests/consensus/raft_node_test.cc
@@ -232,8 +232,7 @@
   EXPECT_TRUE(cluster.process(0)->node.HasLeaderLease());
 }
 
-// One seed loses its power or its disk at a time that moves through the bootstrap in steps of 10
-// ms.
+// One seed loses its power or its disk during the bootstrap, 10 ms later in each run.
 TEST(RaftBootstrapTest, SurvivesTheLossOfASeedAtAnyMoment) {
   for (int moment = 0; moment < 120; ++moment) {
     RaftCluster cluster({.size = 3, .seed = 1 + static_cast<std::uint64_t>(moment)});
