--- a/src/consensus/disk_full_handler.cc
+++ b/src/consensus/disk_full_handler.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Between attempts of a write that finds the disk full.
+/// Time between attempts of a write that finds the disk full.
 constexpr Duration kRetryInterval = milliseconds(200);
 
 }  // namespace
@@ -27,7 +27,7 @@
   context_.execute_effects();
 }
 
-void DiskFullHandler::OnWritten() {
+void DiskFullHandler::OnWriteSucceeded() {
   if (!std::exchange(disk_full_, false)) {
     return;
   }
--- a/src/consensus/raft_core.cc
+++ b/src/consensus/raft_core.cc
@@ -22,7 +22,7 @@
   }
   synced_index_ = log_.last_index();
   commit_index_ = snapshot_ ? snapshot_->last_included_index() : 0;
-  // When it last heard a leader is not on the disk: assume that it did just now.
+  // The time of the last contact with a leader is not stored, so assume that it was just now.
   RecordLeaderContact(now);
 }
 
@@ -84,16 +84,19 @@
     TickLeader(now);  // A leader that was suspended detects here that its quorum is lost.
   }
   if (role_ != RaftRole::kLeader) {
-    Refuse(RaftRefusal::kNotLeader);
+    RecordRefusal(RaftRefusal::kNotLeader);
     return Status(StatusCode::kNotLeader, "this member does not lead the group");
   }
   if (transfer_target_ != 0) {
-    Refuse(RaftRefusal::kTransferInProgress);
-    return Status(StatusCode::kNotLeader, "this member is handing leadership over");
+    RecordRefusal(RaftRefusal::kTransferInProgress);
+    return Status(StatusCode::kNotLeader, "this member is transferring leadership to another");
   }
   if (log_.last_index() - commit_index_ >= options_.maximum_uncommitted_entries) {
-    Refuse(RaftRefusal::kTooManyUncommitted);
-    return Status(StatusCode::kResourceExhausted, "too many commands wait for their commit");
+    RecordRefusal(RaftRefusal::kTooManyUncommitted);
+    return Status(StatusCode::kResourceExhausted,
+                  std::to_string(log_.last_index() - commit_index_) +
+                      " entries are not committed yet; the limit is " +
+                      std::to_string(options_.maximum_uncommitted_entries));
   }
   proto::RaftEntry entry;
   entry.set_index(log_.last_index() + 1);
@@ -122,15 +125,18 @@
 
 Status RaftCore::AdmitSender(std::uint64_t cluster_id, std::uint64_t recipient_id) {
   if (recipient_id != member_id()) {
-    Refuse(RaftRefusal::kWrongRecipient);
-    return {StatusCode::kNotFound, "another member has taken the place of the one called"};
+    RecordRefusal(RaftRefusal::kWrongRecipient);
+    return {StatusCode::kNotFound, "the message is for member " + std::to_string(recipient_id) +
+                                       ", but this is member " + std::to_string(member_id())};
   }
   if (cluster_id == metadata_.cluster_id() && cluster_id != 0) {
     return Status::Ok();
   }
   if (cluster_id == 0 || !IsEmpty()) {
-    Refuse(RaftRefusal::kOtherCluster);
-    return {StatusCode::kConflict, "the sender belongs to another cluster"};
+    RecordRefusal(RaftRefusal::kOtherCluster);
+    return {StatusCode::kConflict, "the sender's cluster id is " + std::to_string(cluster_id) +
+                                       ", but this member's is " +
+                                       std::to_string(metadata_.cluster_id())};
   }
   metadata_.set_cluster_id(cluster_id);
   WriteMetadata();
--- a/src/consensus/raft_core_transfer.cc
+++ b/src/consensus/raft_core_transfer.cc
@@ -1,8 +1,8 @@
 // Leadership transfer: Ongaro's dissertation, 3.10.
 //
-// A vote in a transfer is granted even to members that have recently heard this leader, which
-// breaks the assumption of its lease. So the lease ends before TimeoutNow is sent, and this leader
-// steps down whatever the outcome.
+// In a transfer, members vote even if they have recently heard this leader, which breaks the
+// assumption of its lease. So the lease ends before TimeoutNow is sent, and from then on this
+// leader steps down whatever the outcome.
 #include "consensus/endpoint_proto.h"
 #include "consensus/raft_core.h"
 
@@ -23,7 +23,8 @@
     }
   }
   if (transfer_target_ == 0) {
-    return {StatusCode::kUnavailable, "no other voter is heard"};
+    return {StatusCode::kUnavailable,
+            "no other voter has answered recently enough to become leader"};
   }
   transfer_deadline_ = now + options_.maximum_election_timeout;
   AdvanceTransfer(now);
@@ -36,12 +37,12 @@
   }
   const auto target = peers_.find(transfer_target_);
   if (now >= transfer_deadline_ || target == peers_.end()) {
-    Refuse(RaftRefusal::kTransferFailed);
+    RecordRefusal(RaftRefusal::kTransferFailed);
     transfer_target_ = 0;
     if (transfer_sent_) {
       BecomeFollower(now, term(), 0);
     }
-    return;  // Before TimeoutNow was sent, this leader stays leader.
+    return;  // If TimeoutNow has not been sent, this member stays leader.
   }
   if (transfer_sent_ || target->second.match_index < log_.last_index()) {
     return;
@@ -62,7 +63,7 @@
     leader_id_ = 0;
     StartElection(now, true);
   } else {
-    Refuse(RaftRefusal::kTransferStale);
+    RecordRefusal(RaftRefusal::kTransferStale);
   }
 }
 
--- a/src/consensus/raft_transport.cc
+++ b/src/consensus/raft_transport.cc
@@ -13,7 +13,8 @@
 constexpr std::string_view kInstallSnapshot = "raft.InstallSnapshot";
 constexpr std::string_view kTimeoutNow = "raft.TimeoutNow";
 
-/// Deadline of messages with data, in election timeouts: the receiver syncs before it answers.
+/// Deadline of messages with data, in election timeouts. It is long because the receiver syncs
+/// before it answers.
 constexpr int kDataDeadlineElectionTimeouts = 4;
 
 }  // namespace
@@ -50,11 +51,11 @@
           return;
         }
         const RaftReplyToken token = ++last_token_;
-        pending_replies_[token] = [reply = std::move(reply)](const RaftReply* answer) {
-          if (answer == nullptr) {
+        pending_replies_[token] = [reply = std::move(reply)](const RaftReply* core_reply) {
+          if (core_reply == nullptr) {
             reply(Status(StatusCode::kUnavailable, "this member has stopped"));
           } else {
-            reply(std::get<Response>(answer->response));
+            reply(std::get<Response>(core_reply->response));
           }
         };
         (context_.core.get()->*handle)(context_.environment.Now(), request, token);
@@ -78,11 +79,13 @@
 Status RaftTransport::AdmitSender(std::uint64_t sender, std::uint64_t cluster_id,
                                   std::uint64_t recipient_id) {
   if (!context_.CanAnswerPeers()) {
-    return {StatusCode::kUnavailable, "this member does not take part"};
+    return {StatusCode::kUnavailable,
+            "this member has stopped, or its id is not yet synced to disk"};
   }
   if (context_.core->IsEmpty() && directory_.IsSuperseded(sender)) {
     context_.RecordRefusal(RaftRefusal::kSupersededSender);
-    return {StatusCode::kConflict, "the sender's disk has been emptied since"};
+    return {StatusCode::kConflict, "the sender, member " + std::to_string(sender) +
+                                       ", has been superseded by another at its endpoint"};
   }
   return context_.core->AdmitSender(cluster_id, recipient_id);
 }
@@ -125,7 +128,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::AppendEntriesRequest& request) {
-  // A late response to a heartbeat is useless; one to entries still confirms them.
+  // A late response to a heartbeat is useless, while a late one to entries still confirms them.
   const Duration timeout = context_.options.election_timeout;
   const Duration deadline =
       request.entries().empty() ? timeout : kDataDeadlineElectionTimeouts * timeout;
@@ -142,7 +145,7 @@
 
 void RaftTransport::SendRequest(const RaftMessage& message,
                                 const proto::TimeoutNowRequest& request) {
-  // The response is not needed: the leader waits for the new term, up to a deadline.
+  // The response is not needed: the leader waits for a message of the new term, up to a deadline.
   CallPeer<proto::TimeoutNowResponse>(context_.environment, message.endpoint, kTimeoutNow, request,
                                       context_.options.election_timeout,
                                       [](const Result<proto::TimeoutNowResponse>&) {});
