--- a/src/calls/active_replicas.h
+++ b/src/calls/active_replicas.h
@@ -28,7 +28,7 @@
   const std::set<std::string>& ids() const { return ids_; }
   /// The first health check of a replica succeeded.
   /// @return whether the replica was listed before this gateway watched any.
-  bool ConsumePreexisting(const std::string& id) { return preexisting_.erase(id) > 0; }
+  bool TakePreexisting(const std::string& id) { return preexisting_.erase(id) > 0; }
 
  private:
   std::set<std::string> ids_;
--- a/src/calls/attempt_session.cc
+++ b/src/calls/attempt_session.cc
@@ -21,14 +21,14 @@
   }
 }
 
-FailureClassification AttemptSession::ClassifyNoResponse(const HttpOutcome& outcome,
+FailureClassification AttemptSession::ClassifyIncomplete(const HttpOutcome& outcome,
                                                          bool head_received) const {
-  NoResponseContext known;
-  known.send_denied = send_denied_;
-  known.head_received = head_received;
-  known.deadline_reached = context_.environment.Now() >= request_.deadline;
-  known.time_allowed = request_.deadline - sent_at_;
-  return ClassifyTimeout(outcome, known, context_.options);
+  IncompleteResponseContext context;
+  context.send_denied = send_denied_;
+  context.head_received = head_received;
+  context.deadline_reached = context_.environment.Now() >= request_.deadline;
+  context.time_allowed = request_.deadline - sent_at_;
+  return ClassifyIncompleteResponse(outcome, context, context_.options);
 }
 
 }  // namespace cloverbank
--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -27,15 +27,15 @@
   void MarkDone() { done_ = true; }
   bool done() const { return done_; }
   /// @return how far the attempt is, for one that is being cancelled.
-  CancelledWhen cancelled_when() const {
-    return send_checked_ && !send_denied_ ? CancelledWhen::kMaybeSent : CancelledWhen::kNotUnderWay;
+  CancelResult cancel_result() const {
+    return send_checked_ && !send_denied_ ? CancelResult::kMaybeSent : CancelResult::kNotInProgress;
   }
 
   /// @return time since `Begin`.
   Duration Elapsed() const { return context_.environment.Now() - sent_at_; }
   /// Classifies a call that ended without a complete response.
   /// @param head_received whether the replica had begun to respond.
-  FailureClassification ClassifyNoResponse(const HttpOutcome& outcome, bool head_received) const;
+  FailureClassification ClassifyIncomplete(const HttpOutcome& outcome, bool head_received) const;
 
  private:
   const AttemptContext& context_;
--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-FailureClassification ClassifyRefusal(int status, const std::string& body) {
+FailureClassification ClassifyErrorResponse(int status, const std::string& body) {
   proto::ErrorBody parsed;
   const bool readable = FromJson(body, &parsed, UnknownFields::kIgnore).ok() && parsed.has_error();
   const proto::Executed reported = parsed.error().executed();
@@ -52,24 +52,25 @@
   return classification;
 }
 
-FailureClassification ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
-                                      const CallOptions& options) {
+FailureClassification ClassifyIncompleteResponse(const HttpOutcome& outcome,
+                                                 const IncompleteResponseContext& context,
+                                                 const CallOptions& options) {
   FailureClassification classification;
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
     const bool deadline_too_short =
-        known.deadline_reached && known.time_allowed < options.minimum_response_time;
+        context.deadline_reached && context.time_allowed < options.minimum_response_time;
     classification.health =
-        known.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
+        context.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
     classification.result.end = AttemptEnd::kNotRun;
-    const std::string code = known.send_denied ? "right_ended" : "replica_unreachable";
+    const std::string code = context.send_denied ? "right_ended" : "replica_unreachable";
     classification.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
     return classification;
   }
   // A deadline that is too short for any replica, or that ends a response in progress, is not the
   // replica's fault.
   const bool deadline_too_short =
-      known.head_received || known.time_allowed < options.minimum_response_time;
-  const bool not_replica_fault = known.deadline_reached && deadline_too_short;
+      context.head_received || context.time_allowed < options.minimum_response_time;
+  const bool not_replica_fault = context.deadline_reached && deadline_too_short;
   classification.health = not_replica_fault ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
   classification.result.end = AttemptEnd::kUnknown;
   classification.result.error =
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -33,7 +33,7 @@
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kUnknown;
   proto::CallError error;  ///< Code and message, unless complete.
-  bool final = false;      ///< A retry would fail in the same way.
+  bool permanent = false;  ///< A retry would fail in the same way.
 };
 
 /// What attempts need of the gateway.
@@ -45,9 +45,9 @@
 };
 
 /// How far an attempt was when it was cancelled.
-enum class CancelledWhen : std::uint8_t {
-  kNotUnderWay,  ///< Before its first byte was sent, or after its end.
-  kMaybeSent,    ///< Bytes may have reached the replica.
+enum class CancelResult : std::uint8_t {
+  kNotInProgress,  ///< Before its first byte was sent, or after its end.
+  kMaybeSent,      ///< Bytes may have reached the replica.
 };
 
 class CallAttempt {
@@ -55,7 +55,7 @@
   virtual ~CallAttempt() = default;
   virtual void Start() = 0;
   /// Closes the connection to the replica; no callback runs after.
-  virtual CancelledWhen Cancel() = 0;
+  virtual CancelResult Cancel() = 0;
 };
 
 // ---- Attempts of the JSON interface ----
@@ -89,9 +89,9 @@
 };
 
 /// Classifies the status and body of a response other than 200.
-FailureClassification ClassifyRefusal(int status, const std::string& body);
+FailureClassification ClassifyErrorResponse(int status, const std::string& body);
 /// What is known of a call that ended without a complete response.
-struct NoResponseContext {
+struct IncompleteResponseContext {
   bool send_denied = false;    ///< `may_send` returned false: nothing was sent.
   bool head_received = false;  ///< The head of the response was received.
   bool deadline_reached = false;
@@ -99,8 +99,9 @@
 };
 
 /// Classifies a call that ended without a complete response.
-FailureClassification ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
-                                      const CallOptions& options);
+FailureClassification ClassifyIncompleteResponse(const HttpOutcome& outcome,
+                                                 const IncompleteResponseContext& context,
+                                                 const CallOptions& options);
 /// @return the request to `path` at a replica.
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
                                Duration remaining);
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -41,7 +41,7 @@
       on_done_(std::move(done)),
       retry_options_(OptionsFor(spec_, context.retry_options)),
       retry_(retry_options_, context.retry_budget),
-      split_draw_(context.attempt.environment.Random()) {}
+      split_random_(context.attempt.environment.Random()) {}
 
 CallRunner::~CallRunner() { (void)Cancel(); }
 
@@ -51,7 +51,7 @@
   timer_ = context_.attempt.environment.ScheduleAfter(delay, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->timer_ = 0;
-      self->AttemptNow();
+      self->TrySendOrWait();
     }
   });
 }
@@ -65,46 +65,46 @@
   if (wait_id_ != 0) {
     context_.queue.Remove(wait_id_);
   }
-  const bool under_way = attempt_ != nullptr && attempt_->Cancel() == CancelledWhen::kMaybeSent;
-  return under_way ? proto::EXECUTED_UNKNOWN : retry_.executed();
+  const bool maybe_sent = attempt_ != nullptr && attempt_->Cancel() == CancelResult::kMaybeSent;
+  return maybe_sent ? proto::EXECUTED_UNKNOWN : retry_.executed();
 }
 
-void CallRunner::AttemptNow() {
+void CallRunner::TrySendOrWait() {
   if (done_) {
     return;
   }
-  const bool others_wait = context_.queue.Waiting(spec_.backend) > 0;
-  if (others_wait || AttemptForward() == Placement::kNoCapacity) {
-    Wait();
+  const bool other_calls_wait = context_.queue.Waiting(spec_.backend) > 0;
+  if (other_calls_wait || TrySend() == TrySendResult::kNoCapacity) {
+    WaitInQueue();
   }
 }
 
-CallRunner::Placement CallRunner::AttemptForward() {
+CallRunner::TrySendResult CallRunner::TrySend() {
   const proto::Route* route = FindRoute(context_.permission.configuration(), spec_.route);
-  if (const std::optional<CallFailure> obstacle = FindObstacle(route)) {
-    FinishWith(*obstacle);
-    return Placement::kEnded;
+  if (const std::optional<CallFailure> failure = CheckPreconditions(route)) {
+    FinishWith(*failure);
+    return TrySendResult::kEnded;
   }
-  spec_.backend = ChooseBackend(*route, split_draw_);
+  spec_.backend = ChooseBackend(*route, split_random_);
   if (!context_.attempt.pool.list_usable()) {
-    return Placement::kNoCapacity;  // The process was frozen: a new list is being read.
+    return TrySendResult::kNoCapacity;  // The process was frozen: a new list is being read.
   }
   const RoutingChoice choice = context_.attempt.pool.Choose(MakeRoutingQuery(*route));
   if (choice.replica != nullptr) {
     Send(*choice.replica, *route);
-    return Placement::kSent;
+    return TrySendResult::kSent;
   }
   const bool temporary = choice.failure == RoutingFailure::kNoCapacity ||
                          choice.failure == RoutingFailure::kNoHealthyReplica;
   if (temporary) {
-    return Placement::kNoCapacity;
+    return TrySendResult::kNoCapacity;
   }
   FinishWith(RoutingFailureName(choice.failure),
              "no replica serves this route now; come back later", kRetryAfter);
-  return Placement::kEnded;
+  return TrySendResult::kEnded;
 }
 
-std::optional<CallFailure> CallRunner::FindObstacle(const proto::Route* route) const {
+std::optional<CallFailure> CallRunner::CheckPreconditions(const proto::Route* route) const {
   if (context_.attempt.environment.Now() >= spec_.deadline) {
     return CallFailure::kDeadlineReached;
   }
@@ -190,7 +190,7 @@
          context_.attempt.pool.CanSend(use, *route);
 }
 
-void CallRunner::Wait() {
+void CallRunner::WaitInQueue() {
   if (spec_.work == WorkKind::kBatch) {
     FinishWith(CallFailure::kNoCapacity);
     return;
@@ -214,7 +214,7 @@
   if (done_) {
     return ServeResult::kServed;
   }
-  if (AttemptForward() == Placement::kNoCapacity) {
+  if (TrySend() == TrySendResult::kNoCapacity) {
     return ServeResult::kNoCapacity;
   }
   wait_id_ = 0;
@@ -238,7 +238,7 @@
     return;
   }
   Environment& environment = context_.attempt.environment;
-  const bool repeatable = IsRepeatableNow() && !result.final;
+  const bool repeatable = IsRepeatableNow() && !result.permanent;
   const RetryDecision decision = retry_.Decide(result.end, repeatable, environment.Random());
   environment.metrics().Increment(
       "gateway_attempt_failures_total",
@@ -253,17 +253,17 @@
       FinishFailed(result);
       return;
     case RetryAction::kSendElsewhere:
-      if (AttemptForward() == Placement::kNoCapacity) {
-        Wait();
+      if (TrySend() == TrySendResult::kNoCapacity) {
+        WaitInQueue();
       }
       return;
-    case RetryAction::kSendLater:
+    case RetryAction::kSendAfterBackoff:
     case RetryAction::kWaitForCapacity:
       if (decision.action == RetryAction::kWaitForCapacity && spec_.work == WorkKind::kBatch) {
         FinishWith(result.error.code(), result.error.message(), kRetryAfter);
         return;
       }
-      if (decision.action == RetryAction::kSendLater) {
+      if (decision.action == RetryAction::kSendAfterBackoff) {
         spec_.wait_until = spec_.deadline;  // The wait for capacity starts anew.
       }
       ScheduleAttempt(decision.backoff);
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -78,19 +78,19 @@
   const std::string& call_id() const { return spec_.exchange->call_id(); }
 
  private:
-  enum class Placement : std::uint8_t { kSent, kNoCapacity, kEnded };
+  enum class TrySendResult : std::uint8_t { kSent, kNoCapacity, kEnded };
 
-  void AttemptNow();
-  Placement AttemptForward();
+  void TrySendOrWait();
+  TrySendResult TrySend();
   /// @param route nullptr if the configuration no longer has it.
   /// @return why the call must end instead of being forwarded, if so.
-  std::optional<CallFailure> FindObstacle(const proto::Route* route) const;
+  std::optional<CallFailure> CheckPreconditions(const proto::Route* route) const;
   RoutingQuery MakeRoutingQuery(const proto::Route& route) const;
   void Send(const ReplicaRecord& replica, const proto::Route& route);
   AttemptRequest MakeAttemptRequest(const ReplicaRecord& replica, const proto::Route& route);
   ExchangeEvents MakeExchangeEvents();
   bool CanSendNow(const ReplicaUse& use) const;
-  void Wait();
+  void WaitInQueue();
   void OnAttemptDone(const AttemptResult& result);
   void RetryOrFinish(const AttemptResult& result, const RetryDecision& decision);
   void FinishFailed(const AttemptResult& result);
@@ -112,7 +112,7 @@
   const RetryOptions retry_options_;  ///< With the call's own number of attempts.
   RetryState retry_;
   const std::uint64_t
-      split_draw_;  ///< Random number that assigns the call to a back end of a split route.
+      split_random_;  ///< Random number that assigns the call to a back end of a split route.
   std::vector<std::string>
       attempted_;  ///< Replicas used since the last wait; excluded from the next choice.
   std::shared_ptr<CallAttempt> attempt_;
--- a/src/calls/capacity_allowances.cc
+++ b/src/calls/capacity_allowances.cc
@@ -16,27 +16,27 @@
                                       const proto::RoutingConfiguration& configuration,
                                       ReplicaLoad& load) {
   const TimePoint now = environment_.Now();
-  GrantBatch(replica, configuration, load, now);
+  UpdateBatchAllowance(replica, configuration, load, now);
   if (health_.IsInSlowStart(replica.id, now)) {
-    GrantSlowStartCalls(replica, load, now);
+    UpdateSlowStartAllowance(replica, load, now);
   }
 }
 
-void CapacityAllowances::GrantBatch(const ReplicaRecord& replica,
-                                    const proto::RoutingConfiguration& configuration,
-                                    ReplicaLoad& load, TimePoint now) {
-  const Router::BatchCapacityReserve headroom =
+void CapacityAllowances::UpdateBatchAllowance(const ReplicaRecord& replica,
+                                              const proto::RoutingConfiguration& configuration,
+                                              ReplicaLoad& load, TimePoint now) {
+  const Router::BatchCapacityReserve capacity =
       router_.CapacityReserveFor(replica, configuration, now);
-  if (load.own_batch() > 0 && load.total() > headroom.bound) {
+  if (load.own_batch() > 0 && load.total() > capacity.bound) {
     batch_pacer_.OnCollision(now);
   } else if (load.own_batch() > 0) {
     batch_pacer_.OnSmoothReport();
   }
-  load.SetBatchAllowance(batch_pacer_.Allowance(headroom.free, environment_.Random()), now);
+  load.SetBatchAllowance(batch_pacer_.Allowance(capacity.free, environment_.Random()), now);
 }
 
-void CapacityAllowances::GrantSlowStartCalls(const ReplicaRecord& replica, ReplicaLoad& load,
-                                             TimePoint now) {
+void CapacityAllowances::UpdateSlowStartAllowance(const ReplicaRecord& replica, ReplicaLoad& load,
+                                                  TimePoint now) {
   const std::uint32_t limit = health_.GetLimit(replica.id, load.Capacity(replica.capacity), now);
   if (load.own() > 0 && load.total() > limit) {
     slow_start_pacer_.OnCollision(now);
--- a/src/calls/capacity_allowances.h
+++ b/src/calls/capacity_allowances.h
@@ -27,9 +27,10 @@
   void PublishMetrics();
 
  private:
-  void GrantBatch(const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
-                  ReplicaLoad& load, TimePoint now);
-  void GrantSlowStartCalls(const ReplicaRecord& replica, ReplicaLoad& load, TimePoint now);
+  void UpdateBatchAllowance(const ReplicaRecord& replica,
+                            const proto::RoutingConfiguration& configuration, ReplicaLoad& load,
+                            TimePoint now);
+  void UpdateSlowStartAllowance(const ReplicaRecord& replica, ReplicaLoad& load, TimePoint now);
 
   Environment& environment_;
   const Router& router_;
--- a/src/calls/event_stream.cc
+++ b/src/calls/event_stream.cc
@@ -11,10 +11,10 @@
 constexpr std::string_view kDataField = "data";
 
 /// @return one past the empty line that ends the first event from `from` on, or npos.
-std::size_t FindEnd(std::string_view bytes, std::size_t from) {
-  for (std::size_t feed = bytes.find('\n', from); feed != std::string_view::npos;
-       feed = bytes.find('\n', feed + 1)) {
-    std::size_t next = feed + 1;
+std::size_t FindEventEnd(std::string_view bytes, std::size_t from) {
+  for (std::size_t line_feed = bytes.find('\n', from); line_feed != std::string_view::npos;
+       line_feed = bytes.find('\n', line_feed + 1)) {
+    std::size_t next = line_feed + 1;
     if (next < bytes.size() && bytes[next] == '\r') {
       ++next;
     }
@@ -25,7 +25,7 @@
   return std::string_view::npos;
 }
 
-void HandleLine(std::string_view line, bool* has_data, StreamEvent* event) {
+void ParseLine(std::string_view line, bool* has_data, StreamEvent* event) {
   const std::size_t colon = line.find(':');
   const std::string_view field = line.substr(0, colon);
   std::string_view value = colon == std::string_view::npos ? "" : line.substr(colon + 1);
@@ -52,7 +52,7 @@
     if (!line.empty() && line.back() == '\r') {
       line.remove_suffix(1);
     }
-    HandleLine(line, &has_data, &event);
+    ParseLine(line, &has_data, &event);
   }
   return event;
 }
@@ -60,7 +60,7 @@
 }  // namespace
 
 std::optional<StreamEvent> EventSplitter::Next() {
-  const std::size_t end = FindEnd(buffer_, searched_);
+  const std::size_t end = FindEventEnd(buffer_, searched_);
   if (end == std::string::npos) {
     // The end may straddle what comes next: "\n" or "\n\r" at the very end.
     constexpr std::size_t kLongestPartialEnd = 2;
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -20,18 +20,19 @@
 
 class EventSplitter {
  public:
-  explicit EventSplitter(std::size_t largest_event) : largest_event_(largest_event) {}
+  explicit EventSplitter(std::size_t maximum_event_bytes)
+      : maximum_event_bytes_(maximum_event_bytes) {}
 
   void Append(std::string_view bytes) { buffer_.append(bytes); }
   /// @return the next complete event, if there is one.
   std::optional<StreamEvent> Next();
   /// Whether the incomplete event is larger than allowed.
-  bool IsTooLarge() const { return buffer_.size() > largest_event_; }
+  bool IsTooLarge() const { return buffer_.size() > maximum_event_bytes_; }
   /// Whether bytes of an incomplete event are left.
   bool HasPartial() const { return !buffer_.empty(); }
 
  private:
-  std::size_t largest_event_;
+  std::size_t maximum_event_bytes_;
   std::string buffer_;
   std::size_t searched_ = 0;  ///< Bytes already searched for the end of an event.
 };
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -17,7 +17,7 @@
 bool IsSuccess(int status) { return status < kFirstClientError; }
 
 /// Statuses by which a replica turns a request away; only its own mark makes them a promise.
-bool IsRejection(int status) {
+bool IsRefusalStatus(int status) {
   return status == kHttpMisdirected || status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
 
@@ -26,9 +26,7 @@
   return status >= kFirstServerError || status == kHttpTooManyRequests;
 }
 
-std::string MessageForStatus(int status) {
-  return "the replica answered " + std::to_string(status);
-}
+std::string DescribeStatus(int status) { return "the replica answered " + std::to_string(status); }
 
 std::int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<milliseconds>(duration).count();
@@ -48,7 +46,7 @@
       return "event_too_large";
     case ResponseFault::kGap:
       return "gap";
-    case ResponseFault::kCutEvent:
+    case ResponseFault::kTruncated:
       return "cut_event";
     case ResponseFault::kNotResumed:
       return "not_resumed";
@@ -132,9 +130,9 @@
 }
 
 void ForwardAttempt::ArmResponseTimer() {
-  const Duration patience =
+  const Duration timeout =
       std::max(context_.options.response_timeout, 2 * exchange_->call().target);
-  response_timer_ = context_.environment.ScheduleAfter(patience, [weak = weak_from_this()] {
+  response_timer_ = context_.environment.ScheduleAfter(timeout, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->response_timer_ = 0;
       self->CheckResponseTimeout();
@@ -146,26 +144,26 @@
   if (session_.done()) {
     return;
   }
-  const bool heard = std::exchange(received_since_check_, false);
-  const bool elsewhere = request_.can_retry_elsewhere && request_.can_retry_elsewhere();
+  const bool received = std::exchange(received_since_check_, false);
+  const bool can_retry = request_.can_retry_elsewhere && request_.can_retry_elsewhere();
   // Retry only if the replica responds to none of this gateway's calls; a slow one is waited for.
-  if (!heard && elsewhere && !event_in_flight_ && context_.pool.IsStalled(request_.use)) {
+  if (!received && can_retry && !event_in_flight_ && context_.pool.IsStalled(request_.use)) {
     AbortResponse(ResponseFault::kNoResponse);
     return;
   }
   ArmResponseTimer();
 }
 
-CancelledWhen ForwardAttempt::Cancel() {
+CancelResult ForwardAttempt::Cancel() {
   if (session_.done()) {
-    return CancelledWhen::kNotUnderWay;
+    return CancelResult::kNotInProgress;
   }
   session_.MarkDone();
   if (call_ != nullptr) {
     call_->Cancel();
   }
   Release(CallEnd::kWithdrawn);
-  return session_.cancelled_when();
+  return session_.cancel_result();
 }
 
 void ForwardAttempt::OnHead(int status, const HttpHeaders& headers) {
@@ -177,7 +175,7 @@
   headers_ = headers;
   const ReplicaHeaderNames& names = exchange_->names();
   not_run_ = status == kHttpMisdirected ||
-             (IsRejection(status) && !FindHeader(headers, names.not_run).empty());
+             (IsRefusalStatus(status) && !FindHeader(headers, names.not_run).empty());
   const std::string_view echoed = FindHeader(headers, names.call_id);
   if (!not_run_ && echoed != exchange_->call_id()) {
     AbortResponse(ResponseFault::kOtherCall);
@@ -199,7 +197,7 @@
   if (body_mode_ == BodyMode::kEvents) {
     splitter_.Append(bytes);
     read_more_ = std::move(more);
-    Advance();
+    ProcessInput();
     return;
   }
   if (body_mode_ == BodyMode::kComplete) {
@@ -219,23 +217,23 @@
     return;
   }
   if (body_mode_ == BodyMode::kEvents) {
-    Advance();
+    ProcessInput();
     return;
   }
   Complete();
 }
 
-void ForwardAttempt::Advance() {
-  if (advancing_) {
+void ForwardAttempt::ProcessInput() {
+  if (processing_) {
     return;
   }
-  advancing_ = true;
-  while (Step()) {
+  processing_ = true;
+  while (ProcessNextInput()) {
   }
-  advancing_ = false;
+  processing_ = false;
 }
 
-bool ForwardAttempt::Step() {
+bool ForwardAttempt::ProcessNextInput() {
   if (session_.done() || event_in_flight_) {
     return false;
   }
@@ -281,7 +279,7 @@
     const auto self = weak.lock();
     if (self != nullptr && self->event_in_flight_) {
       self->event_in_flight_ = false;
-      self->Advance();
+      self->ProcessInput();
     }
   });
 }
@@ -291,7 +289,7 @@
     CompleteWithoutResponse();
   } else if (not_run_) {
     FinishWith(AttemptEnd::kNotRun, "replica_refused",
-               MessageForStatus(status_) + " and did not run the request", CallEnd::kRefused);
+               DescribeStatus(status_) + " and did not run the request", CallEnd::kRefused);
   } else if (body_mode_ == BodyMode::kComplete) {
     CompleteResponse();
   } else {
@@ -300,7 +298,7 @@
 }
 
 void ForwardAttempt::CompleteWithoutResponse() {
-  FailureClassification classification = session_.ClassifyNoResponse(*outcome_, status_ != 0);
+  FailureClassification classification = session_.ClassifyIncomplete(*outcome_, status_ != 0);
   if (not_run_) {
     classification.result.end =
         AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
@@ -310,7 +308,7 @@
 
 void ForwardAttempt::CompleteStream() {
   if (splitter_.HasPartial() || !exchange_->started()) {
-    AbortResponse(ResponseFault::kCutEvent);
+    AbortResponse(ResponseFault::kTruncated);
     return;
   }
   FinishSuccessfully();
@@ -326,7 +324,7 @@
     return;
   }
   if (!IsSuccess(status_) && exchange_->call().classify_failures) {
-    FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), MessageForStatus(status_),
+    FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), DescribeStatus(status_),
                CallEnd::kSuccess);
     return;
   }
@@ -344,8 +342,8 @@
   AttemptResult result;
   result.end = AttemptEnd::kFailed;
   result.error.set_code("replica_failed");
-  result.error.set_message(MessageForStatus(status_));
-  result.final = exchange_->IsFailureLimitReached();
+  result.error.set_message(DescribeStatus(status_));
+  result.permanent = exchange_->IsFailureLimitReached();
   Finish(std::move(result), CallEnd::kFailed);
 }
 
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -22,7 +22,7 @@
   kTooLarge,       ///< A complete body beyond the limit.
   kEventTooLarge,  ///< An event beyond the limit.
   kGap,            ///< A resumed stream that does not go on after the last event.
-  kCutEvent,       ///< The body ended within an event, or without any.
+  kTruncated,      ///< The body ended within an event, or without any.
   kNotResumed,     ///< An error where a stream should have been resumed.
 };
 /// @return the stable snake_case name, for metrics, logs and messages.
@@ -35,7 +35,7 @@
                  std::shared_ptr<ForwardExchange> exchange, ExchangeEvents events);
 
   void Start() override;
-  CancelledWhen Cancel() override;
+  CancelResult Cancel() override;
 
  private:
   /// How the body of the response is read.
@@ -54,8 +54,8 @@
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
   /// Processes buffered input. Not re-entrant: `more` may be called from within `OnEvent`.
-  void Advance();
-  bool Step();
+  void ProcessInput();
+  bool ProcessNextInput();
   void Forward(StreamEvent event);
   bool IsNextEvent(const StreamEvent& event) const;
   /// The body ended, or the connection did.
@@ -89,7 +89,7 @@
   bool received_since_check_ = false;  ///< Whether anything was received since the last check.
   bool not_run_ = false;               ///< The replica reported that it did not run the request.
   bool event_in_flight_ = false;
-  bool advancing_ = false;
+  bool processing_ = false;
 };
 
 }  // namespace cloverbank
--- a/src/calls/gateway_options.h
+++ b/src/calls/gateway_options.h
@@ -29,7 +29,7 @@
 struct SharingOptions {
   /// A gateway starts to use a warming replica at a random time up to this after the first
   /// successful health check.
-  Duration longest_start_delay = seconds(1);
+  Duration maximum_start_delay = seconds(1);
   double initial_slow_start_quota =
       0.1;  ///< Part of a warming replica's free capacity that is used until its next load report.
   double slow_start_quota_growth = 0.02;  ///< Added with each report without a collision.
--- a/src/calls/idempotency_cache.cc
+++ b/src/calls/idempotency_cache.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kEntryOverhead = 256;  // Rough cost of an entry beside its text.
+constexpr std::size_t kEntryOverheadBytes = 256;  // Rough cost of an entry beside its text.
 
 }  // namespace
 
@@ -46,7 +46,7 @@
     answer.text_cached = false;
   }
   entry.running = false;
-  entry.bytes = kEntryOverhead + key.size() + answer.answer.text().size();
+  entry.bytes = kEntryOverheadBytes + key.size() + answer.answer.text().size();
   entry.response = std::move(answer);
   entry.stored_at = now;
   entry.position = finished_.insert(finished_.end(), key);
--- a/src/calls/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -61,7 +61,7 @@
   }
   AttemptResult result;
   result.end = AttemptEnd::kUnknown;
-  result.final = true;
+  result.permanent = true;
   result.error.set_code("answer_too_large");
   result.error.set_message("the answer is larger than this gateway keeps; ask for a stream");
   events.on_done(std::move(result));
--- a/src/calls/line_reader.h
+++ b/src/calls/line_reader.h
@@ -11,7 +11,7 @@
 
 class LineReader {
  public:
-  explicit LineReader(std::size_t largest_line) : largest_line_(largest_line) {}
+  explicit LineReader(std::size_t maximum_line_bytes) : maximum_line_bytes_(maximum_line_bytes) {}
 
   void Append(std::string_view bytes) { buffer_.append(bytes); }
   /// @return the next complete line without its end, skipping empty ones; nothing if there is none
@@ -20,10 +20,10 @@
   /// @return what follows the last line end, once the body has ended.
   std::string TakeRest();
   /// Whether the unfinished line is longer than allowed.
-  bool IsTooLong() const { return buffer_.size() - start_ > largest_line_; }
+  bool IsTooLong() const { return buffer_.size() - start_ > maximum_line_bytes_; }
 
  private:
-  std::size_t largest_line_;
+  std::size_t maximum_line_bytes_;
   std::string buffer_;
   std::size_t start_ = 0;
 };
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -11,7 +11,7 @@
 
 constexpr Duration kEvaluationInterval = seconds(1);
 /// Between notifications while slow start delays calls.
-constexpr Duration kSlowStartOfferInterval = milliseconds(20);
+constexpr Duration kSlowStartNotificationInterval = milliseconds(20);
 
 RouterOptions MakeRouterOptions(const GatewayOptions& options) {
   RouterOptions router;
@@ -36,7 +36,7 @@
     : environment_(environment),
       permission_(permission),
       own_zone_(options.zone),
-      longest_start_delay_(options.sharing.longest_start_delay),
+      maximum_start_delay_(options.sharing.maximum_start_delay),
       health_(MakeHealthOptions(options)),
       slow_start_(permission, directory_, GatewayQuota{options.zone}),
       prefill_(options.prefill),
@@ -72,16 +72,16 @@
   const TimePoint now = environment_.Now();
   const RoutingChoice choice = router_.Choose(query, now);
   if (choice.replica == nullptr && slow_start_.slow_start().AnyWarmingUp(now)) {
-    ScheduleCapacityOffer();
+    ScheduleCapacityNotification();
   }
   return choice;
 }
 
-void ReplicaPool::ScheduleCapacityOffer() {
+void ReplicaPool::ScheduleCapacityNotification() {
   if (capacity_timer_ != 0) {
     return;
   }
-  capacity_timer_ = environment_.ScheduleAfter(kSlowStartOfferInterval, [this] {
+  capacity_timer_ = environment_.ScheduleAfter(kSlowStartNotificationInterval, [this] {
     capacity_timer_ = 0;
     NotifyCapacity();
   });
@@ -103,9 +103,10 @@
   if (!listed) {
     return false;
   }
-  const bool chosen =
+  const bool backend_allowed =
       route.backend_kind() != proto::BACKEND_KIND_HTTP || AllowsBackend(route, record->backend);
-  return list_usable() && chosen && ZoneServes(permission_.configuration(), route, record->zone);
+  return list_usable() && backend_allowed &&
+         ZoneServes(permission_.configuration(), route, record->zone);
 }
 
 ReplicaUse ReplicaPool::MakeUse(const ReplicaRecord& replica, WorkKind work,
@@ -168,14 +169,14 @@
   if (!IsCurrent(use.id, use.instance_id)) {
     return;
   }
-  HandleReport(use.id, headers);
+  ApplyLoadReport(use.id, headers);
   if (use.prompt_tokens > 0) {
     prefill_.OnFirstByte(use.id, use.prompt_tokens, use.backlog, latency, environment_.Now());
   }
   health_.OnLatency(use.id, latency);
   health_.OnHeard(use.id, environment_.Now());
   health_.OnWorkSeen(use.id, environment_.Now());
-  GrantAllowances(use.id);
+  UpdateAllowances(use.id);
 }
 
 bool ReplicaPool::IsStalled(const ReplicaUse& use) const {
@@ -237,25 +238,25 @@
   for (const std::string& id : change.added) {
     Duration delay{};
     if (!change.initial) {
-      const auto longest = static_cast<std::uint64_t>(longest_start_delay_.count());
-      delay = Duration(static_cast<std::int64_t>(environment_.Random() % (longest + 1)));
+      const auto maximum = static_cast<std::uint64_t>(maximum_start_delay_.count());
+      delay = Duration(static_cast<std::int64_t>(environment_.Random() % (maximum + 1)));
     }
     health_.Reset(id, directory_.Find(id)->backend, delay);
   }
 }
 
 void ReplicaPool::UpdateProbeTargets(const std::vector<std::string>& added) {
-  std::vector<std::string> nearest_first = added;
-  std::stable_partition(nearest_first.begin(), nearest_first.end(), [this](const std::string& id) {
-    return directory_.Find(id)->zone == own_zone_;
-  });
+  std::vector<std::string> own_zone_first = added;
+  std::stable_partition(
+      own_zone_first.begin(), own_zone_first.end(),
+      [this](const std::string& id) { return directory_.Find(id)->zone == own_zone_; });
   std::vector<ReplicaProber::Target> targets;
   targets.reserve(active_.ids().size());
   for (const std::string& id : active_.ids()) {
     const ReplicaRecord* record = directory_.Find(id);
     targets.push_back({id, record->endpoint, record->instance_id});
   }
-  prober_.SetTargets(targets, nearest_first);
+  prober_.SetTargets(targets, own_zone_first);
 }
 
 void ReplicaPool::OnProbe(const std::string& id, const std::string& instance_id, bool answered,
@@ -264,19 +265,19 @@
     return;
   }
   const TimePoint now = environment_.Now();
-  std::uint32_t others = 0;
+  std::uint32_t other_calls = 0;
   if (answered) {
-    HandleReport(id, headers);
-    others = loads_[id].others();
+    ApplyLoadReport(id, headers);
+    other_calls = loads_[id].others();
   }
   // A replica that was listed before this gateway started and serves others does not warm up.
-  const bool preexisting = answered && active_.ConsumePreexisting(id);
-  health_.OnProbe(id, answered, preexisting && others > 0, now);
-  if (others > 0) {
+  const bool preexisting = answered && active_.TakePreexisting(id);
+  health_.OnProbe(id, answered, preexisting && other_calls > 0, now);
+  if (other_calls > 0) {
     health_.OnWorkSeen(id, now);
   }
   if (answered) {
-    GrantAllowances(id);
+    UpdateAllowances(id);
   }
   if (health_.IsInSlowStart(id, now)) {
     prober_.RepeatSoon(id);
@@ -289,14 +290,14 @@
   return record != nullptr && record->instance_id == instance_id;
 }
 
-void ReplicaPool::HandleReport(const std::string& id, const HttpHeaders& headers) {
+void ReplicaPool::ApplyLoadReport(const std::string& id, const HttpHeaders& headers) {
   const std::optional<LoadReport> report = ParseLoadReport(FindHeader(headers, kLoadHeader));
   if (report) {
     loads_[id].OnReport(*report);
   }
 }
 
-void ReplicaPool::GrantAllowances(const std::string& id) {
+void ReplicaPool::UpdateAllowances(const std::string& id) {
   allowances_.OnLoadReport(*directory_.Find(id), permission_.configuration(), loads_[id]);
 }
 
@@ -309,8 +310,8 @@
 void ReplicaPool::PublishMetrics() {
   std::uint32_t usable = 0;
   for (const std::string& id : active_.ids()) {
-    const bool yes = health_.GetUsability(id, environment_.Now()) == Usability::kYes;
-    usable += yes ? 1 : 0;
+    const bool is_usable = health_.GetUsability(id, environment_.Now()) == Usability::kYes;
+    usable += is_usable ? 1 : 0;
   }
   Metrics& metrics = environment_.metrics();
   metrics.SetGauge("gateway_replicas", usable, {{"state", "usable"}});
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -96,11 +96,11 @@
   void UpdateProbeTargets(const std::vector<std::string>& added);
   void RemoveLoadIfUnused(const std::string& id);
   bool IsCurrent(const std::string& id, const std::string& instance_id) const;
-  void HandleReport(const std::string& id, const HttpHeaders& headers);
+  void ApplyLoadReport(const std::string& id, const HttpHeaders& headers);
   /// Grants what this gateway may send to a replica until its next report.
-  void GrantAllowances(const std::string& id);
+  void UpdateAllowances(const std::string& id);
   /// Notifies of capacity soon: with slow start, time alone brings some.
-  void ScheduleCapacityOffer();
+  void ScheduleCapacityNotification();
   void EvaluateHealth();
   void PublishMetrics();
   void NotifyCapacity() {
@@ -112,7 +112,7 @@
   Environment& environment_;
   const ServingPermission& permission_;
   const std::string own_zone_;
-  const Duration longest_start_delay_;
+  const Duration maximum_start_delay_;
   ReplicaDirectory directory_;
   ReplicaHealth health_;
   LoadTable loads_;
--- a/src/calls/retry_policy.cc
+++ b/src/calls/retry_policy.cc
@@ -5,11 +5,13 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::uint32_t kLargestDoubling = 16;
+constexpr std::uint32_t kMaximumBackoffExponent = 16;
 
 }  // namespace
 
-void RetryBudget::OnFirstAttempt() { tokens_ = std::min(cap_, tokens_ + ratio_); }
+void RetryBudget::OnFirstAttempt() {
+  tokens_ = std::min(maximum_tokens_, tokens_ + tokens_per_call_);
+}
 
 bool RetryBudget::ConsumeRetry() {
   if (tokens_ < 1) {
@@ -55,24 +57,24 @@
     return {};
   }
   ++retries_;
-  return {RetryAction::kSendLater, Backoff(random)};
+  return {RetryAction::kSendAfterBackoff, Backoff(random)};
 }
 
 bool RetryState::CanRetry() const {
   // Refusals do not count where a call has attempts of its own: nothing ran there.
-  const bool counted = options_.maximum_refusals == 0;
-  const bool attempts_left = !counted || attempts_since_wait_ < options_.maximum_attempts;
+  const bool count_refusals = options_.maximum_refusals == 0;
+  const bool attempts_left = !count_refusals || attempts_since_wait_ < options_.maximum_attempts;
   return !committed_ && attempts_left && retries_ + 1 < options_.maximum_attempts &&
          (!options_.budgeted || budget_.HasRetry());
 }
 
 Duration RetryState::Backoff(std::uint64_t random) const {
-  const std::uint32_t doubling = std::min(retries_, kLargestDoubling);
-  const Duration longest =
-      std::min(options_.maximum_backoff, options_.base_backoff * (std::int64_t{1} << doubling));
+  const std::uint32_t exponent = std::min(retries_, kMaximumBackoffExponent);
+  const Duration maximum =
+      std::min(options_.maximum_backoff, options_.base_backoff * (std::int64_t{1} << exponent));
   // Full jitter: spreads the retries of calls that failed together.
-  const auto span = static_cast<std::uint64_t>(longest.count());
-  return Duration(static_cast<std::int64_t>(random % (span + 1)));
+  const auto maximum_count = static_cast<std::uint64_t>(maximum.count());
+  return Duration(static_cast<std::int64_t>(random % (maximum_count + 1)));
 }
 
 }  // namespace cloverbank
--- a/src/calls/retry_policy.h
+++ b/src/calls/retry_policy.h
@@ -39,7 +39,9 @@
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryOptions& options)
-      : ratio_(options.budget_ratio), cap_(options.budget_reserve), tokens_(cap_) {}
+      : tokens_per_call_(options.budget_ratio),
+        maximum_tokens_(options.budget_reserve),
+        tokens_(maximum_tokens_) {}
 
   /// A call was sent for the first time.
   void OnFirstAttempt();
@@ -49,16 +51,16 @@
   bool ConsumeRetry();
 
  private:
-  double ratio_;
-  double cap_;
+  double tokens_per_call_;
+  double maximum_tokens_;
   double tokens_;
 };
 
 enum class RetryAction : std::uint8_t {
-  kFinish,           ///< Respond to the client.
-  kSendElsewhere,    ///< Immediately, to another replica.
-  kSendLater,        ///< After a backoff.
-  kWaitForCapacity,  ///< Not run so far: waits in the queue until a replica has capacity.
+  kFinish,            ///< Respond to the client.
+  kSendElsewhere,     ///< Immediately, to another replica.
+  kSendAfterBackoff,  ///< After a backoff.
+  kWaitForCapacity,   ///< Not run so far: waits in the queue until a replica has capacity.
 };
 
 struct RetryDecision {
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -35,16 +35,16 @@
         [self = shared_from_this()](const HttpOutcome& outcome) { self->OnOutcome(outcome); });
   }
 
-  CancelledWhen Cancel() override {
+  CancelResult Cancel() override {
     if (session_.done()) {
-      return CancelledWhen::kNotUnderWay;
+      return CancelResult::kNotInProgress;
     }
     session_.MarkDone();
     if (call_ != nullptr) {
       call_->Cancel();
     }
     session_.Release(CallEnd::kWithdrawn);
-    return session_.cancelled_when();
+    return session_.cancel_result();
   }
 
  private:
@@ -53,12 +53,12 @@
       return;
     }
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      Finish(session_.ClassifyNoResponse(outcome, false));
+      Finish(session_.ClassifyIncomplete(outcome, false));
       return;
     }
     context_.pool.OnResponseHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
-      Finish(ClassifyRefusal(outcome.response.status, outcome.response.body));
+      Finish(ClassifyErrorResponse(outcome.response.status, outcome.response.body));
       return;
     }
     Finish(ParseResponse(outcome.response.body));
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr std::string_view kGeneratePath = "/generate";
-constexpr std::size_t kLargestErrorBody = std::size_t{64} << 10U;
+constexpr std::size_t kMaximumErrorBodyBytes = std::size_t{64} << 10U;
 
 /// A streamed generation. Chunks are checked and forwarded one at a time; the replica is read no
 /// further until the client has taken the last one.
@@ -56,14 +56,14 @@
                                    context_.options.stream_idle_limit, std::move(stream));
   }
 
-  CancelledWhen Cancel() override {
+  CancelResult Cancel() override {
     if (session_.done()) {
-      return CancelledWhen::kNotUnderWay;
+      return CancelResult::kNotInProgress;
     }
     session_.MarkDone();
     CloseUpstream();
     session_.Release(CallEnd::kWithdrawn);
-    return session_.cancelled_when();
+    return session_.cancel_result();
   }
 
  private:
@@ -77,22 +77,23 @@
 
   void OnBytes(const std::string& bytes, std::function<void()> more) {
     if (session_.done()) {
-      AfterLastChunk();
+      HandleDataAfterEnd();
       return;
     }
     if (status_ != kHttpOk) {
-      const std::size_t room = kLargestErrorBody - std::min(kLargestErrorBody, error_body_.size());
-      error_body_.append(bytes, 0, room);
+      const std::size_t free_bytes =
+          kMaximumErrorBodyBytes - std::min(kMaximumErrorBodyBytes, error_body_.size());
+      error_body_.append(bytes, 0, free_bytes);
       more();
       return;
     }
     lines_.Append(bytes);
     read_more_ = std::move(more);
-    Advance();
+    ProcessInput();
   }
 
-  /// Something follows the regular last chunk: the connection must not be reused.
-  void AfterLastChunk() {
+  /// Something follows the last chunk: the connection must not be reused.
+  void HandleDataAfterEnd() {
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
     CloseUpstream();
@@ -100,30 +101,30 @@
   }
 
   void OnEnd(HttpOutcome outcome) {
-    const bool regular = outcome.kind == HttpOutcomeKind::kAnswered;
+    const bool complete = outcome.kind == HttpOutcomeKind::kAnswered;
     outcome_ = std::move(outcome);
     if (session_.done()) {
       session_.Release(CallEnd::kSuccess);
-    } else if (regular) {
-      Advance();
+    } else if (complete) {
+      ProcessInput();
     } else {
       Complete();  // Not delayed by a client that does not read.
     }
   }
 
   /// Processes buffered input. Not re-entrant: `more` may be called from within `on_chunk`.
-  void Advance() {
-    if (advancing_) {
+  void ProcessInput() {
+    if (processing_) {
       return;
     }
-    advancing_ = true;
-    while (Step()) {
+    processing_ = true;
+    while (ProcessNextInput()) {
     }
-    advancing_ = false;
+    processing_ = false;
   }
 
   /// Forwards the next chunk, or reads more, or completes. @return whether there is more to do now.
-  bool Step() {
+  bool ProcessNextInput() {
     if (session_.done() || chunk_in_flight_) {
       return false;
     }
@@ -162,10 +163,10 @@
         Forward(chunk);
         FinishSuccessfully();
         break;
-      case ChunkCheckResult::kReported:
+      case ChunkCheckResult::kReplicaError:
         FinishWithReplicaError(chunk.error());
         break;
-      case ChunkCheckResult::kBroken:
+      case ChunkCheckResult::kInvalid:
         AbortResponse();
         break;
     }
@@ -177,7 +178,7 @@
       const auto self = weak.lock();
       if (self != nullptr && self->chunk_in_flight_) {
         self->chunk_in_flight_ = false;
-        self->Advance();
+        self->ProcessInput();
       }
     });
   }
@@ -186,12 +187,12 @@
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
       const FailureClassification classification =
-          session_.ClassifyNoResponse(*outcome_, status_ != 0);
+          session_.ClassifyIncomplete(*outcome_, status_ != 0);
       Finish(classification.result, classification.health);
       return;
     }
     if (status_ != kHttpOk) {
-      const FailureClassification classification = ClassifyRefusal(status_, error_body_);
+      const FailureClassification classification = ClassifyErrorResponse(status_, error_body_);
       Finish(classification.result, classification.health);
       return;
     }
@@ -200,7 +201,7 @@
       HandleLine(rest);
       return;
     }
-    check_.BodyEnded();
+    check_.OnBodyEnd();
     AbortResponse();
   }
 
@@ -272,7 +273,7 @@
   std::function<void()> read_more_;
   std::optional<HttpOutcome> outcome_;
   bool chunk_in_flight_ = false;
-  bool advancing_ = false;
+  bool processing_ = false;
 };
 
 }  // namespace
--- a/src/calls/stream_check.cc
+++ b/src/calls/stream_check.cc
@@ -27,7 +27,7 @@
 ChunkCheckResult StreamCheck::Check(const proto::StreamChunk& chunk) {
   const StreamFault fault = FindFault(chunk);
   if (fault != StreamFault::kNone) {
-    return Break(fault);
+    return Fail(fault);
   }
   if (run_id_.empty()) {
     run_id_ = chunk.run_id();
@@ -35,7 +35,7 @@
   ++next_sequence_;
   if (chunk.has_error()) {
     ended_ = true;
-    return ChunkCheckResult::kReported;
+    return ChunkCheckResult::kReplicaError;
   }
   if (chunk.end()) {
     ended_ = true;
@@ -45,19 +45,19 @@
   return ChunkCheckResult::kPass;
 }
 
-bool StreamCheck::BodyEnded() {
+bool StreamCheck::OnBodyEnd() {
   if (!ended_) {
-    Break(StreamFault::kNoEnd);
+    Fail(StreamFault::kNoEnd);
   }
   return complete_ && fault_ == StreamFault::kNone;
 }
 
-ChunkCheckResult StreamCheck::Break(StreamFault fault) {
+ChunkCheckResult StreamCheck::Fail(StreamFault fault) {
   ended_ = true;
   if (fault_ == StreamFault::kNone) {
     fault_ = fault;
   }
-  return ChunkCheckResult::kBroken;
+  return ChunkCheckResult::kInvalid;
 }
 
 StreamFault StreamCheck::FindFault(const proto::StreamChunk& chunk) const {
--- a/src/calls/stream_check.h
+++ b/src/calls/stream_check.h
@@ -13,10 +13,10 @@
 
 /// What to do with a chunk.
 enum class ChunkCheckResult : std::uint8_t {
-  kPass,      ///< The next chunk of the run.
-  kEnd,       ///< The regular last chunk.
-  kReported,  ///< The replica ended the run with an error chunk.
-  kBroken,    ///< Must not be forwarded; the stream has ended.
+  kPass,          ///< The next chunk of the run.
+  kEnd,           ///< The regular last chunk.
+  kReplicaError,  ///< The replica ended the run with an error chunk.
+  kInvalid,       ///< Must not be forwarded; the stream has ended.
 };
 
 /// Why a stream was broken off.
@@ -41,9 +41,9 @@
   /// Checks the next chunk. After anything but kPass the stream has ended.
   ChunkCheckResult Check(const proto::StreamChunk& chunk);
   /// The body ended. @return whether it was complete, that is, after the regular last chunk.
-  bool BodyEnded();
+  bool OnBodyEnd();
   /// Something other than a chunk was received.
-  void RecordMalformed() { Break(StreamFault::kMalformed); }
+  void RecordMalformed() { Fail(StreamFault::kMalformed); }
 
   StreamFault fault() const { return fault_; }
   /// Whether the run is known to have produced anything.
@@ -53,7 +53,7 @@
   std::uint64_t next_sequence() const { return next_sequence_; }
 
  private:
-  ChunkCheckResult Break(StreamFault fault);
+  ChunkCheckResult Fail(StreamFault fault);
   StreamFault FindFault(const proto::StreamChunk& chunk) const;
 
   std::string call_id_;
--- a/tests/calls/stream_check_test.cc
+++ b/tests/calls/stream_check_test.cc
@@ -22,8 +22,8 @@
   EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
   EXPECT_EQ(check.Check(Chunk("r", "c", 1)), ChunkCheckResult::kPass);
   EXPECT_EQ(check.Check(Chunk("r", "c", 2, true)), ChunkCheckResult::kEnd);
-  EXPECT_TRUE(check.BodyEnded());
-  EXPECT_EQ(check.Check(Chunk("r", "c", 3)), ChunkCheckResult::kBroken);
+  EXPECT_TRUE(check.OnBodyEnd());
+  EXPECT_EQ(check.Check(Chunk("r", "c", 3)), ChunkCheckResult::kInvalid);
   EXPECT_EQ(check.fault(), StreamFault::kAfterEnd);
 }
 
@@ -31,8 +31,8 @@
   const auto fault_of = [](const proto::StreamChunk& second) {
     StreamCheck check("c");
     EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
-    EXPECT_EQ(check.Check(second), ChunkCheckResult::kBroken);
-    EXPECT_FALSE(check.BodyEnded());
+    EXPECT_EQ(check.Check(second), ChunkCheckResult::kInvalid);
+    EXPECT_FALSE(check.OnBodyEnd());
     return check.fault();
   };
   EXPECT_EQ(fault_of(Chunk("r", "other", 1)), StreamFault::kOtherCall);
@@ -42,11 +42,11 @@
   EXPECT_EQ(fault_of(Chunk("r", "c", 2)), StreamFault::kGap);
   EXPECT_EQ(fault_of(Chunk("r", "c", 0)), StreamFault::kRepeat);
   StreamCheck late("c");
-  EXPECT_EQ(late.Check(Chunk("r", "c", 1)), ChunkCheckResult::kBroken);
+  EXPECT_EQ(late.Check(Chunk("r", "c", 1)), ChunkCheckResult::kInvalid);
   EXPECT_EQ(late.fault(), StreamFault::kGap);
   StreamCheck cut("c");
   EXPECT_EQ(cut.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
-  EXPECT_FALSE(cut.BodyEnded());
+  EXPECT_FALSE(cut.OnBodyEnd());
   EXPECT_EQ(cut.fault(), StreamFault::kNoEnd);
 }
 
@@ -79,7 +79,7 @@
           break;
       }
       const ChunkCheckResult verdict = check.Check(chunk);
-      if (verdict == ChunkCheckResult::kBroken) {
+      if (verdict == ChunkCheckResult::kInvalid) {
         break;
       }
       ASSERT_FALSE(ended);
@@ -90,7 +90,7 @@
       ASSERT_EQ(ended, chunk.end());
     }
     const bool clean = ended && check.fault() == StreamFault::kNone;
-    ASSERT_EQ(check.BodyEnded(), clean);
+    ASSERT_EQ(check.OnBodyEnd(), clean);
   }
 }
 
