--- a/src/calls/idempotency_cache.cc
+++ b/src/calls/idempotency_cache.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kEntryOverheadBytes = 256;  // Rough cost of an entry beside its text.
+/// Approximate memory of an entry besides its key and its text.
+constexpr std::size_t kEntryOverheadBytes = 256;
 
 }  // namespace
 
@@ -33,21 +34,21 @@
   entries_.at(key).waiters.push_back(std::move(waiter));
 }
 
-void IdempotencyCache::Store(const std::string& key, CachedResponse answer, TimePoint now) {
+void IdempotencyCache::Store(const std::string& key, CachedResponse response, TimePoint now) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
     return;
   }
   Entry& entry = found->second;
   const std::vector<Waiter> waiters = std::exchange(entry.waiters, {});
-  const CachedResponse complete = answer;
-  if (answer.answer.text().size() > options_.maximum_response_bytes) {
-    answer.answer.clear_text();
-    answer.text_cached = false;
+  const CachedResponse full_response = response;
+  if (response.answer.text().size() > options_.maximum_response_bytes) {
+    response.answer.clear_text();
+    response.text_cached = false;
   }
   entry.running = false;
-  entry.bytes = kEntryOverheadBytes + key.size() + answer.answer.text().size();
-  entry.response = std::move(answer);
+  entry.bytes = kEntryOverheadBytes + key.size() + response.answer.text().size();
+  entry.response = std::move(response);
   entry.stored_at = now;
   entry.position = finished_.insert(finished_.end(), key);
   cached_bytes_ += entry.bytes;
@@ -55,11 +56,11 @@
     EvictOldest();
   }
   for (const Waiter& waiter : waiters) {
-    waiter(complete);
+    waiter(full_response);
   }
 }
 
-void IdempotencyCache::Forget(const std::string& key, const CachedResponse& answer) {
+void IdempotencyCache::Forget(const std::string& key, const CachedResponse& response) {
   const auto found = entries_.find(key);
   if (found == entries_.end()) {
     return;
@@ -67,7 +68,7 @@
   const std::vector<Waiter> waiters = std::exchange(found->second.waiters, {});
   entries_.erase(found);
   for (const Waiter& waiter : waiters) {
-    waiter(answer);
+    waiter(response);
   }
 }
 
--- a/src/calls/idempotency_cache.h
+++ b/src/calls/idempotency_cache.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Responses that are stored for clients that repeat a request with the same Idempotency-Key. Pure.
+/// Stores responses for clients that repeat a request with the same Idempotency-Key. Pure.
 ///
-/// Limits: the cache is local to this gateway and in memory, keeps a response for a bounded time
-/// within a bounded size, and evicts the oldest first. An unknown key is a new request.
+/// Limits: the cache is in memory and local to this gateway; it keeps responses for a bounded time,
+/// up to a total size, and evicts the oldest first. An unknown key is treated as a new request.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,8 +19,9 @@
 namespace cloverbank {
 
 struct IdempotencyOptions {
-  Duration retention = seconds(600);
-  std::size_t maximum_total_bytes = std::size_t{32} << 20U;  ///< Bytes of all stored responses.
+  Duration retention = seconds(600);  ///< How long a response is kept after it was stored.
+  std::size_t maximum_total_bytes = std::size_t{32} << 20U;  ///< Of all stored responses.
+  /// Longer texts are not stored; see `CachedResponse::text_cached`.
   std::size_t maximum_response_bytes = std::size_t{256} << 10U;
 };
 
@@ -29,12 +30,12 @@
   bool succeeded = false;
   bool text_cached = true;  ///< False if the text was too large to store.
   int http_status = 200;
-  proto::CallAnswer answer;  ///< When succeeded.
-  proto::CallError error;    ///< When not.
+  proto::CallAnswer answer;  ///< Set when succeeded.
+  proto::CallError error;    ///< Set when not succeeded.
 };
 
 enum class KeyState : std::uint8_t {
-  kNew,       ///< The caller of `Begin` now runs the request and ends it by `Store` or `Forget`.
+  kNew,       ///< The caller of `Begin` must run the request and end it by `Store` or `Forget`.
   kRunning,   ///< The first request under the key has not ended.
   kFinished,  ///< `Find` returns its response.
   kMismatch,  ///< The key was used for another request body.
@@ -46,16 +47,20 @@
 
   explicit IdempotencyCache(IdempotencyOptions options) : options_(options) {}
 
-  /// @param key tenant, route and the client's key. @param fingerprint of the request body.
+  /// Evicts expired responses, and adds the key if it is unknown.
+  /// @param key tenant, route and the client's key. @param fingerprint checksum of the request
+  /// body.
   KeyState Begin(const std::string& key, std::uint64_t fingerprint, TimePoint now);
   /// @return the response of a finished request, or nullptr.
   const CachedResponse* Find(const std::string& key) const;
-  /// Calls `waiter` with the response of the running request, whatever it is.
+  /// Waits for the running request under `key`, which must exist. `waiter` runs within `Store` or
+  /// `Forget`, whatever the response is.
   void Join(const std::string& key, Waiter waiter);
-  /// The request ended with a response that a repeated request must get too.
-  void Store(const std::string& key, CachedResponse answer, TimePoint now);
-  /// The request certainly did not run: a repeated request is a new one. Waiters get `answer`.
-  void Forget(const std::string& key, const CachedResponse& answer);
+  /// The request ended with a response that a repeated request must get too. Waiters get it with
+  /// its text even if the text is too large to store.
+  void Store(const std::string& key, CachedResponse response, TimePoint now);
+  /// The request certainly did not run: a repeated request is a new one. Waiters get `response`.
+  void Forget(const std::string& key, const CachedResponse& response);
 
   std::size_t size() const { return entries_.size(); }
   std::size_t cached_bytes() const { return cached_bytes_; }
@@ -68,7 +73,7 @@
     std::size_t bytes = 0;
     TimePoint stored_at{};
     std::vector<Waiter> waiters;
-    std::list<std::string>::iterator position;  ///< In `finished_`, when not running.
+    std::list<std::string>::iterator position;  ///< In `finished_`, when no longer running.
   };
 
   void EvictOldest();
@@ -76,7 +81,7 @@
 
   IdempotencyOptions options_;
   std::unordered_map<std::string, Entry> entries_;
-  std::list<std::string> finished_;  ///< Oldest first.
+  std::list<std::string> finished_;  ///< Keys of stored responses, oldest first.
   std::size_t cached_bytes_ = 0;
 };
 
