--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// The common part of all kinds of attempts: reports the use of the replica to the pool exactly
-/// once, checks immediately before the request is sent that it still may be sent, and classifies a
-/// call that ended without a complete response. Threads: the owner's event loop only.
+/// The common part of all kinds of attempts: reports the start and the end of the call to the
+/// replica pool exactly once, checks immediately before the request is sent that it still may be
+/// sent, and classifies a call that ended without a complete response. Threads: the owner's event
+/// loop only.
 
 #include <memory>
 
@@ -16,17 +17,21 @@
   AttemptSession(const AttemptContext& context, const AttemptRequest& request)
       : context_(context), request_(request), pool_lifetime_(context.pool.lifetime()) {}
 
-  /// The request is handed to the HTTP client. @return the time left until the call's deadline.
+  /// To be called when the request is handed to the HTTP client: reports the start of the call to
+  /// the pool. @return the time left until the call's deadline.
   Duration Begin();
-  /// Asked by the HTTP client immediately before the first byte leaves.
+  /// The HTTP client calls this immediately before it sends the first byte. @return whether it may
+  /// send the request.
   bool CanSend();
-  /// Reports to the pool that the replica is free of this call; only the first time counts.
+  /// Reports to the pool that the call no longer occupies the replica. Later calls, and calls after
+  /// the pool was destroyed, have no effect.
+  /// @param health what the end of the call says about the replica's health.
   void Release(CallEnd health);
 
   /// The attempt has its result, or was cancelled: nothing is sent or reported from now on.
   void MarkDone() { done_ = true; }
   bool done() const { return done_; }
-  /// @return how far the attempt is, for one that is being cancelled.
+  /// @return the result of cancelling the attempt now.
   CancelResult cancel_result() const {
     return send_checked_ && !send_denied_ ? CancelResult::kMaybeSent : CancelResult::kNotInProgress;
   }
@@ -40,10 +45,10 @@
  private:
   const AttemptContext& context_;
   const AttemptRequest& request_;
-  std::weak_ptr<const void> pool_lifetime_;
+  std::weak_ptr<const void> pool_lifetime_;  ///< Expires when the pool is destroyed.
   TimePoint sent_at_;
   bool send_checked_ = false;  ///< Whether `CanSend` ran: nothing is sent before.
-  bool send_denied_ = false;
+  bool send_denied_ = false;   ///< Whether `CanSend` returned false.
   bool released_ = false;
   bool done_ = false;
 };
--- a/src/calls/backend_caller.h
+++ b/src/calls/backend_caller.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// How the batch worker and the live calls reach a replica: one interface over replica choice,
-/// health and the HTTP client, so that both are tested against fakes. Threads: the owner's event
-/// loop only.
+/// The interface through which the batch worker runs items at replicas. It hides the choice of the
+/// replica, health and the HTTP client, so that the batch worker is tested against a fake. Threads:
+/// the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -17,17 +17,19 @@
 
 namespace cloverbank {
 
-/// Code of `BackendOutcome::error` when a replica found the request itself wrong: nothing ran, and
-/// no other replica would take it.
+/// Code of `BackendOutcome::error` when a replica found the request invalid: nothing ran, and other
+/// replicas would reject it too.
 inline constexpr std::string_view kReplicaRejectedCode = "replica_rejected";
 
 /// The result of one complete (not streamed) call at a back end.
 struct BackendOutcome {
   proto::Executed executed = proto::EXECUTED_UNSPECIFIED;
-  bool succeeded = false;  ///< A complete response: `answer` is set and `executed` is yes.
+  /// A complete response was received: `answer` is set and `executed` is EXECUTED_YES.
+  bool succeeded = false;
   proto::CallAnswer answer;
   proto::CallError error;  ///< Set when not succeeded.
-  /// Of a forwarded batch item: runs whose failure a replica reported, under earlier leases too.
+  /// Of a forwarded batch item: the number of runs whose failure a replica reported, including
+  /// those under earlier leases.
   std::uint32_t failed_runs = 0;
 };
 
@@ -47,9 +49,14 @@
   /// live calls and the configured reserve.
   virtual std::uint32_t FreeBatchSlots(const std::string& backend) const = 0;
 
-  /// Runs one batch item at a replica of `route.backend()`. Never retries a non-idempotent route
-  /// once bytes were sent. `can_start` is evaluated immediately before the request is sent; false
-  /// ends the call with `executed: no`.
+  /// Runs one batch item at a replica of `route.backend()`. A call of a non-idempotent route is
+  /// never retried once bytes of it were sent, unless the replica refused it before running it.
+  /// @param deadline time for the whole call, retries included, from now.
+  /// @param can_start evaluated before each attempt, and again immediately before its request is
+  /// sent. Once it returns false nothing more is sent; the call ends with EXECUTED_NO if no earlier
+  /// attempt may have run.
+  /// @param done runs exactly once, after this function has returned, unless the call is cancelled.
+  /// @return the running call; destroying the handle does not cancel it.
   virtual std::shared_ptr<BackendCall> RunBatchItem(const proto::Route& route,
                                                     const proto::CallRequest& request,
                                                     Duration deadline,
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -2,8 +2,9 @@
 /// @file
 /// One attempt of a call at one replica: a generation streamed as JSON lines (stream_attempt.cc),
 /// one JSON request and response (service_attempt.cc), or a request forwarded unchanged
-/// (forward_attempt.h). An attempt reports its end to the pool, classifies it for retries, and
-/// forwards only checked chunks. Threads: the owner's event loop only.
+/// (forward_attempt.h). An attempt reports its end to the replica pool, classifies the result for
+/// the retry policy, and forwards only chunks that it has checked. Threads: the owner's event loop
+/// only.
 
 #include <functional>
 #include <memory>
@@ -17,26 +18,28 @@
 
 namespace cloverbank {
 
-/// Where and what to send.
+/// The replica of an attempt, and the conditions under which it may be sent.
 struct AttemptRequest {
   Endpoint endpoint;
   ReplicaUse use;
-  std::string backend;  ///< Model or service that was chosen.
+  std::string backend;  ///< Name of the model or service.
   proto::BackendKind kind = proto::BACKEND_KIND_UNSPECIFIED;
   TimePoint deadline;
-  /// Whether the call could be retried at another replica now, after a timeout; empty means never.
+  /// Whether the call could be retried at another replica if this attempt timed out now; empty
+  /// means never.
   std::function<bool()> can_retry_elsewhere;
-  /// Evaluated immediately before the first byte is sent. False: the call certainly did not run.
+  /// Evaluated immediately before the first byte is sent. If it returns false, nothing is sent, so
+  /// the call certainly did not run.
   std::function<bool()> may_send;
 };
 
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kUnknown;
   proto::CallError error;  ///< Code and message, unless complete.
-  bool permanent = false;  ///< A retry would fail in the same way.
+  bool permanent = false;  ///< A retry would fail in the same way, so none is made.
 };
 
-/// What attempts need of the gateway.
+/// The parts of the gateway that attempts use.
 struct AttemptContext {
   Environment& environment;
   HttpClient& client;
@@ -46,30 +49,31 @@
 
 /// How far an attempt was when it was cancelled.
 enum class CancelResult : std::uint8_t {
-  kNotInProgress,  ///< Before its first byte was sent, or after its end.
+  kNotInProgress,  ///< No byte of it was sent, or it had ended.
   kMaybeSent,      ///< Bytes may have reached the replica.
 };
 
 class CallAttempt {
  public:
   virtual ~CallAttempt() = default;
+  /// Hands the request to the HTTP client. To be called once.
   virtual void Start() = 0;
-  /// Closes the connection to the replica; no callback runs after.
+  /// Closes the connection to the replica; no callback runs afterwards.
   virtual CancelResult Cancel() = 0;
 };
 
 // ---- Attempts of the JSON interface ----
 
 struct JsonAttemptRequest : AttemptRequest {
-  proto::CallRequest body;  ///< With call id and model.
+  proto::CallRequest body;  ///< Includes the call id and the model.
 };
 
 struct JsonAttemptResult : AttemptResult {
-  proto::CallAnswer answer;  ///< Of a service, when complete.
+  proto::CallAnswer answer;  ///< The response of a service, when complete. Unused by streams.
 };
 
 struct JsonAttemptCallbacks {
-  /// A checked chunk, including the regular last one. `more` requests the next one.
+  /// Runs for each checked chunk, including the regular last one. `more` requests the next one.
   std::function<void(const proto::StreamChunk& chunk, std::function<void()> more)> on_chunk;
   /// Runs exactly once unless the attempt is cancelled.
   std::function<void(JsonAttemptResult)> on_done;
@@ -82,27 +86,29 @@
                                                 JsonAttemptRequest request,
                                                 JsonAttemptCallbacks callbacks);
 
-/// What a failed response says about the call and about the replica's health.
+/// What the end of an attempt says about the call and about the replica's health.
 struct FailureClassification {
   JsonAttemptResult result;
   CallEnd health = CallEnd::kFailed;
 };
 
-/// Classifies the status and body of a response other than 200.
+/// Classifies a complete response whose status is not 200. The status, and `executed` of the error
+/// body if that is readable, decide whether the call may have run.
 FailureClassification ClassifyErrorResponse(int status, const std::string& body);
 /// What is known of a call that ended without a complete response.
 struct IncompleteResponseContext {
   bool send_denied = false;    ///< `may_send` returned false: nothing was sent.
   bool head_received = false;  ///< The head of the response was received.
   bool deadline_reached = false;
-  Duration time_allowed{};  ///< Time from sending the request to its deadline.
+  Duration time_allowed{};  ///< Time from the start of the attempt to the call's deadline.
 };
 
 /// Classifies a call that ended without a complete response.
 FailureClassification ClassifyIncompleteResponse(const HttpOutcome& outcome,
                                                  const IncompleteResponseContext& context,
                                                  const CallOptions& options);
-/// @return the request to `path` at a replica.
+/// @return the POST request to `path` at a replica, with the call id and the deadline as headers.
+/// @param remaining time left until the deadline; sent as at least 1 ms.
 HttpRequest MakeReplicaRequest(std::string_view path, const JsonAttemptRequest& request,
                                Duration remaining);
 
--- a/src/calls/call_failure.h
+++ b/src/calls/call_failure.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Why a gateway ends a call by itself, without the result of an attempt at a replica. Pure.
+/// Reasons for which a gateway ends a call itself, without a response of a replica. Pure.
 
 #include <cstdint>
 #include <string_view>
@@ -11,24 +11,24 @@
 
 enum class CallFailure : std::uint8_t {
   kDeadlineReached,
-  kLeaseExpired,    ///< The gateway may not forward calls now.
-  kNoReplicaList,   ///< It has not read the list of replicas yet.
+  kLeaseExpired,    ///< The gateway has no valid node lease, so it must not forward calls.
+  kNoReplicaList,   ///< The gateway has not read the list of replicas yet.
   kUnknownRoute,    ///< The configuration no longer has the route.
-  kStartWithdrawn,  ///< The work lease of a batch item ended.
+  kStartWithdrawn,  ///< A batch item may no longer start, e.g. because its work lease ended.
   kNoCapacity,      ///< No replica has capacity for batch work.
 };
 
-/// What the client is told.
+/// The error that the client gets.
 struct CallFailureDetails {
-  std::string_view code;
-  std::string_view message;
-  Duration retry_after{};  ///< Zero: repeating the call does not help.
+  std::string_view code;     ///< Stable snake_case name, for clients and metrics.
+  std::string_view message;  ///< For people.
+  Duration retry_after{};    ///< Zero: repeating the call does not help.
 };
 
 CallFailureDetails DescribeCallFailure(CallFailure failure);
 
-/// @param random any number. @return `retry_after` in milliseconds and up to half as long again, so
-/// that clients that were refused together do not return together.
+/// @param random a random number. @return `retry_after` in milliseconds, lengthened at random by up
+/// to half, so that clients that were refused together do not return together.
 std::uint32_t JitteredRetryAfterMs(Duration retry_after, std::uint64_t random);
 
 }  // namespace cloverbank
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -13,6 +13,8 @@
 constexpr int kHttpBadGateway = 502;
 constexpr Duration kRetryAfter = seconds(1);
 
+/// @return `options`, adjusted to the number of attempts that the call brings, if any. Refusals do
+/// not count towards that number, since nothing ran there. Retries of batch items use no budget.
 RetryOptions OptionsFor(const CallSpec& spec, RetryOptions options) {
   if (spec.attempts > 0) {
     options.maximum_refusals = std::max(options.maximum_attempts, options.maximum_refusals);
@@ -87,7 +89,8 @@
   }
   spec_.backend = ChooseBackend(*route, split_random_);
   if (!context_.attempt.pool.list_usable()) {
-    return TrySendResult::kNoCapacity;  // The process was frozen: a new list is being read.
+    // The list is stale because the process was frozen; a new one is being read.
+    return TrySendResult::kNoCapacity;
   }
   const RoutingChoice choice = context_.attempt.pool.Choose(MakeRoutingQuery(*route));
   if (choice.replica != nullptr) {
@@ -264,7 +267,8 @@
         return;
       }
       if (decision.action == RetryAction::kSendAfterBackoff) {
-        spec_.wait_until = spec_.deadline;  // The wait for capacity starts anew.
+        // From now on the wait for capacity is limited by the deadline only.
+        spec_.wait_until = spec_.deadline;
       }
       ScheduleAttempt(decision.backoff);
       return;
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -1,11 +1,10 @@
 #pragma once
 /// @file
-/// Runs one admitted call to its end: chooses a replica, waits for capacity, sends, retries where
-/// that is allowed, and reports whether it was executed.
+/// Runs one admitted call to its end: chooses a replica, waits for capacity, sends the request,
+/// retries where that is allowed, and reports whether the call was executed.
 ///
-/// Invariants: the `CallDone` runs exactly once unless the call is cancelled; nothing is sent after
-/// it; `executed: no` is reported only if no attempt may have run. Threads: the owner's event loop
-/// only.
+/// Invariants: `CallDone` runs exactly once unless the call is cancelled; nothing is sent after it;
+/// EXECUTED_NO is reported only if no attempt may have run. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -23,31 +22,33 @@
 namespace cloverbank {
 
 struct CallSpec {
-  std::string route;    ///< Name; looked up again before each attempt.
-  std::string backend;  ///< Of the route when the call came in.
+  std::string route;    ///< Name; looked up in the configuration again before each attempt.
+  std::string backend;  ///< That of the route when the call was admitted.
   proto::Priority priority = proto::PRIORITY_STANDARD;
-  bool idempotent = false;     ///< Of the route when the call came in.
-  std::uint32_t attempts = 0;  ///< Most replicas that may run it; 0 is the gateway's default.
+  bool idempotent = false;  ///< Whether the route was idempotent when the call was admitted.
+  /// Maximum number of replicas that may run the call; 0: the gateway's default.
+  std::uint32_t attempts = 0;
   std::shared_ptr<CallExchange> exchange;
-  TimePoint deadline;
-  TimePoint wait_until;  ///< End of the wait for capacity.
+  TimePoint deadline;    ///< End of the whole call.
+  TimePoint wait_until;  ///< End of the wait for capacity, if that is before the deadline.
   WorkKind work = WorkKind::kLive;
-  std::function<bool()>
-      can_start;  ///< Whether a batch item's work lease holds; empty means always.
+  /// Whether a batch item may start now, e.g. whether its work lease holds; empty means always.
+  std::function<bool()> can_start;
 };
 
 struct CallResult {
   bool succeeded = false;
-  proto::CallError error;  ///< When not succeeded.
-  int http_status = 200;
+  proto::CallError error;  ///< Set when not succeeded.
+  int http_status = 200;   ///< Status for the client; 200 when succeeded.
 };
 
 using CallDone = std::function<void(CallResult)>;
 
-/// @return the HTTP status of a failed call: 503 if it did not run, 502 if it ran, else 504.
+/// @return the HTTP status of a failed call: 503 if it did not run, 502 if it ran, 504 if that is
+/// unknown.
 int HttpStatusForExecuted(proto::Executed executed);
 
-/// What runners need of the gateway.
+/// The parts of the gateway that runners use.
 struct CallContext {
   AttemptContext attempt;
   const ServingPermission& permission;
@@ -68,7 +69,7 @@
   void Start();
   /// Ends the call: nothing more is sent, a running attempt is cancelled, and no callback runs
   /// afterwards.
-  /// @return whether the call may have been carried out so far.
+  /// @return whether the call was executed so far, as far as is known.
   proto::Executed Cancel();
 
   // WaitingCallOwner
@@ -78,18 +79,25 @@
   const std::string& call_id() const { return spec_.exchange->call_id(); }
 
  private:
-  enum class TrySendResult : std::uint8_t { kSent, kNoCapacity, kEnded };
+  enum class TrySendResult : std::uint8_t {
+    kSent,
+    kNoCapacity,  ///< No replica can take the call now; it may wait.
+    kEnded,       ///< The call ended with a failure.
+  };
 
+  /// Sends the call, or queues it if there is no capacity or other calls of its back end wait.
   void TrySendOrWait();
   TrySendResult TrySend();
   /// @param route nullptr if the configuration no longer has it.
-  /// @return why the call must end instead of being forwarded, if so.
+  /// @return why the call must end instead of being sent; nothing if it may be sent.
   std::optional<CallFailure> CheckPreconditions(const proto::Route* route) const;
   RoutingQuery MakeRoutingQuery(const proto::Route& route) const;
   void Send(const ReplicaRecord& replica, const proto::Route& route);
   AttemptRequest MakeAttemptRequest(const ReplicaRecord& replica, const proto::Route& route);
   ExchangeEvents MakeExchangeEvents();
+  /// Evaluated immediately before the first byte of an attempt is sent.
   bool CanSendNow(const ReplicaUse& use) const;
+  /// Puts a live call into the queue. A batch item does not wait: it ends with kNoCapacity.
   void WaitInQueue();
   void OnAttemptDone(const AttemptResult& result);
   void RetryOrFinish(const AttemptResult& result, const RetryDecision& decision);
@@ -101,24 +109,26 @@
   CallResult MakeFailedResult(std::string_view code, std::string_view message,
                               Duration retry_after) const;
   void Finish(CallResult result);
-  /// Whether the call is idempotent both when it was admitted and by `route`.
+  /// Whether the call was idempotent when it was admitted and is so by `route`.
   bool IsRepeatable(const proto::Route& route) const;
-  /// The same by the present configuration and that of the current attempt.
+  /// Whether the call is idempotent by three configurations: the one when it was admitted, the one
+  /// when the current attempt was sent, and the current one.
   bool IsRepeatableNow() const;
 
   CallContext context_;
   CallSpec spec_;
   CallDone on_done_;
-  const RetryOptions retry_options_;  ///< With the call's own number of attempts.
+  const RetryOptions retry_options_;  ///< The gateway's, adjusted to `CallSpec::attempts`.
   RetryState retry_;
-  const std::uint64_t
-      split_random_;  ///< Random number that assigns the call to a back end of a split route.
-  std::vector<std::string>
-      attempted_;  ///< Replicas used since the last wait; excluded from the next choice.
+  /// Random number that assigns the call to a back end of a split route.
+  const std::uint64_t split_random_;
+  /// Ids of the replicas used since the last wait; excluded from the next choice.
+  std::vector<std::string> attempted_;
   std::shared_ptr<CallAttempt> attempt_;
   WaitId wait_id_ = 0;
   TimerId timer_ = 0;
-  bool route_idempotent_ = false;  ///< Of the current attempt's route.
+  /// Whether the route was idempotent when the current attempt was sent.
+  bool route_idempotent_ = false;
   bool done_ = false;
 };
 
--- a/src/calls/capacity_allowances.h
+++ b/src/calls/capacity_allowances.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// How much of a replica's free capacity this gateway may use until the replica's next load report:
-/// for batch work, and for live calls while the replica's health ramps up. The part that is used
-/// grows and shrinks as `RatePacer` says. Pure but for the random source.
+/// Sets how much of a replica's free capacity this gateway may use until the replica's next load
+/// report: for batch work, and for live calls while the replica is in slow start. `RatePacer`
+/// increases and decreases the fraction that is used. Pure except for the clock, the random source
+/// and the metrics of the environment.
 
 #include "calls/gateway_options.h"
 #include "replicas/rate_pacer.h"
@@ -15,11 +16,12 @@
 
 class CapacityAllowances {
  public:
-  /// All references outlive it.
+  /// All references must outlive this object.
   CapacityAllowances(Environment& environment, const Router& router, const ReplicaHealth& health,
                      const SharingOptions& options);
 
-  /// `replica` reported its load: grants what may start there until the next report.
+  /// `replica` reported its load: sets in `load` how many calls may start there until the next
+  /// report.
   void OnLoadReport(const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
                     ReplicaLoad& load);
   /// A replica refused batch work for lack of capacity.
--- a/src/calls/event_collector.h
+++ b/src/calls/event_collector.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The sink of a forwarded batch item: joins the data of its events to one text.
+/// The sink of a forwarded batch item: joins the data of its events into one text.
 /// Threads: the owner's event loop only.
 
 #include <string>
@@ -21,8 +21,8 @@
     more();
   }
 
-  /// @return the data of all events, joined by line feeds, or the body of a response without
-  /// events.
+  /// @return the data of all events, joined by line feeds, or the body of a response that was not
+  /// streamed.
   std::string TakeText() { return std::move(text_); }
 
  private:
--- a/src/calls/event_stream.cc
+++ b/src/calls/event_stream.cc
@@ -10,7 +10,8 @@
 constexpr std::string_view kIdField = "id";
 constexpr std::string_view kDataField = "data";
 
-/// @return one past the empty line that ends the first event from `from` on, or npos.
+/// @return the position after the empty line that ends the first event, or npos if no event ends
+/// in `bytes`. @param from where to start searching.
 std::size_t FindEventEnd(std::string_view bytes, std::size_t from) {
   for (std::size_t line_feed = bytes.find('\n', from); line_feed != std::string_view::npos;
        line_feed = bytes.find('\n', line_feed + 1)) {
@@ -25,6 +26,8 @@
   return std::string_view::npos;
 }
 
+/// Sets the field of `event` that `line` holds. @param has_data whether an earlier line held data;
+/// updated.
 void ParseLine(std::string_view line, bool* has_data, StreamEvent* event) {
   const std::size_t colon = line.find(':');
   const std::string_view field = line.substr(0, colon);
@@ -62,7 +65,7 @@
 std::optional<StreamEvent> EventSplitter::Next() {
   const std::size_t end = FindEventEnd(buffer_, searched_);
   if (end == std::string::npos) {
-    // The end may straddle what comes next: "\n" or "\n\r" at the very end.
+    // The buffer may end within the end of an event, with "\n" or "\n\r": search these bytes again.
     constexpr std::size_t kLongestPartialEnd = 2;
     searched_ = buffer_.size() - std::min(buffer_.size(), kLongestPartialEnd);
     return std::nullopt;
--- a/src/calls/event_stream.h
+++ b/src/calls/event_stream.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Splits a stream of events (text/event-stream) into complete events, so that what is forwarded
+/// Splits a stream of events (text/event-stream) into complete events, so that forwarded data
 /// always ends at the end of an event. Pure.
 ///
 /// Source: WHATWG HTML, "Server-sent events", section on parsing an event stream.
@@ -13,7 +13,7 @@
 namespace cloverbank {
 
 struct StreamEvent {
-  std::string bytes;                ///< Exactly as received, the empty line included.
+  std::string bytes;                ///< Exactly as received, including the empty line at its end.
   std::optional<std::uint64_t> id;  ///< Its id, if that is an integer.
   std::string data;                 ///< Its data lines, joined by line feeds.
 };
@@ -24,9 +24,9 @@
       : maximum_event_bytes_(maximum_event_bytes) {}
 
   void Append(std::string_view bytes) { buffer_.append(bytes); }
-  /// @return the next complete event, if there is one.
+  /// @return the next complete event, or nothing if more bytes are needed.
   std::optional<StreamEvent> Next();
-  /// Whether the incomplete event is larger than allowed.
+  /// Whether the incomplete event is larger than allowed. Call it after `Next` returned nothing.
   bool IsTooLarge() const { return buffer_.size() > maximum_event_bytes_; }
   /// Whether bytes of an incomplete event are left.
   bool HasPartial() const { return !buffer_.empty(); }
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -16,12 +16,14 @@
 
 bool IsSuccess(int status) { return status < kFirstClientError; }
 
-/// Statuses by which a replica turns a request away; only its own mark makes them a promise.
+/// Statuses with which a replica refuses a request. Only together with the header
+/// `ReplicaHeaderNames::not_run` do 429 and 503 guarantee that the request did not run.
 bool IsRefusalStatus(int status) {
   return status == kHttpMisdirected || status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
 
-/// Whether a replica says by this status that it ran the request and failed.
+/// Whether a response with this status, without a sign that the request did not run, counts as a
+/// run that failed.
 bool IsReplicaFailure(int status) {
   return status >= kFirstServerError || status == kHttpTooManyRequests;
 }
@@ -115,11 +117,11 @@
       self->OnBytes(bytes, std::move(more));
     }
   };
-  // The end holds the attempt alive until it comes.
+  // `on_end` keeps the attempt alive until the HTTP call has ended.
   callbacks.on_end = [self = shared_from_this()](HttpOutcome outcome) {
     self->OnEnd(std::move(outcome));
   };
-  // A live response without data is not ended before the client's deadline.
+  // A live call has no idle limit: without data it ends at the client's deadline.
   const Duration idle_limit =
       exchange_->call().classify_failures ? context_.options.batch_idle_limit : Duration::zero();
   call_ = context_.client.Stream(request_.endpoint, std::move(http), remaining, idle_limit,
@@ -146,7 +148,8 @@
   }
   const bool received = std::exchange(received_since_check_, false);
   const bool can_retry = request_.can_retry_elsewhere && request_.can_retry_elsewhere();
-  // Retry only if the replica responds to none of this gateway's calls; a slow one is waited for.
+  // Retry only if the replica responds to none of this gateway's calls. Otherwise it is only slow,
+  // and the attempt goes on waiting.
   if (!received && can_retry && !event_in_flight_ && context_.pool.IsStalled(request_.use)) {
     AbortResponse(ResponseFault::kNoResponse);
     return;
@@ -300,8 +303,8 @@
 void ForwardAttempt::CompleteWithoutResponse() {
   FailureClassification classification = session_.ClassifyIncomplete(*outcome_, status_ != 0);
   if (not_run_) {
-    classification.result.end =
-        AttemptEnd::kNotRun;  // Its head said so, whatever became of the rest.
+    // The head reported that the request did not run, so that holds without the body.
+    classification.result.end = AttemptEnd::kNotRun;
   }
   Finish(std::move(classification.result), classification.health);
 }
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -17,13 +17,14 @@
 
 /// Why a response is not one complete response to this call.
 enum class ResponseFault : std::uint8_t {
-  kNoResponse,     ///< The replica has responded to nobody here for too long.
-  kOtherCall,      ///< It responds to another call.
-  kTooLarge,       ///< A complete body beyond the limit.
-  kEventTooLarge,  ///< An event beyond the limit.
-  kGap,            ///< A resumed stream that does not go on after the last event.
-  kTruncated,      ///< The body ended within an event, or without any.
-  kNotResumed,     ///< An error where a stream should have been resumed.
+  /// The replica has not responded to any call of this gateway for too long, or was restarted.
+  kNoResponse,
+  kOtherCall,      ///< The response has another call id, or none.
+  kTooLarge,       ///< A body that is not streamed exceeds the limit.
+  kEventTooLarge,  ///< An event exceeds the limit.
+  kGap,            ///< An event of the stream does not follow the last event that was forwarded.
+  kTruncated,      ///< The body ended within an event, or before the first one.
+  kNotResumed,     ///< A response other than a stream where a stream should have been resumed.
 };
 /// @return the stable snake_case name, for metrics, logs and messages.
 std::string_view ResponseFaultName(ResponseFault fault);
@@ -40,29 +41,32 @@
  private:
   /// How the body of the response is read.
   enum class BodyMode : std::uint8_t {
-    kIgnore,    ///< No head yet, or a body that is ignored.
-    kComplete,  ///< Buffered, forwarded when complete.
+    kIgnore,    ///< No head was received yet, or the body is discarded.
+    kComplete,  ///< Buffered, and forwarded when complete.
     kEvents,    ///< Forwarded event by event.
   };
 
   HttpRequest MakeRequest(Duration remaining) const;
-  /// Checks periodically whether the replica stopped responding, so that an idempotent call is
-  /// retried at another one.
+  /// Schedules the next `CheckResponseTimeout`.
   void ArmResponseTimer();
+  /// Runs periodically: ends the attempt if the replica stopped responding, so that an idempotent
+  /// call is retried at another one.
   void CheckResponseTimeout();
   void OnHead(int status, const HttpHeaders& headers);
   void OnBytes(const std::string& bytes, std::function<void()> more);
   void OnEnd(HttpOutcome outcome);
   /// Processes buffered input. Not re-entrant: `more` may be called from within `OnEvent`.
   void ProcessInput();
+  /// Forwards the next event, or reads more, or completes. @return whether there is more to do now.
   bool ProcessNextInput();
   void Forward(StreamEvent event);
+  /// Whether the id of `event` follows that of the last event. True if there is no last id.
   bool IsNextEvent(const StreamEvent& event) const;
-  /// The body ended, or the connection did.
+  /// Finishes the attempt after the body or the connection ended.
   void Complete();
   void CompleteWithoutResponse();
   void CompleteStream();
-  /// A response that is not a stream of events is complete.
+  /// Finishes after a complete response that is not a stream of events.
   void CompleteResponse();
   void FinishReplicaFailure(HttpResponse response);
   void FinishSuccessfully();
@@ -80,16 +84,16 @@
   EventSplitter splitter_;
   std::shared_ptr<HttpCall> call_;
   BodyMode body_mode_ = BodyMode::kIgnore;
-  int status_ = 0;  ///< 0 until the head came.
+  int status_ = 0;  ///< 0 until the head was received.
   HttpHeaders headers_;
   std::string body_;
-  std::function<void()> read_more_;
-  std::optional<HttpOutcome> outcome_;
+  std::function<void()> read_more_;     ///< Requests more of the body, if that is due.
+  std::optional<HttpOutcome> outcome_;  ///< Set when the HTTP call has ended.
   TimerId response_timer_ = 0;
   bool received_since_check_ = false;  ///< Whether anything was received since the last check.
   bool not_run_ = false;               ///< The replica reported that it did not run the request.
-  bool event_in_flight_ = false;
-  bool processing_ = false;
+  bool event_in_flight_ = false;       ///< The sink has not requested the next event yet.
+  bool processing_ = false;            ///< `ProcessInput` is running.
 };
 
 }  // namespace cloverbank
--- a/src/calls/http_json.h
+++ b/src/calls/http_json.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// JSON bodies of the HTTP interface: protobuf's own JSON mapping with the field names of the
-/// schemas (snake_case), and one shape for every error.
+/// schemas (snake_case). Every error has the form of `ErrorBody`.
 
 #include <memory>
 #include <string>
@@ -21,9 +21,10 @@
 void SendJson(HttpResponder& responder, int http_status, const google::protobuf::Message& message);
 /// Sends an ErrorBody; sets Retry-After (whole seconds, rounded up) if `retry_after_ms` is set.
 void SendError(HttpResponder& responder, int http_status, const proto::CallError& error);
-/// @return the HTTP status that fits `code` (400, 404, 409, 429, 503, 504, 500).
+/// @return the HTTP status for `code`: 200, 400, 404, 409, 429, 500, 503 or 504.
 int HttpStatusFor(StatusCode code);
-/// Sends `status` as an error. `executed` says whether the request may have run.
+/// Sends `status` as an error; with 429 and 503 the client is asked to retry after 1 s.
+/// @param executed whether the request may have run.
 void SendStatus(HttpResponder& responder, const Status& status, proto::Executed executed);
 
 }  // namespace cloverbank
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kEvaluationInterval = seconds(1);
-/// Between notifications while slow start delays calls.
+/// Time between capacity notifications while replicas that are warming up delay calls.
 constexpr Duration kSlowStartNotificationInterval = milliseconds(20);
 
 RouterOptions MakeRouterOptions(const GatewayOptions& options) {
@@ -158,7 +158,7 @@
       RemoveLoadIfUnused(use.id);
     }
   }
-  // An earlier incarnation's calls say nothing about this one.
+  // A call to an earlier incarnation says nothing about the health of the current one.
   const bool current = IsCurrent(use.id, use.instance_id);
   health_.OnCallEnded(use.id, current ? end : CallEnd::kWithdrawn, now);
   NotifyCapacity();
@@ -270,7 +270,7 @@
     ApplyLoadReport(id, headers);
     other_calls = loads_[id].others();
   }
-  // A replica that was listed before this gateway started and serves others does not warm up.
+  // A preexisting replica that serves calls of others is already warm: it needs no slow start.
   const bool preexisting = answered && active_.TakePreexisting(id);
   health_.OnProbe(id, answered, preexisting && other_calls > 0, now);
   if (other_calls > 0) {
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// All replicas as this gateway sees them: connects the platform's list, health checks, load and
-/// the router, and records every call to a replica. Threads: the owner's event loop only.
+/// The state of all replicas as this gateway knows it: connects the platform's list, health checks,
+/// load and the router, and records every call to a replica. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -24,14 +24,14 @@
 
 namespace cloverbank {
 
-/// One use of a replica by a call.
+/// The use of one incarnation of a replica by one attempt.
 struct ReplicaUse {
   std::string id;
   std::string instance_id;
   WorkKind work = WorkKind::kLive;
   std::uint32_t prompt_tokens = 0;  ///< Estimated tokens to prefill.
-  std::uint64_t shared_key = 0;     ///< Identifies the prefix shared with other calls.
-  Duration backlog{};               ///< Time to prefill the prompts before it.
+  std::uint64_t shared_key = 0;     ///< Identifies the prefix shared with other calls; 0: none.
+  Duration backlog{};               ///< Estimated time to prefill the prompts sent before.
 };
 
 class ReplicaPool {
@@ -42,41 +42,51 @@
   ReplicaPool(const ReplicaPool&) = delete;
   ReplicaPool& operator=(const ReplicaPool&) = delete;
 
+  /// Starts to read the list, to probe replicas and to evaluate their health.
   void Start();
   /// A newer configuration applies: zones may have opened or closed.
   void OnConfiguration();
 
+  /// Chooses a replica for a call. If none is chosen while a replica is warming up, the capacity
+  /// observer runs soon.
   RoutingChoice Choose(const RoutingQuery& query);
+  /// @return how many more batch items may start now on replicas of `backend`.
   std::uint32_t FreeBatchSlots(const std::string& backend) const;
-  /// Whether a call of `route` may be sent to this incarnation of a replica now: it is listed as
-  /// ready in a fresh list, and in a zone that is open and allowed.
+  /// Whether a call of `route` may be sent to this incarnation of a replica now: a list that is not
+  /// stale has it as ready, the route allows its back end, and its zone is open and allowed.
   bool CanSend(const ReplicaUse& use, const proto::Route& route) const;
 
-  /// @return the use of `replica` by a call with the prompt.
+  /// @return the use of `replica` by a call with this prompt.
   ReplicaUse MakeUse(const ReplicaRecord& replica, WorkKind work, const PromptShape& prompt,
                      std::string_view prefix_key) const;
+  /// An attempt is handed to the HTTP client; each one must be followed by one `OnCallEnded`.
   void OnCallStarted(const ReplicaUse& use);
   /// Another gateway sent a prompt to the replica; unknown replicas are ignored.
+  /// @param tokens to prefill. @param key of the shared prefix.
   void OnRemotePrompt(const std::string& replica, std::uint32_t tokens, std::uint64_t key);
-  /// Runs for each prompt that this gateway sends.
+  /// Runs within `OnCallStarted` for each prompt that this gateway sends, if it has tokens to
+  /// prefill. `tokens` and `key` are as for `OnRemotePrompt`.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
   void OnPrompt(PromptObserver observer) { on_prompt_ = std::move(observer); }
+  /// @param end what the end of the call says about the replica's health; it is no evidence if the
+  /// replica is another incarnation now.
   void OnCallEnded(const ReplicaUse& use, CallEnd end);
   /// The head of a response was received `latency` after the request was sent.
   void OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
 
-  /// Whether the replica does not respond to running calls, or is another incarnation now.
+  /// Whether the replica has not responded to running calls for longer than the stall limit, or is
+  /// another incarnation now.
   bool IsStalled(const ReplicaUse& use) const;
   /// Bytes of a response were received.
   void OnBytesReceived(const ReplicaUse& use);
 
-  /// Sets this gateway's part of the rates of warming replicas and of batch capacity.
+  /// Sets this gateway's part of the call rates of warming replicas and of the batch capacity.
   void SetQuota(const GatewayQuota& quota);
 
-  /// Runs when a replica may have free capacity again.
+  /// Sets the observer that runs whenever a replica may have free capacity again.
   void OnCapacity(std::function<void()> observer) { on_capacity_ = std::move(observer); }
-  /// Expires with the pool, for calls whose connection outlives it.
+  /// Expires when the pool is destroyed. Calls whose connection may outlive the pool check it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
   bool list_loaded() const { return poller_.loaded(); }
   /// Whether a list was read and is not stale.
@@ -86,20 +96,25 @@
   const LoadTable& loads() const { return loads_; }
 
  private:
+  /// Applies a newly read list. @return kInvalidArgument if the list was not applied.
   Status OnList(const proto::ReplicaList& list);
   void OnProbe(const std::string& id, const std::string& instance_id, bool answered,
                const HttpHeaders& headers);
-  /// @param restarted replicas that began a new incarnation.
+  /// Recomputes the active replicas. @param restarted ids of replicas that began a new incarnation.
   void RefreshActive(const std::vector<std::string>& restarted);
   void ResetHealth(const ActiveReplicas::Change& change);
-  /// @param added health checks of these come first.
+  /// Probes all active replicas. @param added ids of replicas that are probed first, those in the
+  /// own zone before the others.
   void UpdateProbeTargets(const std::vector<std::string>& added);
   void RemoveLoadIfUnused(const std::string& id);
+  /// Whether the list has this incarnation of the replica.
   bool IsCurrent(const std::string& id, const std::string& instance_id) const;
+  /// Stores the load that a response reports in its headers, if any.
   void ApplyLoadReport(const std::string& id, const HttpHeaders& headers);
-  /// Grants what this gateway may send to a replica until its next report.
+  /// Sets how many calls this gateway may send to a replica until the replica's next report.
   void UpdateAllowances(const std::string& id);
-  /// Notifies of capacity soon: with slow start, time alone brings some.
+  /// Schedules a run of the capacity observer: a replica that is warming up gets new capacity just
+  /// by the passing of time, without any event.
   void ScheduleCapacityNotification();
   void EvaluateHealth();
   void PublishMetrics();
@@ -127,7 +142,7 @@
   PromptObserver on_prompt_;
   TimerId evaluation_timer_ = 0;
   TimerId capacity_timer_ = 0;
-  const bool probed_;
+  const bool probed_;  ///< Whether this gateway sends health checks.
   std::shared_ptr<const void> lifetime_ = std::make_shared<int>(0);
 };
 
--- a/src/calls/retry_policy.cc
+++ b/src/calls/retry_policy.cc
@@ -5,6 +5,7 @@
 namespace cloverbank {
 namespace {
 
+/// Bounds the shift that doubles the backoff.
 constexpr std::uint32_t kMaximumBackoffExponent = 16;
 
 }  // namespace
@@ -61,7 +62,8 @@
 }
 
 bool RetryState::CanRetry() const {
-  // Refusals do not count where a call has attempts of its own: nothing ran there.
+  // Where `maximum_refusals` is set, `maximum_attempts` limits runs only: a replica that refused
+  // the call did not run it, so that attempt does not count.
   const bool count_refusals = options_.maximum_refusals == 0;
   const bool attempts_left = !count_refusals || attempts_since_wait_ < options_.maximum_attempts;
   return !committed_ && attempts_left && retries_ + 1 < options_.maximum_attempts &&
@@ -72,7 +74,7 @@
   const std::uint32_t exponent = std::min(retries_, kMaximumBackoffExponent);
   const Duration maximum =
       std::min(options_.maximum_backoff, options_.base_backoff * (std::int64_t{1} << exponent));
-  // Full jitter: spreads the retries of calls that failed together.
+  // Full jitter, from zero to the maximum, spreads the retries of calls that failed together.
   const auto maximum_count = static_cast<std::uint64_t>(maximum.count());
   return Duration(static_cast<std::int64_t>(random % (maximum_count + 1)));
 }
--- a/src/calls/retry_policy.h
+++ b/src/calls/retry_policy.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Whether a call may be retried after an attempt, and whether it may have run. Pure. `RetryState`
-/// belongs to one call, `RetryBudget` to all calls of a gateway.
+/// Decides whether a call may be retried after an attempt, and tracks whether it may have run.
+/// Pure. `RetryState` belongs to one call; all calls of a gateway share one `RetryBudget`.
 ///
 /// Invariant: a non-idempotent call is never sent again after bytes of it were sent, unless the
 /// replica refused it before running it.
@@ -15,27 +15,32 @@
 
 /// How one attempt at a replica ended.
 enum class AttemptEnd : std::uint8_t {
-  kComplete,  ///< A complete, checked response.
-  kNotRun,    ///< Certainly not run: nothing was sent, or the replica refused it.
+  kComplete,  ///< A complete, checked response was received.
+  kNotRun,    ///< The call certainly did not run: nothing was sent, or the replica refused it.
   kRejected,  ///< The replica found the request invalid: not run, and others would reject it too.
-  kUnknown,   ///< Bytes were sent, and it may have run.
-  kFailed,    ///< The replica reported that it ran and failed.
+  kUnknown,   ///< Bytes were sent, and the call may have run.
+  kFailed,    ///< The replica reported that the call ran and failed.
 };
 
 struct RetryOptions {
-  std::uint32_t maximum_attempts =
-      3;  ///< Of all kinds together, before the call waits in the queue.
-  /// Replicas that may refuse a call before it waits, where that is more.
+  /// Attempts, whatever their end, before the call waits in the queue; also the limit of attempts
+  /// that may have run.
+  std::uint32_t maximum_attempts = 3;
+  /// Attempts after which a refused call waits, if that is more than `maximum_attempts`. If it is
+  /// not zero, refusals do not use up `maximum_attempts`.
   std::uint32_t maximum_refusals = 0;
-  double budget_ratio = 0.2;   ///< Retries allowed for each first attempt.
-  double budget_reserve = 10;  ///< Retries allowed without any.
-  /// Whether retries use the budget; those of batch work are bounded by its capacity.
+  double budget_ratio = 0.2;   ///< Retries added to the budget for each first attempt.
+  double budget_reserve = 10;  ///< Initial and maximum number of retries in the budget.
+  /// Whether retries use the budget. Those of batch work do not need it, since they are bounded by
+  /// the capacity for batch work.
   bool budgeted = true;
+  /// Upper bound of a backoff before any retry is made; it doubles with each retry, including the
+  /// first one.
   Duration base_backoff = milliseconds(20);
-  Duration maximum_backoff = milliseconds(500);
+  Duration maximum_backoff = milliseconds(500);  ///< Upper bound of every backoff.
 };
 
-/// Keeps retries a bounded share of all calls, so that an outage is not made worse by them.
+/// Limits retries to a share of all calls, so that they do not make an outage worse.
 class RetryBudget {
  public:
   explicit RetryBudget(const RetryOptions& options)
@@ -45,9 +50,9 @@
 
   /// A call was sent for the first time.
   void OnFirstAttempt();
-  /// Whether a retry could be made now.
+  /// Whether the budget allows a retry now.
   bool HasRetry() const { return tokens_ >= 1; }
-  /// @return whether a retry may be made now; takes it from the budget.
+  /// Takes one retry from the budget. @return false if none is left.
   bool ConsumeRetry();
 
  private:
@@ -58,14 +63,16 @@
 
 enum class RetryAction : std::uint8_t {
   kFinish,            ///< Respond to the client.
-  kSendElsewhere,     ///< Immediately, to another replica.
-  kSendAfterBackoff,  ///< After a backoff.
-  kWaitForCapacity,   ///< Not run so far: waits in the queue until a replica has capacity.
+  kSendElsewhere,     ///< Send immediately to another replica.
+  kSendAfterBackoff,  ///< Send again after the backoff.
+  /// The limit of refused or unsent attempts is reached: after the backoff, choose a replica again,
+  /// or wait in the queue until one has capacity.
+  kWaitForCapacity,
 };
 
 struct RetryDecision {
   RetryAction action = RetryAction::kFinish;
-  Duration backoff{};
+  Duration backoff{};  ///< Time to wait before the action.
 };
 
 class RetryState {
@@ -75,16 +82,18 @@
 
   /// An attempt is about to be sent.
   void OnAttempt();
-  /// Part of the response was sent to the client: no more retries.
+  /// Part of the response was sent to the client and can not be resumed: no more retries.
   void OnCommitted() { committed_ = true; }
-  /// An attempt ended. @param repeatable whether the route allows the call to be carried out twice.
-  /// @param random for the jitter of the backoff.
+  /// An attempt ended. Takes a retry from the budget if the decision uses one.
+  /// @param repeatable whether the call may run twice, that is, whether it is idempotent.
+  /// @param random a random number, for the jitter of the backoff.
   RetryDecision Decide(AttemptEnd end, bool repeatable, std::uint64_t random);
 
-  /// Whether an attempt that may have run could be followed by another one now.
+  /// Whether an attempt that may have run could be followed by another one now, if the call is
+  /// idempotent.
   bool CanRetry() const;
 
-  /// Whether the call may have run, if it ends without a complete response now.
+  /// Whether the call ran, as far as the ended attempts show.
   proto::Executed executed() const { return executed_; }
   std::uint32_t attempts() const { return attempts_; }
 
@@ -94,8 +103,8 @@
   const RetryOptions& options_;
   RetryBudget& budget_;
   std::uint32_t attempts_ = 0;
-  std::uint32_t attempts_since_wait_ = 0;
-  std::uint32_t retries_ = 0;
+  std::uint32_t attempts_since_wait_ = 0;  ///< Since the start, or since the last kWaitForCapacity.
+  std::uint32_t retries_ = 0;              ///< After attempts that may have run.
   bool committed_ = false;
   proto::Executed executed_ = proto::EXECUTED_NO;
 };
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kServePath = "/serve";
 
-/// One request to a plain service and its complete response.
+/// An attempt at a plain service: one JSON request and one complete response.
 class ServiceAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ServiceAttempt> {
  public:
@@ -64,7 +64,7 @@
     Finish(ParseResponse(outcome.response.body));
   }
 
-  /// A complete response counts only if it belongs to this call.
+  /// Accepts a complete response only if its call id is that of this call.
   FailureClassification ParseResponse(const std::string& body) const {
     FailureClassification classification;
     const bool readable =
--- a/src/calls/serving_permission.h
+++ b/src/calls/serving_permission.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// What a gateway needs to forward calls: a valid lease and a configuration. An interface, so that
-/// the data plane is tested without a control plane. Threads: the owner's event loop only.
+/// What a gateway needs from the control plane to forward calls: a valid node lease and a
+/// configuration. An interface, so that the data plane is tested without a control plane. Threads:
+/// the owner's event loop only.
 
 #include "proto/configuration.pb.h"
 
@@ -10,7 +11,8 @@
 class ServingPermission {
  public:
   virtual ~ServingPermission() = default;
-  /// Whether the node lease is valid now. Evaluated immediately before each request is sent.
+  /// Whether the node lease is valid now. Attempts evaluate it immediately before they send their
+  /// request.
   virtual bool IsValid() const = 0;
   /// The newest configuration; version 0 until the first one was received.
   virtual const proto::RoutingConfiguration& configuration() const = 0;
--- a/src/calls/slow_start_quota.cc
+++ b/src/calls/slow_start_quota.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Longer than a gateway takes to learn that its part of a rate has gone to another one.
+/// Longer than a gateway takes to learn that its part of a rate now belongs to another gateway.
 constexpr Duration kTakeOverDelay = milliseconds(1500);
 constexpr double kUnbounded = std::numeric_limits<double>::infinity();
 
--- a/src/calls/slow_start_quota.h
+++ b/src/calls/slow_start_quota.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// This gateway's rate of calls to replicas that warm up: its part (`GatewayQuota`) of the calls a
-/// second that such a replica may get from all gateways together. Pure but for the configuration it
-/// reads.
+/// The rate of calls that this gateway may send to replicas that are warming up: its part
+/// (`GatewayQuota`) of the calls a second that such a replica may get from all gateways together.
+/// Pure, except that it reads the current configuration.
 
 #include "calls/serving_permission.h"
 #include "replicas/replica_directory.h"
@@ -13,24 +13,26 @@
 
 class SlowStartQuota {
  public:
-  /// All references outlive it.
+  /// All references must outlive this object.
   SlowStartQuota(const ServingPermission& permission, const ReplicaDirectory& directory,
                  GatewayQuota quota)
       : permission_(permission), directory_(directory), quota_(std::move(quota)) {}
 
-  /// This gateway's part of the rates changed. @return false if it is the same as before.
+  /// Sets this gateway's part of the rates. @return false if it is the same as before.
   bool SetQuota(const GatewayQuota& quota, TimePoint now);
-  /// The configuration changed, and the rates with it.
+  /// The configuration changed, and possibly the rates.
   void OnConfiguration(TimePoint now) { UpdateRates(Duration::zero(), now); }
-  /// The list of replicas changed, and who warms up with it.
+  /// The list of replicas changed, and possibly the set of those that are warming up.
   void OnList(TimePoint now);
 
   SlowStart& slow_start() { return slow_start_; }
 
  private:
-  /// @param delay before calls begin where there were none before.
+  /// @param delay time before the first call to a replica for which this gateway had no rate
+  /// before.
   void UpdateRates(Duration delay, TimePoint now);
-  /// @return how many calls a second this gateway may send to a replica that warms up.
+  /// @return how many calls a second this gateway may send to a replica that is warming up;
+  /// infinity if the back end sets no limit.
   double RateFor(const ReplicaRecord& record) const;
 
   const ServingPermission& permission_;
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -15,8 +15,8 @@
 constexpr std::string_view kGeneratePath = "/generate";
 constexpr std::size_t kMaximumErrorBodyBytes = std::size_t{64} << 10U;
 
-/// A streamed generation. Chunks are checked and forwarded one at a time; the replica is read no
-/// further until the client has taken the last one.
+/// An attempt at a model: a generation streamed as JSON lines. Checks and forwards one chunk at a
+/// time, and reads no more from the replica until the client has taken the previous one.
 class StreamAttempt final : public CallAttempt, public std::enable_shared_from_this<StreamAttempt> {
  public:
   StreamAttempt(const AttemptContext& context, JsonAttemptRequest request,
@@ -48,7 +48,7 @@
         self->OnBytes(bytes, std::move(more));
       }
     };
-    // The end holds the attempt alive until it comes.
+    // `on_end` keeps the attempt alive until the HTTP call has ended.
     stream.on_end = [self = shared_from_this()](HttpOutcome outcome) {
       self->OnEnd(std::move(outcome));
     };
@@ -92,7 +92,7 @@
     ProcessInput();
   }
 
-  /// Something follows the last chunk: the connection must not be reused.
+  /// Something follows the regular last chunk: closes the connection, which must not be reused.
   void HandleDataAfterEnd() {
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
@@ -108,7 +108,7 @@
     } else if (complete) {
       ProcessInput();
     } else {
-      Complete();  // Not delayed by a client that does not read.
+      Complete();  // At once, even if the client has not taken the last chunk.
     }
   }
 
@@ -183,7 +183,7 @@
     });
   }
 
-  /// The body or the call ended without a last chunk.
+  /// Finishes after the body or the HTTP call ended without a regular last chunk.
   void Complete() {
     if (outcome_->kind != HttpOutcomeKind::kAnswered) {
       const FailureClassification classification =
@@ -231,8 +231,8 @@
     Finish(std::move(result), CallEnd::kFailed);
   }
 
-  /// The last chunk was sent to the client. The rest of the body is read, so that the connection
-  /// can be reused.
+  /// Finishes after the regular last chunk was forwarded. Reads the rest of the body, so that the
+  /// connection can be reused.
   void FinishSuccessfully() {
     session_.MarkDone();
     if (outcome_) {
@@ -268,12 +268,12 @@
   StreamCheck check_;
   LineReader lines_;
   std::shared_ptr<HttpCall> call_;
-  int status_ = 0;  ///< 0 until the head came.
-  std::string error_body_;
-  std::function<void()> read_more_;
-  std::optional<HttpOutcome> outcome_;
-  bool chunk_in_flight_ = false;
-  bool processing_ = false;
+  int status_ = 0;                      ///< 0 until the head was received.
+  std::string error_body_;              ///< Start of the body of an error response.
+  std::function<void()> read_more_;     ///< Requests more of the body, if that is due.
+  std::optional<HttpOutcome> outcome_;  ///< Set when the HTTP call has ended.
+  bool chunk_in_flight_ = false;        ///< The client has not taken the last chunk yet.
+  bool processing_ = false;             ///< `ProcessInput` is running.
 };
 
 }  // namespace
--- a/src/calls/stream_check.h
+++ b/src/calls/stream_check.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Checks which chunks of a replica's stream may be forwarded: an unbroken sequence from chunk 0 of
-/// one run id that belongs to the call. Pure; one object for each attempt.
+/// Checks which chunks of a replica's stream may be forwarded: those of this call and of a single
+/// run, in unbroken sequence from chunk 0. Pure; one object for each attempt.
 
 #include <cstdint>
 #include <string>
@@ -11,24 +11,24 @@
 
 namespace cloverbank {
 
-/// What to do with a chunk.
+/// The result of checking one chunk.
 enum class ChunkCheckResult : std::uint8_t {
   kPass,          ///< The next chunk of the run.
   kEnd,           ///< The regular last chunk.
   kReplicaError,  ///< The replica ended the run with an error chunk.
-  kInvalid,       ///< Must not be forwarded; the stream has ended.
+  kInvalid,       ///< The chunk must not be forwarded; `fault` says why. The stream has ended.
 };
 
-/// Why a stream was broken off.
+/// Why a stream is invalid.
 enum class StreamFault : std::uint8_t {
   kNone,
-  kOtherCall,  ///< The call id is another one: a crossed or late response.
-  kOtherRun,   ///< Another run id, or none.
-  kGap,        ///< A chunk is missing.
-  kRepeat,     ///< A chunk was repeated.
+  kOtherCall,  ///< The call id is another one: a late response, or one to another call.
+  kOtherRun,   ///< The run id is another one, or missing.
+  kGap,        ///< The sequence number is too high: a chunk is missing.
+  kRepeat,     ///< The sequence number is too low: a chunk was repeated.
   kAfterEnd,   ///< Something followed the last chunk.
   kNoEnd,      ///< The body ended without a last chunk.
-  kMalformed,  ///< A line was not a chunk, or too long.
+  kMalformed,  ///< A line was not a chunk, or was too long.
 };
 
 /// @return the stable snake_case name, for metrics and error codes.
@@ -40,13 +40,15 @@
 
   /// Checks the next chunk. After anything but kPass the stream has ended.
   ChunkCheckResult Check(const proto::StreamChunk& chunk);
-  /// The body ended. @return whether it was complete, that is, after the regular last chunk.
+  /// The body ended. @return whether the stream was complete, that is, whether its last valid chunk
+  /// was a regular last chunk and nothing followed.
   bool OnBodyEnd();
   /// Something other than a chunk was received.
   void RecordMalformed() { Fail(StreamFault::kMalformed); }
 
+  /// The first fault, if any.
   StreamFault fault() const { return fault_; }
-  /// Whether the run is known to have produced anything.
+  /// Whether any valid chunk was received.
   bool started() const { return next_sequence_ > 0; }
   const std::string& run_id() const { return run_id_; }
   /// Sequence number that the next chunk must have.
@@ -59,8 +61,8 @@
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  bool ended_ = false;
-  bool complete_ = false;
+  bool ended_ = false;     ///< The stream has ended, in whatever way.
+  bool complete_ = false;  ///< The regular last chunk was received.
   StreamFault fault_ = StreamFault::kNone;
 };
 
