--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -26,7 +26,8 @@
   const bool readable = FromJson(body, &parsed, UnknownFields::kIgnore).ok() && parsed.has_error();
   const proto::Executed reported = parsed.error().executed();
   const std::string details = readable ? ": " + parsed.error().message() : "";
-  const std::string message = "the replica answered " + std::to_string(status) + details;
+  const std::string message =
+      "the replica responded with status " + std::to_string(status) + details;
   const bool ran = reported == proto::EXECUTED_YES || reported == proto::EXECUTED_UNKNOWN;
   FailureClassification classification;
   if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
@@ -63,7 +64,7 @@
         context.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
     classification.result.end = AttemptEnd::kNotRun;
     const std::string code = context.send_denied ? "right_ended" : "replica_unreachable";
-    classification.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
+    classification.result.error = MakeError(code, "the request was not sent: " + outcome.reason);
     return classification;
   }
   // A deadline that is too short for any replica, or that ends a response in progress, is not the
@@ -74,7 +75,7 @@
   classification.health = not_replica_fault ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
   classification.result.end = AttemptEnd::kUnknown;
   classification.result.error =
-      MakeError("replica_silent", "the replica gave no whole answer: " + outcome.reason);
+      MakeError("replica_silent", "the replica sent no complete response: " + outcome.reason);
   return classification;
 }
 
--- a/src/calls/call_failure.cc
+++ b/src/calls/call_failure.cc
@@ -10,19 +10,24 @@
 CallFailureDetails DescribeCallFailure(CallFailure failure) {
   switch (failure) {
     case CallFailure::kDeadlineReached:
-      return {"deadline_reached", "the deadline passed before an answer came", kShortRetryAfter};
+      return {"deadline_reached", "the deadline passed before a complete response was received",
+              kShortRetryAfter};
     case CallFailure::kLeaseExpired:
-      return {"lease_expired", "this gateway has lost touch with control; try another one",
+      return {"lease_expired",
+              "this gateway has no valid lease from the coordinators; try another gateway",
               kShortRetryAfter};
     case CallFailure::kNoReplicaList:
       return {"no_replica_list", "this gateway has not read the list of replicas yet",
               kShortRetryAfter};
     case CallFailure::kUnknownRoute:
-      return {"unknown_route", "the configuration no longer has this route", Duration::zero()};
+      return {"unknown_route", "the configuration no longer has the route of this call",
+              Duration::zero()};
     case CallFailure::kStartWithdrawn:
-      return {"start_withdrawn", "the right to start this call ran out", Duration::zero()};
+      return {"start_withdrawn",
+              "this batch item may no longer start, e.g. because its work lease ended",
+              Duration::zero()};
     case CallFailure::kNoCapacity:
-      return {"no_room", "no replica has room for batch work now", kShortRetryAfter};
+      return {"no_room", "no replica has free capacity for batch work now", kShortRetryAfter};
   }
   return {};
 }
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -102,8 +102,8 @@
   if (temporary) {
     return TrySendResult::kNoCapacity;
   }
-  FinishWith(RoutingFailureName(choice.failure),
-             "no replica serves this route now; come back later", kRetryAfter);
+  FinishWith(RoutingFailureName(choice.failure), "no replica serves this route now; retry later",
+             kRetryAfter);
   return TrySendResult::kEnded;
 }
 
@@ -226,8 +226,8 @@
 
 void CallRunner::OnQueueRefusal(const RefusalNotice& notice) {
   wait_id_ = 0;
-  FinishWith(RefusalName(notice.refusal),
-             "too many calls for the replicas there are; come back later", notice.retry_after);
+  FinishWith(RefusalName(notice.refusal), "too many calls for the available replicas; retry later",
+             notice.retry_after);
 }
 
 void CallRunner::OnAttemptDone(const AttemptResult& result) {
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -28,7 +28,9 @@
   return status >= kFirstServerError || status == kHttpTooManyRequests;
 }
 
-std::string DescribeStatus(int status) { return "the replica answered " + std::to_string(status); }
+std::string DescribeStatus(int status) {
+  return "the replica responded with status " + std::to_string(status);
+}
 
 std::int64_t ToMilliseconds(Duration duration) {
   return std::chrono::duration_cast<milliseconds>(duration).count();
@@ -362,7 +364,7 @@
   Log(LogLevel::kInfo, "response_broken",
       {{"call_id", exchange_->call_id()}, {"replica", request_.use.id}, {"fault", name}});
   FinishWith(AttemptEnd::kUnknown, "response_broken",
-             "the replica's answer was not one whole answer to this call: " + std::string(name),
+             "the replica's response is not a complete response to this call: " + std::string(name),
              CallEnd::kFailed);
 }
 
--- a/src/calls/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -63,7 +63,8 @@
   result.end = AttemptEnd::kUnknown;
   result.permanent = true;
   result.error.set_code("answer_too_large");
-  result.error.set_message("the answer is larger than this gateway keeps; ask for a stream");
+  result.error.set_message(
+      "the response is larger than this gateway buffers; request it as a stream");
   events.on_done(std::move(result));
 }
 
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -81,8 +81,8 @@
     classification.result.answer.Clear();
     classification.result.end = AttemptEnd::kUnknown;
     classification.result.error.set_code("response_broken");
-    classification.result.error.set_message("the replica's answer was not this call's: " +
-                                            std::string(fault));
+    classification.result.error.set_message(
+        "the replica's response is not a valid response to this call: " + std::string(fault));
     classification.health = CallEnd::kFailed;
     return classification;
   }
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -213,8 +213,7 @@
     JsonAttemptResult result;
     result.end = AttemptEnd::kUnknown;
     result.error.set_code("stream_broken");
-    result.error.set_message("the replica's stream was not one unbroken run: " +
-                             std::string(fault));
+    result.error.set_message("the replica's stream is not one unbroken run: " + std::string(fault));
     Finish(std::move(result), CallEnd::kFailed);
   }
 
@@ -227,7 +226,7 @@
       result.end = AttemptEnd::kFailed;
     }
     result.error.set_code("replica_failed");
-    result.error.set_message("the replica ended the stream: " + error.message());
+    result.error.set_message("the replica ended the stream with an error: " + error.message());
     Finish(std::move(result), CallEnd::kFailed);
   }
 
