--- a/tests/calls/event_stream_test.cc
+++ b/tests/calls/event_stream_test.cc
@@ -10,16 +10,16 @@
 
 TEST(EventSplitterTest, SplitsEventsAtAnyByteBoundary) {
   const std::string bytes = "id: 0\ndata: a\n\nid: 1\r\ndata: b\r\ndata: c\r\n\r\n";
-  for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
+  for (std::size_t boundary = 0; boundary <= bytes.size(); ++boundary) {
     EventSplitter splitter(1000);
     std::vector<StreamEvent> events;
-    for (const std::string& part : {bytes.substr(0, cut), bytes.substr(cut)}) {
+    for (const std::string& part : {bytes.substr(0, boundary), bytes.substr(boundary)}) {
       splitter.Append(part);
       while (auto event = splitter.Next()) {
         events.push_back(*event);
       }
     }
-    ASSERT_EQ(events.size(), 2U) << cut;
+    ASSERT_EQ(events.size(), 2U) << "split after " << boundary << " bytes";
     EXPECT_EQ(events[0].bytes + events[1].bytes, bytes);
     EXPECT_EQ(events[0].id, 0U);
     EXPECT_EQ(events[1].id, 1U);
@@ -29,7 +29,7 @@
   }
 }
 
-TEST(EventSplitterTest, BuffersAnIncompleteEvent) {
+TEST(EventSplitterTest, ReportsAnIncompleteEventAboveTheLimit) {
   EventSplitter splitter(10);
   splitter.Append("id: 0\ndata: a\n");
   EXPECT_FALSE(splitter.Next());
@@ -76,8 +76,8 @@
     route.mutable_split()->rbegin()->set_weight(weight);
   }
   int to_two = 0;
-  for (std::uint64_t draw = 0; draw < 1000; ++draw) {
-    to_two += ChooseBackend(route, draw) == "two" ? 1 : 0;
+  for (std::uint64_t random = 0; random < 1000; ++random) {
+    to_two += ChooseBackend(route, random) == "two" ? 1 : 0;
   }
   EXPECT_EQ(to_two, 100);
   EXPECT_TRUE(AllowsBackend(route, "two"));
--- a/tests/calls/http_json_test.cc
+++ b/tests/calls/http_json_test.cc
@@ -8,11 +8,11 @@
 namespace {
 
 TEST(HttpJsonTest, RoundsRetryAfterUpToSeconds) {
-  RecordedResponse answer;
+  RecordedResponse response;
   proto::CallError error;
   error.set_retry_after_ms(1001);
-  SendError(answer, 503, error);
-  EXPECT_EQ(answer.Header("Retry-After"), "2");
+  SendError(response, 503, error);
+  EXPECT_EQ(response.Header("Retry-After"), "2");
 }
 
 }  // namespace
--- a/tests/calls/retry_policy_test.cc
+++ b/tests/calls/retry_policy_test.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-TEST(RetryStateTest, NeverRetriesNonIdempotentCallsThatRan) {
+TEST(RetryStateTest, NeverRetriesNonIdempotentCallsThatMayHaveRun) {
   const RetryOptions options;
   std::mt19937_64 random(9);
   for (int round = 0; round < 20'000; ++round) {
--- a/tests/calls/stream_check_test.cc
+++ b/tests/calls/stream_check_test.cc
@@ -17,7 +17,7 @@
   return chunk;
 }
 
-TEST(StreamCheckTest, AcceptsAnUnbrokenRunOnly) {
+TEST(StreamCheckTest, AcceptsAnUnbrokenRunAndNothingAfterItsEnd) {
   StreamCheck check("c");
   EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
   EXPECT_EQ(check.Check(Chunk("r", "c", 1)), ChunkCheckResult::kPass);
@@ -27,7 +27,7 @@
   EXPECT_EQ(check.fault(), StreamFault::kAfterEnd);
 }
 
-TEST(StreamCheckTest, NamesEachFault) {
+TEST(StreamCheckTest, ReportsTheFaultOfAnInvalidStream) {
   const auto fault_of = [](const proto::StreamChunk& second) {
     StreamCheck check("c");
     EXPECT_EQ(check.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
@@ -41,17 +41,17 @@
   EXPECT_EQ(fault_of(Chunk("", "c", 1)), StreamFault::kOtherRun);
   EXPECT_EQ(fault_of(Chunk("r", "c", 2)), StreamFault::kGap);
   EXPECT_EQ(fault_of(Chunk("r", "c", 0)), StreamFault::kRepeat);
-  StreamCheck late("c");
-  EXPECT_EQ(late.Check(Chunk("r", "c", 1)), ChunkCheckResult::kInvalid);
-  EXPECT_EQ(late.fault(), StreamFault::kGap);
-  StreamCheck cut("c");
-  EXPECT_EQ(cut.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
-  EXPECT_FALSE(cut.OnBodyEnd());
-  EXPECT_EQ(cut.fault(), StreamFault::kNoEnd);
+  StreamCheck without_first("c");
+  EXPECT_EQ(without_first.Check(Chunk("r", "c", 1)), ChunkCheckResult::kInvalid);
+  EXPECT_EQ(without_first.fault(), StreamFault::kGap);
+  StreamCheck truncated("c");
+  EXPECT_EQ(truncated.Check(Chunk("r", "c", 0)), ChunkCheckResult::kPass);
+  EXPECT_FALSE(truncated.OnBodyEnd());
+  EXPECT_EQ(truncated.fault(), StreamFault::kNoEnd);
 }
 
-/// Whatever damages a stream, what passes is a prefix of one run, and complete only if the run
-/// ended.
+/// However a stream is damaged, the chunks that pass are a prefix of one run, and the stream counts
+/// as complete only if that run ended.
 TEST(StreamCheckTest, RejectsRandomlyDamagedRuns) {
   std::mt19937_64 random(11);
   for (int round = 0; round < 20'000; ++round) {
@@ -78,19 +78,19 @@
         default:
           break;
       }
-      const ChunkCheckResult verdict = check.Check(chunk);
-      if (verdict == ChunkCheckResult::kInvalid) {
+      const ChunkCheckResult result = check.Check(chunk);
+      if (result == ChunkCheckResult::kInvalid) {
         break;
       }
       ASSERT_FALSE(ended);
       ASSERT_EQ(chunk.sequence(), expected++);
       ASSERT_EQ(chunk.run_id(), check.run_id());
       ASSERT_EQ(chunk.call_id(), "c");
-      ended = verdict == ChunkCheckResult::kEnd;
+      ended = result == ChunkCheckResult::kEnd;
       ASSERT_EQ(ended, chunk.end());
     }
-    const bool clean = ended && check.fault() == StreamFault::kNone;
-    ASSERT_EQ(check.OnBodyEnd(), clean);
+    const bool complete = ended && check.fault() == StreamFault::kNone;
+    ASSERT_EQ(check.OnBodyEnd(), complete);
   }
 }
 
