--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -21,12 +21,13 @@
 
 }  // namespace
 
-FailureClassification ClassifyRefusal(int status, const std::string& body) {
+FailureClassification ClassifyErrorResponse(int status, const std::string& body) {
   proto::ErrorBody parsed;
   const bool readable = FromJson(body, &parsed, UnknownFields::kIgnore).ok() && parsed.has_error();
   const proto::Executed reported = parsed.error().executed();
   const std::string details = readable ? ": " + parsed.error().message() : "";
-  const std::string message = "the replica answered " + std::to_string(status) + details;
+  const std::string message =
+      "the replica responded with status " + std::to_string(status) + details;
   const bool ran = reported == proto::EXECUTED_YES || reported == proto::EXECUTED_UNKNOWN;
   FailureClassification classification;
   if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
@@ -52,28 +53,29 @@
   return classification;
 }
 
-FailureClassification ClassifyTimeout(const HttpOutcome& outcome, const NoResponseContext& known,
-                                      const CallOptions& options) {
+FailureClassification ClassifyIncompleteResponse(const HttpOutcome& outcome,
+                                                 const IncompleteResponseContext& context,
+                                                 const CallOptions& options) {
   FailureClassification classification;
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
     const bool deadline_too_short =
-        known.deadline_reached && known.time_allowed < options.minimum_response_time;
+        context.deadline_reached && context.time_allowed < options.minimum_response_time;
     classification.health =
-        known.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
+        context.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
     classification.result.end = AttemptEnd::kNotRun;
-    const std::string code = known.send_denied ? "right_ended" : "replica_unreachable";
-    classification.result.error = MakeError(code, "nothing was sent: " + outcome.reason);
+    const std::string code = context.send_denied ? "right_ended" : "replica_unreachable";
+    classification.result.error = MakeError(code, "the request was not sent: " + outcome.reason);
     return classification;
   }
   // A deadline that is too short for any replica, or that ends a response in progress, is not the
   // replica's fault.
   const bool deadline_too_short =
-      known.head_received || known.time_allowed < options.minimum_response_time;
-  const bool not_replica_fault = known.deadline_reached && deadline_too_short;
+      context.head_received || context.time_allowed < options.minimum_response_time;
+  const bool not_replica_fault = context.deadline_reached && deadline_too_short;
   classification.health = not_replica_fault ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
   classification.result.end = AttemptEnd::kUnknown;
   classification.result.error =
-      MakeError("replica_silent", "the replica gave no whole answer: " + outcome.reason);
+      MakeError("replica_silent", "the replica sent no complete response: " + outcome.reason);
   return classification;
 }
 
