--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -50,7 +50,7 @@
     return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
   const std::uint64_t checksum = ComputeChecksum(transaction);
-  if (auto recorded = FindRecordedAnswer(transaction, checksum)) {
+  if (auto recorded = FindRecordedResult(transaction, checksum)) {
     return *std::move(recorded);
   }
   if (transaction.inquiry() && transaction.expected_label() == label_) {
@@ -60,11 +60,11 @@
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
     Commit(transaction, wall_ms);
   }
-  RecordAnswer(result, checksum);
+  RecordResult(result, checksum);
   return result;
 }
 
-std::optional<proto::TransactionResult> ConfigurationStore::FindRecordedAnswer(
+std::optional<proto::TransactionResult> ConfigurationStore::FindRecordedResult(
     const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const {
   const proto::OperationRecord* recorded = operations_.Find(transaction.operation_id());
   if (recorded == nullptr) {
@@ -78,7 +78,7 @@
                       "\" was used for another transaction; choose a new one"});
 }
 
-void ConfigurationStore::RecordAnswer(const proto::TransactionResult& result,
+void ConfigurationStore::RecordResult(const proto::TransactionResult& result,
                                       std::uint64_t checksum) {
   proto::OperationRecord record;
   record.set_operation_id(result.operation_id());
@@ -94,13 +94,13 @@
 
 proto::TransactionResult ConfigurationStore::Evaluate(
     const proto::ConfigurationTransaction& transaction) const {
-  if (auto refused = EvaluateLabels(transaction)) {
-    return *refused;
+  if (auto refusal = EvaluateLabels(transaction)) {
+    return *refusal;
   }
   std::vector<std::string> problems = CheckEnvelope(transaction);
   const ConfigurationVersion expected(transaction.expected_version());
-  const bool versioned = transaction.label() == 0 && !transaction.any_version();
-  if (versioned && problems.empty() && expected != version_) {
+  const bool requires_version = transaction.label() == 0 && !transaction.any_version();
+  if (requires_version && problems.empty() && expected != version_) {
     return MakeRefusal(
         transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
         {"expected_version is " + expected.ToString() + ", the current version is " +
@@ -108,9 +108,9 @@
          "; read the configuration, redo the changes on it and send them under a new "
          "operation_id"});
   }
-  std::vector<std::string> wrong = CheckChanges(objects_, transaction);
-  problems.insert(problems.end(), std::make_move_iterator(wrong.begin()),
-                  std::make_move_iterator(wrong.end()));
+  std::vector<std::string> change_problems = CheckChanges(objects_, transaction);
+  problems.insert(problems.end(), std::make_move_iterator(change_problems.begin()),
+                  std::make_move_iterator(change_problems.end()));
   if (!problems.empty()) {
     return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
@@ -171,17 +171,17 @@
   if (!transaction.replaces_traffic()) {
     return transaction;
   }
-  proto::ConfigurationTransaction normal = transaction;
-  normal.clear_changes();
+  proto::ConfigurationTransaction normalized = transaction;
+  normalized.clear_changes();
   std::set<ConfigurationObjectKey> named;
   for (const proto::ConfigurationChange& change : transaction.changes()) {
     named.insert(ObjectKeyFor(change));
     if (!ChangesNothing(change)) {
-      *normal.add_changes() = change;
+      *normalized.add_changes() = change;
     }
   }
-  RemoveUnnamedTraffic(named, &normal);
-  return normal;
+  RemoveUnnamedTraffic(named, &normalized);
+  return normalized;
 }
 
 void ConfigurationStore::RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -68,9 +68,9 @@
 
  private:
   /// @return the answer to give for an operation id that was used before; none for a new one.
-  std::optional<proto::TransactionResult> FindRecordedAnswer(
+  std::optional<proto::TransactionResult> FindRecordedResult(
       const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const;
-  void RecordAnswer(const proto::TransactionResult& result, std::uint64_t checksum);
+  void RecordResult(const proto::TransactionResult& result, std::uint64_t checksum);
   proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
   proto::TransactionResult MakeRefusal(const proto::ConfigurationTransaction& transaction,
                                        proto::TransactionOutcome outcome,
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -88,8 +88,8 @@
   }
   const ServerRegistry::Registration registration =
       servers_.Register(command.server(), NodeId(command.previous_node_id()));
-  for (const NodeId earlier : registration.superseded) {
-    SetStatus(DeclareDead(earlier), result);
+  for (const NodeId superseded : registration.superseded) {
+    SetStatus(DeclareDead(superseded), result);
   }
   result->set_node_id(registration.node_id.value());
 }
@@ -148,28 +148,28 @@
   }
   fleet_version_ = fleet_version_.Next();
   for (const NodeId node : servers) {
-    server_changed_[node] = fleet_version_;
+    server_change_versions_[node] = fleet_version_;
   }
   for (const PartitionId partition : partitions) {
-    partition_changed_[partition] = fleet_version_;
+    partition_change_versions_[partition] = fleet_version_;
   }
   ForgetPrunedServers();
 }
 
 void ControlState::ForgetPrunedServers() {
-  for (auto entry = server_changed_.begin(); entry != server_changed_.end();) {
+  for (auto entry = server_change_versions_.begin(); entry != server_change_versions_.end();) {
     if (servers_.Find(entry->first) != nullptr) {
       ++entry;
       continue;
     }
     // A delta can no longer include this death, so nodes that do not know it need full lists.
-    deltas_from_ = std::max(deltas_from_, entry->second);
-    entry = server_changed_.erase(entry);
+    oldest_delta_base_ = std::max(oldest_delta_base_, entry->second);
+    entry = server_change_versions_.erase(entry);
   }
 }
 
 proto::FleetUpdate ControlState::FleetUpdateFrom(FleetVersion known) const {
-  const bool delta = known >= deltas_from_ && known <= fleet_version_;
+  const bool delta = known >= oldest_delta_base_ && known <= fleet_version_;
   proto::FleetUpdate update;
   update.set_from_version(delta ? known.value() : 0);
   update.set_to_version(fleet_version_.value());
@@ -193,13 +193,13 @@
 }
 
 void ControlState::AddChangesSince(FleetVersion known, proto::FleetUpdate* update) const {
-  for (const auto& [id, changed] : server_changed_) {
-    if (changed > known) {
+  for (const auto& [id, version] : server_change_versions_) {
+    if (version > known) {
       *update->add_servers() = *servers_.Find(id);
     }
   }
-  for (const auto& [id, changed] : partition_changed_) {
-    if (changed > known) {
+  for (const auto& [id, version] : partition_change_versions_) {
+    if (version > known) {
       *update->add_partitions() = partitions_.partitions().at(id);
     }
   }
@@ -223,9 +223,9 @@
   partitions_.Load(snapshot);
   configuration_.Load(snapshot);
   fleet_version_ = FleetVersion(snapshot.fleet_version());
-  deltas_from_ = fleet_version_;
-  server_changed_.clear();
-  partition_changed_.clear();
+  oldest_delta_base_ = fleet_version_;
+  server_change_versions_.clear();
+  partition_change_versions_.clear();
   return Status::Ok();
 }
 
--- a/src/control_state/control_state.h
+++ b/src/control_state/control_state.h
@@ -67,9 +67,9 @@
   FleetVersion fleet_version_{1};
 
   // For deltas. Not replicated: after a restore, nodes behind the snapshot receive full lists.
-  FleetVersion deltas_from_{1};
-  std::map<NodeId, FleetVersion> server_changed_;
-  std::map<PartitionId, FleetVersion> partition_changed_;
+  FleetVersion oldest_delta_base_{1};
+  std::map<NodeId, FleetVersion> server_change_versions_;
+  std::map<PartitionId, FleetVersion> partition_change_versions_;
 };
 
 }  // namespace cloverbank
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -25,11 +25,11 @@
 
 bool HaveSameBackups(const proto::LogHead& left, const proto::LogHead& right,
                      const ServerRegistry& servers) {
-  return std::is_permutation(left.backups().begin(), left.backups().end(), right.backups().begin(),
-                             right.backups().end(),
-                             [&servers](std::uint64_t one, std::uint64_t other) {
-                               return servers.HaveSameDisk(NodeId(one), NodeId(other));
-                             });
+  return std::is_permutation(
+      left.backups().begin(), left.backups().end(), right.backups().begin(), right.backups().end(),
+      [&servers](std::uint64_t left_backup, std::uint64_t right_backup) {
+        return servers.HaveSameDisk(NodeId(left_backup), NodeId(right_backup));
+      });
 }
 
 Status Conflict(std::string message) { return {StatusCode::kConflict, std::move(message)}; }
@@ -257,32 +257,32 @@
 }
 
 std::size_t PartitionTable::CountAssigned(NodeId node) const {
-  std::size_t load = FindOwnedBy(node).size();
+  std::size_t count = FindOwnedBy(node).size();
   for (const auto& [dead, recovery] : recoveries_) {
     for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
       if (NodeId(assignment.queue_node_id()) == node && !assignment.done()) {
-        load += static_cast<std::size_t>(assignment.partition_ids_size());
+        count += static_cast<std::size_t>(assignment.partition_ids_size());
       }
     }
   }
-  return load;
+  return count;
 }
 
 std::set<NodeId> PartitionTable::FindReferencedServers() const {
-  std::set<NodeId> named;
-  const auto add_backups = [&named](const proto::LogHead& head) {
+  std::set<NodeId> referenced;
+  const auto add_backups = [&referenced](const proto::LogHead& head) {
     for (const std::uint64_t backup : head.backups()) {
-      named.insert(NodeId(backup));
+      referenced.insert(NodeId(backup));
     }
   };
   for (const auto& [node, heads] : heads_) {
-    named.insert(node);
+    referenced.insert(node);
     add_backups(heads.current);
     if (heads.previous.has_value()) {
       add_backups(*heads.previous);
     }
   }
-  return named;
+  return referenced;
 }
 
 bool PartitionTable::IsAssigned(const proto::Recovery& recovery, PartitionId partition,
--- a/src/control_state/server_registry.cc
+++ b/src/control_state/server_registry.cc
@@ -62,9 +62,9 @@
                                                    NodeId previous) const {
   std::vector<NodeId> superseded;
   for (const auto& [id, entry] : servers_) {
-    const bool named =
+    const bool is_previous =
         id == previous && entry.role() == server.role() && entry.machine() == server.machine();
-    if (IsLive(entry) && (named || Supersedes(server, entry))) {
+    if (IsLive(entry) && (is_previous || Supersedes(server, entry))) {
       superseded.push_back(id);
     }
   }
@@ -106,9 +106,9 @@
       dead.push_back(id);
     }
   }
-  for (std::size_t at = 0; at + kMaximumDeadServers < dead.size(); ++at) {
-    if (!needed.contains(dead[at])) {
-      servers_.erase(dead[at]);
+  for (std::size_t index = 0; index + kMaximumDeadServers < dead.size(); ++index) {
+    if (!needed.contains(dead[index])) {
+      servers_.erase(dead[index]);
     }
   }
 }
@@ -120,8 +120,8 @@
 
 const proto::Server* ServerRegistry::FindLive(NodeId node, proto::Role role) const {
   const proto::Server* server = Find(node);
-  const bool wanted = server != nullptr && IsLive(*server) && server->role() == role;
-  return wanted ? server : nullptr;
+  const bool matches = server != nullptr && IsLive(*server) && server->role() == role;
+  return matches ? server : nullptr;
 }
 
 std::vector<const proto::Server*> ServerRegistry::FindLiveServers(proto::Role role) const {
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -20,7 +20,7 @@
 }
 
 /// @return the problem of a name, if any.
-std::optional<std::string> NameProblem(const std::string& name) {
+std::optional<std::string> FindNameProblem(const std::string& name) {
   if (name.empty()) {
     return "the name is empty; give it one";
   }
@@ -52,8 +52,8 @@
 
  private:
   void AddProblem(const ConfigurationObjectKey& key, const std::string& problem);
-  void BuildResult();
-  void ApplyToResult(const proto::ConfigurationChange& change);
+  void BuildResultingObjects();
+  void ApplyToResultingObjects(const proto::ConfigurationChange& change);
   void CheckChange(int index, const proto::ConfigurationChange& change);
   /// Requires that no earlier change is about the object of `key`.
   void CheckUnique(int index, const ConfigurationObjectKey& key);
@@ -76,13 +76,13 @@
   std::map<std::string, proto::Zone> zones_;
   std::map<std::string, proto::Route> routes_;
   std::set<std::string> backends_;
-  std::map<ConfigurationObjectKey, int> seen_;
+  std::map<ConfigurationObjectKey, int> first_change_;
   std::vector<std::string> problems_;
   std::size_t omitted_problems_ = 0;
 };
 
 std::vector<std::string> ChangeValidator::Run() {
-  BuildResult();
+  BuildResultingObjects();
   for (int index = 0; index < transaction_.changes_size(); ++index) {
     CheckChange(index, transaction_.changes(index));
   }
@@ -103,7 +103,7 @@
   problems_.push_back(key.ToString() + ": " + problem);
 }
 
-void ChangeValidator::BuildResult() {
+void ChangeValidator::BuildResultingObjects() {
   zones_ = current_.zones;
   if (!transaction_.replaces_traffic()) {
     routes_ = current_.routes;
@@ -112,11 +112,11 @@
     }
   }
   for (const proto::ConfigurationChange& change : transaction_.changes()) {
-    ApplyToResult(change);
+    ApplyToResultingObjects(change);
   }
 }
 
-void ChangeValidator::ApplyToResult(const proto::ConfigurationChange& change) {
+void ChangeValidator::ApplyToResultingObjects(const proto::ConfigurationChange& change) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetZone:
       zones_[change.set_zone().name()] = change.set_zone();
@@ -157,17 +157,17 @@
 }
 
 void ChangeValidator::CheckUnique(int index, const ConfigurationObjectKey& key) {
-  const auto [first, fresh] = seen_.emplace(key, index);
-  if (!fresh) {
-    AddProblem(key, "changed twice, by changes " + std::to_string(first->second + 1) + " and " +
+  const auto [existing, inserted] = first_change_.emplace(key, index);
+  if (!inserted) {
+    AddProblem(key, "changed twice, by changes " + std::to_string(existing->second + 1) + " and " +
                         std::to_string(index + 1) + "; keep one");
   }
 }
 
 void ChangeValidator::CheckName(const ConfigurationObjectKey& key) {
-  const bool named =
+  const bool has_name =
       key.kind != ConfigurationObjectKind::kBatch && key.kind != ConfigurationObjectKind::kDocument;
-  if (const auto problem = NameProblem(key.name); named && problem.has_value()) {
+  if (const auto problem = FindNameProblem(key.name); has_name && problem.has_value()) {
     AddProblem(key, *problem);
   }
 }
@@ -211,14 +211,14 @@
   if (route.host().empty() || route.path_prefix().empty()) {
     AddProblem(key, "host or path_prefix is empty; give both, so that requests find the route");
   }
-  std::uint64_t weights = 0;
-  for (const proto::WeightedBackend& share : route.split()) {
-    weights += share.weight();
-    if (!backends_.contains(share.backend())) {
-      AddProblem(key, "names the unknown backend \"" + share.backend() + "\"");
+  std::uint64_t weight_sum = 0;
+  for (const proto::WeightedBackend& weighted_backend : route.split()) {
+    weight_sum += weighted_backend.weight();
+    if (!backends_.contains(weighted_backend.backend())) {
+      AddProblem(key, "names the unknown backend \"" + weighted_backend.backend() + "\"");
     }
   }
-  if (route.split_size() > 0 && weights == 0) {
+  if (route.split_size() > 0 && weight_sum == 0) {
     AddProblem(key, "the weights of split sum to 0; give at least one back end a share");
   }
   if (route.split_size() == 0 && !backends_.contains(route.backend())) {
@@ -232,11 +232,11 @@
     if (route.backend_kind() != proto::BACKEND_KIND_HTTP) {
       continue;
     }
-    const auto [first, fresh] =
+    const auto [existing, inserted] =
         route_by_location.emplace(HttpLocation{route.host(), route.path_prefix()}, name);
-    if (!fresh) {
+    if (!inserted) {
       AddProblem({ConfigurationObjectKind::kRoute, name},
-                 "has the same host and path_prefix as route \"" + first->second + "\"");
+                 "has the same host and path_prefix as route \"" + existing->second + "\"");
     }
   }
 }
@@ -271,9 +271,9 @@
 
 void ChangeValidator::CheckRouteZones(const proto::Route& route,
                                       const ConfigurationObjectKey& key) {
-  std::set<std::string> named;
+  std::set<std::string> listed;
   for (const std::string& zone : route.zones()) {
-    if (!named.insert(zone).second) {
+    if (!listed.insert(zone).second) {
       AddProblem(key, "names zone \"" + zone + "\" twice; keep one");
     } else if (!zones_.contains(zone) && !current_.zones.contains(zone)) {
       // A zone that this transaction removes is reported once, with the removal.
@@ -298,15 +298,15 @@
 }
 
 void ChangeValidator::CheckRemovedZones() {
-  for (const auto& [key, index] : seen_) {
+  for (const auto& [key, index] : first_change_) {
     const bool removed = key.kind == ConfigurationObjectKind::kZone &&
                          current_.zones.contains(key.name) && !zones_.contains(key.name);
     if (!removed) {
       continue;
     }
     for (const auto& [name, route] : routes_) {
-      const auto& named = route.zones();
-      if (std::find(named.begin(), named.end(), key.name) != named.end()) {
+      const auto& route_zones = route.zones();
+      if (std::find(route_zones.begin(), route_zones.end(), key.name) != route_zones.end()) {
         AddProblem(key, "can not be removed while route \"" + name +
                             "\" names it; take it out of the route in the same transaction");
       }
@@ -318,12 +318,12 @@
   const auto is_open = [](const auto& entry) {
     return entry.second.state() == proto::ZONE_STATE_OPEN;
   };
-  const bool were_open = std::any_of(current_.zones.begin(), current_.zones.end(), is_open);
-  const bool are_open = std::any_of(zones_.begin(), zones_.end(), is_open);
-  if (were_open && !are_open && !routes_.empty()) {
-    const auto last = std::find_if(current_.zones.begin(), current_.zones.end(), is_open);
+  const bool had_open_zone = std::any_of(current_.zones.begin(), current_.zones.end(), is_open);
+  const bool has_open_zone = std::any_of(zones_.begin(), zones_.end(), is_open);
+  if (had_open_zone && !has_open_zone && !routes_.empty()) {
+    const auto open_zone = std::find_if(current_.zones.begin(), current_.zones.end(), is_open);
     AddProblem(
-        {ConfigurationObjectKind::kZone, last->first},
+        {ConfigurationObjectKind::kZone, open_zone->first},
         "no open zone would be left to serve the routes; open another in the same transaction");
   }
 }
@@ -350,8 +350,8 @@
     problems.push_back("author or comment is longer than " + std::to_string(kMaximumCommentBytes) +
                        " bytes; shorten it");
   }
-  const bool versioned = transaction.label() == 0 && !transaction.any_version();
-  if (versioned && transaction.expected_version() == 0) {
+  const bool requires_version = transaction.label() == 0 && !transaction.any_version();
+  if (requires_version && transaction.expected_version() == 0) {
     problems.emplace_back(
         "expected_version is missing; name the configuration version the changes were made "
         "against");
--- a/src/coordinator/coordinator_methods.cc
+++ b/src/coordinator/coordinator_methods.cc
@@ -54,11 +54,11 @@
                                                                  const Reply<Response>& reply)) {
   ServeWhileAlive<Request, Response>(method, [this, &handlers, handler, name = std::string(method)](
                                                  const Request& request, Reply<Response> reply) {
-    const Reply<Response> counted = CountRefusals(name, std::move(reply));
+    const Reply<Response> counting_reply = CountRefusals(name, std::move(reply));
     if (session_.EnsureReady()) {
-      (handlers.*handler)(request, counted);
+      (handlers.*handler)(request, counting_reply);
     } else {
-      counted(context_.NotLeader());
+      counting_reply(context_.NotLeader());
     }
   });
 }
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -101,14 +101,14 @@
 }
 
 void ProblemList::DescribeBackups() {
-  std::uint32_t stores = 0;
+  std::uint32_t active_backups = 0;
   for (const proto::Server* backup :
        snapshot_.state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
-    stores += IsActiveStoreBackup(*backup) ? 1 : 0;
+    active_backups += IsActiveStoreBackup(*backup) ? 1 : 0;
     DescribeFreeDisk(*backup);
   }
-  if (stores < snapshot_.options.wanted_store_backups) {
-    Add("only " + std::to_string(stores) + " of " +
+  if (active_backups < snapshot_.options.wanted_store_backups) {
+    Add("only " + std::to_string(active_backups) + " of " +
         std::to_string(snapshot_.options.wanted_store_backups) +
         " store backups are up: spare backups take the missing copies, or new work has fewer; "
         "start or add a store machine");
@@ -142,20 +142,20 @@
 void ProblemList::DescribePartitions() {
   const std::size_t free = snapshot_.state.partitions().FindFree().size();
   if (free > 0) {
-    const bool none = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
+    const bool no_queue_node = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
     Add(std::to_string(free) + " partitions have no owner" +
-        (none ? " because no queue node is up; start a store machine"
-              : " yet; they are being given out"));
+        (no_queue_node ? " because no queue node is up; start a store machine"
+                       : " yet; they are being given out"));
   }
 }
 
 void ProblemList::DescribeRecoveries() {
   for (const auto& [dead, recovery] : snapshot_.state.partitions().recoveries()) {
     const proto::Server* server = snapshot_.state.servers().Find(dead);
-    const std::string waiting = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
+    const std::string awaited = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
     Add("the batches of queue node " +
         (server == nullptr ? dead.ToString() : DescribeServer(*server)) + " are being recovered" +
-        (waiting.empty() ? "" : "; waiting for " + waiting));
+        (awaited.empty() ? "" : "; waiting for " + awaited));
   }
 }
 
@@ -166,13 +166,13 @@
 }
 
 void ProblemList::DescribeRetirement(const std::string& machine) {
-  const RemainingDrainWork rest =
+  const RemainingDrainWork remaining =
       ComputeRemainingDrainWork(snapshot_.state, snapshot_.sweeper, machine);
-  if (!rest.IsDone()) {
-    Add("machine " + machine + " is being emptied: " + std::to_string(rest.partitions) +
-        " partitions and " + std::to_string(rest.replicas) +
+  if (!remaining.IsDone()) {
+    Add("machine " + machine + " is being emptied: " + std::to_string(remaining.partitions) +
+        " partitions and " + std::to_string(remaining.replicas) +
         " segment replicas are left; do not stop it yet");
-  } else if (rest.live) {
+  } else if (remaining.live) {
     Add("machine " + machine + " is empty; stop it");
   }
 }
--- a/src/coordinator/gateway_neighbours.cc
+++ b/src/coordinator/gateway_neighbours.cc
@@ -15,24 +15,27 @@
 
 using Gateways = std::vector<const proto::Server*>;
 
-Gateways InZone(const Gateways& gateways, const std::string& zone) {
+Gateways FilterByZone(const Gateways& gateways, const std::string& zone) {
   Gateways in_zone = gateways;
-  std::erase_if(in_zone, [&zone](const proto::Server* other) { return other->zone() != zone; });
+  std::erase_if(in_zone, [&zone](const proto::Server* gateway) { return gateway->zone() != zone; });
   return in_zone;
 }
 
 /// Adds those that follow in the ring of ids: with many gateways each knows a few, and each is
 /// known to a few.
-void AddNeighbours(const Gateways& zone, std::size_t rank, proto::HeartbeatResponse* response) {
-  const std::size_t neighbours = std::min(kMaximumNeighbours, zone.size() - 1);
+void AddNeighbours(const Gateways& zone_gateways, std::size_t rank,
+                   proto::HeartbeatResponse* response) {
+  const std::size_t neighbours = std::min(kMaximumNeighbours, zone_gateways.size() - 1);
   for (std::size_t step = 1; step <= neighbours; ++step) {
-    *response->add_neighbours() = zone[(rank + step) % zone.size()]->peer_endpoint();
+    *response->add_neighbours() =
+        zone_gateways[(rank + step) % zone_gateways.size()]->peer_endpoint();
   }
 }
 
-void AddListSources(const Gateways& zone, std::size_t rank, proto::HeartbeatResponse* response) {
-  for (std::size_t source = 0; source < std::min(kMaximumListSources, rank); ++source) {
-    *response->add_list_sources() = zone[source]->peer_endpoint();
+void AddListSources(const Gateways& zone_gateways, std::size_t rank,
+                    proto::HeartbeatResponse* response) {
+  for (std::size_t index = 0; index < std::min(kMaximumListSources, rank); ++index) {
+    *response->add_list_sources() = zone_gateways[index]->peer_endpoint();
   }
 }
 
@@ -41,9 +44,9 @@
                           proto::HeartbeatResponse* response) {
   std::set<std::string_view> zones;
   for (const proto::Server* gateway : gateways) {
-    const bool enough =
+    const bool reached_limit =
         static_cast<std::size_t>(response->remote_list_sources_size()) >= kMaximumListSources;
-    if (gateway == &self || enough) {
+    if (gateway == &self || reached_limit) {
       return;
     }
     if (zones.insert(gateway->zone()).second) {
@@ -61,13 +64,13 @@
     return;
   }
   const Gateways all = state.servers().FindLiveServers(proto::ROLE_GATEWAY);
-  const Gateways zone = InZone(all, self->zone());
-  const auto rank =
-      static_cast<std::size_t>(std::find(zone.begin(), zone.end(), self) - zone.begin());
-  response->set_zone_gateway_count(static_cast<std::uint32_t>(zone.size()));
+  const Gateways zone_gateways = FilterByZone(all, self->zone());
+  const auto rank = static_cast<std::size_t>(
+      std::find(zone_gateways.begin(), zone_gateways.end(), self) - zone_gateways.begin());
+  response->set_zone_gateway_count(static_cast<std::uint32_t>(zone_gateways.size()));
   response->set_zone_gateway_index(static_cast<std::uint32_t>(rank));
-  AddNeighbours(zone, rank, response);
-  AddListSources(zone, rank, response);
+  AddNeighbours(zone_gateways, rank, response);
+  AddListSources(zone_gateways, rank, response);
   if (rank == 0) {
     AddRemoteListSources(all, *self, response);
   }
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -136,9 +136,9 @@
 
 bool HeartbeatHandler::NeedsConfiguration(const proto::HeartbeatRequest& request) const {
   const proto::Server* server = context_.state.servers().Find(NodeId(request.node_id()));
-  const bool acts_by_it = server != nullptr && server->role() != proto::ROLE_BACKUP;
-  return acts_by_it && ConfigurationVersion(request.configuration_version()) <
-                           context_.state.configuration().version();
+  const bool uses_configuration = server != nullptr && server->role() != proto::ROLE_BACKUP;
+  return uses_configuration && ConfigurationVersion(request.configuration_version()) <
+                                   context_.state.configuration().version();
 }
 
 proto::HeartbeatResponse HeartbeatHandler::GrantLease(const PendingHeartbeat& pending) {
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -55,7 +55,7 @@
   void ProposeInForce();
   void AnswerInForce();
   std::list<PendingTransaction> TakeInForce();
-  void Answer(const PendingTransaction& waiting);
+  void Answer(const PendingTransaction& pending);
   /// Logs and counts gateways whose leases expired before they confirmed `version`; once a version.
   void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
