--- a/src/control_state/configuration_objects.cc
+++ b/src/control_state/configuration_objects.cc
@@ -54,7 +54,7 @@
 
 namespace {
 
-/// Tag and length of an object in the serialized configuration, at least.
+/// Fewest bytes that the tag and length of an object take in the serialized configuration.
 constexpr std::size_t kFramingBytes = 2;
 
 }  // namespace
--- a/src/control_state/configuration_objects.h
+++ b/src/control_state/configuration_objects.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// The objects of the routing configuration by name, and the application of changes to them. Part
-/// of `ControlState`; deterministic. A change takes logarithmic time: there may be tens of
-/// thousands of tenants.
+/// Holds the objects of the routing configuration by name and applies changes to them. Part of
+/// `ControlState`; deterministic. Applying a change takes logarithmic time, because there may be
+/// tens of thousands of tenants.
 
 #include <map>
 #include <string>
@@ -23,19 +23,21 @@
   kDocument,
 };
 
-/// Identifies the object that a change sets or removes. Of two changes of one key the later counts.
+/// Identifies the object that a change sets or removes. If two changes have the same key, the later
+/// one takes effect.
 struct ConfigurationObjectKey {
   ConfigurationObjectKind kind = ConfigurationObjectKind::kNone;
   std::string name;
   // NOLINTNEXTLINE(modernize-use-nullptr): clang-tidy 14 misreads the 0 in `a < b`.
   auto operator<=>(const ConfigurationObjectKey&) const = default;
-  /// @return for people: route "x".
+  /// @return a description for messages, such as: route "x".
   std::string ToString() const;
 };
 
-/// @return the key of the changed object; `kNone` for a change that names none.
+/// @return the key of the object that `change` sets or removes; `kNone` for an empty change.
 ConfigurationObjectKey ObjectKeyFor(const proto::ConfigurationChange& change);
 
+/// The current objects. Names are the keys of the maps.
 struct ConfigurationObjects {
   std::map<std::string, proto::Route> routes;
   std::map<std::string, proto::Zone> zones;
@@ -43,7 +45,8 @@
   std::map<std::string, proto::Backend> backends;
   proto::BatchSettings batch;
   proto::Document document;
-  /// Serialized size of everything but the batch settings, kept up to date by `Apply` and `Load`.
+  /// Serialized size in bytes of everything but the batch settings; `Apply` and `Load` keep it up
+  /// to date.
   std::size_t bytes = 0;
 
   /// Sets or removes one object. The change must have been validated.
@@ -54,11 +57,12 @@
   void Load(const proto::RoutingConfiguration& configuration);
 
  private:
-  /// Adds `object` unless one of its name exists.
+  /// Adds `object` unless an object with its name exists.
   template <typename Object>
   void Insert(const Object& object, std::map<std::string, Object>* objects);
   template <typename Object>
   void Remove(const std::string& name, std::map<std::string, Object>* objects);
+  /// Adds `object` or replaces the one with its name.
   template <typename Object>
   void Set(const Object& object, std::map<std::string, Object>* objects);
   void SetDocument(const proto::Document& changed);
--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -10,13 +10,15 @@
 namespace cloverbank {
 namespace {
 
-/// Tag and length of a change within an update, at most.
+/// Most bytes that the tag and length of a change take within an update.
 constexpr std::size_t kChangeFramingBytes = 4;
 
+/// @return a number that is the same when a transaction is sent again under its operation id.
 std::uint64_t ComputeChecksum(const proto::ConfigurationTransaction& transaction) {
   if (transaction.label() != 0) {
-    // The operation id is derived from the operator's document. The changes that a gateway derives
-    // from it depend on the configuration that the gateway had, so they may differ at a resend.
+    // The operation id is derived from the operator's document and thus identifies the content. The
+    // changes that a gateway derives from the document depend on the configuration that the gateway
+    // had, so they may differ when the transaction is sent again.
     return transaction.label();
   }
   return Checksum(transaction.SerializeAsString());
@@ -28,7 +30,7 @@
   return found != objects.end() && found->second.SerializeAsString() == object.SerializeAsString();
 }
 
-/// History records the changes, not the text of the document.
+/// The history keeps the changes but not the text of the operator's document.
 void ClearDocumentSource(proto::ConfigurationTransaction* transaction) {
   for (proto::ConfigurationChange& change : *transaction->mutable_changes()) {
     if (change.has_set_document()) {
@@ -297,11 +299,11 @@
 
 bool ConfigurationStore::AddChangesSince(ConfigurationVersion known,
                                          proto::ConfigurationUpdate* update) const {
-  // `objects_.bytes` is incremental: serializing the full configuration for each version would cost
-  // time linear in the number of tenants.
+  // Uses `objects_.bytes`, which is updated with each change, because serializing the full
+  // configuration for each version would take time linear in the number of tenants.
   const std::size_t limit = objects_.bytes - objects_.document.source().size();
   std::size_t bytes = 0;
-  std::set<ConfigurationObjectKey> seen;  // Only the last change of each object counts.
+  std::set<ConfigurationObjectKey> seen;  // Of each object, only the last change is sent.
   for (auto record = history_.rbegin(); record != history_.rend(); ++record) {
     if (ConfigurationVersion(record->version()) <= known) {
       break;
--- a/src/control_state/configuration_store.h
+++ b/src/control_state/configuration_store.h
@@ -1,11 +1,12 @@
 #pragma once
 /// @file
-/// The replicated routing configuration: transactions on it, their results, their history and the
-/// updates that bring a node from one version to the current one. Part of `ControlState`;
-/// deterministic. The configuration starts empty at version 1; a node without one has version 0.
+/// The replicated routing configuration: applies transactions to it, records their results and
+/// their history, and makes the updates that bring a node from its version to the current one. Part
+/// of `ControlState`; deterministic. The configuration starts empty at version 1; a node without a
+/// configuration has version 0.
 ///
-/// History and deltas are bounded by `kMaximumHistoryRecords` records and `kMaximumHistoryBytes`
-/// bytes; a node further behind is sent the full configuration.
+/// The history, from which deltas are made, is bounded by `kMaximumHistoryRecords` records and
+/// `kMaximumHistoryBytes` bytes; a node that is further behind is sent the full configuration.
 
 #include <cstdint>
 #include <deque>
@@ -28,37 +29,45 @@
  public:
   static constexpr std::size_t kMaximumHistoryRecords = 1'000;
   static constexpr std::size_t kMaximumHistoryBytes = 16U << 20U;
-  /// Versions whose deltas are cached.
+  /// Maximum number of known versions for which deltas to the current version are cached.
   static constexpr std::size_t kMaximumCachedDeltas = 64;
 
   ConfigurationStore();
 
-  /// Applies the transaction or refuses it as a unit, and records the result under its operation
-  /// id. A repeated operation id returns the first result; one reused for another content is
-  /// refused and the record stays. Dry runs and inquiries change nothing.
+  /// Applies or refuses all changes of the transaction together, and records the result under its
+  /// operation id. A transaction with a recorded operation id gets the recorded result if it has
+  /// the same content (with a label: the same label); otherwise it is refused and the record stays.
+  /// A dry run changes nothing. Neither does an inquiry whose expected label is the current one;
+  /// the refusal of any other inquiry is recorded, so that a later transaction with its id is
+  /// refused.
   /// @param wall_ms time of application, milliseconds since 1970.
   proto::TransactionResult Apply(const proto::ConfigurationTransaction& transaction,
                                  std::int64_t wall_ms);
-  /// @return the result that `Apply` would return now (dry run).
+  /// @return the result of a dry run: that of applying the transaction now as a new operation. The
+  /// operation id is not checked.
   proto::TransactionResult Validate(const proto::ConfigurationTransaction& transaction) const;
-  /// Records that no gateway can serve a version below `version` any more.
-  /// @return kInvalidArgument if the version is not applied yet.
+  /// Records that `version` is in force: no gateway can use an older version any more.
+  /// @param wall_ms time of that, milliseconds since 1970.
+  /// @return kInvalidArgument if `version` has not been applied yet.
   Status RecordInForce(ConfigurationVersion version, std::int64_t wall_ms);
 
   ConfigurationVersion version() const { return version_; }
   ConfigurationVersion in_force_version() const { return in_force_; }
-  /// The operator's own number of the current configuration; 0 if none was given.
+  /// @return the number that the operator gave the current configuration; 0 if none was given.
   std::uint64_t label() const { return label_; }
+  /// @return the record of the operation, or nullptr. Valid until the next change.
   const proto::OperationRecord* FindOperation(const std::string& operation_id) const {
     return operations_.Find(operation_id);
   }
   const ConfigurationObjects& objects() const { return objects_; }
 
-  /// @return the full configuration, document included.
+  /// @return the full configuration, including the source of the operator's document. Valid until
+  /// the next change.
   const proto::RoutingConfiguration& FullConfiguration() const;
-  /// @return the update for a node at version `known`: the changes since, or the full configuration
-  /// if that is smaller or the history does not reach back. The source of the operator's document
-  /// is left out: nodes use only what was parsed from it.
+  /// @return the update for a node at version `known`: the changes since that version, or the full
+  /// configuration if that is smaller or the history does not reach back to `known`. The source of
+  /// the operator's document is left out, because nodes use only what was parsed from it. Valid
+  /// until the next change or call.
   const proto::ConfigurationUpdate& UpdateFrom(ConfigurationVersion known) const;
   /// @return the newest `count` history records, oldest first.
   std::vector<proto::HistoryRecord> History(std::size_t count) const;
@@ -67,30 +76,39 @@
   void Load(const proto::ControlStateSnapshot& snapshot);
 
  private:
-  /// @return the answer to give for an operation id that was used before; none for a new one.
+  /// @return the recorded result if the operation id has a record, or the refusal of a transaction
+  /// that reuses the id for another content; none for a new operation id.
   std::optional<proto::TransactionResult> FindRecordedResult(
       const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const;
   void RecordResult(const proto::TransactionResult& result, std::uint64_t checksum);
+  /// @return the result of applying the transaction now, without applying it.
   proto::TransactionResult Evaluate(const proto::ConfigurationTransaction& transaction) const;
   proto::TransactionResult MakeRefusal(const proto::ConfigurationTransaction& transaction,
                                        proto::TransactionOutcome outcome,
                                        std::vector<std::string> problems) const;
-  /// @return the refusal if the operator's labels do not fit the current one; else none.
+  /// @return the refusal if the transaction has a label and its expected label is not the current
+  /// one or its label is not above the current one; otherwise none.
   std::optional<proto::TransactionResult> EvaluateLabels(
       const proto::ConfigurationTransaction& transaction) const;
+  /// Applies a valid transaction as the next version and adds it to the history.
   void Commit(const proto::ConfigurationTransaction& transaction, std::int64_t wall_ms);
-  /// @return the transaction with only the changes that have an effect; for one that replaces the
-  /// traffic configuration, with the removals that follow from it.
+  /// @return a transaction that replaces the traffic configuration, without the changes that have
+  /// no effect and with the removals that follow from it; any other transaction unchanged.
   proto::ConfigurationTransaction Normalize(
       const proto::ConfigurationTransaction& transaction) const;
-  /// Adds to `transaction` the removal of each route and backend that is not `named`.
+  /// Adds to `transaction` the removal of each route and back end that is not in `named`.
   void RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
                             proto::ConfigurationTransaction* transaction) const;
+  /// @return whether a change of a route, back end or ensured zone would leave it as it is; false
+  /// for every other kind of change.
   bool ChangesNothing(const proto::ConfigurationChange& change) const;
+  /// Adds the newest record and drops the oldest ones beyond the bounds.
   void AddHistory(proto::HistoryRecord record);
-  /// @return none if the history does not reach back or the full configuration is no larger.
+  /// @return the changes since `known`; none if the history does not reach back to it or the full
+  /// configuration is no larger.
   std::optional<proto::ConfigurationUpdate> MakeDelta(ConfigurationVersion known) const;
   bool HistoryReachesBackTo(ConfigurationVersion known) const;
+  /// Adds the last change of each object since version `known`.
   /// @return false if the changes are no smaller than the full configuration.
   bool AddChangesSince(ConfigurationVersion known, proto::ConfigurationUpdate* update) const;
   const proto::ConfigurationUpdate& FullUpdate() const;
@@ -100,10 +118,10 @@
   std::uint64_t label_ = 0;
   ConfigurationObjects objects_;
   OperationRecords operations_;
-  std::deque<proto::HistoryRecord> history_;  // Oldest first, versions without gaps.
+  std::deque<proto::HistoryRecord> history_;  // Oldest first; consecutive versions.
   std::size_t history_bytes_ = 0;
 
-  // Caches derived from the above, dropped at each change.
+  // Caches derived from the members above; each change clears them.
   mutable std::optional<proto::RoutingConfiguration> full_configuration_;
   mutable std::optional<proto::ConfigurationUpdate> full_update_;
   mutable std::map<ConfigurationVersion, std::optional<proto::ConfigurationUpdate>> deltas_;
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -162,7 +162,8 @@
       ++entry;
       continue;
     }
-    // A delta can no longer include this death, so nodes that do not know it need full lists.
+    // A delta can no longer report this server's death, so nodes that do not know of it need full
+    // lists.
     oldest_delta_base_ = std::max(oldest_delta_base_, entry->second);
     entry = server_change_versions_.erase(entry);
   }
--- a/src/control_state/server_registry.cc
+++ b/src/control_state/server_registry.cc
@@ -9,7 +9,8 @@
   return left.host() == right.host() && left.port() == right.port();
 }
 
-/// @return whether `later` has the endpoint or the disk of `earlier`, whose process has thus ended.
+/// @return whether `later` has the role of `earlier` and its endpoint or disk, which means that the
+/// process of `earlier` has ended.
 bool Supersedes(const proto::Server& later, const proto::Server& earlier) {
   if (later.role() != earlier.role()) {
     return false;
--- a/src/control_state/transaction_validator.cc
+++ b/src/control_state/transaction_validator.cc
@@ -19,7 +19,7 @@
          character == ':';
 }
 
-/// @return the problem of a name, if any.
+/// @return what is wrong with the name of an object, if anything.
 std::optional<std::string> FindNameProblem(const std::string& name) {
   if (name.empty()) {
     return "the name is empty; give it one";
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-/// The part of a request by which an HTTP route is found.
+/// The parts of a request that select an HTTP route.
 struct HttpLocation {
   std::string host;
   std::string path_prefix;
@@ -41,42 +41,49 @@
   auto operator<=>(const HttpLocation&) const = default;
 };
 
-/// Validates one transaction and collects the problems.
+/// Validates the changes of one transaction and collects the problems.
 class ChangeValidator {
  public:
   ChangeValidator(const ConfigurationObjects& current,
                   const proto::ConfigurationTransaction& transaction)
       : current_(current), transaction_(transaction) {}
 
+  /// Call it once. @return all problems.
   std::vector<std::string> Run();
 
  private:
   void AddProblem(const ConfigurationObjectKey& key, const std::string& problem);
+  /// Computes the zones, routes and back ends that the transaction would leave.
   void BuildResultingObjects();
   void ApplyToResultingObjects(const proto::ConfigurationChange& change);
   void CheckChange(int index, const proto::ConfigurationChange& change);
-  /// Requires that no earlier change is about the object of `key`.
+  /// Requires that no earlier change sets or removes the object of `key`.
   void CheckUnique(int index, const ConfigurationObjectKey& key);
   void CheckName(const ConfigurationObjectKey& key);
   void CheckObject(const proto::ConfigurationChange& change, const ConfigurationObjectKey& key);
   void CheckRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key);
   void CheckRouteZones(const proto::Route& route, const ConfigurationObjectKey& key);
+  /// Requires that no two HTTP routes have the same host and path prefix.
   void CheckHttpLocations();
   void CheckZone(const proto::Zone& zone, const ConfigurationObjectKey& key);
   void CheckBatch(const proto::BatchSettings& batch, const ConfigurationObjectKey& key);
+  /// Requires that no resulting route names a removed zone.
   void CheckRemovedZones();
+  /// Requires that an open zone remains if there is one now and routes remain.
   void CheckOpenZones();
+  /// Requires that `objects` has the object to be removed.
   template <typename Map>
   void CheckRemoval(const Map& objects, const ConfigurationObjectKey& key);
 
   const ConfigurationObjects& current_;
   const proto::ConfigurationTransaction& transaction_;
-  /// Objects as the transaction would leave them; tenants refer to no other objects.
+  /// The objects as the transaction would leave them. Tenants are not needed: they refer to no
+  /// other objects.
   std::map<std::string, proto::Zone> zones_;
   std::map<std::string, proto::Route> routes_;
   std::set<std::string> backends_;
-  std::map<ConfigurationObjectKey, int> first_change_;
+  std::map<ConfigurationObjectKey, int> first_change_;  ///< Index of an object's first change.
   std::vector<std::string> problems_;
   std::size_t omitted_problems_ = 0;
 };
@@ -206,7 +213,8 @@
   }
 }
 
-/// HTTP routes are found by host and path, and their back ends are configured objects.
+/// A request selects an HTTP route by host and path, and the back ends of the route must be objects
+/// of the configuration.
 void ChangeValidator::CheckHttpRoute(const proto::Route& route, const ConfigurationObjectKey& key) {
   if (route.host().empty() || route.path_prefix().empty()) {
     AddProblem(key, "host or path_prefix is empty; give both, so that requests find the route");
@@ -276,7 +284,7 @@
     if (!listed.insert(zone).second) {
       AddProblem(key, "names zone \"" + zone + "\" twice; keep one");
     } else if (!zones_.contains(zone) && !current_.zones.contains(zone)) {
-      // A zone that this transaction removes is reported once, with the removal.
+      // `CheckRemovedZones` reports a zone that this transaction removes; report it only once.
       AddProblem(key,
                  "names the unknown zone \"" + zone + "\"; set the zone in the same transaction");
     }
--- a/src/control_state/transaction_validator.h
+++ b/src/control_state/transaction_validator.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Validates a transaction against the configuration it would change. Pure. All problems are found
-/// at once; each names the object and how to fix it.
+/// Validates a transaction against the configuration that it would change. Pure functions. They
+/// report all problems at once; each names the object and how to fix the problem.
 
 #include <string>
 #include <vector>
@@ -15,20 +15,21 @@
 inline constexpr std::size_t kMaximumNameBytes = 128;
 /// Longest author or comment, in bytes.
 inline constexpr std::size_t kMaximumCommentBytes = 4096;
-/// Changes in one transaction.
+/// Maximum number of changes in one transaction.
 inline constexpr int kMaximumChanges = 50'000;
 /// Longest deadline of a route: a day.
 inline constexpr std::uint32_t kMaximumDeadlineMs = 24U * 60 * 60 * 1000;
-/// Problems listed in a result; further ones are only counted.
+/// Maximum number of problems listed in a result; further ones are only counted.
 inline constexpr std::size_t kMaximumProblems = 1'000;
 
-/// @return problems of the operation id. Without a valid one no result can be recorded.
+/// @return the problems of the operation id. Without a valid one no result can be recorded.
 std::vector<std::string> CheckOperationId(const proto::ConfigurationTransaction& transaction);
 
-/// @return problems of the other fields that are not changes: expected version, sizes, texts.
+/// @return the problems of everything but the operation id and the single changes: the lengths of
+/// author and comment, the expected version and the number of changes.
 std::vector<std::string> CheckEnvelope(const proto::ConfigurationTransaction& transaction);
 
-/// @return problems of all changes applied together to `current`; empty if valid.
+/// @return the problems of all changes applied together to `current`; empty if they are valid.
 std::vector<std::string> CheckChanges(const ConfigurationObjects& current,
                                       const proto::ConfigurationTransaction& transaction);
 
--- a/src/coordinator/coalesced_task.h
+++ b/src/coordinator/coalesced_task.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs an action in a turn of the event loop of its own, once however often it was scheduled
-/// before. Threads: the owner's event loop only.
+/// Runs an action in a later turn of the event loop, once for all calls of `Schedule` since its
+/// last run. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -12,9 +12,11 @@
 
 class CoalescedTask {
  public:
-  /// `environment` and what `action` refers to must outlive the task.
+  /// `environment` and what `action` refers to must outlive the task. A scheduled run does not
+  /// happen if the task is destroyed first.
   CoalescedTask(Environment& environment, std::function<void()> action);
 
+  /// Schedules a run, unless one is already scheduled.
   void Schedule();
 
  private:
--- a/src/coordinator/coordinator_methods.h
+++ b/src/coordinator/coordinator_methods.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Registers the coordinator.* peer methods and routes each to its handler; a member that may not
-/// answer refuses. Threads: the owner's event loop only.
+/// Registers the coordinator.* peer methods and passes each call to its handler; a member that may
+/// not answer (`LeaderContext::CanAnswer`) refuses it with kNotLeader. Threads: the owner's event
+/// loop only.
 
 #include <functional>
 #include <string_view>
@@ -25,26 +26,30 @@
     TransactionHandler& transactions;
   };
 
-  /// @param on_heartbeat called after each heartbeat was handled.
+  /// @param on_heartbeat called after each heartbeat has been passed to its handler, on the event
+  /// loop.
   CoordinatorMethods(LeaderContext& context, LeaderSession& session, Handlers handlers,
                      std::function<void()> on_heartbeat);
 
+  /// Registers all methods. Call it once.
   void Serve();
 
  private:
   void ServeNodes();
   void ServeOperators();
   void HandleHeartbeat(const proto::HeartbeatRequest& request, HeartbeatHandler::Reply reply);
-  /// Lets `handler` of `handlers` answer `method` if this member may answer.
+  /// Registers `method`: calls `handler` of `handlers` if this member may answer, otherwise refuses
+  /// with kNotLeader. Counts refusals.
   template <typename Requests, typename Request, typename Response>
   void ServeAsLeader(std::string_view method, Requests& handlers,
                      void (Requests::*handler)(const Request& request,
                                                const Reply<Response>& reply));
-  /// Lets `handler` answer `method` until the coordinator stops.
+  /// Registers `method`: calls `handler` until the coordinator stops, then refuses with
+  /// kUnavailable.
   template <typename Request, typename Response>
   void ServeWhileAlive(std::string_view method,
                        std::function<void(const Request&, Reply<Response>)> handler);
-  /// @return `reply`, counting refusals under `method` first.
+  /// @return a callback that counts an error under `method` and then calls `reply`.
   template <typename Response>
   Reply<Response> CountRefusals(std::string_view method, Reply<Response> reply);
 
--- a/src/coordinator/coordinator_service.cc
+++ b/src/coordinator/coordinator_service.cc
@@ -13,8 +13,8 @@
 
 namespace cloverbank {
 
-/// The parts of the service and what triggers their reviews: ticks, applied commands, changes of
-/// leadership, heartbeats.
+/// The parts of the service, and the events after which they check for work that is due: ticks,
+/// applied commands, changes of leadership and heartbeats.
 struct CoordinatorService::State {
   State(Environment& environment, ReplicatedLog& log, ControlState& control_state,
         CoordinatorOptions options)
@@ -35,9 +35,10 @@
   void HandleLeadershipChange(bool leads);
   void ScheduleTick();
   void Tick();
-  /// Answers, proposes and calls whatever is due.
+  /// Answers heartbeats and transactions that are due and runs a step of the leader's work; refuses
+  /// all pending ones if this member may not answer.
   void Review();
-  /// A node may have confirmed a version that a transaction waits for.
+  /// Runs after heartbeats: a node may have confirmed the version that a transaction waits for.
   void ReviewTransactions();
   void RefuseAll();
 
--- a/src/coordinator/coordinator_service.h
+++ b/src/coordinator/coordinator_service.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// A coordinator: answers the coordinator.* peer methods and runs the leader's work, on top of the
-/// replicated log. Every member runs one. Only the leader answers, while it has its leader lease;
-/// the others refuse with kNotLeader and the leader's "ip:port" in the status detail. See
-/// docs/DESIGN.md sections 2, 4, 5.
+/// A coordinator: answers the coordinator.* peer methods and runs the leader's periodic work, on
+/// top of the replicated log. Every member of the group runs one. Only the leader answers, while it
+/// has its leader lease; the other members refuse with kNotLeader and the leader's "ip:port" in the
+/// status detail. See docs/DESIGN.md sections 2, 4, 5.
 ///
 /// Threads: the owner's event loop only.
 
@@ -25,7 +25,7 @@
   CoordinatorService(const CoordinatorService&) = delete;
   CoordinatorService& operator=(const CoordinatorService&) = delete;
 
-  /// Registers the peer methods and observes leadership. Call it once.
+  /// Registers the peer methods, observes the log and starts the periodic tick. Call it once.
   void Start();
 
  private:
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-/// Free disk below which a backup is reported as nearly full.
+/// A backup with less free disk than this is reported as nearly full.
 constexpr std::uint64_t kNearlyFullBytes = 64ULL << 20U;
 
 std::string DescribeServer(const proto::Server& server) {
@@ -21,7 +21,7 @@
   return role == proto::ROLE_QUEUE ? "queue node" : "backup";
 }
 
-/// A server over its restarts, as operators see it.
+/// Identifies a server across its restarts, as operators see it.
 struct MachineRole {
   std::string machine;
   proto::Role role = proto::ROLE_UNSPECIFIED;
@@ -29,6 +29,7 @@
   auto operator<=>(const MachineRole&) const = default;
 };
 
+/// Collects the problems of one snapshot.
 class ProblemList {
  public:
   explicit ProblemList(const FleetSnapshot& snapshot) : snapshot_(snapshot) {}
@@ -57,6 +58,7 @@
   void DescribeRetirement(const std::string& machine);
   void DescribeConfiguration();
   void Add(std::string problem) { problems_.push_back(std::move(problem)); }
+  /// @return what the server reported with its last heartbeat to this leader, or nullptr.
   const NodeLoad* FindLoad(const proto::Server& server) const;
 
   const FleetSnapshot& snapshot_;
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Describes what is degraded in the fleet, why, and what to do. Pure.
+/// Describes to operators what is degraded in the fleet, why, and what to do about it. Pure.
 
 #include <map>
 #include <string>
@@ -13,7 +13,8 @@
 
 namespace cloverbank {
 
-/// What the leader knows of the fleet at one moment.
+/// What the leader knows about the fleet at one moment. It holds references to the leader's state
+/// and is valid only until that changes.
 struct FleetSnapshot {
   const ControlState& state;
   const CoordinatorOptions& options;
@@ -21,7 +22,7 @@
   const BackupSweeper& sweeper;
   const std::map<NodeId, NodeLoad>& loads;
   const std::vector<LogMember>& members;
-  std::vector<NodeId> gateways_behind;  ///< May still use an older configuration.
+  std::vector<NodeId> gateways_behind;  ///< Gateways that may still use an older configuration.
 };
 
 /// @return one sentence for each problem; empty if there is none.
--- a/src/coordinator/gateway_neighbours.cc
+++ b/src/coordinator/gateway_neighbours.cc
@@ -8,9 +8,10 @@
 namespace cloverbank {
 namespace {
 
-/// Neighbours named to a gateway, at most.
+/// Maximum number of neighbours that a gateway is given.
 constexpr std::size_t kMaximumNeighbours = 32;
-/// List sources named to a gateway, at most, of its own zone and of other zones each.
+/// Maximum number of list sources that a gateway is given in its own zone; the same maximum applies
+/// to those in other zones.
 constexpr std::size_t kMaximumListSources = 3;
 
 using Gateways = std::vector<const proto::Server*>;
@@ -21,8 +22,8 @@
   return in_zone;
 }
 
-/// Adds those that follow in the ring of ids: with many gateways each knows a few, and each is
-/// known to a few.
+/// Adds the gateways that follow the one at `rank` in the ring of node ids, so that among many
+/// gateways each has a limited number of neighbours and is a neighbour of as many.
 void AddNeighbours(const Gateways& zone_gateways, std::size_t rank,
                    proto::HeartbeatResponse* response) {
   const std::size_t neighbours = std::min(kMaximumNeighbours, zone_gateways.size() - 1);
@@ -32,6 +33,7 @@
   }
 }
 
+/// Adds the first gateways of the zone that come before the one at `rank`.
 void AddListSources(const Gateways& zone_gateways, std::size_t rank,
                     proto::HeartbeatResponse* response) {
   for (std::size_t index = 0; index < std::min(kMaximumListSources, rank); ++index) {
@@ -39,7 +41,8 @@
   }
 }
 
-/// Adds the first gateways of the zones that come before `self`, itself the first of its zone.
+/// Adds the first gateway of each other zone, if it comes before `self`, which must be the first
+/// gateway of its own zone.
 void AddRemoteListSources(const Gateways& gateways, const proto::Server& self,
                           proto::HeartbeatResponse* response) {
   std::set<std::string_view> zones;
--- a/src/coordinator/gateway_neighbours.h
+++ b/src/coordinator/gateway_neighbours.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Tells a gateway which other gateways to exchange state with and from which to request the list
-/// of replicas. Pure.
+/// Selects for a gateway the other gateways with which it exchanges state (neighbours) and those
+/// from which it requests the list of replicas (list sources). Pure.
 
 #include "base/ids.h"
 #include "control_state/control_state.h"
@@ -9,8 +9,8 @@
 
 namespace cloverbank {
 
-/// Adds to `response` the rank of gateway `node` in its zone, its neighbours and its list sources.
-/// Does nothing if `node` is not a live gateway.
+/// Adds to `response` the number of gateways in the zone of gateway `node`, its index among them by
+/// node id, its neighbours and its list sources. Does nothing if `node` is not a live gateway.
 void AddGatewayNeighbours(const ControlState& state, NodeId node,
                           proto::HeartbeatResponse* response);
 
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -11,6 +11,7 @@
 namespace cloverbank {
 namespace {
 
+/// @return the predicate of a sentence about the node.
 std::string Describe(HeartbeatRefusal refusal) {
   switch (refusal) {
     case HeartbeatRefusal::kUnknown:
@@ -122,7 +123,7 @@
     return true;
   }
   if (context_.pending_deaths.contains(node)) {
-    return false;  // No lease may be granted to a node whose death is proposed.
+    return false;  // A node whose death has been proposed must not get a lease.
   }
   const bool update =
       NeedsConfiguration(pending.request) ||
@@ -168,7 +169,7 @@
     RefuseAll();
     return;
   }
-  // An answer may cause the next heartbeat at once, which changes `pending_`.
+  // An answer may cause the sender's next heartbeat immediately, which changes `pending_`.
   std::list<PendingHeartbeat> reviewed = std::exchange(pending_, {});
   for (auto entry = reviewed.begin(); entry != reviewed.end();) {
     entry = AnswerIfDue(*entry) ? reviewed.erase(entry) : std::next(entry);
--- a/src/coordinator/leader_reply.h
+++ b/src/coordinator/leader_reply.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Replies of the leader to typed peer calls.
+/// The reply callback of typed peer calls to the leader, and replies with the result of a command.
 
 #include <functional>
 #include <utility>
@@ -10,10 +10,12 @@
 
 namespace cloverbank {
 
+/// Sends the response or an error to the caller.
 template <typename Response>
 using Reply = std::function<void(Result<Response>)>;
 
-/// Proposes `command` and replies with `respond(result)`, or with the error.
+/// Proposes `command` and, once it has been applied, replies with `respond(result)`; replies with
+/// the error if the proposal or the command failed.
 template <typename Response>
 void ProposeAndAnswer(CommandProposer& proposer, const proto::ControlCommand& command,
                       const Reply<Response>& reply,
--- a/src/coordinator/leader_session.cc
+++ b/src/coordinator/leader_session.cc
@@ -7,7 +7,8 @@
 namespace cloverbank {
 namespace {
 
-/// Gap between two ticks above which this process was frozen or starved.
+/// A longer gap than this between two ticks means that this process was frozen or got no processor
+/// time.
 constexpr Duration kTickGapLimit = seconds(1);
 
 }  // namespace
--- a/src/coordinator/leader_session.h
+++ b/src/coordinator/leader_session.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Tracks the terms in which this member leads: resets the leader's state that is not replicated at
-/// the start of each, and excludes pauses of this process from failure detection. Threads: the
+/// Tracks the terms in which this member leads: at the start of each it resets the leader's state
+/// that is not replicated. Excludes pauses of this process from failure detection. Threads: the
 /// owner's event loop only.
 
 #include <cstdint>
@@ -15,18 +15,19 @@
 
 class LeaderSession {
  public:
-  /// @param on_begin called at the end of each `Begin`.
+  /// @param on_begin called at the end of each `Begin`, on the event loop.
   LeaderSession(LeaderContext& context, CommandProposer& proposer,
                 LeaderController& leader_controller, std::function<void()> on_begin);
 
-  /// This member became leader.
+  /// Starts a term. Call it when this member becomes leader.
   void Begin();
-  /// This member lost leadership.
+  /// Call it when this member loses leadership.
   void End() { leading_ = false; }
-  /// @return whether this member may answer. Begins the session if it leads and the log has not
-  /// called its observer yet.
+  /// @return whether this member may answer. If it may, but the log has not yet called its
+  /// leadership observer for this term, calls `Begin` first.
   bool EnsureReady();
-  /// Call it at each tick. A long gap between ticks is a pause, in which no heartbeat was received.
+  /// Call it at each tick. Takes a long gap between ticks as a pause of this process, in which it
+  /// received no heartbeats.
   void RecordTick();
 
  private:
--- a/src/coordinator/node_requests.h
+++ b/src/coordinator/node_requests.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Requests of nodes other than heartbeats: registration, log heads and finished replays. Each
-/// proposes one command; the reply is its result. Threads: the owner's event loop only.
+/// Handles the requests of nodes other than heartbeats: registration, log heads and finished
+/// replays. Each request proposes one command and replies with its result. Threads: the owner's
+/// event loop only.
 
 #include "coordinator/leader_reply.h"
 #include "leader/command_proposer.h"
@@ -16,13 +17,14 @@
                LeaderController& leader_controller)
       : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
-  /// A repeated registration replies with the same node id.
+  /// Replies with the node id and the partition count. A repeated registration gets the same node
+  /// id.
   void RegisterServer(const proto::RegisterServerRequest& request,
                       const Reply<proto::RegisterServerResponse>& reply);
-  /// kFenced: the node is dead; kStaleEpoch: a newer head is committed.
+  /// Errors: kFenced if the node is dead; kStaleEpoch if a newer head is committed.
   void CommitHead(const proto::CommitHeadRequest& request,
                   const Reply<proto::CommitHeadResponse>& reply);
-  /// kFenced: the node is dead; kConflict: the replay is not assigned to it.
+  /// Errors: kFenced if the node is dead; kConflict if the replay is not assigned to it.
   void FinishAssignment(const proto::FinishAssignmentRequest& request,
                         const Reply<proto::FinishAssignmentResponse>& reply);
 
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Requests of operators other than transactions: the configuration, the state of the fleet and the
-/// retirement of store machines. Threads: the owner's event loop only.
+/// Handles the requests of operators other than transactions: the configuration, the state of the
+/// fleet and the retirement of store machines. Threads: the owner's event loop only.
 
 #include <string>
 #include <vector>
@@ -20,13 +20,21 @@
                    const LeaderController& leader_controller)
       : context_(context), proposer_(proposer), leader_controller_(leader_controller) {}
 
-  /// kNotFound: no store machine has that name; kConflict: too few store machines would remain.
+  /// Starts or cancels the retirement of a store machine and replies with the node ids of its live
+  /// queue nodes and backups. Errors: kNotFound if no store machine has that name; kConflict if too
+  /// few store machines would remain.
   void RetireServer(const proto::RetireServerRequest& request,
                     const Reply<proto::RetireServerResponse>& reply);
+  /// Replies whether the machine is to be retired and has nothing left to move. Errors: kNotFound
+  /// if no store machine has that name.
   void GetRetirement(const proto::GetRetirementRequest& request,
                      const Reply<proto::GetRetirementResponse>& reply);
+  /// Replies with the full configuration, the requested number of history records and the version
+  /// in force.
   void GetConfiguration(const proto::GetConfigurationRequest& request,
                         const Reply<proto::GetConfigurationResponse>& reply);
+  /// Replies with the servers, partitions, log heads, recoveries and coordinators, and with a
+  /// sentence for each problem of the fleet.
   void GetFleetStatus(const proto::GetFleetStatusRequest& request,
                       const Reply<proto::GetFleetStatusResponse>& reply);
 
@@ -35,7 +43,7 @@
   void FillCoordinators(const std::vector<LogMember>& members,
                         proto::GetFleetStatusResponse* response) const;
   FleetSnapshot MakeSnapshot(const std::vector<LogMember>& members) const;
-  /// @return whether enough active store machines would remain without `machine`.
+  /// @return whether at least `fewest_stores` active store machines would remain without `machine`.
   bool HasEnoughStoresWithout(const std::string& machine) const;
   /// @return node ids of the live queue nodes and backups on `machine`.
   std::vector<NodeId> FindStoreNodes(const std::string& machine) const;
--- a/src/coordinator/remaining_drain_work.h
+++ b/src/coordinator/remaining_drain_work.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What must still move off a store machine that is being retired before it may be stopped. Pure.
+/// Computes what must still be moved off a store machine that is being retired before the machine
+/// may be stopped. Pure.
 
 #include <cstddef>
 #include <string>
@@ -11,11 +12,12 @@
 namespace cloverbank {
 
 struct RemainingDrainWork {
-  std::size_t partitions = 0;  ///< Owned or being replayed by the machine's queue nodes.
-  std::size_t replicas = 0;    ///< Of segments, on the machine's backups.
-  /// A log of the machine is being recovered, or a backup has not been swept since it retired.
+  std::size_t partitions = 0;  ///< Partitions owned or being replayed by its queue nodes.
+  std::size_t replicas = 0;    ///< Segment replicas on its backups.
+  /// More may remain: a log of the machine is being recovered, or a backup of it has not been
+  /// swept since the retirement began.
   bool unknown = false;
-  bool live = false;  ///< Any server of the machine is live.
+  bool live = false;  ///< Whether any server of the machine is live.
 
   bool IsDone() const { return partitions == 0 && replicas == 0 && !unknown; }
 };
--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Proposes transactions on the routing configuration and acknowledges each once it is in force:
-/// when no gateway can use an older version any more, because each has confirmed a newer one or its
-/// lease has expired (docs/DESIGN.md section 4). Threads: the owner's event loop only.
+/// Proposes transactions on the routing configuration and acknowledges each once it is in force.
+/// That is when no gateway can use an older version any more, because each gateway has confirmed
+/// this version or a newer one or its lease has expired (docs/DESIGN.md section 4). Threads: the
+/// owner's event loop only.
 
 #include <cstdint>
 #include <list>
@@ -17,14 +18,15 @@
 
 namespace cloverbank {
 
-/// @return the highest version that every gateway with a lease has confirmed: the version in force.
+/// @return the highest version that every gateway with a lease has confirmed. It can be recorded as
+/// the version in force.
 ConfigurationVersion VersionConfirmedByAll(const ControlState& state, const LeaseTable& leases,
                                            TimePoint now);
-/// @return live gateways that may still use a version below the current one.
+/// @return the live gateways that may still use a version below the current one.
 std::vector<NodeId> FindGatewaysBehind(const ControlState& state, const LeaseTable& leases,
                                        TimePoint now);
-/// @return live gateways that have not confirmed `version`. If it is in force, their leases have
-/// expired.
+/// @return the live gateways that have not confirmed `version`. If it is in force, the leases of
+/// these gateways have expired.
 std::vector<NodeId> FindUnconfirmedGateways(const ControlState& state, const LeaseTable& leases,
                                             ConfigurationVersion version);
 
@@ -33,30 +35,37 @@
   TransactionHandler(LeaderContext& context, CommandProposer& proposer)
       : context_(context), proposer_(proposer) {}
 
-  /// Replies once the transaction is in force or refused. A resent one waits in the same way.
+  /// Replies once the transaction is in force or refused; a dry run at once. A transaction that is
+  /// sent again waits in the same way. Errors: those of the proposal, and kNotLeader if leadership
+  /// is lost while the transaction waits.
   void Submit(const proto::SubmitTransactionRequest& request,
               const Reply<proto::SubmitTransactionResponse>& reply);
-  /// Proposes to record the version in force and acknowledges the transactions that waited for it.
-  /// Call it after each confirmation, applied command and tick.
+  /// Proposes to record the version in force, if it is a new one, and acknowledges the transactions
+  /// that are in force. Call it after each confirmation, applied command and tick.
   void Review();
-  /// Leadership was lost: refuses the waiting transactions; the next leader waits for them again.
+  /// Refuses the waiting transactions with kNotLeader. Call it when leadership is lost; the next
+  /// leader waits for them when they are sent again.
   void RefuseAll();
 
  private:
   struct PendingTransaction {
     proto::TransactionResult result;
-    TimePoint since;
+    TimePoint since;  ///< When it was applied.
     Reply<proto::SubmitTransactionResponse> reply;
   };
 
+  /// Replies to a refused transaction; an applied one waits until it is in force.
   void HandleApplied(const proto::TransactionResult& result,
                      const Reply<proto::SubmitTransactionResponse>& reply);
   /// Proposes to record the version that all gateways have confirmed, if it is a new one.
   void ProposeInForce();
+  /// Acknowledges the waiting transactions whose version is in force.
   void AnswerInForce();
+  /// Removes the transactions whose version is in force from `pending_` and returns them.
   std::list<PendingTransaction> TakeInForce();
   void Answer(const PendingTransaction& pending);
-  /// Logs and counts gateways whose leases expired before they confirmed `version`; once a version.
+  /// Logs and counts that leases of gateways expired before these confirmed `version`; once per
+  /// version.
   void RecordUnconfirmed(ConfigurationVersion version);
   void CountRefusal(const proto::TransactionResult& result);
 
