--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -230,7 +230,9 @@
 
 Status ConfigurationStore::RecordInForce(ConfigurationVersion version, std::int64_t wall_ms) {
   if (version > version_) {
-    return {StatusCode::kInvalidArgument, "version " + version.ToString() + " is not applied yet"};
+    return {StatusCode::kInvalidArgument, "version " + version.ToString() +
+                                              " is not applied yet; the current version is " +
+                                              version_.ToString()};
   }
   if (version <= in_force_) {
     return Status::Ok();
--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -34,7 +34,9 @@
     servers_.PruneDead(partitions_.FindReferencedServers());
     RecordFleetChanges();
   } else {
-    SetStatus({StatusCode::kCorrupt, "malformed control command"}, &result);
+    SetStatus({StatusCode::kCorrupt,
+               "malformed control command of " + std::to_string(bytes.size()) + " bytes"},
+              &result);
   }
   return result.SerializeAsString();
 }
@@ -76,14 +78,17 @@
       partitions_.Initialize(command.initialize().partition_count());
       return Status::Ok();
     default:
-      return {StatusCode::kInvalidArgument, "empty control command"};
+      return {StatusCode::kInvalidArgument, "the control command is empty or of an unknown kind"};
   }
 }
 
 void ControlState::ApplyRegister(const proto::RegisterServerCommand& command,
                                  proto::ControlCommandResult* result) {
   if (command.server().role() == proto::ROLE_UNSPECIFIED) {
-    SetStatus({StatusCode::kInvalidArgument, "a server needs a role"}, result);
+    SetStatus({StatusCode::kInvalidArgument,
+               "machine \"" + command.server().machine() +
+                   "\" registers a server without a role; use gateway, queue node or backup"},
+              result);
     return;
   }
   const ServerRegistry::Registration registration =
@@ -218,7 +223,8 @@
 Status ControlState::RestoreSnapshot(const std::string& bytes) {
   proto::ControlStateSnapshot snapshot;
   if (!snapshot.ParseFromString(bytes)) {
-    return {StatusCode::kCorrupt, "the control state snapshot can not be read"};
+    return {StatusCode::kCorrupt, "the control state snapshot of " + std::to_string(bytes.size()) +
+                                      " bytes cannot be parsed"};
   }
   servers_.Load(snapshot);
   partitions_.Load(snapshot);
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -82,7 +82,10 @@
 
 Status PartitionTable::CommitHead(const proto::LogHead& head, const ServerRegistry& servers) {
   if (head.segment_id() == 0 || head.backups().empty()) {
-    return {StatusCode::kInvalidArgument, "a head needs a segment id and backups"};
+    return {StatusCode::kInvalidArgument,
+            "the log head of node " + std::to_string(head.node_id()) + " has segment id " +
+                std::to_string(head.segment_id()) + " and " + std::to_string(head.backups_size()) +
+                " backups; it needs a segment id above 0 and at least one backup"};
   }
   const auto entry = heads_.find(NodeId(head.node_id()));
   if (entry == heads_.end()) {
@@ -96,9 +99,12 @@
     return Status::Ok();
   }
   if (position <= committed) {
-    return {StatusCode::kStaleEpoch, "segment " + std::to_string(heads.current.segment_id()) +
-                                         " epoch " + std::to_string(heads.current.epoch()) +
-                                         " is committed already"};
+    return {StatusCode::kStaleEpoch, "the log head of node " + std::to_string(head.node_id()) +
+                                         " has segment " + std::to_string(head.segment_id()) +
+                                         " epoch " + std::to_string(head.epoch()) +
+                                         "; it must be newer than the committed segment " +
+                                         std::to_string(heads.current.segment_id()) + " epoch " +
+                                         std::to_string(heads.current.epoch())};
   }
   if (head.segment_id() != heads.current.segment_id()) {
     heads.previous = std::move(heads.current);
@@ -114,7 +120,9 @@
       return {StatusCode::kNotFound, "there is no partition " + id.ToString()};
     }
     if (entry->second.owner() != 0 || entry->second.recovering_from() != 0) {
-      return Conflict("partition " + id.ToString() + " is not free");
+      return Conflict("partition " + id.ToString() + " is not free: owner " +
+                      std::to_string(entry->second.owner()) + ", being recovered from " +
+                      std::to_string(entry->second.recovering_from()) + " (0: none)");
     }
   }
   for (const PartitionId id : partitions) {
@@ -148,7 +156,8 @@
   for (const proto::RecoveryAssignment& assignment : assignments) {
     for (const std::uint64_t id : assignment.partition_ids()) {
       if (open.erase(PartitionId(id)) == 0) {
-        return Conflict("partition " + std::to_string(id) + " is not open for replay");
+        return Conflict("partition " + std::to_string(id) +
+                        " is not waiting for a replay from node " + dead.ToString());
       }
     }
   }
@@ -186,8 +195,8 @@
   const bool open = NodeId(entry->second.recovering_from()) == dead &&
                     recovery != recoveries_.end() && IsAssigned(recovery->second, partition, node);
   if (!open) {
-    return Conflict("the replay of partition " + partition.ToString() + " is not given to node " +
-                    node.ToString());
+    return Conflict("the replay of partition " + partition.ToString() +
+                    " is not assigned to node " + node.ToString());
   }
   return Status::Ok();
 }
--- a/src/control_state/transaction_validator.h
+++ b/src/control_state/transaction_validator.h
@@ -2,6 +2,10 @@
 /// @file
 /// Validates a transaction against the configuration that it would change. Pure functions. They
 /// report all problems at once; each names the object and how to fix the problem.
+///
+/// The texts of the problems, and those of the refusals in configuration_store.cc, must not change:
+/// `OperationRecords` stores them in the replicated state and counts their bytes, so members that
+/// run different builds would have different states.
 
 #include <string>
 #include <vector>
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -97,7 +97,7 @@
   for (const auto& [key, server] : lost) {
     if (!live.contains(key) && !servers.retired_machines().contains(key.machine)) {
       Add("the " + RoleName(key.role) + " on " + DescribeServer(*server) +
-          " is gone; restart the machine, replace it, or retire it for good");
+          " was declared dead; restart the machine, replace it, or retire it for good");
     }
   }
 }
@@ -112,8 +112,8 @@
   if (active_backups < snapshot_.options.wanted_store_backups) {
     Add("only " + std::to_string(active_backups) + " of " +
         std::to_string(snapshot_.options.wanted_store_backups) +
-        " store backups are up: spare backups take the missing copies, or new work has fewer; "
-        "start or add a store machine");
+        " store backups are up: spare backups take the missing copies, or new batches have fewer "
+        "copies; start or add a store machine");
   }
 }
 
@@ -136,7 +136,7 @@
     const NodeId later = snapshot_.state.servers().FindLaterIncarnation(*node);
     if (later.valid()) {
       Add("two queue nodes, " + std::to_string(node->node_id()) + " and " + later.ToString() +
-          ", call their machine " + node->machine() + "; give each machine its own name");
+          ", have the machine name " + node->machine() + "; give each machine its own name");
     }
   }
 }
@@ -147,7 +147,7 @@
     const bool no_queue_node = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
     Add(std::to_string(free) + " partitions have no owner" +
         (no_queue_node ? " because no queue node is up; start a store machine"
-                       : " yet; they are being given out"));
+                       : " yet; they are being assigned"));
   }
 }
 
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -19,11 +19,11 @@
     case HeartbeatRefusal::kDead:
       return "was declared dead";
     case HeartbeatRefusal::kOtherIncarnation:
-      return "belongs to another process life";
+      return "belongs to another incarnation of the process";
     case HeartbeatRefusal::kSuperseded:
-      return "is superseded by a later life of its machine";
+      return "is superseded by a later incarnation on its machine";
     case HeartbeatRefusal::kRetiring:
-      return "is being retired and hands its partitions over";
+      return "is being retired and must hand over its partitions";
     case HeartbeatRefusal::kNotLeader:
       break;
   }
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -39,7 +39,9 @@
   }
   if (!request.cancel() && !HasEnoughStoresWithout(request.machine())) {
     reply(Status(StatusCode::kConflict,
-                 "too few store machines would be left; add one before this one is emptied"));
+                 "fewer than " + std::to_string(context_.options.fewest_stores) +
+                     " active store machines would remain without \"" + request.machine() +
+                     "\"; add one before you retire it"));
     return;
   }
   proto::ControlCommand command;
