--- a/tests/control_state/configuration_store_test.cc
+++ b/tests/control_state/configuration_store_test.cc
@@ -1,4 +1,4 @@
-// Transactions on the routing configuration as the state machine applies them.
+// Tests of transactions on the routing configuration, most of them applied by the state machine.
 #include "control_state/configuration_store.h"
 
 #include <gmock/gmock.h>
@@ -26,30 +26,30 @@
   ControlDriver control;
   EXPECT_EQ(control.Submit(TenantTransaction("a", 1, "x")).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
-  const proto::TransactionResult loser = control.Submit(TenantTransaction("b", 1, "y"));
-  EXPECT_EQ(loser.outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
-  EXPECT_EQ(loser.version(), 2U);
-  EXPECT_THAT(loser.problems(0), HasSubstr("the current version is 2"));
+  const proto::TransactionResult conflicting = control.Submit(TenantTransaction("b", 1, "y"));
+  EXPECT_EQ(conflicting.outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
+  EXPECT_EQ(conflicting.version(), 2U);
+  EXPECT_THAT(conflicting.problems(0), HasSubstr("the current version is 2"));
   EXPECT_FALSE(control.state.configuration().objects().tenants.contains("y"));
 }
 
 TEST(ConfigurationStoreTest, ResendReturnsFirstResultAfterSnapshot) {
   ControlDriver control;
-  const auto winner = TenantTransaction("a", 1, "x");
-  const auto loser = TenantTransaction("b", 1, "y");
+  const auto applied = TenantTransaction("a", 1, "x");
+  const auto conflicting = TenantTransaction("b", 1, "y");
   auto invalid = MakeTransaction("c", 2);
   AddTenant(&invalid, "");
-  const std::string first = control.Submit(winner).SerializeAsString();
-  const std::string refused = control.Submit(loser).SerializeAsString();
-  const std::string wrong = control.Submit(invalid).SerializeAsString();
+  const std::string applied_result = control.Submit(applied).SerializeAsString();
+  const std::string conflict_result = control.Submit(conflicting).SerializeAsString();
+  const std::string invalid_result = control.Submit(invalid).SerializeAsString();
   control.Submit(TenantTransaction("d", 2, "z"));
 
   ControlDriver restored;
   ASSERT_TRUE(restored.state.RestoreSnapshot(control.state.TakeSnapshot()).ok());
   for (ControlDriver* member : {&control, &restored}) {
-    EXPECT_EQ(member->Submit(winner).SerializeAsString(), first);
-    EXPECT_EQ(member->Submit(loser).SerializeAsString(), refused);
-    EXPECT_EQ(member->Submit(invalid).SerializeAsString(), wrong);
+    EXPECT_EQ(member->Submit(applied).SerializeAsString(), applied_result);
+    EXPECT_EQ(member->Submit(conflicting).SerializeAsString(), conflict_result);
+    EXPECT_EQ(member->Submit(invalid).SerializeAsString(), invalid_result);
     EXPECT_EQ(member->state.configuration().version(), ConfigurationVersion(3));
   }
 }
@@ -73,22 +73,22 @@
   AddRoute(&setup, "kept")->add_zones("south");
   ASSERT_EQ(control.Submit(setup).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
 
-  auto wrong = MakeTransaction("wrong", 2);
-  proto::Route* route = AddRoute(&wrong, "r");
+  auto invalid = MakeTransaction("invalid", 2);
+  proto::Route* route = AddRoute(&invalid, "r");
   route->add_zones("nowhere");
   route->set_deadline_ms(0);
   route->set_backend_kind(proto::BACKEND_KIND_UNSPECIFIED);
   route->clear_backend();
-  AddTenant(&wrong, "");
-  AddTenant(&wrong, "twice");
-  AddTenant(&wrong, "twice");
-  AddZone(&wrong, "north", proto::ZONE_STATE_DRAINED);
-  AddZone(&wrong, "odd", proto::ZONE_STATE_UNSPECIFIED);
-  wrong.add_changes()->set_remove_zone("south");
-  wrong.add_changes()->set_remove_route("absent");
-  wrong.add_changes()->mutable_set_batch()->set_live_headroom_percent(101);
-  wrong.add_changes();
-  const proto::TransactionResult result = control.Submit(wrong);
+  AddTenant(&invalid, "");
+  AddTenant(&invalid, "twice");
+  AddTenant(&invalid, "twice");
+  AddZone(&invalid, "north", proto::ZONE_STATE_DRAINED);
+  AddZone(&invalid, "odd", proto::ZONE_STATE_UNSPECIFIED);
+  invalid.add_changes()->set_remove_zone("south");
+  invalid.add_changes()->set_remove_route("absent");
+  invalid.add_changes()->mutable_set_batch()->set_live_headroom_percent(101);
+  invalid.add_changes();
+  const proto::TransactionResult result = control.Submit(invalid);
   EXPECT_EQ(result.outcome(), proto::TRANSACTION_OUTCOME_INVALID);
   EXPECT_THAT(result.problems(),
               UnorderedElementsAre(
@@ -104,11 +104,12 @@
 
 TEST(ConfigurationStoreTest, RefusesInvalidEnvelope) {
   ControlDriver control;
-  const proto::TransactionResult nameless = control.Submit(MakeTransaction("", 0));
-  EXPECT_THAT(nameless.problems(0), HasSubstr("operation_id is empty"));
-  const proto::TransactionResult bare = control.Submit(MakeTransaction("a", 0));
-  EXPECT_THAT(bare.problems(), UnorderedElementsAre(HasSubstr("expected_version is missing"),
-                                                    HasSubstr("changes is empty")));
+  const proto::TransactionResult without_id = control.Submit(MakeTransaction("", 0));
+  EXPECT_THAT(without_id.problems(0), HasSubstr("operation_id is empty"));
+  const proto::TransactionResult without_changes = control.Submit(MakeTransaction("a", 0));
+  EXPECT_THAT(without_changes.problems(),
+              UnorderedElementsAre(HasSubstr("expected_version is missing"),
+                                   HasSubstr("changes is empty")));
 }
 
 TEST(ConfigurationStoreTest, DryRunChangesNothing) {
@@ -161,7 +162,7 @@
         AddTenant(&transaction, name, static_cast<std::uint32_t>(random() % 100));
       }
     }
-    store.Apply(transaction, round);  // Those that change an object twice are refused.
+    store.Apply(transaction, round);  // Refused if it changes an object twice.
     full_at[store.version().value()] = store.FullConfiguration();
     const std::uint64_t known = 1 + random() % store.version().value();
     const proto::ConfigurationUpdate& update = store.UpdateFrom(ConfigurationVersion(known));
@@ -173,15 +174,15 @@
     ++deltas;
     ASSERT_EQ(update.from_version(), known);
     EXPECT_LT(update.ByteSizeLong(),
-              store.FullConfiguration().ByteSizeLong() + 16);  // Plus the versions.
+              store.FullConfiguration().ByteSizeLong() + 16);  // 16 bytes for the versions.
     ConfigurationObjects objects;
     objects.Load(full_at.at(known));
     for (const proto::ConfigurationChange& change : update.changes()) {
       objects.Apply(change);
     }
-    proto::RoutingConfiguration reached = objects.ToProto();
-    reached.set_version(update.to_version());
-    EXPECT_EQ(reached.SerializeAsString(), store.FullConfiguration().SerializeAsString());
+    proto::RoutingConfiguration updated = objects.ToProto();
+    updated.set_version(update.to_version());
+    EXPECT_EQ(updated.SerializeAsString(), store.FullConfiguration().SerializeAsString());
   }
   EXPECT_GT(deltas, 20U);
   EXPECT_GT(store.version(), ConfigurationVersion(100));
--- a/tests/control_state/control_commands.h
+++ b/tests/control_state/control_commands.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Helpers to build and apply control commands in tests.
+/// Builds control commands and applies them to a state machine in tests.
 
 #include <string>
 #include <vector>
@@ -9,6 +9,8 @@
 
 namespace cloverbank {
 
+/// A state machine with methods that apply one command each. Methods that return a status code
+/// return that of the command's result.
 class ControlDriver {
  public:
   explicit ControlDriver(std::uint32_t partitions = 4) : state(partitions) {
@@ -26,8 +28,8 @@
     return static_cast<StatusCode>(result.error_code());
   }
 
-  /// Registers an incarnation of `role` on `machine`; endpoint and disk are named after the
-  /// machine.
+  /// Registers an incarnation of `role` on `machine` and returns its node id. The disk is named
+  /// after the machine, and so is the host of the endpoint unless `host` is given.
   NodeId Register(proto::Role role, const std::string& machine, std::uint64_t incarnation,
                   NodeId previous = {}, const std::string& host = "") {
     proto::ControlCommand command;
--- a/tests/control_state/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -1,4 +1,4 @@
-// Registration, death, heads and recoveries as the state machine applies them.
+// Tests of how the state machine applies registrations, deaths, log heads and recoveries.
 #include "control_state/control_state.h"
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
   const NodeId first = control.Register(proto::ROLE_QUEUE, "store-1", 11);
   EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11), first);
   const NodeId second = control.Register(proto::ROLE_QUEUE, "store-1", 11, first);
-  EXPECT_NE(second, first) << "the node gave its first id up";
+  EXPECT_NE(second, first) << "the node gave up its first id";
   EXPECT_EQ(control.Register(proto::ROLE_QUEUE, "store-1", 11, first), second);
 }
 
@@ -52,7 +52,7 @@
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
 }
 
-TEST(ControlStateTest, GatewaysAreOutsideTheFleet) {
+TEST(ControlStateTest, GatewaysLeaveFleetVersionUnchanged) {
   ControlDriver control;
   const FleetVersion before = control.state.fleet_version();
   const NodeId gateway = control.Register(proto::ROLE_GATEWAY, "front-1", 11);
@@ -70,7 +70,8 @@
   EXPECT_EQ(control.CommitHead(node, 1, 1, {backup, node}), StatusCode::kStaleEpoch);
   EXPECT_EQ(control.CommitHead(node, 1, 3, {backup}), StatusCode::kOk);
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "store-1", 13);
-  EXPECT_EQ(control.CommitHead(node, 1, 3, {restarted}), StatusCode::kOk) << "the same disk";
+  EXPECT_EQ(control.CommitHead(node, 1, 3, {restarted}), StatusCode::kOk)
+      << "the same disk as the committed backup";
   EXPECT_EQ(control.CommitHead(node, 1, 2, {backup}), StatusCode::kStaleEpoch);
   EXPECT_EQ(control.CommitHead(node, 2, 1, {backup}), StatusCode::kOk);
   EXPECT_EQ(control.CommitHead(node, 1, 4, {backup}), StatusCode::kStaleEpoch);
@@ -97,8 +98,8 @@
   EXPECT_EQ(control.Assign(node, {0}), StatusCode::kFenced);
 }
 
-// B dies while it replays partition 0 of A, which is still recovered from A's log; partitions that
-// B owned are recovered from B's.
+// Node B dies while it replays partition 0 from the log of node A. Partition 0 must still be
+// recovered from A's log, but the partitions that B owned from B's log.
 TEST(ControlStateTest, ReplayingNodeDiesDuringRecovery) {
   ControlDriver control;
   const NodeId a = control.Register(proto::ROLE_QUEUE, "a", 1);
@@ -124,7 +125,8 @@
   EXPECT_EQ(control.FinishAssignment(a, c, {0}), StatusCode::kOk);
   EXPECT_EQ(control.state.partitions().recoveries().at(a).phase(), proto::RECOVERY_PHASE_RELEASING);
   EXPECT_EQ(control.FinishRecovery(a), StatusCode::kOk);
-  EXPECT_EQ(control.FinishAssignment(a, c, {0}), StatusCode::kOk) << "a repeat after the end";
+  EXPECT_EQ(control.FinishAssignment(a, c, {0}), StatusCode::kOk)
+      << "repeated after the recovery has finished";
   EXPECT_EQ(control.state.partitions().recoveries().count(b), 1U);
 }
 
@@ -144,8 +146,8 @@
   EXPECT_EQ(restored.state.servers().Find(next)->state(), proto::SERVER_STATE_UP);
 }
 
-/// A node that applies fleet updates.
-struct Follower {
+/// The fleet as a node knows it from the fleet updates that it applies.
+struct FleetView {
   std::uint64_t version = 0;
   std::map<std::uint64_t, std::string> servers;
   std::map<std::uint64_t, std::string> partitions;
@@ -168,7 +170,8 @@
   }
 };
 
-/// Random commands on two members, one of which is restored from a snapshot periodically.
+/// Applies random commands to two members, one of which is periodically restored from its snapshot,
+/// and checks that both have the same state and that the invariants hold.
 class RandomCommands {
  public:
   explicit RandomCommands(std::uint64_t seed) : random_(seed) {}
@@ -178,66 +181,68 @@
       const proto::ControlCommand command = RandomCommand();
       const auto before = Ownership();
       const std::string result = control_.Apply(command).SerializeAsString();
-      ASSERT_EQ(twin_.Apply(command).SerializeAsString(), result);
+      ASSERT_EQ(restored_.Apply(command).SerializeAsString(), result);
       if (step % 50 == 49) {
-        const std::string snapshot = twin_.state.TakeSnapshot();
-        twin_ = ControlDriver();
-        ASSERT_TRUE(twin_.state.RestoreSnapshot(snapshot).ok());
+        const std::string snapshot = restored_.state.TakeSnapshot();
+        restored_ = ControlDriver();
+        ASSERT_TRUE(restored_.state.RestoreSnapshot(snapshot).ok());
       }
-      ASSERT_EQ(twin_.state.TakeSnapshot(), control_.state.TakeSnapshot());
+      ASSERT_EQ(restored_.state.TakeSnapshot(), control_.state.TakeSnapshot());
       CheckInvariants(before, command);
-      CheckFollower();
+      CheckFleetView();
     }
   }
 
  private:
-  std::uint64_t Below(std::uint64_t bound) { return random_() % bound; }
-  NodeId AnyNode() { return NodeId(1 + Below(control_.state.servers().next_node_id().value())); }
+  std::uint64_t RandomBelow(std::uint64_t bound) { return random_() % bound; }
+  NodeId RandomNode() {
+    return NodeId(1 + RandomBelow(control_.state.servers().next_node_id().value()));
+  }
 
   proto::ControlCommand RandomCommand() {
     proto::ControlCommand command;
-    const std::uint64_t partition = Below(4);
-    const std::uint64_t kind = Below(10);
+    const std::uint64_t partition = RandomBelow(4);
+    const std::uint64_t kind = RandomBelow(10);
     if (kind < 3) {
       proto::Server& server = *command.mutable_register_server()->mutable_server();
-      server.set_role(static_cast<proto::Role>(1 + Below(3)));
-      server.set_machine("m" + std::to_string(Below(4)));
+      server.set_role(static_cast<proto::Role>(1 + RandomBelow(3)));
+      server.set_machine("m" + std::to_string(RandomBelow(4)));
       server.mutable_peer_endpoint()->set_host(server.machine());
-      server.set_incarnation(Below(100));
+      server.set_incarnation(RandomBelow(100));
     } else if (kind == 3) {
-      command.mutable_declare_server_dead()->set_node_id(AnyNode().value());
+      command.mutable_declare_server_dead()->set_node_id(RandomNode().value());
     } else if (kind < 6) {
       proto::LogHead& head = *command.mutable_commit_head()->mutable_head();
-      head.set_node_id(AnyNode().value());
-      head.set_segment_id(1 + Below(3));
-      head.set_epoch(1 + Below(3));
-      head.add_backups(AnyNode().value());
+      head.set_node_id(RandomNode().value());
+      head.set_segment_id(1 + RandomBelow(3));
+      head.set_epoch(1 + RandomBelow(3));
+      head.add_backups(RandomNode().value());
     } else if (kind == 6) {
-      command.mutable_assign_partitions()->set_queue_node_id(AnyNode().value());
+      command.mutable_assign_partitions()->set_queue_node_id(RandomNode().value());
       command.mutable_assign_partitions()->add_partition_ids(partition);
     } else if (kind == 7) {
-      command.mutable_start_replay()->set_dead_node_id(AnyDead().value());
+      command.mutable_start_replay()->set_dead_node_id(RecoveringOrRandomNode().value());
       auto& assignment = *command.mutable_start_replay()->add_assignments();
-      assignment.set_queue_node_id(AnyNode().value());
+      assignment.set_queue_node_id(RandomNode().value());
       assignment.add_partition_ids(partition);
     } else if (kind == 8) {
-      command.mutable_finish_assignment()->set_dead_node_id(AnyDead().value());
-      command.mutable_finish_assignment()->set_queue_node_id(AnyNode().value());
+      command.mutable_finish_assignment()->set_dead_node_id(RecoveringOrRandomNode().value());
+      command.mutable_finish_assignment()->set_queue_node_id(RandomNode().value());
       command.mutable_finish_assignment()->add_partition_ids(partition);
     } else {
-      command.mutable_finish_recovery()->set_dead_node_id(AnyDead().value());
+      command.mutable_finish_recovery()->set_dead_node_id(RecoveringOrRandomNode().value());
     }
     return command;
   }
 
-  NodeId AnyDead() {
+  NodeId RecoveringOrRandomNode() {
     const auto& recoveries = control_.state.partitions().recoveries();
-    return recoveries.empty() ? AnyNode() : recoveries.begin()->first;
+    return recoveries.empty() ? RandomNode() : recoveries.begin()->first;
   }
 
   struct PartitionSource {
     NodeId owner;
-    NodeId log;  ///< The dead node whose log it is being recovered from.
+    NodeId log;  ///< The dead node from whose log it is being recovered.
     bool operator==(const PartitionSource&) const = default;
   };
   std::vector<PartitionSource> Ownership() const {
@@ -262,26 +267,27 @@
         ASSERT_TRUE(table.recoveries().contains(log) && table.heads().contains(log));
       }
       if (before[id].log.valid() && before[id] != after[id]) {
-        ASSERT_TRUE(command.has_finish_assignment()) << "data left in a dead node's log";
+        ASSERT_TRUE(command.has_finish_assignment())
+            << "recovery of partition " << id << " ended without a finished replay";
       }
     }
   }
 
-  void CheckFollower() {
-    if (Below(5) != 0) {
+  void CheckFleetView() {
+    if (RandomBelow(5) != 0) {
       return;
     }
-    follower_.Apply(control_.state.FleetUpdateFrom(FleetVersion(follower_.version)));
-    Follower fresh;
+    fleet_view_.Apply(control_.state.FleetUpdateFrom(FleetVersion(fleet_view_.version)));
+    FleetView fresh;
     fresh.Apply(control_.state.FleetUpdateFrom(FleetVersion(0)));
-    ASSERT_EQ(follower_.servers, fresh.servers);
-    ASSERT_EQ(follower_.partitions, fresh.partitions);
+    ASSERT_EQ(fleet_view_.servers, fresh.servers);
+    ASSERT_EQ(fleet_view_.partitions, fresh.partitions);
   }
 
   std::mt19937_64 random_;
   ControlDriver control_;
-  ControlDriver twin_;
-  Follower follower_;
+  ControlDriver restored_;
+  FleetView fleet_view_;
 };
 
 TEST(ControlStateTest, RandomCommandsKeepInvariants) {
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -1,4 +1,4 @@
-// Configurations with operators' labels, HTTP routes and documents.
+// Tests of configurations with operators' labels, HTTP routes and documents.
 #include <gtest/gtest.h>
 
 #include "control_client/configuration_watch.h"
@@ -8,7 +8,9 @@
 namespace cloverbank {
 namespace {
 
-/// A transaction that replaces the configuration by one back end and a route for each prefix.
+/// @return a transaction that replaces the traffic configuration by one back end and a route for
+/// each prefix.
+/// @param base label that the transaction builds on.
 proto::ConfigurationTransaction FullConfiguration(const std::string& operation_id,
                                                   std::uint64_t base, std::uint64_t label,
                                                   const std::vector<std::string>& prefixes) {
@@ -32,7 +34,7 @@
   return transaction;
 }
 
-TEST(LabelledConfigurationTest, LabelsMayRiseInUnevenSteps) {
+TEST(LabelledConfigurationTest, AcceptsGapsBetweenLabels) {
   ControlDriver control;
   EXPECT_EQ(control.Submit(FullConfiguration("a", 0, 3, {"/x/", "/y/"})).outcome(),
             proto::TRANSACTION_OUTCOME_APPLIED);
@@ -41,28 +43,28 @@
   const proto::RoutingConfiguration& full = control.state.configuration().FullConfiguration();
   EXPECT_EQ(full.label(), 10U);
   EXPECT_EQ(full.document().source(), "document 10");
-  EXPECT_EQ(full.routes_size(), 1);  // What the document does not name is gone.
+  EXPECT_EQ(full.routes_size(), 1);  // Removed: the route that "b" does not set.
 }
 
-TEST(LabelledConfigurationTest, ResendOfWinnerIsAcknowledgedAgain) {
+TEST(LabelledConfigurationTest, ResendOfAppliedTransactionIsAcknowledgedAgain) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
-  const auto winner = FullConfiguration("w", 3, 5, {"/x/", "/y/"});
-  const auto loser = FullConfiguration("l", 3, 5, {"/x/", "/z/"});
-  EXPECT_EQ(control.Submit(winner).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
-  EXPECT_EQ(control.Submit(loser).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
+  const auto applied = FullConfiguration("w", 3, 5, {"/x/", "/y/"});
+  const auto conflicting = FullConfiguration("l", 3, 5, {"/x/", "/z/"});
+  EXPECT_EQ(control.Submit(applied).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
+  EXPECT_EQ(control.Submit(conflicting).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
   control.Submit(FullConfiguration("n", 5, 8, {"/x/"}));
   ControlDriver restored;
   ASSERT_TRUE(restored.state.RestoreSnapshot(control.state.TakeSnapshot()).ok());
-  // The gateway that resends may hold another configuration, so its changes may read differently.
-  auto resent = winner;
+  // The gateway that sends it again may have another configuration and thus derive other changes.
+  auto resent = applied;
   resent.clear_changes();
   EXPECT_EQ(restored.Submit(resent).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
-  EXPECT_EQ(restored.Submit(loser).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
+  EXPECT_EQ(restored.Submit(conflicting).outcome(), proto::TRANSACTION_OUTCOME_VERSION_CONFLICT);
   EXPECT_EQ(restored.state.configuration().label(), 8U);
 }
 
-/// Asks for the outcome of operation "patch", which sets label 9 on top of 5.
+/// @return an inquiry about the outcome of operation "patch", which sets label 9 on label 5.
 proto::ConfigurationTransaction InquiryAfterPatch() {
   proto::ConfigurationTransaction inquiry;
   inquiry.set_operation_id("patch");
@@ -72,12 +74,12 @@
   return inquiry;
 }
 
-TEST(LabelledConfigurationTest, InquiryOnCurrentBaseMayBeSent) {
+TEST(LabelledConfigurationTest, InquiryOnCurrentLabelMayBeSent) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
   control.Submit(
-      FullConfiguration("b", 3, 5, {"/x/"}));  // Applied after the gateway had read label 3.
+      FullConfiguration("b", 3, 5, {"/x/"}));  // Applied after the gateway has read label 3.
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_MAY_BE_SENT);
   EXPECT_EQ(control.state.configuration().label(), 5U);
   EXPECT_EQ(control.Submit(FullConfiguration("patch", 5, 9, {"/x/", "/y/"})).outcome(),
@@ -85,7 +87,7 @@
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
 }
 
-TEST(LabelledConfigurationTest, RefusedInquiryStaysRefused) {
+TEST(LabelledConfigurationTest, RefusedInquiryBlocksItsOperation) {
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
@@ -100,7 +102,7 @@
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   std::vector<proto::ConfigurationTransaction> invalid;
-  invalid.push_back(FullConfiguration("same-place", 3, 4, {"/x/", "/x/"}));
+  invalid.push_back(FullConfiguration("same-location", 3, 4, {"/x/", "/x/"}));
   invalid.push_back(FullConfiguration("same-label", 3, 3, {"/x/"}));
   invalid.push_back(FullConfiguration("lower-label", 3, 2, {"/x/"}));
   invalid.push_back(FullConfiguration("no-timeout", 3, 4, {"/x/"}));
@@ -159,7 +161,7 @@
   watch.Apply(update);
   proto::RoutingConfiguration full = control.state.configuration().FullConfiguration();
   EXPECT_EQ(full.document().source(), "document 9");
-  full.mutable_document()->clear_source();  // Read back from the coordinators, not by nodes.
+  full.mutable_document()->clear_source();  // Nodes are not sent the source.
   EXPECT_EQ(watch.configuration().SerializeAsString(), full.SerializeAsString());
 }
 
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -1,7 +1,8 @@
-// Random faults: nodes and coordinators freeze, lose power or are partitioned, the leader changes,
-// operators race. Safety, checked throughout: no node has a valid lease under a dead id, and when a
-// transaction is acknowledged no gateway with a valid lease uses an older version. Liveness,
-// checked at the end: everything has recovered.
+// Tests the coordinators under random faults: nodes and coordinators freeze, lose power or are
+// partitioned, the leader changes, and operators send concurrent transactions. Safety, checked
+// throughout: no node has a valid lease under a dead node id, and when a transaction is
+// acknowledged no gateway with a valid lease uses an older version. Liveness, checked at the end:
+// every partition has a live owner, every node has a lease and no recovery is left.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -42,45 +43,47 @@
         InjectFault();
       }
       if (tick % 40 == 0) {
-        SubmitRace();
+        SubmitConcurrently();
       }
       if (HasFatalFailure()) {
         return;
       }
     }
-    HealEverything();
+    HealAll();
     world.network() = NetworkBehaviour();
     world.RunFor(seconds(20));
     CheckLeases();
-    CheckEnd();
+    CheckRecovered();
   }
 
   int acknowledged = 0;
 
  private:
-  /// The member that has applied most: what it holds is committed.
-  const ControlState* Committed() const {
-    const ControlState* newest = nullptr;
+  /// @return the committed state, which is that of any member; nullptr if none runs.
+  const ControlState* CommittedState() const {
+    const ControlState* state = nullptr;
     for (const auto& [name, member] : members) {
-      newest = &member->state;  // The fake log applies at all members at once.
+      state = &member->state;  // The fake log applies each command at all members at once.
     }
-    return newest;
+    return state;
   }
 
   void CheckLeases() {
-    const ControlState* committed = Committed();
+    const ControlState* committed = CommittedState();
     for (const auto& [name, node] : nodes) {
       if (committed == nullptr || !node->HasValidLease()) {
         continue;
       }
       const proto::Server* server = committed->servers().Find(NodeId(node->node_id));
-      ASSERT_TRUE(server != nullptr && IsLive(*server)) << name << " acts under a dead id";
+      ASSERT_TRUE(server != nullptr && IsLive(*server))
+          << name << " has a valid lease under a dead node id";
     }
   }
 
   void CheckAcknowledged(const proto::TransactionResult& result) {
     ++acknowledged;
-    EXPECT_TRUE(versions_.insert(result.version()).second) << "two won one version";
+    EXPECT_TRUE(versions_.insert(result.version()).second)
+        << "two transactions were applied as version " << result.version();
     EXPECT_NE(result.in_force_at_ms(), 0);
     for (const auto& [name, node] : nodes) {
       if (name[0] == 'g' && node->HasValidLease()) {
@@ -89,12 +92,12 @@
     }
   }
 
-  void SubmitRace() {
-    if (Committed() == nullptr) {
+  void SubmitConcurrently() {
+    if (CommittedState() == nullptr) {
       return;
     }
-    const std::uint64_t version = Committed()->configuration().version().value();
-    for (int racer = 0; racer < 2; ++racer) {
+    const std::uint64_t version = CommittedState()->configuration().version().value();
+    for (int submission = 0; submission < 2; ++submission) {
       proto::SubmitTransactionRequest request;
       *request.mutable_transaction() =
           MakeTransaction("operation-" + std::to_string(++operations_), version);
@@ -113,7 +116,7 @@
     }
   }
 
-  /// Lets each queue node that has none commit a head, on all backups.
+  /// Commits a log head for each queue node that has none, with all running backups.
   void CommitHeads() {
     for (const auto& [name, node] : nodes) {
       if (name[0] != 'q' || node->node_id == 0 || group.leader == nullptr) {
@@ -135,7 +138,7 @@
           disks[backup].segments[node->node_id] = {stored};
         }
       }
-      if (headed_.insert(node->node_id).second && head.backups_size() > 0) {
+      if (nodes_with_head_.insert(node->node_id).second && head.backups_size() > 0) {
         world.CallPeer(group.leader->leader_endpoint(), "coordinator.CommitHead",
                        request.SerializeAsString(), seconds(1), [](const PeerReply&) {});
       }
@@ -161,21 +164,21 @@
         }
         break;
       case 3:
-        HealEverything();
+        HealAll();
         break;
       case 4:
         world.Heal(name);
-        Revive(name);
+        WakeOrStart(name);
         break;
       default:
         break;
     }
     if (group.leader == nullptr || world.RandomBelow(4) == 0) {
-      Elect();
+      ElectRandomLeader();
     }
   }
 
-  void Revive(const std::string& name) {
+  void WakeOrStart(const std::string& name) {
     if (frozen_.erase(name) > 0) {
       world.machine(name).Wake();
     }
@@ -184,23 +187,23 @@
     }
   }
 
-  void HealEverything() {
+  void HealAll() {
     world.HealAll();
     for (const std::string& name : machines_) {
-      Revive(name);
+      WakeOrStart(name);
     }
-    Elect();
+    ElectRandomLeader();
   }
 
-  void Elect() {
+  void ElectRandomLeader() {
     const std::string name = "c" + std::to_string(1 + world.RandomBelow(3));
     if (members.contains(name) && !frozen_.contains(name)) {
-      members[name]->log.Lead();
+      members[name]->log.BecomeLeader();
     }
   }
 
-  void CheckEnd() {
-    const ControlState& state = *Committed();
+  void CheckRecovered() {
+    const ControlState& state = *CommittedState();
     EXPECT_TRUE(state.partitions().recoveries().empty());
     EXPECT_TRUE(state.partitions().FindFree().empty());
     EXPECT_EQ(state.configuration().in_force_version(), state.configuration().version());
@@ -213,7 +216,7 @@
     for (const auto& [name, disk] : disks) {
       for (const auto& [owner, segments] : disk.segments) {
         EXPECT_NE(state.servers().FindLive(NodeId(owner), proto::ROLE_QUEUE), nullptr)
-            << name << " keeps leftovers of " << owner;
+            << name << " keeps segments of dead node " << owner;
       }
     }
   }
@@ -221,7 +224,7 @@
   std::vector<std::string> machines_;
   std::set<std::string> frozen_;
   std::set<std::uint64_t> versions_;
-  std::set<std::uint64_t> headed_;
+  std::set<std::uint64_t> nodes_with_head_;
   int operations_ = 0;
 };
 
--- a/tests/coordinator/coordinator_fixture.h
+++ b/tests/coordinator/coordinator_fixture.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Three coordinators over a log that the test controls, and nodes, in the simulated world.
+/// Runs three coordinators on a log that the test controls, and nodes, in the simulated world.
 
 #include <gtest/gtest.h>
 
@@ -39,16 +39,16 @@
       machine.SetProgram([this, name](Environment& environment, DataFolder&) {
         auto member = std::make_shared<Member>(group, environment);
         members[name] = member.get();
-        return Watch(std::move(member), &members, name);
+        return TrackUntilEnd(std::move(member), &members, name);
       });
       machine.Start();
     }
-    members["c1"]->log.Lead();
+    members["c1"]->log.BecomeLeader();
   }
 
-  /// Starts a machine with one role.
+  /// Adds and starts a machine with a node of one role.
   SimulatedMachine& Add(proto::Role role, const std::string& name, const std::string& zone = "") {
-    SimulatedMachine& machine = world.AddMachine(name, "10.0.2." + std::to_string(++hosts));
+    SimulatedMachine& machine = world.AddMachine(name, "10.0.2." + std::to_string(++host_count));
     TestDisk* disk = nullptr;
     if (role == proto::ROLE_BACKUP) {
       disk = &disks[name];
@@ -57,16 +57,17 @@
     machine.SetProgram([this, role, name, disk, zone](Environment& environment, DataFolder&) {
       auto node = std::make_shared<TestNode>(environment, role, name, coordinators, disk, zone);
       nodes[name] = node.get();
-      return Watch(std::move(node), &nodes, name);
+      return TrackUntilEnd(std::move(node), &nodes, name);
     });
     machine.Start();
     return machine;
   }
 
-  /// Removes the process from `running` when it ends.
+  /// @return an owner of `program` that removes it from `running` when the process ends.
   template <typename Program>
-  static std::shared_ptr<void> Watch(std::shared_ptr<Program> program,
-                                     std::map<std::string, Program*>* running, std::string name) {
+  static std::shared_ptr<void> TrackUntilEnd(std::shared_ptr<Program> program,
+                                             std::map<std::string, Program*>* running,
+                                             std::string name) {
     Program* const raw = program.get();
     return {raw, [program = std::move(program), running, name = std::move(name)](void*) mutable {
               if (running->at(name) == program.get()) {
@@ -76,6 +77,7 @@
             }};
   }
 
+  /// Calls a coordinator and runs the world until it replies, or up to a second beyond `limit`.
   template <typename Response, typename Request>
   Result<Response> Call(const Endpoint& to, std::string_view method, const Request& request,
                         Duration limit = seconds(10)) {
@@ -84,14 +86,16 @@
                    [&reply](PeerReply answer) { reply = std::move(answer); });
     world.RunUntil([&reply] { return reply.has_value(); }, limit + seconds(1));
     if (!reply.has_value() || !reply->status.ok()) {
-      return reply.has_value() ? reply->status : Status(StatusCode::kInternal, "no answer");
+      return reply.has_value() ? reply->status
+                               : Status(StatusCode::kInternal, "no reply within the limit");
     }
     Response response;
     response.ParseFromString(reply->body);
     return response;
   }
 
-  proto::ConfigurationTransaction Change(const std::string& operation_id) {
+  /// @return a transaction on the current version that sets a tenant named after the operation.
+  proto::ConfigurationTransaction MakeTenantTransaction(const std::string& operation_id) {
     auto transaction = MakeTransaction(operation_id, state().configuration().version().value());
     AddTenant(&transaction, operation_id);
     return transaction;
@@ -115,9 +119,10 @@
     const proto::Server* server = state().servers().Find(NodeId(node));
     return server == nullptr || !IsLive(*server);
   }
-  std::size_t Owned(const std::string& node) {
+  std::size_t CountOwned(const std::string& node) {
     return state().partitions().FindOwnedBy(NodeId(nodes[node]->node_id)).size();
   }
+  /// Commits segment 1 as the log head of `queue` and stores a replica of it on `backup`.
   void CommitHead(const std::string& queue, const std::string& backup) {
     proto::CommitHeadRequest request;
     proto::LogHead& head = *request.mutable_head();
@@ -139,8 +144,8 @@
   std::map<std::string, Member*> members;
   std::map<std::string, TestNode*> nodes;
   std::map<std::string, TestDisk> disks;
-  int hosts = 0;
-  SimulatedWorld world;  ///< Last: its processes end first.
+  int host_count = 0;
+  SimulatedWorld world;  ///< The last member, so that its processes end first.
 };
 
 }  // namespace cloverbank
--- a/tests/coordinator/coordinator_service_test.cc
+++ b/tests/coordinator/coordinator_service_test.cc
@@ -1,4 +1,4 @@
-// The coordinator service in the simulated world, over a log that the test controls.
+// Tests of the coordinator service in the simulated world, on a log that the test controls.
 #include "coordinator/coordinator_service.h"
 
 #include <gmock/gmock.h>
@@ -15,15 +15,15 @@
 
 using CoordinatorServiceTest = CoordinatorFixture;
 
-TEST_F(CoordinatorServiceTest, FollowerNamesTheLeader) {
-  const auto refused = Submit(Change("a"), 1);
+TEST_F(CoordinatorServiceTest, FollowerRefusesWithLeaderEndpoint) {
+  const auto refused = Submit(MakeTenantTransaction("a"), 1);
   EXPECT_EQ(refused.status().code(), StatusCode::kNotLeader);
   EXPECT_EQ(refused.status().detail(), coordinators[0].ToString());
 }
 
 TEST_F(CoordinatorServiceTest, LeaderWithoutLeaseRefuses) {
-  group.lease = false;
-  EXPECT_EQ(Submit(Change("a")).status().code(), StatusCode::kNotLeader);
+  group.has_leader_lease = false;
+  EXPECT_EQ(Submit(MakeTenantTransaction("a")).status().code(), StatusCode::kNotLeader);
 }
 
 TEST_F(CoordinatorServiceTest, ListSourcesAreEarlierGatewaysOfZone) {
@@ -35,15 +35,16 @@
   for (const auto& [name, node] : nodes) {
     by_id[node->node_id] = node;
   }
-  std::vector<std::string> before;
+  std::vector<std::string> earlier_hosts;
   for (const auto& [id, node] : by_id) {
     std::vector<std::string> sources;
     for (const proto::Endpoint& source : node->list_sources) {
       sources.push_back(source.host());
     }
-    EXPECT_EQ(sources, std::vector(before.begin(), before.begin() + std::min<std::ptrdiff_t>(
-                                                                        3, std::ssize(before))));
-    before.push_back(node->host());
+    EXPECT_EQ(sources, std::vector(earlier_hosts.begin(),
+                                   earlier_hosts.begin() +
+                                       std::min<std::ptrdiff_t>(3, std::ssize(earlier_hosts))));
+    earlier_hosts.push_back(node->host());
   }
 }
 
@@ -65,9 +66,9 @@
                                            nodes["g4"]->host()};
   EXPECT_EQ(remote("g1"), std::vector<std::string>());
   EXPECT_EQ(remote("g2"), std::vector(firsts.begin(), firsts.begin() + 1));
-  EXPECT_EQ(remote("g3"), std::vector<std::string>()) << "it asks within its zone";
+  EXPECT_EQ(remote("g3"), std::vector<std::string>()) << "it has list sources in its zone";
   EXPECT_EQ(remote("g4"), std::vector(firsts.begin(), firsts.begin() + 2));
-  EXPECT_EQ(remote("g7"), firsts) << "a bounded number";
+  EXPECT_EQ(remote("g7"), firsts) << "at most three";
 }
 
 TEST_F(CoordinatorServiceTest, AcknowledgesOnceAllGatewaysConfirm) {
@@ -75,34 +76,35 @@
   Add(proto::ROLE_GATEWAY, "g2");
   world.RunFor(seconds(5));
   const TimePoint sent = world.Now();
-  const auto answer = Submit(Change("a"));
+  const auto answer = Submit(MakeTenantTransaction("a"));
   ASSERT_TRUE(answer.ok());
   EXPECT_EQ(answer->result().outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   EXPECT_NE(answer->result().in_force_at_ms(), 0);
   EXPECT_LT(Elapsed(sent), milliseconds(400));
   EXPECT_EQ(nodes["g1"]->configuration_version, 2U);
   EXPECT_EQ(nodes["g2"]->configuration_version, 2U);
-  const auto again = Submit(Change("a"));  // Another content: expected_version has moved on.
-  EXPECT_EQ(again->result().outcome(), proto::TRANSACTION_OUTCOME_INVALID);
+  const auto reused =
+      Submit(MakeTenantTransaction("a"));  // Another content: expected_version is higher now.
+  EXPECT_EQ(reused->result().outcome(), proto::TRANSACTION_OUTCOME_INVALID);
 }
 
-TEST_F(CoordinatorServiceTest, AcknowledgesAfterLeaseOfIsolatedGateway) {
+TEST_F(CoordinatorServiceTest, AcknowledgesOnceIsolatedGatewayLosesLease) {
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
   world.Isolate("g1");
-  const auto transaction = Change("a");
+  const auto transaction = MakeTenantTransaction("a");
   const auto answer = Submit(transaction);
   ASSERT_TRUE(answer.ok());
   EXPECT_FALSE(nodes["g1"]->HasValidLease());
   EXPECT_EQ(Submit(transaction)->SerializeAsString(), answer->SerializeAsString());
 }
 
-TEST_F(CoordinatorServiceTest, UnconfirmingGatewayDelaysAtMostALease) {
+TEST_F(CoordinatorServiceTest, GatewayWithoutConfirmationDelaysByOneLeaseAtMost) {
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
-  nodes["g1"]->confirms = false;
+  nodes["g1"]->confirms_versions = false;
   const TimePoint sent = world.Now();
-  ASSERT_TRUE(Submit(Change("a")).ok());
+  ASSERT_TRUE(Submit(MakeTenantTransaction("a")).ok());
   EXPECT_GE(world.Now(), nodes["g1"]->old_lease_end);
   EXPECT_LT(Elapsed(sent), milliseconds(3100));
 }
@@ -111,15 +113,15 @@
   Add(proto::ROLE_GATEWAY, "g1");
   world.RunFor(seconds(5));
   world.Isolate("g1");
-  const auto transaction = Change("a");
+  const auto transaction = MakeTenantTransaction("a");
   std::optional<PeerReply> first;
   proto::SubmitTransactionRequest request;
   *request.mutable_transaction() = transaction;
   world.CallPeer(coordinators[0], "coordinator.SubmitTransaction", request.SerializeAsString(),
                  seconds(9), [&first](PeerReply reply) { first = std::move(reply); });
   world.RunFor(milliseconds(500));
-  EXPECT_FALSE(first.has_value()) << "committed, not in force";
-  members["c2"]->log.Lead();
+  EXPECT_FALSE(first.has_value()) << "the transaction is committed but not in force";
+  members["c2"]->log.BecomeLeader();
   const TimePoint began = world.Now();
   world.RunFor(milliseconds(100));
   ASSERT_TRUE(first.has_value());
@@ -159,11 +161,11 @@
   EXPECT_LT(Elapsed(frozen), seconds(4));
   machine.Wake();
   world.RunFor(seconds(2));
-  EXPECT_EQ(nodes["q1"]->fenced, 1);
+  EXPECT_EQ(nodes["q1"]->fenced_count, 1);
   EXPECT_NE(nodes["q1"]->node_id, id);
 }
 
-// Its heartbeat arrives between the proposal of its death and the commit.
+// The node's heartbeat arrives between the proposal of its death and the commit of that proposal.
 TEST_F(CoordinatorServiceTest, NodeWithPendingDeathGetsNoLease) {
   SimulatedMachine& machine = Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
@@ -180,14 +182,14 @@
   }
 }
 
-TEST_F(CoordinatorServiceTest, LeaderPauseDeclaresNobodyDead) {
+TEST_F(CoordinatorServiceTest, LeaderPauseDeclaresNoNodeDead) {
   Add(proto::ROLE_QUEUE, "q1");
   world.RunFor(seconds(3));
   const std::uint64_t id = nodes["q1"]->node_id;
-  group.lease = false;
+  group.has_leader_lease = false;
   world.RunFor(seconds(20));
   EXPECT_FALSE(nodes["q1"]->HasValidLease());
-  group.lease = true;
+  group.has_leader_lease = true;
   world.RunFor(seconds(5));
   world.machine("c1").Freeze();
   world.RunFor(seconds(20));
@@ -197,14 +199,14 @@
   EXPECT_TRUE(nodes["q1"]->HasValidLease());
 }
 
-TEST_F(CoordinatorServiceTest, SimultaneousStoresSharePartitions) {
+TEST_F(CoordinatorServiceTest, QueueNodesStartedCloseTogetherSharePartitions) {
   for (const char* name : {"q1", "q2"}) {
     Add(proto::ROLE_QUEUE, name);
     world.RunFor(milliseconds(300));
   }
   world.RunFor(seconds(2));
-  EXPECT_EQ(Owned("q1"), 2U);
-  EXPECT_EQ(Owned("q2"), 2U);
+  EXPECT_EQ(CountOwned("q1"), 2U);
+  EXPECT_EQ(CountOwned("q2"), 2U);
 }
 
 TEST_F(CoordinatorServiceTest, RecoverySurvivesLeaderChange) {
@@ -215,16 +217,16 @@
   const std::uint64_t dead = nodes["q1"]->node_id;
   Add(proto::ROLE_QUEUE, "q2");
   world.RunFor(seconds(1));
-  nodes["q2"]->finishes = false;
+  nodes["q2"]->finishes_replays = false;
   store.LosePower();
   world.RunFor(seconds(6));
   EXPECT_EQ(state().partitions().recoveries().at(NodeId(dead)).phase(),
             proto::RECOVERY_PHASE_REPLAYING);
   EXPECT_THAT(FleetStatus().problems(), Contains(HasSubstr("to replay 4 partitions")));
-  members["c3"]->log.Lead();
-  nodes["q2"]->finishes = true;
+  members["c3"]->log.BecomeLeader();
+  nodes["q2"]->finishes_replays = true;
   world.RunFor(seconds(2));
-  EXPECT_EQ(Owned("q2"), 4U);
+  EXPECT_EQ(CountOwned("q2"), 4U);
   EXPECT_THAT(state().partitions().recoveries(), IsEmpty());
   EXPECT_TRUE(disks["b1"].fenced.contains(dead));
   EXPECT_FALSE(disks["b1"].segments.contains(dead));
@@ -233,19 +235,19 @@
 TEST_F(CoordinatorServiceTest, SweepsBackupThatMissedRelease) {
   SimulatedMachine& store = Add(proto::ROLE_QUEUE, "q1");
   Add(proto::ROLE_BACKUP, "b1");
-  SimulatedMachine& away = Add(proto::ROLE_BACKUP, "b2");
+  SimulatedMachine& restarted_backup = Add(proto::ROLE_BACKUP, "b2");
   world.RunFor(seconds(3));
   CommitHead("q1", "b1");
   const std::uint64_t dead = nodes["q1"]->node_id;
   disks["b2"].segments[dead] = disks["b1"].segments[dead];
-  away.LosePower();
+  restarted_backup.LosePower();
   world.RunFor(seconds(5));
   EXPECT_THAT(FleetStatus().problems(), Contains(HasSubstr("the backup on b2")));
   store.LosePower();
   Add(proto::ROLE_QUEUE, "q2");
   world.RunFor(seconds(8));
-  EXPECT_EQ(Owned("q2"), 4U);
-  away.Start();
+  EXPECT_EQ(CountOwned("q2"), 4U);
+  restarted_backup.Start();
   world.RunFor(seconds(1));
   EXPECT_FALSE(disks["b2"].segments.contains(dead));
 }
@@ -261,7 +263,7 @@
             StatusCode::kNotFound);
 }
 
-TEST_F(CoordinatorServiceTest, RetiredStoreHandsOverPartitions) {
+TEST_F(CoordinatorServiceTest, RetiredMachineHandsOverPartitions) {
   Add(proto::ROLE_QUEUE, "q1");
   Add(proto::ROLE_BACKUP, "b1");
   world.RunFor(seconds(3));
@@ -275,7 +277,7 @@
   ASSERT_TRUE(retired.ok());
   EXPECT_EQ(retired->node_ids_size(), 1);
   world.RunFor(seconds(2));
-  EXPECT_EQ(Owned("q2"), 4U);
+  EXPECT_EQ(CountOwned("q2"), 4U);
   EXPECT_TRUE(nodes["q1"]->HasValidLease());
   EXPECT_THAT(FleetStatus().problems(), Contains(HasSubstr("machine q1 is empty; stop it")));
 }
--- a/tests/coordinator/fake_group.h
+++ b/tests/coordinator/fake_group.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A replicated log without consensus: the test names the leader, and a command is committed and
+/// A replicated log without consensus: the test chooses the leader, and a command is committed and
 /// applied at every member `commit_delay` after it was proposed to the leader.
 
 #include <algorithm>
@@ -15,15 +15,17 @@
 
 class FakeLog;
 
+/// What the members share.
 struct FakeGroup {
-  std::vector<std::string> commands;
+  std::vector<std::string> commands;  ///< The committed commands.
   std::vector<FakeLog*> logs;
   FakeLog* leader = nullptr;
   std::uint64_t term = 1;
-  bool lease = true;  ///< Whether the leader has its leader lease.
+  bool has_leader_lease = true;
   Duration commit_delay = milliseconds(3);
 };
 
+/// The log of one member.
 class FakeLog : public ReplicatedLog {
  public:
   FakeLog(FakeGroup& group, Environment& environment, StateMachine& state)
@@ -52,7 +54,7 @@
                                });
   }
 
-  bool HasLeaderLease() const override { return IsReadyLeader() && group_.lease; }
+  bool HasLeaderLease() const override { return IsReadyLeader() && group_.has_leader_lease; }
   bool IsReadyLeader() const override { return group_.leader == this; }
   std::uint64_t term() const override { return group_.term; }
   Endpoint leader_endpoint() const override {
@@ -73,12 +75,12 @@
   }
 
   /// Makes this member the leader of a new term.
-  void Lead() {
-    FakeLog* const before = group_.leader;
+  void BecomeLeader() {
+    FakeLog* const previous = group_.leader;
     group_.leader = this;
     ++group_.term;
-    if (before != nullptr && before != this && before->leadership_) {
-      before->leadership_(false);
+    if (previous != nullptr && previous != this && previous->leadership_) {
+      previous->leadership_(false);
     }
     if (leadership_) {
       leadership_(true);
@@ -86,7 +88,8 @@
   }
 
  private:
-  /// Applies what is committed. @return the result of the last command.
+  /// Applies the committed commands that this member has not applied yet.
+  /// @return the result of the last one.
   std::string CatchUp() {
     std::string result;
     while (applied_index_ < group_.commands.size()) {
--- a/tests/coordinator/heartbeat_handler_test.cc
+++ b/tests/coordinator/heartbeat_handler_test.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-// They are labels of a metric.
+// The names are label values of a metric.
 TEST(HeartbeatRefusalTest, NamesAreStable) {
   EXPECT_EQ(HeartbeatRefusalName(HeartbeatRefusal::kNotLeader), "not_leader");
   EXPECT_EQ(HeartbeatRefusalName(HeartbeatRefusal::kUnknown), "unknown");
--- a/tests/coordinator/test_node.h
+++ b/tests/coordinator/test_node.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A node as the coordinators see it: registers, sends heartbeats, has a lease and confirms
-/// versions. Answers the coordinators' calls to backups and queue nodes.
+/// A node as the coordinators see it: it registers, sends heartbeats, holds a lease and confirms
+/// versions. It answers the coordinators' calls to backups and queue nodes.
 
 #include <map>
 #include <memory>
@@ -14,11 +14,11 @@
 
 namespace cloverbank {
 
-/// A backup's disk, which outlives its process.
+/// The disk of a backup. It outlives the backup's process.
 struct TestDisk {
   std::string id;
-  std::map<std::uint64_t, std::vector<proto::StoredSegment>> segments;  // By owner.
-  std::set<std::uint64_t> fenced;
+  std::map<std::uint64_t, std::vector<proto::StoredSegment>> segments;  // By owner node id.
+  std::set<std::uint64_t> fenced;                                       // Node ids.
 };
 
 class TestNode {
@@ -45,25 +45,25 @@
 
   std::uint64_t node_id = 0;
   TimePoint lease_end;
-  TimePoint old_lease_end;  ///< Of the last lease taken under an earlier configuration.
+  TimePoint old_lease_end;  ///< End of the last lease granted with an older configuration.
   std::uint64_t configuration_version = 0;
   std::uint64_t fleet_version = 0;
-  std::vector<proto::Endpoint> list_sources;  ///< Of a gateway, from the last heartbeat.
+  std::vector<proto::Endpoint> list_sources;  ///< For a gateway, from the last heartbeat.
   std::vector<proto::Endpoint> remote_list_sources;
-  bool confirms = true;  ///< Whether heartbeats report the newest version.
-  bool finishes = true;  ///< Queue nodes: whether replays get done.
-  int fenced = 0;        ///< How often the id was refused as dead.
+  bool confirms_versions = true;  ///< Whether heartbeats report the newest version.
+  bool finishes_replays = true;   ///< Of a queue node: whether it reports replays as done.
+  int fenced_count = 0;           ///< How many heartbeats were refused with kFenced.
 
  private:
-  /// Calls the coordinators one after the other until one answers as leader.
+  /// Calls one coordinator. If it is not the leader or fails, the next call goes to the next one.
   template <typename Response, typename Request>
   void CallLeader(std::string_view method, const Request& request,
                   std::function<void(Result<Response>)> done) {
     CallPeer<Response>(
-        environment_, coordinators_[at_ % coordinators_.size()], method, request,
+        environment_, coordinators_[coordinator_index_ % coordinators_.size()], method, request,
         milliseconds(1500), [this, done = std::move(done)](Result<Response> response) {
-          const bool elsewhere = !response.ok() && response.status().code() != StatusCode::kFenced;
-          at_ += elsewhere ? 1 : 0;
+          const bool try_next = !response.ok() && response.status().code() != StatusCode::kFenced;
+          coordinator_index_ += try_next ? 1 : 0;
           done(std::move(response));
         });
   }
@@ -95,8 +95,9 @@
     proto::HeartbeatRequest request;
     request.set_node_id(node_id);
     request.set_incarnation(incarnation_);
-    request.set_configuration_version(confirms ? configuration_version
-                                               : std::min<std::uint64_t>(configuration_version, 1));
+    request.set_configuration_version(confirms_versions
+                                          ? configuration_version
+                                          : std::min<std::uint64_t>(configuration_version, 1));
     request.set_fleet_version(fleet_version);
     request.set_hold_ms(800);
     request.set_free_bytes(1ULL << 40U);
@@ -107,7 +108,7 @@
           if (response.ok()) {
             Apply(sent, *response);
           } else if (response.status().code() == StatusCode::kFenced) {
-            ++fenced;
+            ++fenced_count;
             previous_ = node_id;
             node_id = 0;
             Register();
@@ -162,7 +163,7 @@
     ServePeer<proto::RecoverPartitionsRequest, proto::RecoverPartitionsResponse>(
         environment_, "queue.RecoverPartitions", [this](const auto&, const auto&, auto reply) {
           proto::RecoverPartitionsResponse response;
-          response.set_done(finishes);
+          response.set_done(finishes_replays);
           reply(response);
         });
   }
@@ -175,7 +176,7 @@
   const std::string zone_;
   std::uint64_t incarnation_;
   std::uint64_t previous_ = 0;
-  std::size_t at_ = 0;
+  std::size_t coordinator_index_ = 0;
 };
 
 }  // namespace cloverbank
--- a/tests/coordinator/transaction_handler_test.cc
+++ b/tests/coordinator/transaction_handler_test.cc
@@ -28,7 +28,7 @@
   leases.RecordConfirmation(first, ConfigurationVersion(2));
   EXPECT_EQ(in_force(seconds(1)), 1U);
   EXPECT_EQ(FindGatewaysBehind(control.state, leases, kStart + seconds(1)), std::vector{second});
-  EXPECT_EQ(in_force(seconds(5)), 2U) << "the lease has run out";
+  EXPECT_EQ(in_force(seconds(5)), 2U) << "the lease of the second gateway has expired";
 }
 
 }  // namespace
