--- a/src/control_state/control_state.cc
+++ b/src/control_state/control_state.cc
@@ -34,7 +34,9 @@
     servers_.PruneDead(partitions_.FindReferencedServers());
     RecordFleetChanges();
   } else {
-    SetStatus({StatusCode::kCorrupt, "malformed control command"}, &result);
+    SetStatus({StatusCode::kCorrupt,
+               "malformed control command of " + std::to_string(bytes.size()) + " bytes"},
+              &result);
   }
   return result.SerializeAsString();
 }
@@ -76,20 +78,23 @@
       partitions_.Initialize(command.initialize().partition_count());
       return Status::Ok();
     default:
-      return {StatusCode::kInvalidArgument, "empty control command"};
+      return {StatusCode::kInvalidArgument, "the control command is empty or of an unknown kind"};
   }
 }
 
 void ControlState::ApplyRegister(const proto::RegisterServerCommand& command,
                                  proto::ControlCommandResult* result) {
   if (command.server().role() == proto::ROLE_UNSPECIFIED) {
-    SetStatus({StatusCode::kInvalidArgument, "a server needs a role"}, result);
+    SetStatus({StatusCode::kInvalidArgument,
+               "machine \"" + command.server().machine() +
+                   "\" registers a server without a role; use gateway, queue node or backup"},
+              result);
     return;
   }
   const ServerRegistry::Registration registration =
       servers_.Register(command.server(), NodeId(command.previous_node_id()));
-  for (const NodeId earlier : registration.superseded) {
-    SetStatus(DeclareDead(earlier), result);
+  for (const NodeId superseded : registration.superseded) {
+    SetStatus(DeclareDead(superseded), result);
   }
   result->set_node_id(registration.node_id.value());
 }
@@ -148,28 +153,29 @@
   }
   fleet_version_ = fleet_version_.Next();
   for (const NodeId node : servers) {
-    server_changed_[node] = fleet_version_;
+    server_change_versions_[node] = fleet_version_;
   }
   for (const PartitionId partition : partitions) {
-    partition_changed_[partition] = fleet_version_;
+    partition_change_versions_[partition] = fleet_version_;
   }
   ForgetPrunedServers();
 }
 
 void ControlState::ForgetPrunedServers() {
-  for (auto entry = server_changed_.begin(); entry != server_changed_.end();) {
+  for (auto entry = server_change_versions_.begin(); entry != server_change_versions_.end();) {
     if (servers_.Find(entry->first) != nullptr) {
       ++entry;
       continue;
     }
-    // A delta can no longer include this death, so nodes that do not know it need full lists.
-    deltas_from_ = std::max(deltas_from_, entry->second);
-    entry = server_changed_.erase(entry);
+    // A delta can no longer report this server's death, so nodes that do not know of it need full
+    // lists.
+    oldest_delta_base_ = std::max(oldest_delta_base_, entry->second);
+    entry = server_change_versions_.erase(entry);
   }
 }
 
 proto::FleetUpdate ControlState::FleetUpdateFrom(FleetVersion known) const {
-  const bool delta = known >= deltas_from_ && known <= fleet_version_;
+  const bool delta = known >= oldest_delta_base_ && known <= fleet_version_;
   proto::FleetUpdate update;
   update.set_from_version(delta ? known.value() : 0);
   update.set_to_version(fleet_version_.value());
@@ -193,13 +199,13 @@
 }
 
 void ControlState::AddChangesSince(FleetVersion known, proto::FleetUpdate* update) const {
-  for (const auto& [id, changed] : server_changed_) {
-    if (changed > known) {
+  for (const auto& [id, version] : server_change_versions_) {
+    if (version > known) {
       *update->add_servers() = *servers_.Find(id);
     }
   }
-  for (const auto& [id, changed] : partition_changed_) {
-    if (changed > known) {
+  for (const auto& [id, version] : partition_change_versions_) {
+    if (version > known) {
       *update->add_partitions() = partitions_.partitions().at(id);
     }
   }
@@ -217,15 +223,16 @@
 Status ControlState::RestoreSnapshot(const std::string& bytes) {
   proto::ControlStateSnapshot snapshot;
   if (!snapshot.ParseFromString(bytes)) {
-    return {StatusCode::kCorrupt, "the control state snapshot can not be read"};
+    return {StatusCode::kCorrupt, "the control state snapshot of " + std::to_string(bytes.size()) +
+                                      " bytes cannot be parsed"};
   }
   servers_.Load(snapshot);
   partitions_.Load(snapshot);
   configuration_.Load(snapshot);
   fleet_version_ = FleetVersion(snapshot.fleet_version());
-  deltas_from_ = fleet_version_;
-  server_changed_.clear();
-  partition_changed_.clear();
+  oldest_delta_base_ = fleet_version_;
+  server_change_versions_.clear();
+  partition_change_versions_.clear();
   return Status::Ok();
 }
 
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-/// Free disk below which a backup is reported as nearly full.
+/// A backup with less free disk than this is reported as nearly full.
 constexpr std::uint64_t kNearlyFullBytes = 64ULL << 20U;
 
 std::string DescribeServer(const proto::Server& server) {
@@ -21,7 +21,7 @@
   return role == proto::ROLE_QUEUE ? "queue node" : "backup";
 }
 
-/// A server over its restarts, as operators see it.
+/// Identifies a server across its restarts, as operators see it.
 struct MachineRole {
   std::string machine;
   proto::Role role = proto::ROLE_UNSPECIFIED;
@@ -29,6 +29,7 @@
   auto operator<=>(const MachineRole&) const = default;
 };
 
+/// Collects the problems of one snapshot.
 class ProblemList {
  public:
   explicit ProblemList(const FleetSnapshot& snapshot) : snapshot_(snapshot) {}
@@ -57,6 +58,7 @@
   void DescribeRetirement(const std::string& machine);
   void DescribeConfiguration();
   void Add(std::string problem) { problems_.push_back(std::move(problem)); }
+  /// @return what the server reported with its last heartbeat to this leader, or nullptr.
   const NodeLoad* FindLoad(const proto::Server& server) const;
 
   const FleetSnapshot& snapshot_;
@@ -95,23 +97,23 @@
   for (const auto& [key, server] : lost) {
     if (!live.contains(key) && !servers.retired_machines().contains(key.machine)) {
       Add("the " + RoleName(key.role) + " on " + DescribeServer(*server) +
-          " is gone; restart the machine, replace it, or retire it for good");
+          " was declared dead; restart the machine, replace it, or retire it for good");
     }
   }
 }
 
 void ProblemList::DescribeBackups() {
-  std::uint32_t stores = 0;
+  std::uint32_t active_backups = 0;
   for (const proto::Server* backup :
        snapshot_.state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
-    stores += IsActiveStoreBackup(*backup) ? 1 : 0;
+    active_backups += IsActiveStoreBackup(*backup) ? 1 : 0;
     DescribeFreeDisk(*backup);
   }
-  if (stores < snapshot_.options.wanted_store_backups) {
-    Add("only " + std::to_string(stores) + " of " +
+  if (active_backups < snapshot_.options.wanted_store_backups) {
+    Add("only " + std::to_string(active_backups) + " of " +
         std::to_string(snapshot_.options.wanted_store_backups) +
-        " store backups are up: spare backups take the missing copies, or new work has fewer; "
-        "start or add a store machine");
+        " store backups are up: spare backups take the missing copies, or new batches have fewer "
+        "copies; start or add a store machine");
   }
 }
 
@@ -134,7 +136,7 @@
     const NodeId later = snapshot_.state.servers().FindLaterIncarnation(*node);
     if (later.valid()) {
       Add("two queue nodes, " + std::to_string(node->node_id()) + " and " + later.ToString() +
-          ", call their machine " + node->machine() + "; give each machine its own name");
+          ", have the machine name " + node->machine() + "; give each machine its own name");
     }
   }
 }
@@ -142,20 +144,20 @@
 void ProblemList::DescribePartitions() {
   const std::size_t free = snapshot_.state.partitions().FindFree().size();
   if (free > 0) {
-    const bool none = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
+    const bool no_queue_node = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
     Add(std::to_string(free) + " partitions have no owner" +
-        (none ? " because no queue node is up; start a store machine"
-              : " yet; they are being given out"));
+        (no_queue_node ? " because no queue node is up; start a store machine"
+                       : " yet; they are being assigned"));
   }
 }
 
 void ProblemList::DescribeRecoveries() {
   for (const auto& [dead, recovery] : snapshot_.state.partitions().recoveries()) {
     const proto::Server* server = snapshot_.state.servers().Find(dead);
-    const std::string waiting = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
+    const std::string awaited = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
     Add("the batches of queue node " +
         (server == nullptr ? dead.ToString() : DescribeServer(*server)) + " are being recovered" +
-        (waiting.empty() ? "" : "; waiting for " + waiting));
+        (awaited.empty() ? "" : "; waiting for " + awaited));
   }
 }
 
@@ -166,13 +168,13 @@
 }
 
 void ProblemList::DescribeRetirement(const std::string& machine) {
-  const RemainingDrainWork rest =
+  const RemainingDrainWork remaining =
       ComputeRemainingDrainWork(snapshot_.state, snapshot_.sweeper, machine);
-  if (!rest.IsDone()) {
-    Add("machine " + machine + " is being emptied: " + std::to_string(rest.partitions) +
-        " partitions and " + std::to_string(rest.replicas) +
+  if (!remaining.IsDone()) {
+    Add("machine " + machine + " is being emptied: " + std::to_string(remaining.partitions) +
+        " partitions and " + std::to_string(remaining.replicas) +
         " segment replicas are left; do not stop it yet");
-  } else if (rest.live) {
+  } else if (remaining.live) {
     Add("machine " + machine + " is empty; stop it");
   }
 }
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -11,6 +11,7 @@
 namespace cloverbank {
 namespace {
 
+/// @return the predicate of a sentence about the node.
 std::string Describe(HeartbeatRefusal refusal) {
   switch (refusal) {
     case HeartbeatRefusal::kUnknown:
@@ -18,11 +19,11 @@
     case HeartbeatRefusal::kDead:
       return "was declared dead";
     case HeartbeatRefusal::kOtherIncarnation:
-      return "belongs to another process life";
+      return "belongs to another incarnation of the process";
     case HeartbeatRefusal::kSuperseded:
-      return "is superseded by a later life of its machine";
+      return "is superseded by a later incarnation on its machine";
     case HeartbeatRefusal::kRetiring:
-      return "is being retired and hands its partitions over";
+      return "is being retired and must hand over its partitions";
     case HeartbeatRefusal::kNotLeader:
       break;
   }
@@ -122,7 +123,7 @@
     return true;
   }
   if (context_.pending_deaths.contains(node)) {
-    return false;  // No lease may be granted to a node whose death is proposed.
+    return false;  // A node whose death has been proposed must not get a lease.
   }
   const bool update =
       NeedsConfiguration(pending.request) ||
@@ -136,9 +137,9 @@
 
 bool HeartbeatHandler::NeedsConfiguration(const proto::HeartbeatRequest& request) const {
   const proto::Server* server = context_.state.servers().Find(NodeId(request.node_id()));
-  const bool acts_by_it = server != nullptr && server->role() != proto::ROLE_BACKUP;
-  return acts_by_it && ConfigurationVersion(request.configuration_version()) <
-                           context_.state.configuration().version();
+  const bool uses_configuration = server != nullptr && server->role() != proto::ROLE_BACKUP;
+  return uses_configuration && ConfigurationVersion(request.configuration_version()) <
+                                   context_.state.configuration().version();
 }
 
 proto::HeartbeatResponse HeartbeatHandler::GrantLease(const PendingHeartbeat& pending) {
@@ -168,7 +169,7 @@
     RefuseAll();
     return;
   }
-  // An answer may cause the next heartbeat at once, which changes `pending_`.
+  // An answer may cause the sender's next heartbeat immediately, which changes `pending_`.
   std::list<PendingHeartbeat> reviewed = std::exchange(pending_, {});
   for (auto entry = reviewed.begin(); entry != reviewed.end();) {
     entry = AnswerIfDue(*entry) ? reviewed.erase(entry) : std::next(entry);
