--- a/src/batch_work/acquire_planner.cc
+++ b/src/batch_work/acquire_planner.cc
@@ -9,7 +9,7 @@
 std::vector<AcquirePlan> AcquirePlanner::PlanRequests(TimePoint now,
                                                       const std::vector<NodeId>& nodes,
                                                       const BatchCapacity& free) {
-  Forget(nodes);
+  RemoveNodesNotIn(nodes);
   std::vector<AcquirePlan> plans;
   if (nodes.empty()) {
     return plans;
@@ -51,7 +51,7 @@
   state.next_request = retry_at;
 }
 
-void AcquirePlanner::Forget(const std::vector<NodeId>& nodes) {
+void AcquirePlanner::RemoveNodesNotIn(const std::vector<NodeId>& nodes) {
   std::erase_if(nodes_, [&nodes](const auto& entry) {
     return !entry.second.in_flight &&
            std::find(nodes.begin(), nodes.end(), entry.first) == nodes.end();
@@ -59,26 +59,26 @@
 }
 
 BatchCapacity AcquirePlanner::CapacityFor(const NodeState& state, TimePoint now,
-                                          const BatchCapacity& free, std::size_t nodes) const {
-  std::size_t sharers = nodes;
+                                          const BatchCapacity& free, std::size_t node_count) const {
+  std::size_t sharing_nodes = node_count;
   if (state.has_work) {
-    sharers = static_cast<std::size_t>(std::count_if(
+    sharing_nodes = static_cast<std::size_t>(std::count_if(
         nodes_.begin(), nodes_.end(), [](const auto& entry) { return entry.second.has_work; }));
   }
   BatchCapacity capacity;
   for (const auto& [backend, slots] : free) {
-    std::uint32_t left = slots;
+    std::uint32_t remaining = slots;
     for (const auto& [node, other] : nodes_) {
       const auto reserved = other.reserved.find(backend);
-      const bool counts =
+      const bool holds_reservation =
           other.in_flight && now < other.reserved_until && (other.has_work || !state.has_work);
-      if (counts && reserved != other.reserved.end()) {
-        left -= std::min(left, reserved->second);
+      if (holds_reservation && reserved != other.reserved.end()) {
+        remaining -= std::min(remaining, reserved->second);
       }
     }
-    const auto quota = static_cast<std::uint32_t>((slots + sharers - 1) / sharers);
-    if (std::min(left, quota) > 0) {
-      capacity[backend] = std::min(left, quota);
+    const auto even_share = static_cast<std::uint32_t>((slots + sharing_nodes - 1) / sharing_nodes);
+    if (std::min(remaining, even_share) > 0) {
+      capacity[backend] = std::min(remaining, even_share);
     }
   }
   return capacity;
--- a/src/batch_work/acquire_planner.h
+++ b/src/batch_work/acquire_planner.h
@@ -54,9 +54,9 @@
     BatchCapacity reserved;
   };
 
-  void Forget(const std::vector<NodeId>& nodes);
+  void RemoveNodesNotIn(const std::vector<NodeId>& nodes);
   BatchCapacity CapacityFor(const NodeState& state, TimePoint now, const BatchCapacity& free,
-                            std::size_t nodes) const;
+                            std::size_t node_count) const;
 
   AcquirePlannerOptions options_;
   std::map<NodeId, NodeState> nodes_;
--- a/src/batch_work/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -8,14 +8,14 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kMostProblems = 100;
+constexpr std::size_t kMaxProblems = 100;
 
 /// Collects problems, and counts those beyond the number that is shown.
 class ProblemList {
  public:
-  void Add(const std::string& place, const std::string& what) {
-    if (problems_.size() < kMostProblems) {
-      problems_.push_back(place + ": " + what);
+  void Add(const std::string& field, const std::string& problem) {
+    if (problems_.size() < kMaxProblems) {
+      problems_.push_back(field + ": " + problem);
     } else {
       ++omitted_;
     }
@@ -40,12 +40,12 @@
   return found == list.end() ? nullptr : &*found;
 }
 
-void CheckName(const std::string& place, const std::string& name, ProblemList& problems) {
+void CheckName(const std::string& field, const std::string& name, ProblemList& problems) {
   if (name.empty()) {
-    problems.Add(place, "is missing");
-  } else if (name.size() > kMaximumNameBytes) {
-    problems.Add(place, "has " + std::to_string(name.size()) + " bytes, at most " +
-                            std::to_string(kMaximumNameBytes) + " are allowed");
+    problems.Add(field, "is missing");
+  } else if (name.size() > kMaximumBatchNameBytes) {
+    problems.Add(field, "has " + std::to_string(name.size()) + " bytes, at most " +
+                            std::to_string(kMaximumBatchNameBytes) + " are allowed");
   }
 }
 
@@ -87,11 +87,11 @@
   std::unordered_map<std::string, int> first_use;
   for (int index = 0; index < batch.items_size(); ++index) {
     const std::string& id = batch.items(index).custom_id();
-    const std::string place = "items[" + std::to_string(index) + "].custom_id";
-    CheckName(place, id, problems);
-    const auto [first, fresh] = first_use.emplace(id, index);
-    if (!fresh && !id.empty()) {
-      problems.Add(place, "\"" + id.substr(0, kMaximumNameBytes) + "\" is used by items[" +
+    const std::string field = "items[" + std::to_string(index) + "].custom_id";
+    CheckName(field, id, problems);
+    const auto [first, inserted] = first_use.emplace(id, index);
+    if (!inserted && !id.empty()) {
+      problems.Add(field, "\"" + id.substr(0, kMaximumBatchNameBytes) + "\" is used by items[" +
                               std::to_string(first->second) + "] already");
     }
   }
--- a/src/batch_work/batch_validation.h
+++ b/src/batch_work/batch_validation.h
@@ -14,7 +14,8 @@
 namespace cloverbank {
 
 inline constexpr int kMaximumBatchItems = 100'000;
-inline constexpr std::size_t kMaximumNameBytes = 256;  ///< Bytes of a custom id, tenant or key.
+inline constexpr std::size_t kMaximumBatchNameBytes =
+    256;  ///< Bytes of a custom id, tenant or key.
 
 /// @return the route of that name, or nullptr.
 const proto::Route* FindRouteNamed(const proto::RoutingConfiguration& configuration,
--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -44,9 +44,9 @@
       options_(options),
       work_items_(options.limits),
       acquire_planner_(options.acquire),
-      reporter_(environment, agent, work_items_,
-                {options.renewal_interval, options.report_deadline, options.retry_delay},
-                {[this](WorkLeaseId lease) { EndLease(lease); }, [this] { RequestRun(); }}) {}
+      report_sender_(environment, agent, work_items_,
+                     {options.renewal_interval, options.report_deadline, options.retry_delay},
+                     {[this](WorkLeaseId lease) { EndLease(lease); }, [this] { RequestTick(); }}) {}
 
 BatchWorker::~BatchWorker() {
   environment_.CancelTimer(tick_timer_);
@@ -56,33 +56,33 @@
 }
 
 void BatchWorker::Start() {
-  agent_.OnFleet(lifetime_.Wrap([this] { RequestRun(); }));
-  agent_.OnConfiguration(lifetime_.Wrap([this] { RequestRun(); }));
-  Run();
+  agent_.OnFleet(lifetime_.Wrap([this] { RequestTick(); }));
+  agent_.OnConfiguration(lifetime_.Wrap([this] { RequestTick(); }));
+  Tick();
 }
 
-void BatchWorker::RequestRun() {
-  if (run_requested_) {
+void BatchWorker::RequestTick() {
+  if (tick_requested_) {
     return;
   }
-  run_requested_ = true;
-  environment_.ScheduleAfter(Duration::zero(), lifetime_.Wrap([this] { Run(); }));
+  tick_requested_ = true;
+  environment_.ScheduleAfter(Duration::zero(), lifetime_.Wrap([this] { Tick(); }));
 }
 
-void BatchWorker::Run() {
-  run_requested_ = false;
+void BatchWorker::Tick() {
+  tick_requested_ = false;
   environment_.CancelTimer(tick_timer_);
   StartWaitingItems();
-  reporter_.SendDue();
+  report_sender_.SendDue();
   Acquire();
   environment_.metrics().SetGauge("batch_worker_pending_items", static_cast<double>(pending()));
   environment_.metrics().SetGauge("batch_worker_unreported_results",
                                   static_cast<double>(unreported()));
   tick_timer_ =
-      environment_.ScheduleAfter(options_.run_interval, lifetime_.Wrap([this] { Run(); }));
+      environment_.ScheduleAfter(options_.tick_interval, lifetime_.Wrap([this] { Tick(); }));
 }
 
-StartConditions BatchWorker::Conditions() const {
+StartConditions BatchWorker::CurrentConditions() const {
   return {environment_.Now(), agent_.HasValidLease(), &agent_.configuration()};
 }
 
@@ -98,7 +98,7 @@
 }
 
 void BatchWorker::StartOrRefuse(WorkLeaseId lease, BatchCapacity* free) {
-  const StartConditions conditions = Conditions();
+  const StartConditions conditions = CurrentConditions();
   StartRefusal refusal = work_items_.CanStart(lease, conditions);
   if (refusal == StartRefusal::kNone) {
     const proto::Route* route =
@@ -123,9 +123,10 @@
   const proto::WorkGrant& grant = *work_items_.FindGrant(lease);
   proto::Route granted_route = route;
   granted_route.set_idempotent(grant.idempotent());  // The stricter of the two: see CanStart.
-  const bool bounded = route.deadline_ms() > 0 && route.backend_kind() != proto::BACKEND_KIND_HTTP;
-  const Duration deadline =
-      bounded ? Duration(milliseconds(route.deadline_ms())) : options_.default_item_deadline;
+  const bool route_sets_deadline =
+      route.deadline_ms() > 0 && route.backend_kind() != proto::BACKEND_KIND_HTTP;
+  const Duration deadline = route_sets_deadline ? Duration(milliseconds(route.deadline_ms()))
+                                                : options_.default_item_deadline;
   work_items_.RecordRunning(lease);
   environment_.metrics().Increment("batch_items_started_total");
   calls_[lease] = caller_.RunBatchItem(
@@ -137,7 +138,7 @@
 }
 
 bool BatchWorker::CanDispatch(WorkLeaseId lease) {
-  const StartRefusal refusal = work_items_.CanStart(lease, Conditions());
+  const StartRefusal refusal = work_items_.CanStart(lease, CurrentConditions());
   if (refusal != StartRefusal::kNone) {
     environment_.metrics().Increment("batch_item_not_started_total",
                                      {{"reason", StartRefusalName(refusal)}});
@@ -157,7 +158,7 @@
   work_items_.Finish(lease, outcome, elapsed < options_.grant_wait);
   environment_.metrics().Increment("batch_items_finished_total",
                                    {{"executed", proto::Executed_Name(outcome.executed)}});
-  RequestRun();
+  RequestTick();
 }
 
 BatchCapacity BatchWorker::FreeCapacity() const {
@@ -256,7 +257,7 @@
   acquire_planner_.RecordResponse(node, static_cast<std::size_t>(result->grants_size()),
                                   environment_.Now());
   HandleGrants(*result, gateway, sent);
-  RequestRun();
+  RequestTick();
 }
 
 void BatchWorker::HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway,
@@ -269,7 +270,7 @@
 }
 
 void BatchWorker::EndLease(WorkLeaseId lease) {
-  if (work_items_.End(lease) != EndedAction::kCancel) {
+  if (work_items_.RecordLeaseEnded(lease) != EndedLeaseAction::kCancel) {
     return;
   }
   const auto call = calls_.find(lease);
--- a/src/batch_work/batch_worker.h
+++ b/src/batch_work/batch_worker.h
@@ -2,7 +2,7 @@
 /// @file
 /// Runs batch items in the capacity that live calls leave: acquires work from queue nodes, starts
 /// granted items while node lease, work lease and configuration allow it, and reports results
-/// through `WorkReporter`. `WorkItemTable` and `AcquirePlanner` make the decisions.
+/// through `WorkReportSender`. `WorkItemTable` and `AcquirePlanner` make the decisions.
 ///
 /// A grant's time to start counts from when the request for work was *sent*, so that grants expire
 /// while a worker is frozen. Threads: the owner's event loop only.
@@ -15,7 +15,7 @@
 #include "batch_work/acquire_planner.h"
 #include "batch_work/queue_node_call.h"
 #include "batch_work/work_item_table.h"
-#include "batch_work/work_reporter.h"
+#include "batch_work/work_report_sender.h"
 #include "calls/backend_caller.h"
 #include "control_client/node_agent.h"
 #include "runtime/environment.h"
@@ -25,7 +25,7 @@
 struct BatchWorkerOptions {
   WorkItemTableLimits limits;
   AcquirePlannerOptions acquire;
-  Duration run_interval = milliseconds(50);
+  Duration tick_interval = milliseconds(50);
   Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
   /// Of AcquireWork, beyond the long poll. Longer than a work lease: a late grant is returned, but
   /// one that is never read leaves a non-idempotent item unknown.
@@ -57,8 +57,8 @@
   std::size_t unreported() const { return work_items_.unreported(); }
 
  private:
-  void RequestRun();
-  void Run();
+  void RequestTick();
+  void Tick();
   void StartWaitingItems();
   /// Starts the item, returns it, or leaves it waiting. @param free is reduced by a start.
   void StartOrRefuse(WorkLeaseId lease, BatchCapacity* free);
@@ -73,7 +73,7 @@
   void HandleGrants(const proto::AcquireWorkResponse& response, NodeId gateway, TimePoint sent);
   void EndLease(WorkLeaseId lease);
 
-  StartConditions Conditions() const;
+  StartConditions CurrentConditions() const;
   /// @return free slots of each back end, less those of started items whose request was not sent.
   BatchCapacity FreeCapacity() const;
   /// @return the same, less those of waiting items.
@@ -87,13 +87,13 @@
   BatchWorkerOptions options_;
   WorkItemTable work_items_;
   AcquirePlanner acquire_planner_;
-  WorkReporter reporter_;
+  WorkReportSender report_sender_;
   std::map<WorkLeaseId, std::shared_ptr<BackendCall>> calls_;
   /// Back ends that refused an item get no further ones until then.
   std::map<std::string, TimePoint> paused_backends_;
   LifetimeGuard lifetime_;
   TimerId tick_timer_ = 0;
-  bool run_requested_ = false;
+  bool tick_requested_ = false;
   bool draining_ = false;
 };
 
--- a/src/batch_work/start_refusal.cc
+++ b/src/batch_work/start_refusal.cc
@@ -8,7 +8,7 @@
       return "none";
     case StartRefusal::kWindowExpired:
       return "window_over";
-    case StartRefusal::kNodeLease:
+    case StartRefusal::kNoNodeLease:
       return "node_lease";
     case StartRefusal::kNoCapacity:
       return "no_room";
--- a/src/batch_work/start_refusal.h
+++ b/src/batch_work/start_refusal.h
@@ -12,7 +12,7 @@
 enum class StartRefusal : std::uint8_t {
   kNone,           ///< It may start.
   kWindowExpired,  ///< The grant's time to start has expired.
-  kNodeLease,      ///< The gateway has no valid node lease.
+  kNoNodeLease,    ///< The gateway has no valid node lease.
   kNoCapacity,     ///< Live calls use the capacity.
   kPaused,         ///< Operators paused batch work.
   kLeaseEnded,     ///< The queue node ended the lease.
--- a/src/batch_work/work_item_table.cc
+++ b/src/batch_work/work_item_table.cc
@@ -31,14 +31,14 @@
 
 StartRefusal WorkItemTable::CanStart(WorkLeaseId lease, const StartConditions& conditions) const {
   const Item* item = Find(lease);
-  if (item == nullptr || IsDone(*item) || item->ended) {
+  if (item == nullptr || IsDone(*item) || item->lease_ended) {
     return StartRefusal::kLeaseEnded;
   }
   if (conditions.now >= item->start_by) {
     return StartRefusal::kWindowExpired;
   }
   if (!conditions.node_lease_valid) {
-    return StartRefusal::kNodeLease;
+    return StartRefusal::kNoNodeLease;
   }
   if (conditions.configuration->batch().paused()) {
     return StartRefusal::kPaused;
@@ -47,8 +47,8 @@
   if (route == nullptr) {
     return StartRefusal::kNoRoute;
   }
-  const bool stricter_now = item->grant.idempotent() && !route->idempotent();
-  return stricter_now ? StartRefusal::kMustNotRepeat : StartRefusal::kNone;
+  const bool no_longer_idempotent = item->grant.idempotent() && !route->idempotent();
+  return no_longer_idempotent ? StartRefusal::kMustNotRepeat : StartRefusal::kNone;
 }
 
 void WorkItemTable::RecordRunning(WorkLeaseId lease) {
@@ -98,7 +98,7 @@
       CompleteFailed(*item, message);
       return;
     case proto::EXECUTED_NO:
-      if (keep_if_not_run && !item->ended) {
+      if (keep_if_not_run && !item->lease_ended) {
         item->phase = Phase::kWaiting;
         return;
       }
@@ -109,17 +109,18 @@
   }
 }
 
-EndedAction WorkItemTable::End(WorkLeaseId lease) {
+EndedLeaseAction WorkItemTable::RecordLeaseEnded(WorkLeaseId lease) {
   Item* item = Find(lease);
-  if (item == nullptr || IsDone(*item) || item->ended) {
-    return EndedAction::kNothing;
+  if (item == nullptr || IsDone(*item) || item->lease_ended) {
+    return EndedLeaseAction::kNothing;
   }
-  item->ended = true;
+  item->lease_ended = true;
   if (item->phase == Phase::kWaiting) {
     Refuse(lease, StartRefusal::kLeaseEnded);
-    return EndedAction::kNothing;
+    return EndedLeaseAction::kNothing;
   }
-  return item->phase == Phase::kDispatched ? EndedAction::kContinue : EndedAction::kCancel;
+  return item->phase == Phase::kDispatched ? EndedLeaseAction::kContinue
+                                           : EndedLeaseAction::kCancel;
 }
 
 void WorkItemTable::FinishCancelled(WorkLeaseId lease) {
@@ -127,8 +128,8 @@
   if (item == nullptr || IsDone(*item)) {
     return;
   }
-  const bool left = item->phase == Phase::kDispatched;
-  Complete(*item, left ? proto::WORK_DISPOSITION_UNKNOWN : proto::WORK_DISPOSITION_NOT_RUN,
+  const bool dispatched = item->phase == Phase::kDispatched;
+  Complete(*item, dispatched ? proto::WORK_DISPOSITION_UNKNOWN : proto::WORK_DISPOSITION_NOT_RUN,
            proto::ITEM_OUTCOME_UNSPECIFIED, "", "withdrawn: its work lease ended");
 }
 
@@ -166,8 +167,8 @@
                                                               bool include_running) const {
   std::set<ReportAddress> addresses;
   for (const auto& [lease, item] : items_) {
-    const bool counts = item.phase == Phase::kDone || (include_running && !IsDone(item));
-    if (!counts) {
+    const bool included = item.phase == Phase::kDone || (include_running && !IsDone(item));
+    if (!included) {
       continue;
     }
     const NodeId owner = owner_of(PartitionId(item.grant.partition_id()));
@@ -225,7 +226,7 @@
 
 bool WorkItemTable::IsFull() const {
   return items_.size() >= limits_.maximum_items ||
-         unreported_bytes_ >= limits_.largest_unreported_bytes;
+         unreported_bytes_ >= limits_.maximum_unreported_bytes;
 }
 
 WorkItemTable::Item* WorkItemTable::Find(WorkLeaseId lease) {
--- a/src/batch_work/work_item_table.h
+++ b/src/batch_work/work_item_table.h
@@ -39,7 +39,7 @@
 /// item was granted to another gateway). A dispatched item runs to its end, even an idempotent one,
 /// and its result is reported: closing the connection would not stop the replica, and a cancelled
 /// batch would show the item as never started.
-enum class EndedAction : std::uint8_t {
+enum class EndedLeaseAction : std::uint8_t {
   kNothing,   ///< No such item, or its result is known.
   kCancel,    ///< Not dispatched: cancel the call; the item is reported as not run.
   kContinue,  ///< Dispatched.
@@ -47,7 +47,7 @@
 
 struct WorkItemTableLimits {
   std::size_t maximum_items = 2000;  ///< Items waiting, running or unreported.
-  std::size_t largest_unreported_bytes = 32U << 20U;
+  std::size_t maximum_unreported_bytes = 32U << 20U;
   std::size_t reports_per_call = 200;
   std::size_t report_bytes_per_call = 1U << 20U;
 };
@@ -83,7 +83,7 @@
   /// instead of being returned.
   void Finish(WorkLeaseId lease, const BackendOutcome& outcome, bool keep_if_not_run);
   /// The queue node ended the lease.
-  EndedAction End(WorkLeaseId lease);
+  EndedLeaseAction RecordLeaseEnded(WorkLeaseId lease);
   /// The call of an ended lease was cancelled: reported as not run only if it was not dispatched.
   void FinishCancelled(WorkLeaseId lease);
 
@@ -122,7 +122,7 @@
     TimePoint start_by;
     TimePoint arrived;
     Phase phase = Phase::kWaiting;
-    bool ended = false;
+    bool lease_ended = false;
     proto::WorkReport report;  ///< From kDone on.
   };
 
--- a/src/batch_work/work_reporter.cc
+++ b/src/batch_work/work_report_sender.cc
@@ -1,4 +1,4 @@
-#include "batch_work/work_reporter.h"
+#include "batch_work/work_report_sender.h"
 
 #include <algorithm>
 #include <memory>
@@ -7,19 +7,20 @@
 
 namespace cloverbank {
 
-WorkReporter::WorkReporter(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
-                           WorkReporterOptions options, Events events)
+WorkReportSender::WorkReportSender(Environment& environment, NodeAgent& agent,
+                                   WorkItemTable& work_items, WorkReportSenderOptions options,
+                                   Events events)
     : environment_(environment),
       agent_(agent),
       work_items_(work_items),
       options_(options),
       events_(std::move(events)) {}
 
-WorkItemTable::OwnerLookup WorkReporter::OwnerLookup() const {
+WorkItemTable::OwnerLookup WorkReportSender::OwnerLookup() const {
   return [this](PartitionId partition) { return FindPartitionOwner(agent_, partition); };
 }
 
-void WorkReporter::SendDue() {
+void WorkReportSender::SendDue() {
   const TimePoint now = environment_.Now();
   const std::vector<ReportAddress> with_results =
       work_items_.FindReportAddresses(OwnerLookup(), false);
@@ -31,16 +32,16 @@
       Send(address);
     }
   }
-  RemoveUnknownOwners();
+  RemoveFormerOwners();
 }
 
-void WorkReporter::RemoveUnknownOwners() {
+void WorkReportSender::RemoveFormerOwners() {
   std::erase_if(reports_, [this](const auto& entry) {
     return !entry.second.in_flight && !agent_.fleet().servers.contains(entry.first.owner);
   });
 }
 
-void WorkReporter::Send(const ReportAddress& address) {
+void WorkReportSender::Send(const ReportAddress& address) {
   const auto server = agent_.fleet().servers.find(address.owner);
   const auto request =
       std::make_shared<proto::ReportWorkRequest>(work_items_.TakeReports(address, OwnerLookup()));
@@ -56,8 +57,9 @@
       }));
 }
 
-void WorkReporter::OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
-                              const Result<proto::ReportWorkResponse>& result) {
+void WorkReportSender::OnResponse(const ReportAddress& address,
+                                  const proto::ReportWorkRequest& request,
+                                  const Result<proto::ReportWorkResponse>& result) {
   ReportState& state = reports_[address];
   state.in_flight = false;
   if (!result.ok()) {
--- a/src/batch_work/work_reporter.h
+++ b/src/batch_work/work_report_sender.h
@@ -13,13 +13,13 @@
 
 namespace cloverbank {
 
-struct WorkReporterOptions {
+struct WorkReportSenderOptions {
   Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
   Duration deadline = milliseconds(1500);
   Duration retry_delay = milliseconds(200);  ///< After a call that failed.
 };
 
-class WorkReporter {
+class WorkReportSender {
  public:
   struct Events {
     /// A queue node ended the lease.
@@ -29,8 +29,8 @@
   };
 
   /// All references outlive the reporter.
-  WorkReporter(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
-               WorkReporterOptions options, Events events);
+  WorkReportSender(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
+                   WorkReportSenderOptions options, Events events);
 
   /// Sends every report and renewal that is due now.
   void SendDue();
@@ -45,13 +45,13 @@
   void Send(const ReportAddress& address);
   void OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
                   const Result<proto::ReportWorkResponse>& result);
-  void RemoveUnknownOwners();
+  void RemoveFormerOwners();
   WorkItemTable::OwnerLookup OwnerLookup() const;
 
   Environment& environment_;
   NodeAgent& agent_;
   WorkItemTable& work_items_;
-  const WorkReporterOptions options_;
+  const WorkReportSenderOptions options_;
   const Events events_;
   std::map<ReportAddress, ReportState> reports_;
   LifetimeGuard lifetime_;
--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -7,8 +7,8 @@
 namespace cloverbank {
 namespace {
 
-Status Corrupt(const std::string& what, const std::string& batch_id) {
-  return {StatusCode::kCorrupt, what + " (batch " + batch_id + ")"};
+Status MakeCorruptStatus(const std::string& problem, const std::string& batch_id) {
+  return {StatusCode::kCorrupt, problem + " (batch " + batch_id + ")"};
 }
 
 std::size_t PageLimit(std::uint32_t requested) {
@@ -67,14 +67,14 @@
       ApplyRemoved(entry.batch_removed().batch_id());
       return Status::Ok();
     default:
-      return Corrupt("entry is of no kind that belongs to a partition", "");
+      return MakeCorruptStatus("entry is of no kind that belongs to a partition", "");
   }
 }
 
 Status BatchStore::ApplyItems(proto::BatchItems& items) {
   std::vector<proto::BatchItem>& logged_items = unaccepted_[items.batch_id()];
   if (items.first_index() != logged_items.size()) {
-    return Corrupt("items do not follow the ones before", items.batch_id());
+    return MakeCorruptStatus("items do not follow the ones before", items.batch_id());
   }
   for (proto::BatchItem& item : *items.mutable_items()) {
     logged_items.push_back(std::move(item));
@@ -87,7 +87,7 @@
   const std::size_t item_count =
       logged_items == unaccepted_.end() ? 0 : logged_items->second.size();
   if (item_count != accepted.item_count() || by_id_.contains(accepted.batch_id())) {
-    return Corrupt("batch does not match its items", accepted.batch_id());
+    return MakeCorruptStatus("batch does not match its items", accepted.batch_id());
   }
   Insert(MakeBatch(accepted, sequence));
   return Status::Ok();
@@ -128,7 +128,7 @@
 Status BatchStore::ApplyStarted(const proto::ItemStarted& started) {
   StoredBatch* batch = FindMutable(started.batch_id());
   if (batch == nullptr || started.item_index() >= batch->items.size()) {
-    return Corrupt("started item does not exist", started.batch_id());
+    return MakeCorruptStatus("started item does not exist", started.batch_id());
   }
   ItemPhase& phase = batch->phases[started.item_index()];
   if (phase == ItemPhase::kWaiting) {
@@ -140,7 +140,7 @@
 Status BatchStore::ApplyFinished(proto::ItemFinished& finished) {
   StoredBatch* batch = FindMutable(finished.batch_id());
   if (batch == nullptr || finished.item_index() >= batch->items.size()) {
-    return Corrupt("finished item does not exist", finished.batch_id());
+    return MakeCorruptStatus("finished item does not exist", finished.batch_id());
   }
   if (batch->phases[finished.item_index()] == ItemPhase::kFinished) {
     return Status::Ok();  // The first result won.
@@ -154,7 +154,7 @@
   return Status::Ok();
 }
 
-void BatchStore::AddResult(StoredBatch& batch, StoredResult result, std::int64_t wall_ms) {
+void BatchStore::AddResult(StoredBatch& batch, StoredResult result, std::int64_t finished_at_ms) {
   batch.phases[result.item_index] = ItemPhase::kFinished;
   switch (result.outcome) {
     case proto::ITEM_OUTCOME_SUCCEEDED:
@@ -176,7 +176,7 @@
   --open_items_;
   --tenants_[batch.accepted.tenant()].open_items;
   if (batch.AllFinished()) {
-    batch.finished_at_ms = wall_ms;
+    batch.finished_at_ms = finished_at_ms;
   }
 }
 
@@ -263,7 +263,8 @@
   }
   const auto& by_position = found->second.by_position;
   auto next = by_position.upper_bound(PartitionSequence(*after));
-  for (std::size_t left = PageLimit(limit); left > 0 && next != by_position.end(); --left, ++next) {
+  for (std::size_t remaining = PageLimit(limit); remaining > 0 && next != by_position.end();
+       --remaining, ++next) {
     *list.add_batches() = next->second->ToStatus();
     list.set_next_cursor(FormatCursor(next->first.value()));
   }
@@ -287,8 +288,8 @@
   list.set_total(batch->items.size());
   std::uint64_t position = *after;
   std::size_t bytes = 0;
-  for (std::size_t left = PageLimit(limit);
-       left > 0 && position < batch->results.size() && bytes < kMaxPageBytes; --left) {
+  for (std::size_t remaining = PageLimit(limit);
+       remaining > 0 && position < batch->results.size() && bytes < kMaxPageBytes; --remaining) {
     const StoredResult& result = batch->results[position];
     ++position;
     *list.add_results() = MakeListedResult(*batch, result, position);
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -91,7 +91,7 @@
   void ApplyRemoved(const std::string& batch_id);
   /// Subtracts tokens from the open tokens of the batch and its tenant.
   void ReleaseTokens(StoredBatch& batch, std::uint64_t tokens);
-  void AddResult(StoredBatch& batch, StoredResult result, std::int64_t wall_ms);
+  void AddResult(StoredBatch& batch, StoredResult result, std::int64_t finished_at_ms);
   StoredBatch* FindMutable(const std::string& batch_id);
 
   std::map<PartitionSequence, std::unique_ptr<StoredBatch>> batches_;
--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -30,16 +30,16 @@
     entry.set_sequence(next_sequence_.value());
     next_sequence_ = next_sequence_.Next();
   }
-  auto applied = std::make_shared<std::vector<proto::LogEntry>>(entries);
-  log_.Append(std::move(entries), [weak = weak_from_this(), applied,
+  auto logged_entries = std::make_shared<std::vector<proto::LogEntry>>(entries);
+  log_.Append(std::move(entries), [weak = weak_from_this(), logged_entries,
                                    done = std::move(done)](const Status& status) {
     const auto self = weak.lock();
     if (self == nullptr || !self->active_) {
       done(Status(StatusCode::kUnknownOutcome, "the partition was given up meanwhile"));
       return;
     }
-    for (std::size_t i = 0; status.ok() && i < applied->size(); ++i) {
-      Status result = self->store_->Apply(std::move((*applied)[i]));
+    for (std::size_t i = 0; status.ok() && i < logged_entries->size(); ++i) {
+      Status result = self->store_->Apply(std::move((*logged_entries)[i]));
       if (!result.ok()) {
         cloverbank::Log(LogLevel::kError, "entry_apply_failed", {{"status", result.ToString()}});
       }
--- a/src/batches/partition_replay.cc
+++ b/src/batches/partition_replay.cc
@@ -49,7 +49,7 @@
       accepted.erase(entry.batch_removed().batch_id());
     }
   }
-  DropFinishedRequests();
+  ClearRequestsOfFinishedItems();
   std::vector<proto::LogEntry> live;
   for (auto& [sequence, entry] : entries_) {
     if (accepted.contains(BatchIdOf(entry))) {
@@ -60,7 +60,7 @@
   return live;
 }
 
-void PartitionReplay::DropFinishedRequests() {
+void PartitionReplay::ClearRequestsOfFinishedItems() {
   std::set<ItemKey> finished;
   for (const auto& [sequence, entry] : entries_) {
     if (entry.has_item_finished()) {
--- a/src/batches/partition_replay.h
+++ b/src/batches/partition_replay.h
@@ -27,7 +27,7 @@
  private:
   /// Items that have a result do not need their request any more; logging it again would only
   /// prolong the recovery.
-  void DropFinishedRequests();
+  void ClearRequestsOfFinishedItems();
 
   std::map<PartitionSequence, proto::LogEntry> entries_;
   PartitionSequence next_sequence_{1};
--- a/src/work_dispatch/batch_canceller.cc
+++ b/src/work_dispatch/batch_canceller.cc
@@ -16,11 +16,11 @@
 
 BatchCanceller::BatchCanceller(Environment& environment, std::shared_ptr<WorkQueue> queue,
                                std::shared_ptr<const WorkLeases> leases,
-                               std::shared_ptr<const UnknownItems> unknown)
+                               std::shared_ptr<const UnknownItems> unknown_items)
     : environment_(environment),
       queue_(std::move(queue)),
       leases_(std::move(leases)),
-      unknown_(std::move(unknown)) {}
+      unknown_items_(std::move(unknown_items)) {}
 
 void BatchCanceller::AddPartition(PartitionId partition) {
   completion_allowed_from_[partition] = environment_.Now() + kWorkLeaseTimeout;
@@ -50,15 +50,15 @@
   partition->Log(std::move(entries), [weak = weak_from_this(), partition, batch_id,
                                       reply](const Status& status) {
     const auto self = weak.lock();
-    const StoredBatch* logged = partition->store().Find(batch_id);
-    if (!status.ok() || self == nullptr || logged == nullptr) {
+    const StoredBatch* current = partition->store().Find(batch_id);
+    if (!status.ok() || self == nullptr || current == nullptr) {
       reply(status.ok() ? Status(StatusCode::kUnknownOutcome, "the batch is gone") : status);
       return;
     }
-    if (logged->cancelled) {
+    if (current->cancelled) {
       self->HandleCancelled(*partition, batch_id);
     }
-    reply(MakeCancelResponse(*logged));
+    reply(MakeCancelResponse(*current));
   });
 }
 
@@ -69,10 +69,10 @@
 }
 
 bool BatchCanceller::CanComplete(const BatchKey& batch) const {
-  const auto from = completion_allowed_from_.find(batch.partition);
-  return from != completion_allowed_from_.end() && environment_.Now() >= from->second &&
-         !unknown_->HasItemsOf(batch) && !completing_.contains(batch) &&
-         leases_->CountLeases(batch.partition, batch.batch_id) == 0;
+  const auto allowed_from = completion_allowed_from_.find(batch.partition);
+  return allowed_from != completion_allowed_from_.end() &&
+         environment_.Now() >= allowed_from->second && !unknown_items_->HasItemsOf(batch) &&
+         !completing_.contains(batch) && leases_->CountLeases(batch.partition, batch.batch_id) == 0;
 }
 
 void BatchCanceller::CompleteDue() {
--- a/src/work_dispatch/batch_canceller.h
+++ b/src/work_dispatch/batch_canceller.h
@@ -28,7 +28,7 @@
 
   BatchCanceller(Environment& environment, std::shared_ptr<WorkQueue> queue,
                  std::shared_ptr<const WorkLeases> leases,
-                 std::shared_ptr<const UnknownItems> unknown);
+                 std::shared_ptr<const UnknownItems> unknown_items);
 
   /// Cancellations of the partition complete only after its last owner's leases have run out.
   void AddPartition(PartitionId partition);
@@ -54,7 +54,7 @@
   Environment& environment_;
   std::shared_ptr<WorkQueue> queue_;
   std::shared_ptr<const WorkLeases> leases_;
-  std::shared_ptr<const UnknownItems> unknown_;
+  std::shared_ptr<const UnknownItems> unknown_items_;
   std::map<PartitionId, TimePoint> completion_allowed_from_;
   std::set<BatchKey> incomplete_;
   std::set<BatchKey> completing_;  ///< Their completion is being logged.
--- a/src/work_dispatch/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -17,12 +17,12 @@
     : environment_(environment),
       queue_(std::make_shared<WorkQueue>(agent)),
       leases_(std::make_shared<WorkLeases>(FirstLeaseId(agent.node_id()))),
-      unknown_(std::make_shared<UnknownItems>()),
-      canceller_(std::make_shared<BatchCanceller>(environment, queue_, leases_, unknown_)),
+      unknown_items_(std::make_shared<UnknownItems>()),
+      canceller_(std::make_shared<BatchCanceller>(environment, queue_, leases_, unknown_items_)),
       granter_(std::make_shared<WorkGranter>(environment, agent, queue_, leases_)),
-      reporter_(std::make_shared<WorkReporter>(
+      report_handler_(std::make_shared<WorkReportHandler>(
           environment,
-          WorkReporter::Dependencies{queue_, leases_, unknown_, granter_, canceller_})) {
+          WorkReportHandler::Dependencies{queue_, leases_, unknown_items_, granter_, canceller_})) {
   OnConfiguration();
 }
 
@@ -33,7 +33,7 @@
     if (batch.AllFinished()) {
       return;
     }
-    AdoptStartedItems(partition->id(), batch);
+    LeaseStartedItems(partition->id(), batch);
     if (batch.cancelled) {
       canceller_->AddIncomplete({partition->id(), batch.accepted.batch_id()});
     } else {
@@ -43,7 +43,7 @@
   granter_->ServePending();
 }
 
-void WorkDispatcher::AdoptStartedItems(PartitionId partition, const StoredBatch& batch) {
+void WorkDispatcher::LeaseStartedItems(PartitionId partition, const StoredBatch& batch) {
   for (std::uint32_t index = 0; index < batch.items.size(); ++index) {
     if (batch.phases[index] == ItemPhase::kStarted) {
       leases_->Grant({partition, batch.accepted.batch_id(), index}, 0, Incarnation(),
@@ -55,7 +55,7 @@
 void WorkDispatcher::RemovePartition(PartitionId partition) {
   queue_->RemovePartition(partition);
   canceller_->RemovePartition(partition);
-  unknown_->RemovePartition(partition);
+  unknown_items_->RemovePartition(partition);
   leases_->EndPartition(partition);
 }
 
@@ -69,7 +69,7 @@
 }
 
 void WorkDispatcher::Report(const proto::ReportWorkRequest& request, ReportReply reply) {
-  reporter_->Report(request, std::move(reply));
+  report_handler_->Report(request, std::move(reply));
 }
 
 void WorkDispatcher::Cancel(const std::shared_ptr<OwnedPartition>& partition,
@@ -85,8 +85,8 @@
 void WorkDispatcher::Shutdown() { granter_->Shutdown(); }
 
 void WorkDispatcher::Tick() {
-  reporter_->EndExpiredLeases();
-  reporter_->LogUnknown();
+  report_handler_->EndExpiredLeases();
+  report_handler_->LogUnknown();
   canceller_->CompleteDue();
 }
 
--- a/src/work_dispatch/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Dispatch of batch items to gateways, as one interface over its three jobs: `WorkGranter` gives
-/// out items under leases, `WorkReporter` takes their results in, `BatchCanceller` cancels batches.
-/// They share the queue of waiting items (`WorkQueue`) and the leases (`WorkLeases`).
+/// out items under leases, `WorkReportHandler` takes their results in, `BatchCanceller` cancels
+/// batches. They share the queue of waiting items (`WorkQueue`) and the leases (`WorkLeases`).
 ///
 /// A NOT_RUN report puts an item back, also one that must not repeat: it is certain that it did not
 /// run. Its ItemStarted entry stays in the log, so if this node dies before the item got its
@@ -23,14 +23,14 @@
 #include "work_dispatch/work_granter.h"
 #include "work_dispatch/work_leases.h"
 #include "work_dispatch/work_queue.h"
-#include "work_dispatch/work_reporter.h"
+#include "work_dispatch/work_report_handler.h"
 
 namespace cloverbank {
 
 class WorkDispatcher {
  public:
   using AcquireReply = WorkGranter::Reply;
-  using ReportReply = WorkReporter::Reply;
+  using ReportReply = WorkReportHandler::Reply;
   using CancelReply = BatchCanceller::Reply;
 
   WorkDispatcher(Environment& environment, NodeAgent& agent);
@@ -44,7 +44,7 @@
 
   /// As `WorkGranter::Acquire`.
   void Acquire(const proto::AcquireWorkRequest& request, AcquireReply reply);
-  /// As `WorkReporter::Report`.
+  /// As `WorkReportHandler::Report`.
   void Report(const proto::ReportWorkRequest& request, ReportReply reply);
   /// As `BatchCanceller::Cancel`.
   void Cancel(const std::shared_ptr<OwnedPartition>& partition, const std::string& batch_id,
@@ -61,15 +61,15 @@
 
  private:
   /// Grants leases without a gateway for the items that were logged as started.
-  void AdoptStartedItems(PartitionId partition, const StoredBatch& batch);
+  void LeaseStartedItems(PartitionId partition, const StoredBatch& batch);
 
   Environment& environment_;
   std::shared_ptr<WorkQueue> queue_;
   std::shared_ptr<WorkLeases> leases_;
-  std::shared_ptr<UnknownItems> unknown_;
+  std::shared_ptr<UnknownItems> unknown_items_;
   std::shared_ptr<BatchCanceller> canceller_;
   std::shared_ptr<WorkGranter> granter_;
-  std::shared_ptr<WorkReporter> reporter_;
+  std::shared_ptr<WorkReportHandler> report_handler_;
 };
 
 }  // namespace cloverbank
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -6,14 +6,14 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kMaxGrants = 1000;
+constexpr std::size_t kMaxGrantsPerResponse = 1000;
 /// Bytes of items in one answer.
-constexpr std::size_t kMaxGrantBytes = 4U << 20U;
-constexpr Duration kMaxHold = seconds(5);
+constexpr std::size_t kMaxResponseBytes = 4U << 20U;
+constexpr Duration kMaxHoldTime = seconds(5);
 /// A pending request older than this is answered without grants, so that its gateway sends a new
 /// one: the gateway may have failed, and an item granted to a failed gateway ends as unknown if it
 /// must not repeat.
-constexpr Duration kMaxFreshAge = milliseconds(20);
+constexpr Duration kMaxRequestAge = milliseconds(20);
 /// Requests are woken for this multiple of the slots that waiting items need: some gateways have
 /// failed, others have used their slots meanwhile.
 constexpr std::size_t kWakeFactor = 2;
@@ -32,7 +32,7 @@
 void WorkGranter::Acquire(const proto::AcquireWorkRequest& request, Reply reply) {
   pending_.push_back({request, environment_.Now(), std::move(reply), 0});
   const auto pending = std::prev(pending_.end());
-  const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kMaxHold);
+  const Duration hold = std::min<Duration>(milliseconds(request.hold_ms()), kMaxHoldTime);
   pending->timer = environment_.ScheduleAfter(hold, [weak = weak_from_this(), pending] {
     if (const auto self = weak.lock()) {
       self->AnswerEmpty(pending);
@@ -70,7 +70,7 @@
     if (!items.empty()) {
       environment_.CancelTimer(pending->timer);
       auto grants = std::make_shared<PendingGrants>();
-      grants->pending = std::move(*pending);
+      grants->acquire = std::move(*pending);
       grants->items = std::move(items);
       pending_.erase(pending);
       LogStarts(grants, &starts);
@@ -81,7 +81,7 @@
 }
 
 bool WorkGranter::IsFresh(const PendingAcquire& pending) const {
-  return environment_.Now() - pending.arrived <= kMaxFreshAge;
+  return environment_.Now() - pending.arrived <= kMaxRequestAge;
 }
 
 void WorkGranter::WakeStaleRequests() {
@@ -90,9 +90,9 @@
     return;
   }
   if (now >= next_wake_) {
-    const std::size_t wanted = kWakeFactor * queue_->waiting_count();
-    const std::size_t woken_slots = WakeStaleInZone(/*own=*/true, 0, wanted);
-    WakeStaleInZone(/*own=*/false, woken_slots, wanted);
+    const std::size_t wanted_slots = kWakeFactor * queue_->waiting_count();
+    const std::size_t woken_slots = WakeStaleInZone(/*own_zone=*/true, 0, wanted_slots);
+    WakeStaleInZone(/*own_zone=*/false, woken_slots, wanted_slots);
     next_wake_ = now + kWakeInterval;
   }
   wake_scheduled_ = true;
@@ -112,19 +112,20 @@
   return slots;
 }
 
-std::size_t WorkGranter::WakeStaleInZone(bool own, std::size_t capacity, std::size_t wanted) {
-  for (auto pending = pending_.begin(); pending != pending_.end() && capacity < wanted;) {
+std::size_t WorkGranter::WakeStaleInZone(bool own_zone, std::size_t slots,
+                                         std::size_t wanted_slots) {
+  for (auto pending = pending_.begin(); pending != pending_.end() && slots < wanted_slots;) {
     const auto next = std::next(pending);
     const std::size_t usable = CountUsableSlots(pending->request);
-    const bool in_zone = pending->request.zone() == agent_.zone();
-    if (!IsFresh(*pending) && in_zone == own && usable > 0) {
-      capacity += usable;
+    const bool in_own_zone = pending->request.zone() == agent_.zone();
+    if (!IsFresh(*pending) && in_own_zone == own_zone && usable > 0) {
+      slots += usable;
       environment_.CancelTimer(pending->timer);
       AnswerEmpty(pending);
     }
     pending = next;
   }
-  return capacity;
+  return slots;
 }
 
 std::vector<WorkItemKey> WorkGranter::SelectItems(const proto::AcquireWorkRequest& request,
@@ -133,9 +134,9 @@
   std::size_t bytes = 0;
   for (const proto::BackendCapacity& capacity : request.capacity()) {
     std::size_t slots = capacity.slots();
-    while (slots > 0 && items.size() < kMaxGrants && bytes < kMaxGrantBytes) {
-      const std::size_t run = std::min(slots, FairQueue::kLongestRun);
-      const auto picked = queue_->Pick(capacity.backend(), run);
+    while (slots > 0 && items.size() < kMaxGrantsPerResponse && bytes < kMaxResponseBytes) {
+      const std::size_t limit = std::min(slots, FairQueue::kLongestRun);
+      const auto picked = queue_->Pick(capacity.backend(), limit);
       if (picked.empty()) {
         break;
       }
@@ -154,10 +155,10 @@
 bool WorkGranter::LeaseItem(const WorkItemKey& item, const proto::AcquireWorkRequest& request,
                             StartEntries* starts) {
   const StoredBatch* batch = queue_->FindBatch(item);
-  const bool waiting = batch != nullptr && !batch->cancelled &&
-                       batch->phases[item.index] != ItemPhase::kFinished &&
-                       leases_->Find(item) == nullptr;
-  if (!waiting) {
+  const bool grantable = batch != nullptr && !batch->cancelled &&
+                         batch->phases[item.index] != ItemPhase::kFinished &&
+                         leases_->Find(item) == nullptr;
+  if (!grantable) {
     return false;  // A late report brought its result while it was queued.
   }
   const bool idempotent = batch->accepted.idempotent();
@@ -183,7 +184,7 @@
           if (const auto self = weak.lock()) {
             self->HandleStartsLogged(grants, id, status);
           } else if (--grants->pending_logs == 0) {
-            grants->pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
+            grants->acquire.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
           }
         });
   }
@@ -215,7 +216,7 @@
          !agent_.configuration().batch().paused() && agent_.HasValidLease();
 }
 
-proto::WorkGrant WorkGranter::MakeGrant(const WorkItemKey& item, Duration pending) const {
+proto::WorkGrant WorkGranter::MakeGrant(const WorkItemKey& item, Duration time_pending) const {
   const StoredBatch* batch = queue_->FindBatch(item);
   proto::WorkGrant grant;
   grant.set_lease_id(leases_->Find(item)->id.value());
@@ -227,27 +228,28 @@
   grant.set_idempotent(batch->accepted.idempotent());
   grant.set_failed_runs(queue_->FailedRuns(item));
   // Counts from when the request was sent, which was before it arrived and became pending here.
-  const auto window = std::chrono::duration_cast<milliseconds>(pending + kWorkLeaseStartWindow);
+  const auto window =
+      std::chrono::duration_cast<milliseconds>(time_pending + kWorkLeaseStartWindow);
   grant.set_start_within_ms(static_cast<std::uint32_t>(window.count()));
   return grant;
 }
 
 void WorkGranter::SendGrants(const PendingGrantsPtr& grants) {
   proto::AcquireWorkResponse response;
-  const Duration pending = environment_.Now() - grants->pending.arrived;
+  const Duration time_pending = environment_.Now() - grants->acquire.arrived;
   for (const WorkItemKey& item : grants->items) {
     if (leases_->Find(item) == nullptr) {
       continue;  // Its partition was given up.
     }
     if (CanGrant(item)) {
-      *response.add_grants() = MakeGrant(item, pending);
+      *response.add_grants() = MakeGrant(item, time_pending);
     } else {
       leases_->End(item);
       queue_->ReturnItem(item);
     }
   }
   environment_.metrics().Increment("queue_grants_total", {}, response.grants_size());
-  grants->pending.reply(std::move(response));
+  grants->acquire.reply(std::move(response));
 }
 
 }  // namespace cloverbank
--- a/src/work_dispatch/work_granter.h
+++ b/src/work_dispatch/work_granter.h
@@ -45,7 +45,7 @@
   };
   /// Grants whose starts are being logged.
   struct PendingGrants {
-    PendingAcquire pending;
+    PendingAcquire acquire;
     std::vector<WorkItemKey> items;
     std::size_t pending_logs = 0;
   };
@@ -56,7 +56,7 @@
   void WakeStaleRequests();
   /// Does so for stale requests of this zone, or of others, until their slots reach `wanted`.
   /// @return the slots, `capacity` included.
-  std::size_t WakeStaleInZone(bool own, std::size_t capacity, std::size_t wanted);
+  std::size_t WakeStaleInZone(bool own_zone, std::size_t slots, std::size_t wanted_slots);
   bool IsFresh(const PendingAcquire& pending) const;
   /// @return the slots of the request for which items are waiting.
   std::size_t CountUsableSlots(const proto::AcquireWorkRequest& request) const;
@@ -71,7 +71,7 @@
                           const Status& status);
   void SendGrants(const PendingGrantsPtr& grants);
   bool CanGrant(const WorkItemKey& item) const;
-  proto::WorkGrant MakeGrant(const WorkItemKey& item, Duration pending) const;
+  proto::WorkGrant MakeGrant(const WorkItemKey& item, Duration time_pending) const;
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/work_dispatch/work_leases.cc
+++ b/src/work_dispatch/work_leases.cc
@@ -36,7 +36,7 @@
   if (has_result) {
     return ReportAction::kDrop;
   }
-  if (lease != nullptr && lease->reporting) {
+  if (lease != nullptr && lease->result_being_logged) {
     return ReportAction::kWait;
   }
   if (report.disposition() == proto::WORK_DISPOSITION_FINISHED) {
@@ -54,13 +54,13 @@
   return ReportAction::kLogUnknown;
 }
 
-void WorkLeases::SetReporting(const WorkItemKey& item, bool reporting, TimePoint now) {
+void WorkLeases::SetResultBeingLogged(const WorkItemKey& item, bool being_logged, TimePoint now) {
   const auto found = by_item_.find(item);
   if (found == by_item_.end()) {
     return;
   }
   WorkLease& lease = by_id_.at(found->second);
-  lease.reporting = reporting;
+  lease.result_being_logged = being_logged;
   lease.last_heard = now;
 }
 
@@ -76,7 +76,7 @@
 std::vector<WorkLease> WorkLeases::EndExpired(TimePoint now) {
   std::vector<WorkLease> ended;
   for (const auto& [id, lease] : by_id_) {
-    if (!lease.reporting && now - lease.last_heard >= kWorkLeaseTimeout) {
+    if (!lease.result_being_logged && now - lease.last_heard >= kWorkLeaseTimeout) {
       ended.push_back(lease);
     }
   }
--- a/src/work_dispatch/work_leases.h
+++ b/src/work_dispatch/work_leases.h
@@ -49,8 +49,8 @@
   std::uint64_t gateway_node_id = 0;  ///< 0: adopted after a recovery, gateway unknown.
   Incarnation incarnation;            ///< Of the gateway.
   bool idempotent = false;
-  TimePoint last_heard;    ///< When its gateway renewed or reported it.
-  bool reporting = false;  ///< Its result is being logged: it does not expire.
+  TimePoint last_heard;              ///< When its gateway renewed or reported it.
+  bool result_being_logged = false;  ///< Its result is being logged: it does not expire.
 };
 
 /// What to do with one report.
@@ -81,7 +81,7 @@
                               bool has_result) const;
 
   /// Records that the item's result is being logged (true), or was not logged (false).
-  void SetReporting(const WorkItemKey& item, bool reporting, TimePoint now);
+  void SetResultBeingLogged(const WorkItemKey& item, bool being_logged, TimePoint now);
   /// Ends the item's lease, if any.
   void End(const WorkItemKey& item);
   /// Ends and returns the leases that have expired (`kWorkLeaseTimeout`).
--- a/src/work_dispatch/work_queue.cc
+++ b/src/work_dispatch/work_queue.cc
@@ -10,7 +10,7 @@
 }
 
 void WorkQueue::RemovePartition(PartitionId partition) {
-  for (auto queued = queued_.begin(); queued != queued_.end();) {
+  for (auto queued = queued_ids_.begin(); queued != queued_ids_.end();) {
     const BatchKey key = queued->first;
     ++queued;
     if (key.partition == partition) {
@@ -56,32 +56,32 @@
   const BatchKey key{partition.id(), batch.accepted.batch_id()};
   const QueuedBatchId queued = queue_.AddBatch(
       batch.accepted.tenant(), FindBackend(batch.accepted.route()), std::move(items));
-  queued_[key] = queued;
-  queued_keys_[queued] = key;
+  queued_ids_[key] = queued;
+  batch_keys_[queued] = key;
 }
 
 void WorkQueue::Dequeue(const BatchKey& batch) {
-  const auto queued = queued_.find(batch);
-  if (queued == queued_.end()) {
+  const auto queued = queued_ids_.find(batch);
+  if (queued == queued_ids_.end()) {
     return;
   }
   queue_.RemoveBatch(queued->second);
-  queued_keys_.erase(queued->second);
-  queued_.erase(queued);
+  batch_keys_.erase(queued->second);
+  queued_ids_.erase(queued);
 }
 
 std::vector<WorkItemKey> WorkQueue::Pick(const std::string& backend, std::size_t limit) {
   std::vector<WorkItemKey> items;
   for (const PickedItem& picked : queue_.Pick(backend, limit)) {
-    const BatchKey& key = queued_keys_.at(picked.batch);
+    const BatchKey& key = batch_keys_.at(picked.batch);
     items.push_back({key.partition, key.batch_id, picked.index});
   }
   return items;
 }
 
 void WorkQueue::ReturnItem(const WorkItemKey& item) {
-  const auto queued = queued_.find({item.partition, item.batch_id});
-  if (queued != queued_.end()) {
+  const auto queued = queued_ids_.find({item.partition, item.batch_id});
+  if (queued != queued_ids_.end()) {
     queue_.ReturnItem(queued->second, item.index);
   }
 }
@@ -95,7 +95,7 @@
   for (const proto::Tenant& tenant : agent_.configuration().tenants()) {
     queue_.SetTenantWeight(tenant.name(), tenant.batch_weight());
   }
-  for (const auto& [key, queued] : queued_) {
+  for (const auto& [key, queued] : queued_ids_) {
     const StoredBatch* batch = FindBatch({key.partition, key.batch_id, 0});
     if (batch != nullptr) {
       queue_.SetBackend(queued, FindBackend(batch->accepted.route()));
--- a/src/work_dispatch/work_queue.h
+++ b/src/work_dispatch/work_queue.h
@@ -47,7 +47,7 @@
 
   /// Failed runs of an item that was returned. Not logged: a new owner counts from 0.
   void SetFailedRuns(const WorkItemKey& item, std::uint32_t count) { failed_runs_[item] = count; }
-  void ForgetFailedRuns(const WorkItemKey& item) { failed_runs_.erase(item); }
+  void ClearFailedRuns(const WorkItemKey& item) { failed_runs_.erase(item); }
   std::uint32_t FailedRuns(const WorkItemKey& item) const;
 
   /// Applies weights of tenants and backends of routes.
@@ -59,8 +59,8 @@
   NodeAgent& agent_;
   FairQueue queue_;
   std::map<PartitionId, std::shared_ptr<OwnedPartition>> partitions_;
-  std::map<BatchKey, QueuedBatchId> queued_;
-  std::map<QueuedBatchId, BatchKey> queued_keys_;
+  std::map<BatchKey, QueuedBatchId> queued_ids_;
+  std::map<QueuedBatchId, BatchKey> batch_keys_;
   std::map<WorkItemKey, std::uint32_t> failed_runs_;
 };
 
--- a/src/work_dispatch/work_reporter.cc
+++ b/src/work_dispatch/work_report_handler.cc
@@ -1,4 +1,4 @@
-#include "work_dispatch/work_reporter.h"
+#include "work_dispatch/work_report_handler.h"
 
 #include <map>
 #include <utility>
@@ -14,7 +14,7 @@
 }
 
 /// Bytes of output and error of one result; a larger one could not be logged.
-constexpr std::size_t kMaxOutputBytes = 512U << 10U;
+constexpr std::size_t kMaxResultBytes = 512U << 10U;
 /// Unknown items being logged at the same time.
 constexpr std::size_t kMaxUnknownBeingLogged = 1000;
 
@@ -32,15 +32,15 @@
 
 }  // namespace
 
-WorkReporter::WorkReporter(Environment& environment, Dependencies dependencies)
+WorkReportHandler::WorkReportHandler(Environment& environment, Dependencies dependencies)
     : environment_(environment),
       queue_(std::move(dependencies.queue)),
       leases_(std::move(dependencies.leases)),
-      unknown_(std::move(dependencies.unknown)),
+      unknown_items_(std::move(dependencies.unknown_items)),
       granter_(std::move(dependencies.granter)),
       canceller_(std::move(dependencies.canceller)) {}
 
-Status WorkReporter::CheckReports(const proto::ReportWorkRequest& request) const {
+Status WorkReportHandler::CheckReports(const proto::ReportWorkRequest& request) const {
   for (const proto::WorkReport& report : request.reports()) {
     if (!queue_->Owns(PartitionId(report.partition_id()))) {
       return MakeNotOwnerStatus(PartitionId(report.partition_id()));
@@ -49,8 +49,8 @@
   return Status::Ok();
 }
 
-void WorkReporter::RenewLeases(const proto::ReportWorkRequest& request,
-                               proto::ReportWorkResponse* response) {
+void WorkReportHandler::RenewLeases(const proto::ReportWorkRequest& request,
+                                    proto::ReportWorkResponse* response) {
   for (const std::uint64_t id : request.running_lease_ids()) {
     const WorkLease* lease = leases_->Renew(WorkLeaseId(id), request.gateway_node_id(),
                                             Incarnation(request.incarnation()), environment_.Now());
@@ -61,7 +61,7 @@
   }
 }
 
-void WorkReporter::Report(const proto::ReportWorkRequest& request, Reply reply) {
+void WorkReportHandler::Report(const proto::ReportWorkRequest& request, Reply reply) {
   auto pending = std::make_shared<PendingReport>();
   pending->reply = std::move(reply);
   RenewLeases(request, &pending->response);
@@ -86,8 +86,8 @@
   }
 }
 
-std::optional<proto::LogEntry> WorkReporter::HandleReport(const proto::WorkReport& report,
-                                                          PendingReport* pending) {
+std::optional<proto::LogEntry> WorkReportHandler::HandleReport(const proto::WorkReport& report,
+                                                               PendingReport* pending) {
   const WorkItemKey item = MakeItemKey(report);
   const StoredBatch* batch = queue_->FindBatch(item);
   if (batch == nullptr) {
@@ -105,17 +105,17 @@
       ReturnItem(item, report);
       return std::nullopt;
     case ReportAction::kLogUnknown:
-      entry = MakeFinished(item, proto::ITEM_OUTCOME_UNKNOWN);
+      entry = MakeItemFinished(item, proto::ITEM_OUTCOME_UNKNOWN);
       entry.mutable_item_finished()->set_error(report.error());
       break;
     case ReportAction::kLogResult:
       entry = MakeResult(item, report);
   }
-  leases_->SetReporting(item, true, environment_.Now());
+  leases_->SetResultBeingLogged(item, true, environment_.Now());
   return entry;
 }
 
-void WorkReporter::ReturnItem(const WorkItemKey& item, const proto::WorkReport& report) {
+void WorkReportHandler::ReturnItem(const WorkItemKey& item, const proto::WorkReport& report) {
   Log(LogLevel::kInfo, "work_returned",
       {{"batch", item.batch_id}, {"item", item.index}, {"reason", report.error()}});
   if (report.failed_runs() > 0) {
@@ -125,21 +125,21 @@
   queue_->ReturnItem(item);
 }
 
-proto::LogEntry WorkReporter::MakeResult(const WorkItemKey& item,
-                                         const proto::WorkReport& report) const {
-  if (report.output().size() + report.error().size() > kMaxOutputBytes) {
-    proto::LogEntry entry = MakeFinished(item, proto::ITEM_OUTCOME_FAILED);
+proto::LogEntry WorkReportHandler::MakeResult(const WorkItemKey& item,
+                                              const proto::WorkReport& report) const {
+  if (report.output().size() + report.error().size() > kMaxResultBytes) {
+    proto::LogEntry entry = MakeItemFinished(item, proto::ITEM_OUTCOME_FAILED);
     entry.mutable_item_finished()->set_error("the output is too large to be kept");
     return entry;
   }
-  proto::LogEntry entry = MakeFinished(item, report.outcome());
+  proto::LogEntry entry = MakeItemFinished(item, report.outcome());
   entry.mutable_item_finished()->set_output(report.output());
   entry.mutable_item_finished()->set_error(report.error());
   return entry;
 }
 
-proto::LogEntry WorkReporter::MakeFinished(const WorkItemKey& item,
-                                           proto::ItemOutcome outcome) const {
+proto::LogEntry WorkReportHandler::MakeItemFinished(const WorkItemKey& item,
+                                                    proto::ItemOutcome outcome) const {
   proto::LogEntry entry;
   proto::ItemFinished& finished = *entry.mutable_item_finished();
   finished.set_batch_id(item.batch_id);
@@ -149,8 +149,8 @@
   return entry;
 }
 
-void WorkReporter::LogResults(const PendingReportPtr& pending, PartitionId partition,
-                              std::vector<proto::LogEntry> entries) {
+void WorkReportHandler::LogResults(const PendingReportPtr& pending, PartitionId partition,
+                                   std::vector<proto::LogEntry> entries) {
   const std::vector<WorkItemKey> items = FinishedItems(partition, entries);
   queue_->FindPartition(partition)->Log(
       std::move(entries),
@@ -167,7 +167,7 @@
       });
 }
 
-void WorkReporter::Answer(const PendingReportPtr& pending) {
+void WorkReportHandler::Answer(const PendingReportPtr& pending) {
   if (pending->status.ok()) {
     pending->reply(std::move(pending->response));
   } else {
@@ -175,8 +175,9 @@
   }
 }
 
-void WorkReporter::HandleResultsLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
-                                       const Status& status) {
+void WorkReportHandler::HandleResultsLogged(PartitionId partition,
+                                            const std::vector<WorkItemKey>& items,
+                                            const Status& status) {
   if (!queue_->Owns(partition)) {
     return;
   }
@@ -184,15 +185,15 @@
     if (status.ok()) {
       HandleResultLogged(item);
     } else {
-      leases_->SetReporting(item, false, environment_.Now());
+      leases_->SetResultBeingLogged(item, false, environment_.Now());
     }
   }
 }
 
-void WorkReporter::HandleResultLogged(const WorkItemKey& item) {
+void WorkReportHandler::HandleResultLogged(const WorkItemKey& item) {
   leases_->End(item);
-  unknown_->Remove(item);
-  queue_->ForgetFailedRuns(item);
+  unknown_items_->Remove(item);
+  queue_->ClearFailedRuns(item);
   const StoredBatch* batch = queue_->FindBatch(item);
   if (batch == nullptr) {
     return;
@@ -204,7 +205,7 @@
   }
 }
 
-void WorkReporter::RecordLateResult(const StoredBatch& batch) const {
+void WorkReportHandler::RecordLateResult(const StoredBatch& batch) const {
   const proto::Route* route = queue_->FindRoute(batch.accepted.route());
   if (route == nullptr || route->batch_target_ms() == 0 || batch.cancelled) {
     return;
@@ -223,7 +224,7 @@
        {"waiting_items", queue_->waiting_count()}});
 }
 
-void WorkReporter::EndExpiredLeases() {
+void WorkReportHandler::EndExpiredLeases() {
   for (const WorkLease& lease : leases_->EndExpired(environment_.Now())) {
     const StoredBatch* batch = queue_->FindBatch(lease.item);
     if (batch == nullptr || batch->phases[lease.item.index] == ItemPhase::kFinished) {
@@ -237,20 +238,20 @@
     if (lease.idempotent && !batch->cancelled) {
       queue_->ReturnItem(lease.item);
     } else {
-      unknown_->Add(lease.item);
+      unknown_items_->Add(lease.item);
     }
   }
   granter_->ServePending();
 }
 
-void WorkReporter::LogUnknown() {
+void WorkReportHandler::LogUnknown() {
   std::map<PartitionId, std::vector<proto::LogEntry>> results;
-  for (const WorkItemKey& item : unknown_->items()) {
+  for (const WorkItemKey& item : unknown_items_->items()) {
     if (unknown_being_logged_.size() >= kMaxUnknownBeingLogged) {
       break;
     }
     if (unknown_being_logged_.insert(item).second) {
-      results[item.partition].push_back(MakeFinished(item, proto::ITEM_OUTCOME_UNKNOWN));
+      results[item.partition].push_back(MakeItemFinished(item, proto::ITEM_OUTCOME_UNKNOWN));
     }
   }
   for (auto& [id, entries] : results) {
@@ -264,8 +265,9 @@
   }
 }
 
-void WorkReporter::HandleUnknownLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
-                                       const Status& status) {
+void WorkReportHandler::HandleUnknownLogged(PartitionId partition,
+                                            const std::vector<WorkItemKey>& items,
+                                            const Status& status) {
   for (const WorkItemKey& item : items) {
     unknown_being_logged_.erase(item);
   }
--- a/src/work_dispatch/work_reporter.h
+++ b/src/work_dispatch/work_report_handler.h
@@ -23,7 +23,7 @@
 
 namespace cloverbank {
 
-class WorkReporter : public std::enable_shared_from_this<WorkReporter> {
+class WorkReportHandler : public std::enable_shared_from_this<WorkReportHandler> {
  public:
   using Reply = std::function<void(Result<proto::ReportWorkResponse>)>;
 
@@ -31,12 +31,12 @@
   struct Dependencies {
     std::shared_ptr<WorkQueue> queue;
     std::shared_ptr<WorkLeases> leases;
-    std::shared_ptr<UnknownItems> unknown;
+    std::shared_ptr<UnknownItems> unknown_items;
     std::shared_ptr<WorkGranter> granter;
     std::shared_ptr<BatchCanceller> canceller;
   };
 
-  WorkReporter(Environment& environment, Dependencies dependencies);
+  WorkReportHandler(Environment& environment, Dependencies dependencies);
 
   /// Answers when every result in it is logged; kConflict (`MakeNotOwnerStatus`) if any partition
   /// is not owned here, kUnavailable if a result of an item is being logged already.
@@ -73,13 +73,13 @@
   static void Answer(const PendingReportPtr& pending);
   /// Records a result that became durable later than its batch was due.
   void RecordLateResult(const StoredBatch& batch) const;
-  proto::LogEntry MakeFinished(const WorkItemKey& item, proto::ItemOutcome outcome) const;
+  proto::LogEntry MakeItemFinished(const WorkItemKey& item, proto::ItemOutcome outcome) const;
   proto::LogEntry MakeResult(const WorkItemKey& item, const proto::WorkReport& report) const;
 
   Environment& environment_;
   std::shared_ptr<WorkQueue> queue_;
   std::shared_ptr<WorkLeases> leases_;
-  std::shared_ptr<UnknownItems> unknown_;
+  std::shared_ptr<UnknownItems> unknown_items_;
   std::shared_ptr<WorkGranter> granter_;
   std::shared_ptr<BatchCanceller> canceller_;
   std::set<WorkItemKey> unknown_being_logged_;
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -78,7 +78,7 @@
 /// What the test scripts of one queue node, and what it saw.
 struct FakeQueue {
   std::deque<proto::WorkGrant> work;
-  std::vector<std::uint64_t> ended;
+  std::vector<std::uint64_t> ended_leases;
   StatusCode report_code = StatusCode::kOk;
   Duration response_delay{};  ///< Of grants, after they were taken from `work`.
   int acquire_requests = 0;
@@ -132,7 +132,7 @@
     }
     queue_.renewed.insert(request.running_lease_ids().begin(), request.running_lease_ids().end());
     proto::ReportWorkResponse response;
-    response.mutable_ended_lease_ids()->Add(queue_.ended.begin(), queue_.ended.end());
+    response.mutable_ended_lease_ids()->Add(queue_.ended_leases.begin(), queue_.ended_leases.end());
     return response;
   }
 
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -136,7 +136,7 @@
   AddWork(1, "audit");
   AddWork(2, "unlock");
   ASSERT_TRUE(world.RunUntil([this] { return gateway->backend.SentCount() == 2; }, seconds(1)));
-  q1.ended = {1, 2};
+  q1.ended_leases = {1, 2};
   world.RunFor(seconds(4));
   for (const std::uint64_t lease : {1, 2}) {
     EXPECT_FALSE(gateway->backend.runs[lease - 1]->cancelled);
@@ -147,7 +147,7 @@
 TEST_F(BatchWorkerTest, CancelsAnUnsentItemWhenItsLeaseEnds) {
   Start();
   gateway->backend.connect = seconds(1);
-  q1.ended = {1, 2};
+  q1.ended_leases = {1, 2};
   AddWork(1, "audit");
   AddWork(2, "unlock");
   world.RunFor(seconds(4));
--- a/tests/work_dispatch/work_leases_test.cc
+++ b/tests/work_dispatch/work_leases_test.cc
@@ -68,10 +68,10 @@
 
 TEST_F(WorkLeasesTest, ReportingLeaseDoesNotExpire) {
   const WorkLeaseId id = Grant(true);
-  leases_.SetReporting(item, true, now_);
+  leases_.SetResultBeingLogged(item, true, now_);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
   EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_FINISHED), ReportAction::kWait);
-  leases_.SetReporting(item, false, now_ + seconds(60));
+  leases_.SetResultBeingLogged(item, false, now_ + seconds(60));
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(64)).empty());
   EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
 }
