--- a/src/batch_work/batch_validation.cc
+++ b/src/batch_work/batch_validation.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kMaxProblems = 100;
 
-/// Collects problems, and counts those beyond the number that is shown.
+/// Collects up to `kMaxProblems` problems and counts the others.
 class ProblemList {
  public:
   void Add(const std::string& field, const std::string& problem) {
--- a/src/batch_work/batch_validation.h
+++ b/src/batch_work/batch_validation.h
@@ -14,20 +14,20 @@
 namespace cloverbank {
 
 inline constexpr int kMaximumBatchItems = 100'000;
-inline constexpr std::size_t kMaximumBatchNameBytes =
-    256;  ///< Bytes of a custom id, tenant or key.
+/// Largest size in bytes of a custom id, tenant or idempotency key.
+inline constexpr std::size_t kMaximumBatchNameBytes = 256;
 
 /// @return the route of that name, or nullptr.
 const proto::Route* FindRouteNamed(const proto::RoutingConfiguration& configuration,
                                    const std::string& name);
 
-/// @return all problems, each with its place ("items[3].custom_id: ..."); empty if there is none. A
-/// long list is truncated and ends with the number of further ones.
+/// @return all problems, each with its field ("items[3].custom_id: ..."); empty if there is none. A
+/// list of more than 100 is truncated and ends with the number of further problems.
 std::vector<std::string> FindBatchProblems(const proto::SubmitBatch& batch,
                                            const proto::RoutingConfiguration& configuration);
 
-/// @return the partition in a batch id ("<partition>-<hexadecimal number>"), or kNotFound for text
-/// that is no id of a partition below `partition_count`.
+/// @return the partition in a batch id ("<partition>-<hexadecimal number>"); kNotFound for a text
+/// that does not begin with a partition below `partition_count` and a '-'.
 Result<PartitionId> ParseBatchPartition(const std::string& batch_id, std::uint32_t partition_count);
 
 }  // namespace cloverbank
--- a/src/batch_work/batch_worker.cc
+++ b/src/batch_work/batch_worker.cc
@@ -122,7 +122,8 @@
 void BatchWorker::StartItem(WorkLeaseId lease, const proto::Route& route) {
   const proto::WorkGrant& grant = *work_items_.FindGrant(lease);
   proto::Route granted_route = route;
-  granted_route.set_idempotent(grant.idempotent());  // The stricter of the two: see CanStart.
+  // The stricter of the two: CanStart refuses the item if only the grant is idempotent.
+  granted_route.set_idempotent(grant.idempotent());
   const bool route_sets_deadline =
       route.deadline_ms() > 0 && route.backend_kind() != proto::BACKEND_KIND_HTTP;
   const Duration deadline = route_sets_deadline ? Duration(milliseconds(route.deadline_ms()))
--- a/src/batch_work/queue_node_call.h
+++ b/src/batch_work/queue_node_call.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the batch worker's calls to queue nodes have in common: the owner of a partition, its
-/// endpoint, and the handling of failures. Threads: the owner's event loop only.
+/// Helpers for the batch worker's calls to queue nodes: finding the owner of a partition and its
+/// endpoint, and handling failures. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -16,7 +16,8 @@
 
 namespace cloverbank {
 
-/// Wraps callbacks so that they do nothing once the guard, and the object that owns it, is gone.
+/// Wraps callbacks so that they do nothing once the guard (with the object that owns it) is
+/// destroyed.
 class LifetimeGuard {
  public:
   template <typename Action>
@@ -28,18 +29,21 @@
       }
     };
   }
+  /// @return a token that expires when the guard is destroyed.
   std::weak_ptr<const bool> token() const { return alive_; }
 
  private:
   std::shared_ptr<const bool> alive_ = std::make_shared<const bool>(true);
 };
 
-/// @return the owner of `partition`; an invalid id while there is none.
+/// @return the node that owns `partition`; an invalid id while there is none.
 NodeId FindPartitionOwner(const NodeAgent& agent, PartitionId partition);
 
+/// @return the endpoint for peer calls to `server`.
 Endpoint PeerEndpointFor(const proto::Server& server);
 
-/// Counts a failed call, and reports a node that did not respond to the coordinators as suspect.
+/// Counts a failed call. If the node did not respond, also reports it to the coordinators as
+/// suspect.
 void RecordQueueNodeFailure(Environment& environment, NodeAgent& agent, std::string_view method,
                             NodeId node, const Status& status);
 
--- a/src/batch_work/start_refusal.h
+++ b/src/batch_work/start_refusal.h
@@ -11,20 +11,20 @@
 /// Why an item may not start now.
 enum class StartRefusal : std::uint8_t {
   kNone,           ///< It may start.
-  kWindowExpired,  ///< The grant's time to start has expired.
+  kWindowExpired,  ///< The grant's start window has expired.
   kNoNodeLease,    ///< The gateway has no valid node lease.
   kNoCapacity,     ///< Live calls use the capacity.
   kPaused,         ///< Operators paused batch work.
   kLeaseEnded,     ///< The queue node ended the lease.
-  kNoRoute,        ///< The configuration no longer has the route: the item can not run.
-  kMustNotRepeat,  ///< Accepted as idempotent, but the route no longer is: the item can not run.
+  kNoRoute,        ///< The configuration no longer has the route, so the item cannot run.
+  kMustNotRepeat,  ///< Accepted as idempotent, but the route no longer is, so the item cannot run.
 };
 /// @return the stable snake_case name, for metrics.
 std::string_view StartRefusalName(StartRefusal refusal);
 
-/// @return whether no other gateway and no later time can lift the refusal.
+/// @return whether the item could not start at any other gateway or at a later time either.
 bool IsFinal(StartRefusal refusal);
-/// @return what the item's client is told of a final refusal.
+/// @return the error text that the client gets as the item's result after a final refusal.
 std::string ExplainFinalRefusal(StartRefusal refusal, const std::string& route);
 
 }  // namespace cloverbank
--- a/src/batch_work/work_report_sender.h
+++ b/src/batch_work/work_report_sender.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Sends the results of `WorkItemTable` to the owners of their partitions until one has confirmed
-/// them, and renews the leases of running items. Threads: the owner's event loop only.
+/// Sends the results in `WorkItemTable` to the owners of their partitions until an owner has
+/// confirmed them, and renews the leases of running items. Threads: the owner's event loop only.
 
 #include <functional>
 #include <map>
@@ -15,20 +15,20 @@
 
 struct WorkReportSenderOptions {
   Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
-  Duration deadline = milliseconds(1500);
-  Duration retry_delay = milliseconds(200);  ///< After a call that failed.
+  Duration deadline = milliseconds(1500);         ///< Of a ReportWork call.
+  Duration retry_delay = milliseconds(200);       ///< After a call that failed.
 };
 
 class WorkReportSender {
  public:
   struct Events {
-    /// A queue node ended the lease.
+    /// Runs when a queue node has ended the lease.
     std::function<void(WorkLeaseId)> on_lease_ended;
-    /// A queue node confirmed a report: there may be capacity for more items.
+    /// Runs when a queue node has confirmed reports: there may be capacity for more items.
     std::function<void()> on_confirmed;
   };
 
-  /// All references outlive the reporter.
+  /// All references must outlive the sender.
   WorkReportSender(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
                    WorkReportSenderOptions options, Events events);
 
@@ -45,6 +45,7 @@
   void Send(const ReportAddress& address);
   void OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
                   const Result<proto::ReportWorkResponse>& result);
+  /// Removes the state of nodes that have left the fleet.
   void RemoveFormerOwners();
   WorkItemTable::OwnerLookup OwnerLookup() const;
 
--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -15,7 +15,7 @@
   return requested == 0 ? kDefaultPageEntries : std::min(requested, kMaxPageEntries);
 }
 
-/// @param position in the list, from 1.
+/// @param position the result's position in the list, from 1.
 proto::ItemResult MakeListedResult(const StoredBatch& batch, const StoredResult& result,
                                    std::uint64_t position) {
   proto::ItemResult listed;
@@ -143,7 +143,7 @@
     return MakeCorruptStatus("finished item does not exist", finished.batch_id());
   }
   if (batch->phases[finished.item_index()] == ItemPhase::kFinished) {
-    return Status::Ok();  // The first result won.
+    return Status::Ok();  // The first result wins.
   }
   StoredResult result;
   result.item_index = static_cast<std::uint32_t>(finished.item_index());
@@ -171,7 +171,7 @@
   }
   proto::BatchItem& item = batch.items[result.item_index];
   ReleaseTokens(batch, item.tokens());
-  item.clear_forwarded();  // Large and not needed any more.
+  item.clear_forwarded();  // Large, and not needed any more.
   batch.results.push_back(std::move(result));
   --open_items_;
   --tenants_[batch.accepted.tenant()].open_items;
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The batches of one partition: a pure state machine over the partition's log entries. `Apply` is
-/// the only mutation and depends on nothing but the entries, so the same entries always give the
-/// same state, also after a recovery. Only durable entries are applied, in order of sequence;
-/// therefore a list never shows what could still be lost, and its positions never change.
+/// The batches of one partition: a pure state machine over the partition's log entries. Batches
+/// change only by `Apply`, which depends on nothing but the entries, so the same entries always
+/// give the same state, also after a recovery. Only durable entries are applied, in order of
+/// sequence; therefore a list never shows what could still be lost, and its positions never change.
 ///
 /// Threads: none of its own.
 
@@ -22,47 +22,51 @@
 
 namespace cloverbank {
 
-/// Entries of a page where the request sets no limit, and at most.
+/// Number of entries in a page if the request sets no limit, and the largest number.
 inline constexpr std::uint32_t kDefaultPageEntries = 100;
 inline constexpr std::uint32_t kMaxPageEntries = 1000;
-/// Bytes of output and error of a page of results.
+/// A page takes no further results once their outputs and errors have this many bytes together.
 inline constexpr std::size_t kMaxPageBytes = 1U << 20U;
 
 class BatchStore {
  public:
-  /// Applies one durable entry. Entries whose sequence was applied before are skipped, and so are
-  /// second results of an item. @return kCorrupt for an entry that no correct log contains (state
-  /// unchanged).
+  /// Applies one durable entry. Skips entries whose sequence was applied before, and second results
+  /// of an item. @return kCorrupt for an entry that no correct log contains (state unchanged).
   Status Apply(proto::LogEntry entry);
 
-  /// Drops the items of a batch whose BatchAccepted was never logged.
+  /// Drops the items of a batch whose BatchAccepted entry was never logged.
   void DropUnaccepted(const std::string& batch_id);
 
   /// @return nullptr if there is no such batch.
   const StoredBatch* Find(const std::string& batch_id) const;
-  /// @return the batch that was accepted under this key, or nullptr.
+  /// @return the batch that was accepted under this idempotency key, or nullptr.
   const StoredBatch* FindByKey(const std::string& tenant, const std::string& idempotency_key) const;
 
-  /// A page of the tenant's batches after `cursor` (empty: from the start), in the order in which
-  /// they were accepted. A cursor at the end gives an empty page and can be used again later.
-  /// @return kInvalidArgument for a cursor that no list returned.
+  /// @return a page of the tenant's batches after `cursor` (empty: from the start), in the order in
+  /// which they were accepted. A cursor at the end gives an empty page and can be used again later.
+  /// kInvalidArgument for a cursor that no list returned.
+  /// @param limit the number of batches; 0: `kDefaultPageEntries`; at most `kMaxPageEntries`.
   Result<proto::BatchList> ListBatches(const std::string& tenant, const std::string& cursor,
                                        std::uint32_t limit) const;
-  /// A page of a batch's results after `cursor`, in order of logging; kNotFound, kInvalidArgument.
+  /// @return a page of a batch's results after `cursor`, in the order in which they were logged.
+  /// kNotFound if there is no such batch; kInvalidArgument and `limit` as for `ListBatches`.
   Result<proto::ResultList> ListResults(const std::string& batch_id, const std::string& cursor,
                                         std::uint32_t limit) const;
 
-  /// Items without a result, of one tenant and of all.
+  /// @return the number of items without a result, of one tenant or (`open_items`) of all.
   std::uint64_t CountOpenItems(const std::string& tenant) const;
   std::uint64_t open_items() const { return open_items_; }
-  /// Tokens of the tenant's items on one route that have no result, without cancelled batches.
+  /// @return the tokens of the tenant's items on one route that have no result. Items of cancelled
+  /// batches do not count.
   std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
-  /// @return an item of a batch that has no result yet; kNotFound for any other.
+  /// @return the item of the batch with this custom id; kNotFound if there is none without a
+  /// result.
   Result<proto::BatchItem> FindOpenItem(const std::string& batch_id,
                                         const std::string& custom_id) const;
-  /// @return ids of batches that finished at or before `wall_ms`, in order of acceptance.
+  /// @return the ids of batches that finished at or before `wall_ms` (wall clock, in milliseconds),
+  /// in order of acceptance.
   std::vector<std::string> FindFinishedBy(std::int64_t wall_ms) const;
-  /// Runs `visit` for every batch, in order of acceptance.
+  /// Calls `visit` for every batch, in order of acceptance.
   void ForEach(const std::function<void(const StoredBatch&)>& visit) const;
 
   /// One more than the highest sequence applied or reserved by a PartitionWatermark.
@@ -89,7 +93,7 @@
   void ApplyCancelled(const proto::BatchCancelled& cancelled);
   void ApplyCancellationCompleted(const proto::BatchCancellationCompleted& completed);
   void ApplyRemoved(const std::string& batch_id);
-  /// Subtracts tokens from the open tokens of the batch and its tenant.
+  /// Subtracts up to `tokens` from the open tokens of the batch and of its tenant.
   void ReleaseTokens(StoredBatch& batch, std::uint64_t tokens);
   void AddResult(StoredBatch& batch, StoredResult result, std::int64_t finished_at_ms);
   StoredBatch* FindMutable(const std::string& batch_id);
@@ -97,6 +101,7 @@
   std::map<PartitionSequence, std::unique_ptr<StoredBatch>> batches_;
   std::unordered_map<std::string, StoredBatch*> by_id_;
   std::unordered_map<std::string, Tenant> tenants_;
+  /// Logged items of batches without a BatchAccepted entry so far, by batch id.
   std::unordered_map<std::string, std::vector<proto::BatchItem>> unaccepted_;
   std::uint64_t open_items_ = 0;
   PartitionSequence next_sequence_{1};
--- a/src/batches/list_cursor.h
+++ b/src/batches/list_cursor.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Cursors of lists: the position after which the next page begins. Opaque to clients. Positions
-/// come from the log, so a cursor remains valid after recoveries, and one at the end of a list can
-/// be used again later.
+/// Cursors of lists. A cursor is the position after which the next page begins, opaque to clients.
+/// Positions come from the log, so a cursor remains valid after recoveries, and a cursor at the end
+/// of a list can be used again later.
 
 #include <charconv>
 #include <cstdint>
@@ -15,7 +15,7 @@
 
 inline std::string FormatCursor(std::uint64_t position) { return "p" + std::to_string(position); }
 
-/// @return the position; 0 for the empty cursor; kInvalidArgument for text that is no cursor.
+/// @return the position; 0 for the empty cursor; kInvalidArgument for a text that is no cursor.
 inline Result<std::uint64_t> ParseCursor(std::string_view cursor) {
   if (cursor.empty()) {
     return std::uint64_t{0};
--- a/src/batches/partition_replay.h
+++ b/src/batches/partition_replay.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// Orders the entries of one partition found in a dead node's log, for a recovery: sorts by the
-/// partition's own sequence and drops duplicates and entries that are void or dead. The new owner
-/// logs the rest again, under the same sequences.
+/// Orders the entries of one partition found in a dead node's log, for a recovery: sorts them by
+/// the partition's own sequence and drops duplicates, void entries (before a watermark that
+/// discards earlier ones) and dead entries (of batches that were removed or never accepted). The
+/// new owner logs the rest again, under the same sequences.
 ///
 /// Pure. Threads: none of its own.
 
@@ -19,14 +20,14 @@
   /// Adds an entry of the partition. Entries must come in log order.
   void Add(proto::LogEntry entry);
 
-  /// @return the live entries by rising sequence. Call it once, at the end.
+  /// @return the live entries in order of sequence. Call it once, after the last `Add`.
   std::vector<proto::LogEntry> TakeEntries();
-  /// First sequence of the new owner: above all entries added, dead ones included.
+  /// @return the new owner's first sequence: above those of all added entries, dead ones included.
   PartitionSequence next_sequence() const { return next_sequence_; }
 
  private:
-  /// Items that have a result do not need their request any more; logging it again would only
-  /// prolong the recovery.
+  /// Clears the forwarded requests of items that have a result. They are not needed any more, and
+  /// logging them again would only prolong the recovery.
   void ClearRequestsOfFinishedItems();
 
   std::map<PartitionSequence, proto::LogEntry> entries_;
--- a/src/batches/stored_batch.h
+++ b/src/batches/stored_batch.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// An accepted batch in the memory of its partition's owner. Built from log entries alone.
+/// An accepted batch in the memory of its partition's owner, built from log entries alone.
 
 #include <cstdint>
 #include <string>
@@ -12,9 +12,9 @@
 namespace cloverbank {
 
 enum class ItemPhase : std::uint8_t {
-  kWaiting,   ///< No result; for routes that must not repeat also: never logged as started.
+  kWaiting,   ///< No result, and never logged as started (only non-idempotent items are).
   kStarted,   ///< Logged as started; has no result.
-  kFinished,  ///< Has its one result.
+  kFinished,  ///< Has its result; later ones are ignored.
 };
 
 /// The result of an item. Its position in `StoredBatch::results` never changes.
--- a/src/work_dispatch/batch_canceller.h
+++ b/src/work_dispatch/batch_canceller.h
@@ -1,10 +1,9 @@
 #pragma once
 /// @file
-/// Cancellation of batches: logs the cancellation at once, and its completion when no item of the
-/// batch can be running any more. Completion gives every item without a result the outcome
-/// cancelled.
+/// Cancels batches: logs the cancellation at once, and its completion when no item of the batch can
+/// be running any more. Completion gives every item without a result the outcome cancelled.
 ///
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// Threads: the owner's event loop only. Created by `std::make_shared`.
 
 #include <functional>
 #include <map>
@@ -30,19 +29,24 @@
                  std::shared_ptr<const WorkLeases> leases,
                  std::shared_ptr<const UnknownItems> unknown_items);
 
-  /// Cancellations of the partition complete only after its last owner's leases have run out.
+  /// Adds a partition that this node owns from now on. Its cancellations complete only after
+  /// `kWorkLeaseTimeout`, when the leases that its previous owner granted have expired.
   void AddPartition(PartitionId partition);
+  /// Removes the partition and its incomplete cancellations.
   void RemovePartition(PartitionId partition);
-  /// Adds a batch that is cancelled but has items without a result.
+  /// Adds a batch that is cancelled but still has items without a result.
   void AddIncomplete(const BatchKey& batch) { incomplete_.insert(batch); }
-  /// Every item of the batch has a result.
+  /// Removes a batch, because every item of it has a result now.
   void RemoveIncomplete(const BatchKey& batch) { incomplete_.erase(batch); }
 
-  /// Answers when the cancellation is logged: from then on nothing of the batch is granted.
-  /// kNotFound if there is no such batch; else as `OwnedPartition::Log`.
+  /// Logs the cancellation of a batch. `reply` gets the batch's status once the cancellation is
+  /// durable; from then on no item of the batch is granted. If the batch is cancelled already, or
+  /// every item has a result, `reply` gets its status at once. Errors: kNotFound if there is no
+  /// such batch; kUnknownOutcome if the batch was removed or this object destroyed meanwhile; those
+  /// of `OwnedPartition::Log`.
   void Cancel(const std::shared_ptr<OwnedPartition>& partition, const std::string& batch_id,
               const Reply& reply);
-  /// Completes the cancellations that can be; call it at each tick.
+  /// Logs the completion of every cancellation that can complete. Call it at each tick.
   void CompleteDue();
 
  private:
@@ -55,9 +59,10 @@
   std::shared_ptr<WorkQueue> queue_;
   std::shared_ptr<const WorkLeases> leases_;
   std::shared_ptr<const UnknownItems> unknown_items_;
+  /// When the leases of the partition's previous owner have expired.
   std::map<PartitionId, TimePoint> completion_allowed_from_;
-  std::set<BatchKey> incomplete_;
-  std::set<BatchKey> completing_;  ///< Their completion is being logged.
+  std::set<BatchKey> incomplete_;  ///< Cancelled batches that have items without a result.
+  std::set<BatchKey> completing_;  ///< Batches whose completion is being logged.
 };
 
 }  // namespace cloverbank
--- a/src/work_dispatch/unknown_items.h
+++ b/src/work_dispatch/unknown_items.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Items whose outcome is unknown: they must not repeat, and their leases ended without a result.
-/// They are due to be finished as unknown. Pure.
+/// Items whose outcome is unknown: their leases ended without a result, and they must not run again
+/// because they are not idempotent or their batch is cancelled. `WorkReportHandler` finishes them
+/// as unknown. Pure.
 
 #include <set>
 
@@ -12,12 +13,13 @@
 class UnknownItems {
  public:
   void Add(const WorkItemKey& item) { items_.insert(item); }
-  /// The item has a result.
+  /// Removes an item, because it has a result now.
   void Remove(const WorkItemKey& item) { items_.erase(item); }
   void RemovePartition(PartitionId partition) {
     std::erase_if(items_,
                   [partition](const WorkItemKey& item) { return item.partition == partition; });
   }
+  /// @return whether any of the items belongs to the batch.
   bool HasItemsOf(const BatchKey& batch) const {
     const auto first = items_.lower_bound({batch.partition, batch.batch_id, 0});
     return first != items_.end() && first->partition == batch.partition &&
--- a/src/work_dispatch/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// Lease ids of different incarnations are disjoint.
+/// @return the first lease id of the incarnation that has this node id. The node id is in the upper
+/// 32 bits, so the lease ids of different incarnations are disjoint.
 WorkLeaseId FirstLeaseId(NodeId node) {
   constexpr unsigned kIncarnationShift = 32;
   return WorkLeaseId((node.value() << kIncarnationShift) + 1);
--- a/src/work_dispatch/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -1,14 +1,15 @@
 #pragma once
 /// @file
-/// Dispatch of batch items to gateways, as one interface over its three jobs: `WorkGranter` gives
-/// out items under leases, `WorkReportHandler` takes their results in, `BatchCanceller` cancels
-/// batches. They share the queue of waiting items (`WorkQueue`) and the leases (`WorkLeases`).
+/// Dispatches batch items to gateways. One interface over three parts: `WorkGranter` grants items
+/// under leases, `WorkReportHandler` records their results, `BatchCanceller` cancels batches. They
+/// share the queue of waiting items (`WorkQueue`) and the leases (`WorkLeases`).
 ///
-/// A NOT_RUN report puts an item back, also one that must not repeat: it is certain that it did not
-/// run. Its ItemStarted entry stays in the log, so if this node dies before the item got its
-/// result, the next owner gives it the outcome unknown, which is all that the log then proves.
+/// A NOT_RUN report returns an item to the queue even if the item is not idempotent, because it
+/// certainly did not run. Its ItemStarted entry stays in the log. If this node dies before the item
+/// has a result, the next owner therefore gives the item the outcome unknown: the log proves no
+/// more.
 ///
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// Threads: the owner's event loop only. Created by `std::make_shared`.
 
 #include <memory>
 #include <string>
@@ -35,21 +36,23 @@
 
   WorkDispatcher(Environment& environment, NodeAgent& agent);
 
-  /// Queues the partition's waiting items. Items logged as started get a lease of full length, in
-  /// which the gateway that runs them may report; after that they are finished as unknown.
+  /// Queues the partition's waiting items. Items logged as started get a lease of full length,
+  /// during which the gateway that runs them may report; after that they are finished as unknown.
   void AddPartition(const std::shared_ptr<OwnedPartition>& partition);
+  /// Drops the queued items, leases and cancellations of the partition.
   void RemovePartition(PartitionId partition);
-  /// Queues the items of a batch that was accepted.
+  /// Queues the items of a newly accepted batch.
   void AddBatch(OwnedPartition& partition, const StoredBatch& batch);
 
-  /// As `WorkGranter::Acquire`.
+  /// See `WorkGranter::Acquire`.
   void Acquire(const proto::AcquireWorkRequest& request, AcquireReply reply);
-  /// As `WorkReportHandler::Report`.
+  /// See `WorkReportHandler::Report`.
   void Report(const proto::ReportWorkRequest& request, ReportReply reply);
-  /// As `BatchCanceller::Cancel`.
+  /// See `BatchCanceller::Cancel`.
   void Cancel(const std::shared_ptr<OwnedPartition>& partition, const std::string& batch_id,
               const CancelReply& reply);
 
+  /// Applies the agent's current configuration. Call it when the configuration has changed.
   void OnConfiguration();
   /// Ends dispatch: pending AcquireWork requests fail with kUnavailable.
   void Shutdown();
@@ -57,10 +60,11 @@
   /// second.
   void Tick();
 
+  /// @return the number of current leases.
   std::size_t leases() const { return leases_->size(); }
 
  private:
-  /// Grants leases without a gateway for the items that were logged as started.
+  /// Grants leases without a gateway on the batch's items that were logged as started.
   void LeaseStartedItems(PartitionId partition, const StoredBatch& batch);
 
   Environment& environment_;
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -7,17 +7,17 @@
 namespace {
 
 constexpr std::size_t kMaxGrantsPerResponse = 1000;
-/// Bytes of items in one answer.
+/// A response takes no further items once its items have this many bytes together.
 constexpr std::size_t kMaxResponseBytes = 4U << 20U;
 constexpr Duration kMaxHoldTime = seconds(5);
-/// A pending request older than this is answered without grants, so that its gateway sends a new
-/// one: the gateway may have failed, and an item granted to a failed gateway ends as unknown if it
-/// must not repeat.
+/// A pending request older than this is stale. It is answered without grants, so that its gateway
+/// sends a new one: the gateway may have failed, and an item granted to a failed gateway ends as
+/// unknown if it is not idempotent.
 constexpr Duration kMaxRequestAge = milliseconds(20);
-/// Requests are woken for this multiple of the slots that waiting items need: some gateways have
-/// failed, others have used their slots meanwhile.
+/// Stale requests are woken until their slots are this multiple of the number of waiting items,
+/// because some of the gateways have failed and others have used their slots meanwhile.
 constexpr std::size_t kWakeFactor = 2;
-/// Time in which woken gateways send a new request.
+/// How long woken gateways have to send a new request.
 constexpr Duration kWakeInterval = milliseconds(10);
 
 }  // namespace
@@ -159,7 +159,7 @@
                          batch->phases[item.index] != ItemPhase::kFinished &&
                          leases_->Find(item) == nullptr;
   if (!grantable) {
-    return false;  // A late report brought its result while it was queued.
+    return false;  // For example, a late report brought its result while it was queued.
   }
   const bool idempotent = batch->accepted.idempotent();
   leases_->Grant(item, request.gateway_node_id(), Incarnation(request.incarnation()), idempotent,
@@ -193,7 +193,7 @@
 void WorkGranter::HandleStartsLogged(const PendingGrantsPtr& grants, PartitionId partition,
                                      const Status& status) {
   if (!status.ok()) {
-    // The grant was certainly not sent: the items wait again.
+    // Their grants were certainly not sent, so the items return to the queue.
     std::erase_if(grants->items, [&](const WorkItemKey& item) {
       const StoredBatch* batch = item.partition == partition ? queue_->FindBatch(item) : nullptr;
       if (item.partition != partition || (batch != nullptr && batch->accepted.idempotent())) {
@@ -227,7 +227,8 @@
   grant.set_route(batch->accepted.route());
   grant.set_idempotent(batch->accepted.idempotent());
   grant.set_failed_runs(queue_->FailedRuns(item));
-  // Counts from when the request was sent, which was before it arrived and became pending here.
+  // The gateway counts the start window from when it sent the request, which was before the request
+  // arrived and became pending here.
   const auto window =
       std::chrono::duration_cast<milliseconds>(time_pending + kWorkLeaseStartWindow);
   grant.set_start_within_ms(static_cast<std::uint32_t>(window.count()));
@@ -239,7 +240,7 @@
   const Duration time_pending = environment_.Now() - grants->acquire.arrived;
   for (const WorkItemKey& item : grants->items) {
     if (leases_->Find(item) == nullptr) {
-      continue;  // Its partition was given up.
+      continue;  // This node does not own the item's partition any more.
     }
     if (CanGrant(item)) {
       *response.add_grants() = MakeGrant(item, time_pending);
--- a/src/work_dispatch/work_leases.cc
+++ b/src/work_dispatch/work_leases.cc
@@ -40,8 +40,7 @@
     return ReportAction::kWait;
   }
   if (report.disposition() == proto::WORK_DISPOSITION_FINISHED) {
-    // Accepted also from a lease that has ended: the work was done, and the first logged result
-    // wins.
+    // Accepted even if the lease has ended: the item did run, and the first logged result wins.
     return ReportAction::kLogResult;
   }
   const bool current = lease != nullptr && lease->id == WorkLeaseId(report.lease_id());
--- a/src/work_dispatch/work_report_handler.cc
+++ b/src/work_dispatch/work_report_handler.cc
@@ -13,12 +13,13 @@
           static_cast<std::uint32_t>(report.item_index())};
 }
 
-/// Bytes of output and error of one result; a larger one could not be logged.
+/// Largest size in bytes of one result, output and error together. A larger one could not be
+/// logged.
 constexpr std::size_t kMaxResultBytes = 512U << 10U;
-/// Unknown items being logged at the same time.
+/// Largest number of unknown items whose outcome is being logged at the same time.
 constexpr std::size_t kMaxUnknownBeingLogged = 1000;
 
-/// @return the items whose results the ItemFinished entries are.
+/// @return the items of these ItemFinished entries.
 std::vector<WorkItemKey> FinishedItems(PartitionId partition,
                                        const std::vector<proto::LogEntry>& entries) {
   std::vector<WorkItemKey> items;
@@ -91,7 +92,7 @@
   const WorkItemKey item = MakeItemKey(report);
   const StoredBatch* batch = queue_->FindBatch(item);
   if (batch == nullptr) {
-    return std::nullopt;  // Removed since.
+    return std::nullopt;  // The batch was removed meanwhile.
   }
   const bool has_result = batch->phases[item.index] == ItemPhase::kFinished;
   proto::LogEntry entry;
--- a/src/work_dispatch/work_report_handler.h
+++ b/src/work_dispatch/work_report_handler.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Handles ReportWork requests of gateways on leased items: renews leases, logs results, returns
-/// items that did not run. Ends expired leases, and finishes items as unknown whose outcome no
-/// gateway can report any more.
+/// Handles the ReportWork requests of gateways: renews leases, logs results, and returns items that
+/// did not run to the queue. Also ends expired leases, and finishes items as unknown when no
+/// gateway can report their outcome any more.
 ///
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// Threads: the owner's event loop only. Created by `std::make_shared`.
 
 #include <functional>
 #include <memory>
@@ -27,7 +27,7 @@
  public:
   using Reply = std::function<void(Result<proto::ReportWorkResponse>)>;
 
-  /// What reports act on.
+  /// The objects that reports change.
   struct Dependencies {
     std::shared_ptr<WorkQueue> queue;
     std::shared_ptr<WorkLeases> leases;
@@ -38,26 +38,30 @@
 
   WorkReportHandler(Environment& environment, Dependencies dependencies);
 
-  /// Answers when every result in it is logged; kConflict (`MakeNotOwnerStatus`) if any partition
-  /// is not owned here, kUnavailable if a result of an item is being logged already.
+  /// Renews the request's leases and handles its reports. `reply` runs once every result in the
+  /// request is logged. Errors: kConflict (`MakeNotOwnerStatus`) if this node does not own the
+  /// partition of some report, and then no report is handled; kUnavailable if another result of an
+  /// item is being logged; those of `OwnedPartition::Log`.
   void Report(const proto::ReportWorkRequest& request, Reply reply);
-  /// Ends leases that were not renewed: their items wait again, or are due as unknown if they must
-  /// not repeat. Call it at each tick.
+  /// Ends leases that were not renewed. Their items return to the queue, or become unknown if they
+  /// are not idempotent or their batch is cancelled. Call it at each tick.
   void EndExpiredLeases();
-  /// Finishes items that are due as unknown. Call it at each tick.
+  /// Logs the outcome of unknown items. Call it at each tick.
   void LogUnknown();
 
  private:
-  /// A ReportWork whose results are being logged.
+  /// A ReportWork request whose results are being logged.
   struct PendingReport {
     Reply reply;
     proto::ReportWorkResponse response;
     Status status;
-    std::size_t pending_logs = 0;
+    std::size_t pending_logs = 0;  ///< Partitions whose entries are being logged.
   };
   using PendingReportPtr = std::shared_ptr<PendingReport>;
 
+  /// @return kConflict if this node does not own the partition of some report.
   Status CheckReports(const proto::ReportWorkRequest& request) const;
+  /// Renews the running leases. Adds to `response` those that ended or whose batch is cancelled.
   void RenewLeases(const proto::ReportWorkRequest& request, proto::ReportWorkResponse* response);
   /// Handles one report. @return the ItemFinished entry to log, if any.
   std::optional<proto::LogEntry> HandleReport(const proto::WorkReport& report,
@@ -71,7 +75,7 @@
   void HandleUnknownLogged(PartitionId partition, const std::vector<WorkItemKey>& items,
                            const Status& status);
   static void Answer(const PendingReportPtr& pending);
-  /// Records a result that became durable later than its batch was due.
+  /// Counts and logs a result that became durable after the target time of its batch.
   void RecordLateResult(const StoredBatch& batch) const;
   proto::LogEntry MakeItemFinished(const WorkItemKey& item, proto::ItemOutcome outcome) const;
   proto::LogEntry MakeResult(const WorkItemKey& item, const proto::WorkReport& report) const;
