--- a/src/batch_work/start_refusal.cc
+++ b/src/batch_work/start_refusal.cc
@@ -33,7 +33,7 @@
     return "not run: route " + route + " was removed after the batch was accepted";
   }
   return "not run: route " + route +
-         " was set to must-not-repeat after the batch was accepted; hand the item in again";
+         " has become non-idempotent since the batch was accepted; submit the item again";
 }
 
 }  // namespace cloverbank
--- a/src/batch_work/work_item_table.cc
+++ b/src/batch_work/work_item_table.cc
@@ -130,7 +130,8 @@
   }
   const bool dispatched = item->phase == Phase::kDispatched;
   Complete(*item, dispatched ? proto::WORK_DISPOSITION_UNKNOWN : proto::WORK_DISPOSITION_NOT_RUN,
-           proto::ITEM_OUTCOME_UNSPECIFIED, "", "withdrawn: its work lease ended");
+           proto::ITEM_OUTCOME_UNSPECIFIED, "",
+           "the gateway cancelled the call because the item's work lease ended");
 }
 
 std::vector<WorkLeaseId> WorkItemTable::Waiting() const {
--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -67,14 +67,19 @@
       ApplyRemoved(entry.batch_removed().batch_id());
       return Status::Ok();
     default:
-      return MakeCorruptStatus("entry is of no kind that belongs to a partition", "");
+      return MakeCorruptStatus("an entry with payload type " +
+                                   std::to_string(static_cast<int>(entry.payload_case())) +
+                                   " does not belong to a partition",
+                               "");
   }
 }
 
 Status BatchStore::ApplyItems(proto::BatchItems& items) {
   std::vector<proto::BatchItem>& logged_items = unaccepted_[items.batch_id()];
   if (items.first_index() != logged_items.size()) {
-    return MakeCorruptStatus("items do not follow the ones before", items.batch_id());
+    return MakeCorruptStatus("items begin at index " + std::to_string(items.first_index()) +
+                                 ", expected " + std::to_string(logged_items.size()),
+                             items.batch_id());
   }
   for (proto::BatchItem& item : *items.mutable_items()) {
     logged_items.push_back(std::move(item));
@@ -87,7 +92,10 @@
   const std::size_t item_count =
       logged_items == unaccepted_.end() ? 0 : logged_items->second.size();
   if (item_count != accepted.item_count() || by_id_.contains(accepted.batch_id())) {
-    return MakeCorruptStatus("batch does not match its items", accepted.batch_id());
+    return MakeCorruptStatus("batch is accepted with " + std::to_string(accepted.item_count()) +
+                                 " items, but " + std::to_string(item_count) +
+                                 " are logged, or it was accepted before",
+                             accepted.batch_id());
   }
   Insert(MakeBatch(accepted, sequence));
   return Status::Ok();
@@ -128,7 +136,9 @@
 Status BatchStore::ApplyStarted(const proto::ItemStarted& started) {
   StoredBatch* batch = FindMutable(started.batch_id());
   if (batch == nullptr || started.item_index() >= batch->items.size()) {
-    return MakeCorruptStatus("started item does not exist", started.batch_id());
+    return MakeCorruptStatus(
+        "started item " + std::to_string(started.item_index()) + " does not exist",
+        started.batch_id());
   }
   ItemPhase& phase = batch->phases[started.item_index()];
   if (phase == ItemPhase::kWaiting) {
@@ -140,7 +150,9 @@
 Status BatchStore::ApplyFinished(proto::ItemFinished& finished) {
   StoredBatch* batch = FindMutable(finished.batch_id());
   if (batch == nullptr || finished.item_index() >= batch->items.size()) {
-    return MakeCorruptStatus("finished item does not exist", finished.batch_id());
+    return MakeCorruptStatus(
+        "finished item " + std::to_string(finished.item_index()) + " does not exist",
+        finished.batch_id());
   }
   if (batch->phases[finished.item_index()] == ItemPhase::kFinished) {
     return Status::Ok();  // The first result wins.
@@ -277,7 +289,7 @@
                                                   std::uint32_t limit) const {
   const StoredBatch* batch = Find(batch_id);
   if (batch == nullptr) {
-    return Status(StatusCode::kNotFound, "no batch " + batch_id);
+    return Status(StatusCode::kNotFound, "there is no batch \"" + batch_id + "\"");
   }
   Result<std::uint64_t> after = ParseCursor(cursor);
   if (!after.ok()) {
@@ -324,7 +336,8 @@
       return batch->items[index];
     }
   }
-  return Status(StatusCode::kNotFound, "batch " + batch_id + " has no open item " + custom_id);
+  return Status(StatusCode::kNotFound,
+                "batch \"" + batch_id + "\" has no item \"" + custom_id + "\" without a result");
 }
 
 std::vector<std::string> BatchStore::FindFinishedBy(std::int64_t wall_ms) const {
--- a/src/batches/list_cursor.h
+++ b/src/batches/list_cursor.h
@@ -25,7 +25,7 @@
   const auto parsed = std::from_chars(cursor.data() + 1, end, position);
   if (cursor.front() != 'p' || cursor.size() < 2 || parsed.ec != std::errc() || parsed.ptr != end) {
     return Status(StatusCode::kInvalidArgument,
-                  "cursor is not one that a list returned; pass next_cursor as it came");
+                  "the cursor was not returned by a list; pass next_cursor unchanged");
   }
   return position;
 }
--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -35,7 +35,8 @@
                                    done = std::move(done)](const Status& status) {
     const auto self = weak.lock();
     if (self == nullptr || !self->active_) {
-      done(Status(StatusCode::kUnknownOutcome, "the partition was given up meanwhile"));
+      done(Status(StatusCode::kUnknownOutcome,
+                  "this node lost the partition while the entries were being logged"));
       return;
     }
     for (std::size_t i = 0; status.ok() && i < logged_entries->size(); ++i) {
--- a/src/work_dispatch/batch_canceller.cc
+++ b/src/work_dispatch/batch_canceller.cc
@@ -36,7 +36,7 @@
                             const std::string& batch_id, const Reply& reply) {
   const StoredBatch* batch = partition->store().Find(batch_id);
   if (batch == nullptr) {
-    reply(Status(StatusCode::kNotFound, "no batch " + batch_id));
+    reply(Status(StatusCode::kNotFound, "there is no batch \"" + batch_id + "\""));
     return;
   }
   if (batch->cancelled || batch->AllFinished()) {
@@ -52,7 +52,11 @@
     const auto self = weak.lock();
     const StoredBatch* current = partition->store().Find(batch_id);
     if (!status.ok() || self == nullptr || current == nullptr) {
-      reply(status.ok() ? Status(StatusCode::kUnknownOutcome, "the batch is gone") : status);
+      reply(status.ok() ? Status(StatusCode::kUnknownOutcome,
+                                 "batch \"" + batch_id +
+                                     "\" was removed, or the queue node's incarnation ended, while "
+                                     "its cancellation was being logged")
+                        : status);
       return;
     }
     if (current->cancelled) {
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -50,7 +50,8 @@
 void WorkGranter::Shutdown() {
   for (const PendingAcquire& pending : pending_) {
     environment_.CancelTimer(pending.timer);
-    pending.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
+    pending.reply(Status(StatusCode::kUnavailable,
+                         "the queue node's incarnation ended before it granted any items"));
   }
   pending_.clear();
 }
@@ -184,7 +185,9 @@
           if (const auto self = weak.lock()) {
             self->HandleStartsLogged(grants, id, status);
           } else if (--grants->pending_logs == 0) {
-            grants->acquire.reply(Status(StatusCode::kUnavailable, "this queue node's life ended"));
+            grants->acquire.reply(Status(StatusCode::kUnavailable,
+                                         "the queue node's incarnation ended while the starts of "
+                                         "the granted items were being logged"));
           }
         });
   }
--- a/src/work_dispatch/work_report_handler.cc
+++ b/src/work_dispatch/work_report_handler.cc
@@ -1,6 +1,7 @@
 #include "work_dispatch/work_report_handler.h"
 
 #include <map>
+#include <string>
 #include <utility>
 
 #include "base/logging.h"
@@ -100,7 +101,10 @@
     case ReportAction::kDrop:
       return std::nullopt;
     case ReportAction::kWait:
-      pending->status = Status(StatusCode::kUnavailable, "a result of the item is being logged");
+      pending->status =
+          Status(StatusCode::kUnavailable, "another result of item " + std::to_string(item.index) +
+                                               " of batch \"" + item.batch_id +
+                                               "\" is being logged; send the report again");
       return std::nullopt;
     case ReportAction::kReturnItem:
       ReturnItem(item, report);
@@ -130,7 +134,10 @@
                                               const proto::WorkReport& report) const {
   if (report.output().size() + report.error().size() > kMaxResultBytes) {
     proto::LogEntry entry = MakeItemFinished(item, proto::ITEM_OUTCOME_FAILED);
-    entry.mutable_item_finished()->set_error("the output is too large to be kept");
+    entry.mutable_item_finished()->set_error(
+        "the output and error have " +
+        std::to_string(report.output().size() + report.error().size()) +
+        " bytes together, at most " + std::to_string(kMaxResultBytes) + " can be stored");
     return entry;
   }
   proto::LogEntry entry = MakeItemFinished(item, report.outcome());
