--- a/tests/batch_work/acquire_planner_test.cc
+++ b/tests/batch_work/acquire_planner_test.cc
@@ -18,14 +18,15 @@
     EXPECT_GT(plan.long_poll_time, Duration::zero());
   }
   EXPECT_EQ(offered, 6U);
-  EXPECT_TRUE(planner.PlanRequests(now, nodes, free).empty()) << "one question a node at a time";
+  EXPECT_TRUE(planner.PlanRequests(now, nodes, free).empty())
+      << "at most one request in flight to a node";
 
   now += seconds(1);
   planner.RecordResponse(NodeId(1), 2, now);
   planner.RecordResponse(NodeId(2), 0, now);
   planner.RecordFailure(NodeId(3), now + seconds(1));
   for (const AcquirePlan& plan : planner.PlanRequests(now, nodes, free)) {
-    ASSERT_NE(plan.node, NodeId(3)) << "not before its retry time";
+    ASSERT_NE(plan.node, NodeId(3)) << "node 3 gets no request before its retry time";
     EXPECT_EQ(plan.capacity.at("model"), plan.node == NodeId(1) ? 6U : 2U);
     EXPECT_EQ(plan.long_poll_time == Duration::zero(), plan.node == NodeId(1));
   }
--- a/tests/batch_work/batch_worker_fixture.h
+++ b/tests/batch_work/batch_worker_fixture.h
@@ -11,7 +11,8 @@
 
 namespace cloverbank {
 
-/// A back end that evaluates `can_start` after `connect`, and responds `run_time` later.
+/// A back end that evaluates `can_start` after `connect`, sends the request if it holds, and
+/// responds `run_time` later.
 class FakeBackend : public BackendCaller {
  public:
   struct Run : BackendCall {
@@ -75,14 +76,16 @@
   Environment& environment_;
 };
 
-/// What the test scripts of one queue node, and what it saw.
+/// State of one fake queue node: how it responds, which the test sets, and the requests that it
+/// got.
 struct FakeQueue {
-  std::deque<proto::WorkGrant> work;
-  std::vector<std::uint64_t> ended_leases;
-  StatusCode report_code = StatusCode::kOk;
-  Duration response_delay{};  ///< Of grants, after they were taken from `work`.
+  std::deque<proto::WorkGrant> work;         ///< Grants for the next AcquireWork requests.
+  std::vector<std::uint64_t> ended_leases;   ///< Sent in every ReportWork response.
+  StatusCode report_code = StatusCode::kOk;  ///< Of ReportWork responses.
+  /// Of AcquireWork responses, after their grants were taken from `work`.
+  Duration response_delay{};
   int acquire_requests = 0;
-  std::map<std::uint64_t, proto::WorkReport> reports;  ///< Answered ones, by lease.
+  std::map<std::uint64_t, proto::WorkReport> reports;  ///< Confirmed ones, by lease.
   int report_calls = 0;
   std::set<std::uint64_t> renewed;
 };
@@ -124,10 +127,11 @@
   Result<proto::ReportWorkResponse> HandleReport(const proto::ReportWorkRequest& request) {
     ++queue_.report_calls;
     if (queue_.report_code != StatusCode::kOk) {
-      return Status(queue_.report_code, "scripted");
+      return Status(queue_.report_code, "failure set by the test");
     }
     for (const proto::WorkReport& report : request.reports()) {
-      EXPECT_FALSE(queue_.reports.contains(report.lease_id())) << "answered reports stay answered";
+      EXPECT_FALSE(queue_.reports.contains(report.lease_id()))
+          << "confirmed reports are not sent again";
       queue_.reports[report.lease_id()] = report;
     }
     queue_.renewed.insert(request.running_lease_ids().begin(), request.running_lease_ids().end());
--- a/tests/batch_work/batch_worker_test.cc
+++ b/tests/batch_work/batch_worker_test.cc
@@ -21,7 +21,7 @@
   Start();
   gateway->backend.run_time = seconds(1);
   gateway->backend.slots = 0;
-  world.RunFor(seconds(2));  // Let pending long polls end.
+  world.RunFor(seconds(2));  // Until pending long polls have ended.
   for (std::uint64_t lease = 1; lease <= 9; ++lease) {
     AddWork(lease, "audit");
   }
@@ -38,14 +38,14 @@
   EXPECT_TRUE(world.RunUntil([this] { return q1.renewed.contains(1); }, milliseconds(700)));
 }
 
-TEST_F(BatchWorkerTest, DropsAnExpiredGrantAfterAFreeze) {
+TEST_F(BatchWorkerTest, ReturnsGrantsThatExpiredDuringAFreeze) {
   Start();
   gateway->backend.connect = milliseconds(50);
   for (const std::uint64_t lease : {1, 2, 3}) {
     AddWork(lease, "unlock");
   }
   ASSERT_TRUE(WaitUntilRunning(3));
-  world.machine("g").Freeze();  // Before any request left.
+  world.machine("g").Freeze();  // Before any request was sent.
   world.RunFor(seconds(25));
   world.machine("g").Wake();
   world.RunFor(seconds(5));
@@ -59,8 +59,8 @@
   Start();
   world.machine("g").Freeze();
   AddWork(1, "unlock");
-  world.RunFor(
-      seconds(4));  // The response waits in the socket, and the call's deadline has not passed.
+  // The response waits in the socket, and the call's deadline has not passed.
+  world.RunFor(seconds(4));
   world.machine("g").Wake();
   world.RunFor(seconds(2));
   EXPECT_TRUE(gateway->backend.runs.empty());
@@ -72,7 +72,7 @@
   gateway->backend.connect = milliseconds(2100);
   AddWork(1, "unlock");
   world.RunFor(seconds(4));
-  EXPECT_TRUE(gateway->agent.HasValidLease()) << "only the grant's window is over";
+  EXPECT_TRUE(gateway->agent.HasValidLease()) << "only the grant's start window has expired";
   EXPECT_EQ(gateway->backend.SentCount(), 0U);
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_NOT_RUN);
 }
@@ -80,7 +80,8 @@
 TEST_F(BatchWorkerTest, CountsTheStartWindowFromTheRequest) {
   q1.response_delay = milliseconds(1900);
   Start();
-  gateway->backend.connect = milliseconds(200);  // Over at 2.1 s, 0.2 s after the grant came.
+  // Connected 2.1 s after the request for work, 0.2 s after the grant arrived.
+  gateway->backend.connect = milliseconds(200);
   AddWork(1, "unlock");
   world.RunFor(seconds(6));
   EXPECT_EQ(gateway->backend.SentCount(), 0U);
@@ -113,13 +114,14 @@
   EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_UNKNOWN);
 }
 
-TEST_F(BatchWorkerTest, FailsRejectedItemsAndReturnsUnplacedOnes) {
+TEST_F(BatchWorkerTest, FailsRejectedItemsAndReturnsItemsThatDidNotRun) {
   Start();
   gateway->backend.outcome = {};
   gateway->backend.outcome.executed = proto::EXECUTED_NO;
   AddWork(1, "unlock");
   world.RunFor(milliseconds(250));
-  EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_UNSPECIFIED) << "tried again here first";
+  EXPECT_EQ(Disposition(q1, 1), proto::WORK_DISPOSITION_UNSPECIFIED)
+      << "this gateway tries again first";
   world.RunFor(milliseconds(600));
   EXPECT_EQ(gateway->backend.runs.size(), 2U);
   gateway->backend.outcome.error.set_code(std::string(kReplicaRejectedCode));
@@ -130,7 +132,7 @@
   EXPECT_EQ(q1.reports.at(2).outcome(), proto::ITEM_OUTCOME_FAILED);
 }
 
-TEST_F(BatchWorkerTest, LetsADispatchedItemOutliveItsLease) {
+TEST_F(BatchWorkerTest, FinishesADispatchedItemAfterItsLeaseEnds) {
   Start();
   gateway->backend.run_time = seconds(2);
   AddWork(1, "audit");
@@ -158,7 +160,7 @@
   }
 }
 
-TEST_F(BatchWorkerTest, StopsAcquiringWhileReportsPileUp) {
+TEST_F(BatchWorkerTest, StopsAcquiringAtTheItemLimitWhileReportsFail) {
   options.limits.maximum_items = 5;
   Start();
   q1.report_code = StatusCode::kUnavailable;
@@ -189,7 +191,7 @@
   EXPECT_GT(q1.acquire_requests, acquire_requests);
 }
 
-TEST_F(BatchWorkerTest, FailsItemsOfAChangedRouteUnrun) {
+TEST_F(BatchWorkerTest, FailsItemsOfChangedOrRemovedRoutesWithoutRunningThem) {
   Start();
   SetRoute("audit", false);
   world.RunFor(milliseconds(200));
--- a/tests/batches/batch_store_test.cc
+++ b/tests/batches/batch_store_test.cc
@@ -80,7 +80,7 @@
   EXPECT_EQ(store_.Apply(writer_.Finished("none", 0, "")).code(), StatusCode::kCorrupt);
 }
 
-TEST_F(BatchStoreTest, FirstResultWinsAndPositionsStay) {
+TEST_F(BatchStoreTest, FirstResultWinsAndPositionsDoNotChange) {
   Accept("b1", 3);
   Apply(writer_.Finished("b1", 2, "first"));
   Apply(writer_.Finished("b1", 2, "second"));
@@ -146,7 +146,7 @@
   EXPECT_EQ(store_.open_items(), 2U);
 }
 
-TEST_F(BatchStoreTest, CompletedCancelGivesEveryItemAResult) {
+TEST_F(BatchStoreTest, CompletedCancellationGivesEveryItemAResult) {
   Accept("b1", 4);
   Apply(writer_.Finished("b1", 1, "before"));
   proto::LogEntry cancelled = writer_.Next();
@@ -180,7 +180,7 @@
   EXPECT_EQ(store_.next_sequence(), PartitionSequence(40));
 }
 
-/// Batches of items that are forwarded unchanged.
+/// A batch whose items hold requests that are forwarded unchanged, of 100 tokens each.
 class ForwardedBatchTest : public BatchStoreTest {
  protected:
   ForwardedBatchTest() {
@@ -196,14 +196,14 @@
   }
 };
 
-TEST_F(ForwardedBatchTest, OffersOpenItemsUntilTheirResult) {
+TEST_F(ForwardedBatchTest, FindsItemsUntilTheyHaveAResult) {
   ASSERT_TRUE(store_.FindOpenItem("b1", "item1").ok());
   EXPECT_EQ(store_.FindOpenItem("b1", "item1")->forwarded().body(), "body of item1");
   Apply(writer_.Finished("b1", 1, "text"));
   EXPECT_EQ(store_.FindOpenItem("b1", "item1").status().code(), StatusCode::kNotFound);
 }
 
-TEST_F(ForwardedBatchTest, TokensAreOpenUntilAResultOrACancel) {
+TEST_F(ForwardedBatchTest, TokensAreOpenUntilAResultOrACancellation) {
   EXPECT_EQ(store_.CountOpenTokens("host", "r"), 300U);
   EXPECT_EQ(store_.CountOpenTokens("host", "other"), 0U);
   Apply(writer_.Finished("b1", 1, "text"));
@@ -217,7 +217,7 @@
   EXPECT_EQ(store_.ListResults("b1", "", 0)->total(), 3U);
 }
 
-/// A recovery does not log requests of finished items again; the resulting store is the same.
+/// A recovery does not log the requests of finished items again; the store has the same results.
 TEST_F(BatchStoreTest, ReplayDropsRequestsOfFinishedItemsOnly) {
   PartitionReplay replay;
   proto::LogEntry items = writer_.Items("b1", 0, 2);
--- a/tests/batches/segment_usage_test.cc
+++ b/tests/batches/segment_usage_test.cc
@@ -34,7 +34,7 @@
   return entry;
 }
 
-TEST(SegmentUsageTest, TombstoneLivesAsLongAsItsTargets) {
+TEST(SegmentUsageTest, TombstoneIsLiveWhileEarlierSegmentsHaveItsEntries) {
   SegmentUsage usage;
   usage.AddEntry(SegmentId(1), Items("a"));
   usage.AddEntry(SegmentId(2), Items("a"));
@@ -44,7 +44,7 @@
   EXPECT_FALSE(usage.IsDead(SegmentId(2)));
   EXPECT_FALSE(usage.IsDead(SegmentId(3)));
   usage.Forget(SegmentId(1));
-  EXPECT_FALSE(usage.IsDead(SegmentId(3)));  // Segment 2 still has entries of "a".
+  EXPECT_FALSE(usage.IsDead(SegmentId(3)));  // Segment 2 still has an entry of "a".
   usage.AddEntry(SegmentId(3), Removed("b"));
   usage.Forget(SegmentId(2));
   EXPECT_TRUE(usage.IsDead(SegmentId(3)));
--- a/tests/work_dispatch/work_leases_test.cc
+++ b/tests/work_dispatch/work_leases_test.cc
@@ -39,7 +39,7 @@
   EXPECT_EQ(leases_.Renew(id, kGateway, incarnation, now_ + seconds(9)), nullptr);
 }
 
-TEST_F(WorkLeasesTest, OnlyItsGatewayRenews) {
+TEST_F(WorkLeasesTest, OnlyTheGatewayThatHoldsALeaseRenewsIt) {
   const WorkLeaseId id = Grant(true);
   EXPECT_EQ(leases_.Renew(id, kGateway + 1, incarnation, now_), nullptr);
   EXPECT_EQ(leases_.Renew(id, kGateway, Incarnation(78), now_), nullptr);
@@ -51,22 +51,23 @@
   EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kReturnItem);
   EXPECT_EQ(Evaluate(id, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kLogUnknown);
   leases_.End(item);
-  const WorkLeaseId again = Grant(true);
-  EXPECT_EQ(Evaluate(again, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
+  const WorkLeaseId idempotent_lease = Grant(true);
+  EXPECT_EQ(Evaluate(idempotent_lease, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kReturnItem);
 }
 
-TEST_F(WorkLeasesTest, LateReportsCountOnlyWithAResult) {
-  const WorkLeaseId old = Grant(true);
+TEST_F(WorkLeasesTest, ReportsOfEndedLeasesCountOnlyWithAResult) {
+  const WorkLeaseId ended_lease = Grant(true);
   leases_.End(item);
   Grant(true);
-  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
-  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
-  EXPECT_EQ(Evaluate(old, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
-  EXPECT_EQ(leases_.EvaluateReport(Report(old, proto::WORK_DISPOSITION_FINISHED), item, true),
-            ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(ended_lease, proto::WORK_DISPOSITION_NOT_RUN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(ended_lease, proto::WORK_DISPOSITION_UNKNOWN), ReportAction::kDrop);
+  EXPECT_EQ(Evaluate(ended_lease, proto::WORK_DISPOSITION_FINISHED), ReportAction::kLogResult);
+  EXPECT_EQ(
+      leases_.EvaluateReport(Report(ended_lease, proto::WORK_DISPOSITION_FINISHED), item, true),
+      ReportAction::kDrop);
 }
 
-TEST_F(WorkLeasesTest, ReportingLeaseDoesNotExpire) {
+TEST_F(WorkLeasesTest, LeaseDoesNotExpireWhileItsResultIsLogged) {
   const WorkLeaseId id = Grant(true);
   leases_.SetResultBeingLogged(item, true, now_);
   EXPECT_TRUE(leases_.EndExpired(now_ + seconds(60)).empty());
@@ -76,7 +77,7 @@
   EXPECT_EQ(leases_.EndExpired(now_ + seconds(65)).size(), 1U);
 }
 
-TEST_F(WorkLeasesTest, EndsOnlyLeasesOfThatPartition) {
+TEST_F(WorkLeasesTest, EndPartitionEndsOnlyLeasesOfThatPartition) {
   Grant(true);
   leases_.Grant({PartitionId(3), "b2", 0}, kGateway, incarnation, true, now_);
   EXPECT_EQ(leases_.CountLeases(PartitionId(2), "b1"), 1U);
