--- a/src/batch_work/work_reporter.h
+++ b/src/batch_work/work_report_sender.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Sends the results of `WorkItemTable` to the owners of their partitions until one has confirmed
-/// them, and renews the leases of running items. Threads: the owner's event loop only.
+/// Sends the results in `WorkItemTable` to the owners of their partitions until an owner has
+/// confirmed them, and renews the leases of running items. Threads: the owner's event loop only.
 
 #include <functional>
 #include <map>
@@ -13,24 +13,24 @@
 
 namespace cloverbank {
 
-struct WorkReporterOptions {
+struct WorkReportSenderOptions {
   Duration renewal_interval = milliseconds(500);  ///< Between renewals of running items.
-  Duration deadline = milliseconds(1500);
-  Duration retry_delay = milliseconds(200);  ///< After a call that failed.
+  Duration deadline = milliseconds(1500);         ///< Of a ReportWork call.
+  Duration retry_delay = milliseconds(200);       ///< After a call that failed.
 };
 
-class WorkReporter {
+class WorkReportSender {
  public:
   struct Events {
-    /// A queue node ended the lease.
+    /// Runs when a queue node has ended the lease.
     std::function<void(WorkLeaseId)> on_lease_ended;
-    /// A queue node confirmed a report: there may be capacity for more items.
+    /// Runs when a queue node has confirmed reports: there may be capacity for more items.
     std::function<void()> on_confirmed;
   };
 
-  /// All references outlive the reporter.
-  WorkReporter(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
-               WorkReporterOptions options, Events events);
+  /// All references must outlive the sender.
+  WorkReportSender(Environment& environment, NodeAgent& agent, WorkItemTable& work_items,
+                   WorkReportSenderOptions options, Events events);
 
   /// Sends every report and renewal that is due now.
   void SendDue();
@@ -45,13 +45,14 @@
   void Send(const ReportAddress& address);
   void OnResponse(const ReportAddress& address, const proto::ReportWorkRequest& request,
                   const Result<proto::ReportWorkResponse>& result);
-  void RemoveUnknownOwners();
+  /// Removes the state of nodes that have left the fleet.
+  void RemoveFormerOwners();
   WorkItemTable::OwnerLookup OwnerLookup() const;
 
   Environment& environment_;
   NodeAgent& agent_;
   WorkItemTable& work_items_;
-  const WorkReporterOptions options_;
+  const WorkReportSenderOptions options_;
   const Events events_;
   std::map<ReportAddress, ReportState> reports_;
   LifetimeGuard lifetime_;
--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -7,15 +7,15 @@
 namespace cloverbank {
 namespace {
 
-Status Corrupt(const std::string& what, const std::string& batch_id) {
-  return {StatusCode::kCorrupt, what + " (batch " + batch_id + ")"};
+Status MakeCorruptStatus(const std::string& problem, const std::string& batch_id) {
+  return {StatusCode::kCorrupt, problem + " (batch " + batch_id + ")"};
 }
 
 std::size_t PageLimit(std::uint32_t requested) {
   return requested == 0 ? kDefaultPageEntries : std::min(requested, kMaxPageEntries);
 }
 
-/// @param position in the list, from 1.
+/// @param position the result's position in the list, from 1.
 proto::ItemResult MakeListedResult(const StoredBatch& batch, const StoredResult& result,
                                    std::uint64_t position) {
   proto::ItemResult listed;
@@ -67,14 +67,19 @@
       ApplyRemoved(entry.batch_removed().batch_id());
       return Status::Ok();
     default:
-      return Corrupt("entry is of no kind that belongs to a partition", "");
+      return MakeCorruptStatus("an entry with payload type " +
+                                   std::to_string(static_cast<int>(entry.payload_case())) +
+                                   " does not belong to a partition",
+                               "");
   }
 }
 
 Status BatchStore::ApplyItems(proto::BatchItems& items) {
   std::vector<proto::BatchItem>& logged_items = unaccepted_[items.batch_id()];
   if (items.first_index() != logged_items.size()) {
-    return Corrupt("items do not follow the ones before", items.batch_id());
+    return MakeCorruptStatus("items begin at index " + std::to_string(items.first_index()) +
+                                 ", expected " + std::to_string(logged_items.size()),
+                             items.batch_id());
   }
   for (proto::BatchItem& item : *items.mutable_items()) {
     logged_items.push_back(std::move(item));
@@ -87,7 +92,10 @@
   const std::size_t item_count =
       logged_items == unaccepted_.end() ? 0 : logged_items->second.size();
   if (item_count != accepted.item_count() || by_id_.contains(accepted.batch_id())) {
-    return Corrupt("batch does not match its items", accepted.batch_id());
+    return MakeCorruptStatus("batch is accepted with " + std::to_string(accepted.item_count()) +
+                                 " items, but " + std::to_string(item_count) +
+                                 " are logged, or it was accepted before",
+                             accepted.batch_id());
   }
   Insert(MakeBatch(accepted, sequence));
   return Status::Ok();
@@ -128,7 +136,9 @@
 Status BatchStore::ApplyStarted(const proto::ItemStarted& started) {
   StoredBatch* batch = FindMutable(started.batch_id());
   if (batch == nullptr || started.item_index() >= batch->items.size()) {
-    return Corrupt("started item does not exist", started.batch_id());
+    return MakeCorruptStatus(
+        "started item " + std::to_string(started.item_index()) + " does not exist",
+        started.batch_id());
   }
   ItemPhase& phase = batch->phases[started.item_index()];
   if (phase == ItemPhase::kWaiting) {
@@ -140,10 +150,12 @@
 Status BatchStore::ApplyFinished(proto::ItemFinished& finished) {
   StoredBatch* batch = FindMutable(finished.batch_id());
   if (batch == nullptr || finished.item_index() >= batch->items.size()) {
-    return Corrupt("finished item does not exist", finished.batch_id());
+    return MakeCorruptStatus(
+        "finished item " + std::to_string(finished.item_index()) + " does not exist",
+        finished.batch_id());
   }
   if (batch->phases[finished.item_index()] == ItemPhase::kFinished) {
-    return Status::Ok();  // The first result won.
+    return Status::Ok();  // The first result wins.
   }
   StoredResult result;
   result.item_index = static_cast<std::uint32_t>(finished.item_index());
@@ -154,7 +166,7 @@
   return Status::Ok();
 }
 
-void BatchStore::AddResult(StoredBatch& batch, StoredResult result, std::int64_t wall_ms) {
+void BatchStore::AddResult(StoredBatch& batch, StoredResult result, std::int64_t finished_at_ms) {
   batch.phases[result.item_index] = ItemPhase::kFinished;
   switch (result.outcome) {
     case proto::ITEM_OUTCOME_SUCCEEDED:
@@ -171,12 +183,12 @@
   }
   proto::BatchItem& item = batch.items[result.item_index];
   ReleaseTokens(batch, item.tokens());
-  item.clear_forwarded();  // Large and not needed any more.
+  item.clear_forwarded();  // Large, and not needed any more.
   batch.results.push_back(std::move(result));
   --open_items_;
   --tenants_[batch.accepted.tenant()].open_items;
   if (batch.AllFinished()) {
-    batch.finished_at_ms = wall_ms;
+    batch.finished_at_ms = finished_at_ms;
   }
 }
 
@@ -263,7 +275,8 @@
   }
   const auto& by_position = found->second.by_position;
   auto next = by_position.upper_bound(PartitionSequence(*after));
-  for (std::size_t left = PageLimit(limit); left > 0 && next != by_position.end(); --left, ++next) {
+  for (std::size_t remaining = PageLimit(limit); remaining > 0 && next != by_position.end();
+       --remaining, ++next) {
     *list.add_batches() = next->second->ToStatus();
     list.set_next_cursor(FormatCursor(next->first.value()));
   }
@@ -276,7 +289,7 @@
                                                   std::uint32_t limit) const {
   const StoredBatch* batch = Find(batch_id);
   if (batch == nullptr) {
-    return Status(StatusCode::kNotFound, "no batch " + batch_id);
+    return Status(StatusCode::kNotFound, "there is no batch \"" + batch_id + "\"");
   }
   Result<std::uint64_t> after = ParseCursor(cursor);
   if (!after.ok()) {
@@ -287,8 +300,8 @@
   list.set_total(batch->items.size());
   std::uint64_t position = *after;
   std::size_t bytes = 0;
-  for (std::size_t left = PageLimit(limit);
-       left > 0 && position < batch->results.size() && bytes < kMaxPageBytes; --left) {
+  for (std::size_t remaining = PageLimit(limit);
+       remaining > 0 && position < batch->results.size() && bytes < kMaxPageBytes; --remaining) {
     const StoredResult& result = batch->results[position];
     ++position;
     *list.add_results() = MakeListedResult(*batch, result, position);
@@ -323,7 +336,8 @@
       return batch->items[index];
     }
   }
-  return Status(StatusCode::kNotFound, "batch " + batch_id + " has no open item " + custom_id);
+  return Status(StatusCode::kNotFound,
+                "batch \"" + batch_id + "\" has no item \"" + custom_id + "\" without a result");
 }
 
 std::vector<std::string> BatchStore::FindFinishedBy(std::int64_t wall_ms) const {
