--- a/src/calls/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -17,10 +17,11 @@
   json.body.set_model(json.backend);
   JsonAttemptCallbacks callbacks;
   const std::weak_ptr<JsonExchange> weak = weak_from_this();
-  callbacks.on_chunk = [weak, events, largest = context.options.maximum_response_bytes](
+  callbacks.on_chunk = [weak, events,
+                        maximum_response_bytes = context.options.maximum_response_bytes](
                            const proto::StreamChunk& chunk, std::function<void()> more) {
     if (const auto self = weak.lock()) {
-      self->OnChunk(chunk, std::move(more), events, largest);
+      self->OnChunk(chunk, std::move(more), events, maximum_response_bytes);
     }
   };
   callbacks.on_done = [weak, events](JsonAttemptResult result) {
