--- a/src/coordinator/transaction_handler.h
+++ b/src/coordinator/transaction_handler.h
@@ -54,7 +54,7 @@
     Reply<proto::SubmitTransactionResponse> reply;
   };
 
-  /// Replies to a refused transaction; an applied one waits until it is in force.
+  /// Replies at once if the transaction was not applied; an applied one waits until it is in force.
   void HandleApplied(const proto::TransactionResult& result,
                      const Reply<proto::SubmitTransactionResponse>& reply);
   /// Proposes to record the version that all gateways have confirmed, if it is a new one.
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -2,7 +2,8 @@
 // partitioned, the leader changes, and operators send concurrent transactions. Safety, checked
 // throughout: no node has a valid lease under a dead node id, and when a transaction is
 // acknowledged no gateway with a valid lease uses an older version. Liveness, checked at the end:
-// every partition has a live owner, every node has a lease and no recovery is left.
+// no recovery is left, every partition has a live owner, every node has a lease, the current
+// configuration is in force and no backup keeps segments of dead nodes.
 #include <gtest/gtest.h>
 
 #include <set>
