--- a/src/consensus/raft_core.h
+++ b/src/consensus/raft_core.h
@@ -221,7 +221,8 @@
   /// @return the voter that has not answered for the longest time, among those that have not for
   /// `replace_unresponsive_after` and have no responsive replacement; 0 if none.
   std::uint64_t FindLongestUnresponsiveVoter(TimePoint now) const;
-  /// @return when `peer` last answered; the start of the term or of its membership if it never did.
+  /// @return when the latest message that `peer` answered was sent; the start of the term or of its
+  /// membership, whichever is later, if it answered none.
   TimePoint LastContact(const RaftPeer& peer) const;
   /// Whether `member` is a learner that has not answered for `replace_unresponsive_after`.
   bool IsUnresponsiveLearner(TimePoint now, const proto::RaftMember& member) const;
