--- a/src/calls/json_exchange.cc
+++ b/src/calls/json_exchange.cc
@@ -17,10 +17,11 @@
   json.body.set_model(json.backend);
   JsonAttemptCallbacks callbacks;
   const std::weak_ptr<JsonExchange> weak = weak_from_this();
-  callbacks.on_chunk = [weak, events, largest = context.options.maximum_response_bytes](
+  callbacks.on_chunk = [weak, events,
+                        maximum_response_bytes = context.options.maximum_response_bytes](
                            const proto::StreamChunk& chunk, std::function<void()> more) {
     if (const auto self = weak.lock()) {
-      self->OnChunk(chunk, std::move(more), events, largest);
+      self->OnChunk(chunk, std::move(more), events, maximum_response_bytes);
     }
   };
   callbacks.on_done = [weak, events](JsonAttemptResult result) {
@@ -61,9 +62,10 @@
   }
   AttemptResult result;
   result.end = AttemptEnd::kUnknown;
-  result.final = true;
+  result.permanent = true;
   result.error.set_code("answer_too_large");
-  result.error.set_message("the answer is larger than this gateway keeps; ask for a stream");
+  result.error.set_message(
+      "the response is larger than this gateway buffers; request it as a stream");
   events.on_done(std::move(result));
 }
 
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kServePath = "/serve";
 
-/// One request to a plain service and its complete response.
+/// An attempt at a plain service: one JSON request and one complete response.
 class ServiceAttempt final : public CallAttempt,
                              public std::enable_shared_from_this<ServiceAttempt> {
  public:
@@ -35,16 +35,16 @@
         [self = shared_from_this()](const HttpOutcome& outcome) { self->OnOutcome(outcome); });
   }
 
-  CancelledWhen Cancel() override {
+  CancelResult Cancel() override {
     if (session_.done()) {
-      return CancelledWhen::kNotUnderWay;
+      return CancelResult::kNotInProgress;
     }
     session_.MarkDone();
     if (call_ != nullptr) {
       call_->Cancel();
     }
     session_.Release(CallEnd::kWithdrawn);
-    return session_.cancelled_when();
+    return session_.cancel_result();
   }
 
  private:
@@ -53,18 +53,18 @@
       return;
     }
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      Finish(session_.ClassifyNoResponse(outcome, false));
+      Finish(session_.ClassifyIncomplete(outcome, false));
       return;
     }
     context_.pool.OnResponseHead(request_.use, outcome.response.headers, session_.Elapsed());
     if (outcome.response.status != kHttpOk) {
-      Finish(ClassifyRefusal(outcome.response.status, outcome.response.body));
+      Finish(ClassifyErrorResponse(outcome.response.status, outcome.response.body));
       return;
     }
     Finish(ParseResponse(outcome.response.body));
   }
 
-  /// A complete response counts only if it belongs to this call.
+  /// Accepts a complete response only if its call id is that of this call.
   FailureClassification ParseResponse(const std::string& body) const {
     FailureClassification classification;
     const bool readable =
@@ -81,8 +81,8 @@
     classification.result.answer.Clear();
     classification.result.end = AttemptEnd::kUnknown;
     classification.result.error.set_code("response_broken");
-    classification.result.error.set_message("the replica's answer was not this call's: " +
-                                            std::string(fault));
+    classification.result.error.set_message(
+        "the replica's response is not a valid response to this call: " + std::string(fault));
     classification.health = CallEnd::kFailed;
     return classification;
   }
--- a/src/consensus/pending_proposals.cc
+++ b/src/consensus/pending_proposals.cc
@@ -18,11 +18,14 @@
   if (proposal.term == entry.term()) {
     proposal.done(std::move(result));
   } else {
-    proposal.done(Status(StatusCode::kNotLeader, "another leader's command took its place"));
+    proposal.done(Status(StatusCode::kNotLeader,
+                         "the command at index " + std::to_string(entry.index()) + " of term " +
+                             std::to_string(proposal.term) + " was replaced by an entry of term " +
+                             std::to_string(entry.term())));
   }
 }
 
-void PendingProposals::FailLost() {
+void PendingProposals::FailFromLostTerms() {
   // A callback may end the leadership or propose again, so the term is read for each proposal.
   while (!proposals_.empty()) {
     const auto first = proposals_.begin();
@@ -31,7 +34,8 @@
     }
     const Done done = std::move(first->second.done);
     proposals_.erase(first);
-    done(Status(StatusCode::kUnknownOutcome, "leadership was lost before the commit"));
+    done(Status(StatusCode::kUnknownOutcome,
+                "this member lost leadership before the command was committed"));
   }
 }
 
--- a/src/consensus/raft_core_follower.cc
+++ b/src/consensus/raft_core_follower.cc
@@ -8,11 +8,12 @@
 
 bool RaftCore::AcceptLeader(TimePoint now, std::uint64_t leader_term, std::uint64_t leader_id) {
   if (leader_term < term()) {
-    Refuse(RaftRefusal::kLeaderStaleTerm);
+    RecordRefusal(RaftRefusal::kLeaderStaleTerm);
     return false;
   }
   if (role_ == RaftRole::kLeader && leader_term == term()) {
-    Fail("two leaders in one term");
+    Fail("two leaders in term " + std::to_string(term()) + ": this member, " +
+         std::to_string(member_id()) + ", and member " + std::to_string(leader_id));
     return false;
   }
   BecomeFollower(now, leader_term, leader_id);
@@ -54,7 +55,7 @@
 bool RaftCore::MatchesPrevious(const proto::AppendEntriesRequest& request) const {
   const std::uint64_t previous = request.previous_log_index();
   if (previous < log_.base_index()) {
-    return true;  // Part of a snapshot, hence committed, hence the same on every leader.
+    return true;  // Covered by a snapshot, hence committed and the same on every leader.
   }
   return log_.TermAt(previous) == request.previous_log_term();
 }
@@ -74,7 +75,7 @@
   for (const proto::RaftEntry& entry : request.entries()) {
     ++expected_index;
     if (entry.index() != expected_index || entry.term() > request.term()) {
-      Refuse(RaftRefusal::kMalformedEntries);
+      RecordRefusal(RaftRefusal::kMalformedEntries);
       return false;
     }
     if (entry.index() <= log_.base_index()) {
@@ -86,7 +87,9 @@
     }
     if (stored_term) {
       if (entry.index() <= commit_index_) {
-        Fail("a leader contradicts a committed entry");
+        Fail("the leader sent entry " + std::to_string(entry.index()) + " of term " +
+             std::to_string(entry.term()) + ", but the committed entry at this index is of term " +
+             std::to_string(*stored_term));
         return false;
       }
       TruncateLog(entry.index());
@@ -128,15 +131,16 @@
 }
 
 std::uint64_t RaftCore::AcceptSnapshotChunk(const proto::InstallSnapshotRequest& request) {
-  const bool same = incoming_term_ == request.term() &&
-                    incoming_snapshot_.last_included_index() == request.last_included_index();
-  if (!same || request.offset() == 0) {
+  const bool same_snapshot =
+      incoming_term_ == request.term() &&
+      incoming_snapshot_.last_included_index() == request.last_included_index();
+  if (!same_snapshot || request.offset() == 0) {
     incoming_snapshot_.Clear();
     incoming_snapshot_.set_last_included_index(request.last_included_index());
     incoming_term_ = request.term();
   }
   if (request.offset() != incoming_snapshot_.state().size()) {
-    Refuse(RaftRefusal::kSnapshotOffset);
+    RecordRefusal(RaftRefusal::kSnapshotOffset);
     return incoming_snapshot_.state().size();
   }
   incoming_snapshot_.mutable_state()->append(request.data());
@@ -164,7 +168,8 @@
   // Nothing of the new log is synced until it has been rewritten.
   synced_index_ = 0;
   unsynced_writes_.clear();
-  // Entries committed by the same input precede the snapshot.
+  // Entries that the same input committed precede the end of the snapshot, which contains their
+  // effects.
   effects_.committed.clear();
   effects_.restore = snapshot_;
   AddWrite().snapshot = snapshot_;
--- a/src/consensus/raft_formation_driver.cc
+++ b/src/consensus/raft_formation_driver.cc
@@ -14,15 +14,16 @@
 constexpr std::string_view kDiscover = "raft.Discover";
 constexpr std::string_view kJoin = "raft.Join";
 
-/// Interval of discovery rounds, in election timeouts, of a member that is in a group but knows no
-/// leader, or that a full group refused. Others start one each election timeout.
+/// Mean interval of discovery rounds, in election timeouts, for a member that is in a group or
+/// whose last request to join was refused with kConflict. The interval of others is one election
+/// timeout.
 constexpr int kSlowRoundElectionTimeouts = 4;
 
 }  // namespace
 
 /// Responses of one discovery round.
 struct RaftFormationDriver::Round {
-  FormationRound answers;
+  FormationRound formation;
   std::size_t pending_responses = 0;
 };
 
@@ -48,7 +49,8 @@
 Result<proto::DiscoverResponse> RaftFormationDriver::HandleDiscover(
     const proto::DiscoverRequest& request) {
   if (!context_.CanAnswerPeers()) {
-    return Status(StatusCode::kUnavailable, "this member does not take part");
+    return Status(StatusCode::kUnavailable,
+                  "this member has stopped, or its id is not yet synced to disk");
   }
   if (request.member_id() != 0) {
     directory_.RecordMember(ToEndpoint(request.endpoint()), request.member_id());
@@ -72,38 +74,40 @@
                  leader.valid() ? leader.ToString() : std::string()));
     return;
   }
-  // The request may be a delayed one of a member whose disk was lost since: confirm who runs there
-  // now.
+  // The request may be delayed, and its sender may have lost its disk since: confirm which member
+  // runs at the endpoint now.
   CallPeer<proto::DiscoverResponse>(context_.environment, ToEndpoint(request.member().endpoint()),
                                     kDiscover, MakeDiscoverRequest(),
                                     context_.options.election_timeout,
                                     [this, alive = std::weak_ptr<bool>(alive_), request,
-                                     reply](const Result<proto::DiscoverResponse>& present) {
+                                     reply](const Result<proto::DiscoverResponse>& discovered) {
                                       if (!alive.expired()) {
-                                        reply(CompleteJoin(request, present));
+                                        reply(CompleteJoin(request, discovered));
                                       }
                                     });
 }
 
 Result<proto::JoinResponse> RaftFormationDriver::CompleteJoin(
-    const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& present) {
-  if (!present.ok() || present->member_id() != request.member().member_id()) {
+    const proto::JoinRequest& request, const Result<proto::DiscoverResponse>& discovered) {
+  if (!discovered.ok() || discovered->member_id() != request.member().member_id()) {
     context_.RecordRefusal(RaftRefusal::kJoinUnconfirmed);
-    return Status(StatusCode::kUnavailable, "no such member answers at its endpoint");
+    return Status(StatusCode::kUnavailable,
+                  "member " + std::to_string(request.member().member_id()) +
+                      " does not answer at " + ToEndpoint(request.member().endpoint()).ToString());
   }
-  return AdmitJoining(request.member(), request.replaces());
+  return AdmitJoiningMember(request.member(), request.replaces());
 }
 
-Result<proto::JoinResponse> RaftFormationDriver::AdmitJoining(const proto::RaftMember& member,
-                                                              std::uint64_t replaces) {
+Result<proto::JoinResponse> RaftFormationDriver::AdmitJoiningMember(const proto::RaftMember& member,
+                                                                    std::uint64_t replaces) {
   if (context_.stopped) {
     return Status(StatusCode::kNotLeader, "this member has stopped");
   }
   const Endpoint endpoint = ToEndpoint(member.endpoint());
-  const bool replaces_outsiders = context_.options.replace_unresponsive_after <= Duration::zero();
-  const std::uint64_t outsider = replaces_outsiders ? FindMemberOutsideSeeds(endpoint) : 0;
+  const bool replaces_non_seeds = context_.options.replace_unresponsive_after <= Duration::zero();
+  const std::uint64_t non_seed_member = replaces_non_seeds ? FindNonSeedMember(endpoint) : 0;
   Status status = context_.core->AdmitMember(context_.environment.Now(), member,
-                                             replaces != 0 ? replaces : outsider);
+                                             replaces != 0 ? replaces : non_seed_member);
   context_.execute_effects();
   if (!status.ok()) {
     return status;
@@ -116,7 +120,7 @@
   return response;
 }
 
-std::uint64_t RaftFormationDriver::FindMemberOutsideSeeds(const Endpoint& joining) const {
+std::uint64_t RaftFormationDriver::FindNonSeedMember(const Endpoint& joining) const {
   const std::set<Endpoint> seeds(context_.options.seeds.begin(), context_.options.seeds.end());
   if (!seeds.contains(joining)) {
     return 0;
@@ -130,7 +134,8 @@
 }
 
 void RaftFormationDriver::UpdateOwnEndpoint() {
-  // A leader that restarted at another address can not be reached by referrals to the old one.
+  // A leader that restarted at another address cannot be reached by callers that members refer to
+  // its old address.
   const Endpoint own_endpoint = context_.environment.peer_endpoint();
   if (!context_.IsReadyLeader() || context_.LeaderEndpoint() == own_endpoint) {
     return;
@@ -158,10 +163,10 @@
 }
 
 void RaftFormationDriver::ScheduleRound() {
-  const bool urgent = !context_.core->IsMember() && !group_full_;
+  const bool urgent = !context_.core->IsMember() && !join_conflict_;
   const Duration timeout = context_.options.election_timeout;
   const Duration interval = urgent ? timeout : kSlowRoundElectionTimeouts * timeout;
-  // With jitter, so that members do not call in lockstep.
+  // Jitter keeps the members from calling each other in lockstep.
   const Duration delay =
       interval / 2 +
       Duration(static_cast<Duration::rep>(context_.environment.Random() %
@@ -177,50 +182,50 @@
 }
 
 std::set<Endpoint> RaftFormationDriver::FindDiscoverTargets() const {
-  std::set<Endpoint> others(context_.options.seeds.begin(), context_.options.seeds.end());
-  others.insert(reported_members_.begin(), reported_members_.end());
+  std::set<Endpoint> targets(context_.options.seeds.begin(), context_.options.seeds.end());
+  targets.insert(reported_members_.begin(), reported_members_.end());
   for (const LogMember& member : context_.Members()) {
-    others.insert(member.endpoint);
+    targets.insert(member.endpoint);
   }
-  others.erase(context_.environment.peer_endpoint());
-  return others;
+  targets.erase(context_.environment.peer_endpoint());
+  return targets;
 }
 
 void RaftFormationDriver::StartRound() {
-  const std::set<Endpoint> others = FindDiscoverTargets();
+  const std::set<Endpoint> targets = FindDiscoverTargets();
   const auto round = std::make_shared<Round>();
-  round->pending_responses = others.size();
-  if (others.empty()) {
-    FinishRound(round->answers);
+  round->pending_responses = targets.size();
+  if (targets.empty()) {
+    FinishRound(round->formation);
   }
-  for (const Endpoint& other : others) {
-    CallPeer<proto::DiscoverResponse>(context_.environment, other, kDiscover, MakeDiscoverRequest(),
-                                      context_.options.election_timeout,
+  for (const Endpoint& target : targets) {
+    CallPeer<proto::DiscoverResponse>(context_.environment, target, kDiscover,
+                                      MakeDiscoverRequest(), context_.options.election_timeout,
                                       [this, alive = std::weak_ptr<bool>(alive_), round,
-                                       other](const Result<proto::DiscoverResponse>& answer) {
+                                       target](const Result<proto::DiscoverResponse>& response) {
                                         if (!alive.expired() && !context_.stopped) {
-                                          HandleDiscoverResponse(*round, other, answer);
+                                          HandleDiscoverResponse(*round, target, response);
                                         }
                                       });
   }
 }
 
 void RaftFormationDriver::HandleDiscoverResponse(Round& round, const Endpoint& from,
-                                                 const Result<proto::DiscoverResponse>& answer) {
-  if (answer.ok()) {
-    directory_.RecordMember(from, answer->member_id());
-    round.answers.answers[from] = *answer;
+                                                 const Result<proto::DiscoverResponse>& response) {
+  if (response.ok()) {
+    directory_.RecordMember(from, response->member_id());
+    round.formation.responses[from] = *response;
   }
   --round.pending_responses;
   if (round.pending_responses == 0) {
-    FinishRound(round.answers);
+    FinishRound(round.formation);
   }
 }
 
-void RaftFormationDriver::RecordReportedMembers(const FormationRound& answers) {
+void RaftFormationDriver::RecordReportedMembers(const FormationRound& completed) {
   std::set<Endpoint> reported;
-  for (const auto& [endpoint, answer] : answers.answers) {
-    for (const proto::RaftMember& member : answer.configuration().members()) {
+  for (const auto& [endpoint, response] : completed.responses) {
+    for (const proto::RaftMember& member : response.configuration().members()) {
       reported.insert(ToEndpoint(member.endpoint()));
     }
   }
@@ -229,10 +234,10 @@
   }
 }
 
-void RaftFormationDriver::FinishRound(const FormationRound& answers) {
-  RecordReportedMembers(answers);
+void RaftFormationDriver::FinishRound(const FormationRound& completed) {
+  RecordReportedMembers(completed);
   RaftCore& core = *context_.core;
-  FormationRound round = answers;
+  FormationRound round = completed;
   round.member_id = core.member_id();
   round.endpoint = context_.environment.peer_endpoint();
   round.empty = core.IsEmpty();
@@ -264,7 +269,7 @@
 }
 
 void RaftFormationDriver::HandleJoinResponse(const Result<proto::JoinResponse>& response) {
-  group_full_ = response.status().code() == StatusCode::kConflict;
+  join_conflict_ = response.status().code() == StatusCode::kConflict;
   if (!response.ok()) {
     Log(LogLevel::kInfo, "raft_join_refused", {{"reason", response.status().ToString()}});
   }
--- a/src/control_state/configuration_store.cc
+++ b/src/control_state/configuration_store.cc
@@ -10,13 +10,15 @@
 namespace cloverbank {
 namespace {
 
-/// Tag and length of a change within an update, at most.
+/// Most bytes that the tag and length of a change take within an update.
 constexpr std::size_t kChangeFramingBytes = 4;
 
+/// @return a number that is the same when a transaction is sent again under its operation id.
 std::uint64_t ComputeChecksum(const proto::ConfigurationTransaction& transaction) {
   if (transaction.label() != 0) {
-    // The operation id is derived from the operator's document. The changes that a gateway derives
-    // from it depend on the configuration that the gateway had, so they may differ at a resend.
+    // The operation id is derived from the operator's document and thus identifies the content. The
+    // changes that a gateway derives from the document depend on the configuration that the gateway
+    // had, so they may differ when the transaction is sent again.
     return transaction.label();
   }
   return Checksum(transaction.SerializeAsString());
@@ -28,7 +30,7 @@
   return found != objects.end() && found->second.SerializeAsString() == object.SerializeAsString();
 }
 
-/// History records the changes, not the text of the document.
+/// The history keeps the changes but not the text of the operator's document.
 void ClearDocumentSource(proto::ConfigurationTransaction* transaction) {
   for (proto::ConfigurationChange& change : *transaction->mutable_changes()) {
     if (change.has_set_document()) {
@@ -50,7 +52,7 @@
     return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
   const std::uint64_t checksum = ComputeChecksum(transaction);
-  if (auto recorded = FindRecordedAnswer(transaction, checksum)) {
+  if (auto recorded = FindRecordedResult(transaction, checksum)) {
     return *std::move(recorded);
   }
   if (transaction.inquiry() && transaction.expected_label() == label_) {
@@ -60,11 +62,11 @@
   if (result.outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
     Commit(transaction, wall_ms);
   }
-  RecordAnswer(result, checksum);
+  RecordResult(result, checksum);
   return result;
 }
 
-std::optional<proto::TransactionResult> ConfigurationStore::FindRecordedAnswer(
+std::optional<proto::TransactionResult> ConfigurationStore::FindRecordedResult(
     const proto::ConfigurationTransaction& transaction, std::uint64_t checksum) const {
   const proto::OperationRecord* recorded = operations_.Find(transaction.operation_id());
   if (recorded == nullptr) {
@@ -78,7 +80,7 @@
                       "\" was used for another transaction; choose a new one"});
 }
 
-void ConfigurationStore::RecordAnswer(const proto::TransactionResult& result,
+void ConfigurationStore::RecordResult(const proto::TransactionResult& result,
                                       std::uint64_t checksum) {
   proto::OperationRecord record;
   record.set_operation_id(result.operation_id());
@@ -94,13 +96,13 @@
 
 proto::TransactionResult ConfigurationStore::Evaluate(
     const proto::ConfigurationTransaction& transaction) const {
-  if (auto refused = EvaluateLabels(transaction)) {
-    return *refused;
+  if (auto refusal = EvaluateLabels(transaction)) {
+    return *refusal;
   }
   std::vector<std::string> problems = CheckEnvelope(transaction);
   const ConfigurationVersion expected(transaction.expected_version());
-  const bool versioned = transaction.label() == 0 && !transaction.any_version();
-  if (versioned && problems.empty() && expected != version_) {
+  const bool requires_version = transaction.label() == 0 && !transaction.any_version();
+  if (requires_version && problems.empty() && expected != version_) {
     return MakeRefusal(
         transaction, proto::TRANSACTION_OUTCOME_VERSION_CONFLICT,
         {"expected_version is " + expected.ToString() + ", the current version is " +
@@ -108,9 +110,9 @@
          "; read the configuration, redo the changes on it and send them under a new "
          "operation_id"});
   }
-  std::vector<std::string> wrong = CheckChanges(objects_, transaction);
-  problems.insert(problems.end(), std::make_move_iterator(wrong.begin()),
-                  std::make_move_iterator(wrong.end()));
+  std::vector<std::string> change_problems = CheckChanges(objects_, transaction);
+  problems.insert(problems.end(), std::make_move_iterator(change_problems.begin()),
+                  std::make_move_iterator(change_problems.end()));
   if (!problems.empty()) {
     return MakeRefusal(transaction, proto::TRANSACTION_OUTCOME_INVALID, std::move(problems));
   }
@@ -171,17 +173,17 @@
   if (!transaction.replaces_traffic()) {
     return transaction;
   }
-  proto::ConfigurationTransaction normal = transaction;
-  normal.clear_changes();
+  proto::ConfigurationTransaction normalized = transaction;
+  normalized.clear_changes();
   std::set<ConfigurationObjectKey> named;
   for (const proto::ConfigurationChange& change : transaction.changes()) {
     named.insert(ObjectKeyFor(change));
     if (!ChangesNothing(change)) {
-      *normal.add_changes() = change;
+      *normalized.add_changes() = change;
     }
   }
-  RemoveUnnamedTraffic(named, &normal);
-  return normal;
+  RemoveUnnamedTraffic(named, &normalized);
+  return normalized;
 }
 
 void ConfigurationStore::RemoveUnnamedTraffic(const std::set<ConfigurationObjectKey>& named,
@@ -228,7 +230,9 @@
 
 Status ConfigurationStore::RecordInForce(ConfigurationVersion version, std::int64_t wall_ms) {
   if (version > version_) {
-    return {StatusCode::kInvalidArgument, "version " + version.ToString() + " is not applied yet"};
+    return {StatusCode::kInvalidArgument, "version " + version.ToString() +
+                                              " is not applied yet; the current version is " +
+                                              version_.ToString()};
   }
   if (version <= in_force_) {
     return Status::Ok();
@@ -297,11 +301,11 @@
 
 bool ConfigurationStore::AddChangesSince(ConfigurationVersion known,
                                          proto::ConfigurationUpdate* update) const {
-  // `objects_.bytes` is incremental: serializing the full configuration for each version would cost
-  // time linear in the number of tenants.
+  // Uses `objects_.bytes`, which is updated with each change, because serializing the full
+  // configuration for each version would take time linear in the number of tenants.
   const std::size_t limit = objects_.bytes - objects_.document.source().size();
   std::size_t bytes = 0;
-  std::set<ConfigurationObjectKey> seen;  // Only the last change of each object counts.
+  std::set<ConfigurationObjectKey> seen;  // Of each object, only the last change is sent.
   for (auto record = history_.rbegin(); record != history_.rend(); ++record) {
     if (ConfigurationVersion(record->version()) <= known) {
       break;
--- a/tests/consensus/raft_full_disk_test.cc
+++ b/tests/consensus/raft_full_disk_test.cc
@@ -1,4 +1,4 @@
-// Members whose disks are temporarily full.
+// Members whose disks are full for a time must neither stop nor lose acknowledged commands.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -30,6 +30,7 @@
   bool HasLeader(Duration limit) {
     return cluster.RunUntil([this] { return cluster.Leader() != cluster.size(); }, limit);
   }
+  /// Proposes commands until one is acknowledged. @return whether that was within `limit`.
   bool Acknowledges(Duration limit) {
     const std::size_t before = cluster.record().acknowledged.size();
     return cluster.RunUntil(
@@ -42,7 +43,7 @@
         },
         limit);
   }
-  void Fill(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
+  void FillDisk(std::size_t member) { cluster.machine(member).SetDiskLimit(kFullDiskBytes); }
   void FreeAllDisks() {
     for (std::size_t member = 0; member < kMembers; ++member) {
       cluster.machine(member).SetDiskLimit(kAmpleDiskBytes);
@@ -53,11 +54,11 @@
   RaftCluster cluster;
 };
 
-TEST(RaftFullDiskTest, LeaderWithAFullDiskHandsOver) {
+TEST(RaftFullDiskTest, LeaderWithAFullDiskTransfersLeadership) {
   FullDiskRun run(1);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
-  run.Fill(leader);
+  run.FillDisk(leader);
   ASSERT_TRUE(run.Acknowledges(seconds(2)));
   run.cluster.RunFor(seconds(1));
   ASSERT_TRUE(run.HasLeader(seconds(2)));
@@ -73,8 +74,8 @@
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   const std::size_t leader = run.cluster.Leader();
   const std::uint64_t term = run.Term(leader);
-  run.Fill((leader + 1) % kMembers);
-  run.Fill((leader + 2) % kMembers);
+  run.FillDisk((leader + 1) % kMembers);
+  run.FillDisk((leader + 2) % kMembers);
   for (int second = 0; second < 10; ++second) {
     ASSERT_TRUE(run.Acknowledges(seconds(1)));
     run.cluster.RunFor(seconds(1));
@@ -89,7 +90,7 @@
   FullDiskRun run(3);
   ASSERT_TRUE(run.Acknowledges(seconds(5)));
   for (std::size_t member = 0; member < kMembers; ++member) {
-    run.Fill(member);
+    run.FillDisk(member);
   }
   EXPECT_FALSE(run.Acknowledges(seconds(3)));
   run.FreeAllDisks();
@@ -105,7 +106,7 @@
     for (int round = 0; round < kRounds; ++round) {
       SimulatedWorld& world = run.cluster.world();
       for (std::uint64_t count = 1 + world.RandomBelow(3); count > 0; --count) {
-        run.Fill(world.RandomBelow(kMembers));
+        run.FillDisk(world.RandomBelow(kMembers));
       }
       for (int step = 0; step < 20; ++step) {
         if (run.cluster.Leader() < kMembers) {
--- a/tests/consensus/raft_losses_test.cc
+++ b/tests/consensus/raft_losses_test.cc
@@ -1,4 +1,5 @@
-// A group of five voters that tolerates two failures at once, and again after each repair.
+// A group of five voters, with three spares, must survive two failures at once, and two more after
+// each repair.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -26,11 +27,11 @@
   return options;
 }
 
-class LossesRun {
+class MachineLossRun {
  public:
-  explicit LossesRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
+  explicit MachineLossRun(std::uint64_t seed) : cluster(Options(seed)) { cluster.StartAll(); }
 
-  /// @return machines of the voters in the leader's configuration.
+  /// @return the machines on which voters of the leader's configuration run; none without a leader.
   std::vector<std::size_t> Voters() {
     std::vector<std::size_t> voters;
     const std::size_t leader = cluster.Leader();
@@ -38,20 +39,22 @@
       return voters;
     }
     for (const LogMember& member : cluster.process(leader)->node.members()) {
-      for (std::size_t at = 0; at < cluster.size(); ++at) {
-        const bool here = cluster.process(at) != nullptr &&
-                          cluster.process(at)->node.core().member_id() == member.member_id;
-        if (here && !member.learner) {
-          voters.push_back(at);
+      for (std::size_t machine = 0; machine < cluster.size(); ++machine) {
+        const bool runs_member =
+            cluster.process(machine) != nullptr &&
+            cluster.process(machine)->node.core().member_id() == member.member_id;
+        if (runs_member && !member.learner) {
+          voters.push_back(machine);
         }
       }
     }
     return voters;
   }
-  /// Whether all voters are present within `limit`.
+  /// @return whether all voters of a full group run within `limit`.
   bool WaitForAllVoters(Duration limit) {
     return cluster.RunUntil([this] { return Voters().size() == kVoters; }, limit);
   }
+  /// Proposes commands until one is acknowledged. @return whether that was within `limit`.
   bool Acknowledges(Duration limit) {
     const std::size_t before = cluster.record().acknowledged.size();
     const TimePoint end = cluster.world().Now() + limit;
@@ -63,8 +66,8 @@
     }
     return cluster.record().acknowledged.size() > before;
   }
-  /// @return two voters, the leader among them in every other round.
-  std::vector<std::size_t> DrawTwo(int round) {
+  /// @return the machines of two random voters, with the leader's among them in even rounds.
+  std::vector<std::size_t> DrawTwoVoters(int round) {
     std::vector<std::size_t> voters = Voters();
     const std::size_t leader = cluster.Leader();
     std::vector<std::size_t> drawn;
@@ -72,9 +75,9 @@
       drawn.push_back(leader);
     }
     while (drawn.size() < 2) {
-      const std::size_t at = voters[cluster.world().RandomBelow(voters.size())];
-      if (std::find(drawn.begin(), drawn.end(), at) == drawn.end()) {
-        drawn.push_back(at);
+      const std::size_t machine = voters[cluster.world().RandomBelow(voters.size())];
+      if (std::find(drawn.begin(), drawn.end(), machine) == drawn.end()) {
+        drawn.push_back(machine);
       }
     }
     return drawn;
@@ -86,11 +89,11 @@
 TEST(RaftLossesTest, SurvivesRepeatedLossOfTwoDisks) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
-      for (const std::size_t lost : run.DrawTwo(round)) {
+      for (const std::size_t lost : run.DrawTwoVoters(round)) {
         run.cluster.machine(lost).LoseDisk();
       }
       run.cluster.RunFor(milliseconds(300));
@@ -105,10 +108,10 @@
 TEST(RaftLossesTest, SparesReplaceAllSeeds) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (std::size_t removed = 0; removed < kSeeds; ++removed) {
-      run.cluster.machine(removed).LosePower();  // For good.
+      run.cluster.machine(removed).LosePower();  // It does not start again.
       run.cluster.RunFor(seconds(8));
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "seed machine " << removed;
       EXPECT_EQ(run.Voters().size(), kVoters) << "seed machine " << removed;
@@ -120,10 +123,10 @@
 TEST(RaftLossesTest, ReplacesTwoVotersWithoutPower) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
-    LossesRun run(seed);
+    MachineLossRun run(seed);
     ASSERT_TRUE(run.WaitForAllVoters(seconds(10)));
     for (int round = 0; round < kRounds; ++round) {
-      for (const std::size_t lost : run.DrawTwo(round)) {
+      for (const std::size_t lost : run.DrawTwoVoters(round)) {
         run.cluster.machine(lost).LosePower();
       }
       ASSERT_TRUE(run.Acknowledges(seconds(3))) << "round " << round;
