--- a/src/work_dispatch/work_dispatcher.cc
+++ b/src/work_dispatch/work_dispatcher.cc
@@ -8,8 +8,8 @@
 /// @return the first lease id of the incarnation that has this node id. The node id is in the upper
 /// 32 bits, so the lease ids of different incarnations are disjoint.
 WorkLeaseId FirstLeaseId(NodeId node) {
-  constexpr unsigned kIncarnationShift = 32;
-  return WorkLeaseId((node.value() << kIncarnationShift) + 1);
+  constexpr unsigned kNodeIdShift = 32;
+  return WorkLeaseId((node.value() << kNodeIdShift) + 1);
 }
 
 }  // namespace
