--- a/src/control_client/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -13,7 +13,7 @@
 
 /// Replaces the element with the name of `object`, or inserts it in the order of the sorted `list`.
 template <typename List, typename Named>
-void SetByName(const Named& object, List* list) {
+void UpsertByName(const Named& object, List* list) {
   auto position = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
   if (position != list->end() && position->name() == object.name()) {
     *position = object;
@@ -27,11 +27,11 @@
 
 /// Inserts `object` unless an element has its name.
 template <typename List, typename Named>
-void EnsureByName(const Named& object, List* list) {
+void InsertByNameIfAbsent(const Named& object, List* list) {
   const auto position =
       std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
   if (position == list->end() || position->name() != object.name()) {
-    SetByName(object, list);
+    UpsertByName(object, list);
   }
 }
 
@@ -46,7 +46,7 @@
 
 std::string_view UpdateOutcomeName(UpdateOutcome outcome) {
   switch (outcome) {
-    case UpdateOutcome::kNothing:
+    case UpdateOutcome::kUnchanged:
       return "nothing";
     case UpdateOutcome::kApplied:
       return "taken";
@@ -62,19 +62,19 @@
                  proto::RoutingConfiguration* configuration) {
   switch (change.change_case()) {
     case proto::ConfigurationChange::kSetRoute:
-      SetByName(change.set_route(), configuration->mutable_routes());
+      UpsertByName(change.set_route(), configuration->mutable_routes());
       return true;
     case proto::ConfigurationChange::kRemoveRoute:
       RemoveByName(change.remove_route(), configuration->mutable_routes());
       return true;
     case proto::ConfigurationChange::kSetZone:
-      SetByName(change.set_zone(), configuration->mutable_zones());
+      UpsertByName(change.set_zone(), configuration->mutable_zones());
       return true;
     case proto::ConfigurationChange::kRemoveZone:
       RemoveByName(change.remove_zone(), configuration->mutable_zones());
       return true;
     case proto::ConfigurationChange::kSetTenant:
-      SetByName(change.set_tenant(), configuration->mutable_tenants());
+      UpsertByName(change.set_tenant(), configuration->mutable_tenants());
       return true;
     case proto::ConfigurationChange::kRemoveTenant:
       RemoveByName(change.remove_tenant(), configuration->mutable_tenants());
@@ -83,7 +83,7 @@
       *configuration->mutable_batch() = change.set_batch();
       return true;
     case proto::ConfigurationChange::kSetBackend:
-      SetByName(change.set_backend(), configuration->mutable_backends());
+      UpsertByName(change.set_backend(), configuration->mutable_backends());
       return true;
     case proto::ConfigurationChange::kRemoveBackend:
       RemoveByName(change.remove_backend(), configuration->mutable_backends());
@@ -92,7 +92,7 @@
       *configuration->mutable_document() = change.set_document();
       return true;
     case proto::ConfigurationChange::kEnsureZone:
-      EnsureByName(change.ensure_zone(), configuration->mutable_zones());
+      InsertByNameIfAbsent(change.ensure_zone(), configuration->mutable_zones());
       return true;
     case proto::ConfigurationChange::CHANGE_NOT_SET:
       return false;
@@ -114,7 +114,7 @@
     return UpdateOutcome::kOlder;
   }
   if (full.version() == configuration_.version()) {
-    return UpdateOutcome::kNothing;
+    return UpdateOutcome::kUnchanged;
   }
   configuration_ = full;
   return UpdateOutcome::kApplied;
@@ -125,7 +125,7 @@
     return UpdateOutcome::kOlder;
   }
   if (update.to_version() == configuration_.version()) {
-    return UpdateOutcome::kNothing;
+    return UpdateOutcome::kUnchanged;
   }
   if (update.from_version() != configuration_.version()) {
     full_update_needed_ = true;
--- a/src/control_client/configuration_watch.h
+++ b/src/control_client/configuration_watch.h
@@ -13,10 +13,10 @@
 
 /// Result of an offered update.
 enum class UpdateOutcome : std::uint8_t {
-  kNothing,  ///< It contains nothing new.
-  kApplied,  ///< The copy is now newer.
-  kGap,      ///< A delta from another version: a full update is requested next.
-  kOlder,    ///< Its version is lower; refused.
+  kUnchanged,  ///< It contains nothing new.
+  kApplied,    ///< The copy is now newer.
+  kGap,        ///< A delta from another version: a full update is requested next.
+  kOlder,      ///< Its version is lower; refused.
 };
 
 /// @return the name of `outcome` in metrics; stable.
--- a/src/control_client/fleet_watch.cc
+++ b/src/control_client/fleet_watch.cc
@@ -16,16 +16,16 @@
 }
 
 UpdateOutcome FleetWatch::Apply(const proto::FleetUpdate& update) {
-  const FleetVersion to(update.to_version());
+  const FleetVersion new_version(update.to_version());
   const bool full = update.from_version() == 0;
   if (full) {
     full_update_needed_ = false;  // Requested or not, it is the leader's complete state.
   }
-  if (to < view_.version) {
+  if (new_version < view_.version) {
     return UpdateOutcome::kOlder;
   }
-  if (to == view_.version) {
-    return UpdateOutcome::kNothing;
+  if (new_version == view_.version) {
+    return UpdateOutcome::kUnchanged;
   }
   if (!full && FleetVersion(update.from_version()) != view_.version) {
     full_update_needed_ = true;
@@ -35,7 +35,7 @@
     view_ = FleetView();
   }
   Merge(update);
-  view_.version = to;
+  view_.version = new_version;
   full_update_needed_ = false;
   return UpdateOutcome::kApplied;
 }
--- a/src/control_client/heartbeat_sender.cc
+++ b/src/control_client/heartbeat_sender.cc
@@ -64,9 +64,9 @@
 
 void HeartbeatSender::HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                                   Completion complete) {
-  const std::weak_ptr<void> answered_in = context_.incarnation_token();
+  const std::weak_ptr<void> incarnation = context_.incarnation_token();
   const bool configuration_applied = ApplyReply(request, reply);
-  if (!answered_in.expired()) {
+  if (!incarnation.expired()) {
     (this->*complete)(configuration_applied);
   }
 }
@@ -107,6 +107,6 @@
       });
 }
 
-void HeartbeatSender::CompleteUrgent(bool /*took_configuration*/) { urgent_in_flight_ = false; }
+void HeartbeatSender::CompleteUrgent(bool /*configuration_applied*/) { urgent_in_flight_ = false; }
 
 }  // namespace cloverbank
--- a/src/control_client/heartbeat_telemetry.cc
+++ b/src/control_client/heartbeat_telemetry.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// Shorter times without a lease are only counted.
-constexpr Duration kLeaseGapToLog = milliseconds(500);
+constexpr Duration kMinimumLoggedLeaseGap = milliseconds(500);
 
 }  // namespace
 
@@ -32,7 +32,7 @@
   }
   context.environment.metrics().ObserveSeconds("node_lease_lost_seconds",
                                                std::chrono::duration<double>(gap).count());
-  if (gap < kLeaseGapToLog) {
+  if (gap < kMinimumLoggedLeaseGap) {
     return;
   }
   Log(LogLevel::kWarning, "node_lease_lost",
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -38,7 +38,7 @@
       owner_(std::move(owner)),
       options_(std::move(options)),
       done_(std::move(done)),
-      end_(environment.Now() + options_.deadline),
+      deadline_(environment.Now() + options_.deadline),
       backoff_(options_.retry_delay) {}
 
 void LeaderCall::AttemptNext() {
@@ -53,7 +53,7 @@
 
 void LeaderCall::SendTo(const Endpoint& target) {
   const TimePoint sent = environment_.Now();
-  if (sent >= end_) {
+  if (sent >= deadline_) {
     return;  // The deadline timer ends the call.
   }
   in_flight_.insert(target);
@@ -61,7 +61,7 @@
   ++attempts_;
   ScheduleNext(options_.response_timeout);
   environment_.CallPeer(target, options_.method, std::move(body),
-                        std::min(options_.attempt_deadline, end_ - sent),
+                        std::min(options_.attempt_deadline, deadline_ - sent),
                         [call = shared_from_this(), target, sent](PeerReply reply) {
                           if (!call->owner_.expired()) {
                             call->HandleReply(target, sent, std::move(reply));
--- a/src/control_client/leader_call.h
+++ b/src/control_client/leader_call.h
@@ -65,7 +65,7 @@
   std::weak_ptr<void> owner_;
   LeaderCallOptions options_;
   std::function<void(LeaderReply)> done_;
-  TimePoint end_;
+  TimePoint deadline_;
   std::set<Endpoint> in_flight_;
   TimerId next_timer_ = 0;
   TimerId deadline_timer_ = 0;
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -25,7 +25,7 @@
   void OnNodeIdRefused(const Status& status) override;
   void OnHeartbeatApplied(const HeartbeatEffects& effects) override;
   /// Accepts the list of coordinators from the leader: no seed may be a coordinator any more.
-  void ServeCoordinators();
+  void ServeUpdateCoordinators();
   void EndIncarnation(std::string_view reason);
 
   NodeContext context;
@@ -46,9 +46,9 @@
       heartbeats(context, *this) {}
 
 void NodeAgent::State::OnRegistered() {
-  const std::weak_ptr<void> registered_in = context.incarnation_token();
+  const std::weak_ptr<void> incarnation = context.incarnation_token();
   registered_observers.NotifyAll();
-  if (!registered_in.expired()) {
+  if (!incarnation.expired()) {
     heartbeats.Start();
   }
 }
@@ -67,7 +67,7 @@
   }
 }
 
-void NodeAgent::State::ServeCoordinators() {
+void NodeAgent::State::ServeUpdateCoordinators() {
   ServePeer<proto::UpdateCoordinatorsRequest, proto::UpdateCoordinatorsResponse>(
       context.environment, UpdateCoordinatorsMethod(context.options.role),
       [this, agent_alive = std::weak_ptr<bool>(alive)](
@@ -96,7 +96,7 @@
 
 NodeAgent::NodeAgent(Environment& environment, NodeAgentOptions options)
     : state_(std::make_unique<State>(environment, std::move(options))) {
-  state_->ServeCoordinators();
+  state_->ServeUpdateCoordinators();
 }
 
 NodeAgent::~NodeAgent() = default;
--- a/src/control_client/node_context.cc
+++ b/src/control_client/node_context.cc
@@ -6,9 +6,9 @@
 namespace cloverbank {
 namespace {
 
-Incarnation DrawIncarnation(Environment& environment) {
-  const std::uint64_t drawn = environment.Random();
-  return Incarnation(drawn == 0 ? 1 : drawn);
+Incarnation GenerateIncarnation(Environment& environment) {
+  const std::uint64_t random_value = environment.Random();
+  return Incarnation(random_value == 0 ? 1 : random_value);
 }
 
 }  // namespace
@@ -16,7 +16,7 @@
 NodeContext::NodeContext(Environment& node_environment, NodeAgentOptions node_options)
     : environment(node_environment),
       options(std::move(node_options)),
-      session(DrawIncarnation(node_environment)),
+      session(GenerateIncarnation(node_environment)),
       directory(std::make_shared<CoordinatorDirectory>(options.coordinators)) {}
 
 void NodeContext::CallLeader(LeaderCallOptions call,
--- a/src/control_client/node_session.h
+++ b/src/control_client/node_session.h
@@ -24,8 +24,8 @@
 
 /// What the response to a heartbeat changed.
 struct HeartbeatEffects {
-  UpdateOutcome configuration = UpdateOutcome::kNothing;
-  UpdateOutcome fleet = UpdateOutcome::kNothing;
+  UpdateOutcome configuration = UpdateOutcome::kUnchanged;
+  UpdateOutcome fleet = UpdateOutcome::kUnchanged;
   bool lease_extended = false;
   /// How long there had been no lease when this one began; zero if there was one, or if this is the
   /// first.
--- a/src/control_client/operator_client.cc
+++ b/src/control_client/operator_client.cc
@@ -6,26 +6,27 @@
 namespace {
 
 /// @return the order's transaction if `current` is its base, else an inquiry about its outcome.
-Result<proto::ConfigurationTransaction> MakeTransaction(const proto::RoutingConfiguration& current,
-                                                        const DocumentTransaction& order) {
+Result<proto::ConfigurationTransaction> MakeTransaction(
+    const proto::RoutingConfiguration& current, const DocumentTransaction& document_transaction) {
   proto::ConfigurationTransaction transaction;
-  if (current.label() == order.base) {
-    Result<proto::ConfigurationTransaction> made = order.make(current.document().source());
-    if (!made.ok()) {
-      return made.status();
+  if (current.label() == document_transaction.base) {
+    Result<proto::ConfigurationTransaction> from_document =
+        document_transaction.make(current.document().source());
+    if (!from_document.ok()) {
+      return from_document.status();
     }
-    transaction = *std::move(made);
+    transaction = *std::move(from_document);
   } else {
     transaction.set_inquiry(true);
   }
-  transaction.set_operation_id(order.operation_id);
-  transaction.set_label(order.label);
-  transaction.set_expected_label(order.base);
+  transaction.set_operation_id(document_transaction.operation_id);
+  transaction.set_label(document_transaction.label);
+  transaction.set_expected_label(document_transaction.base);
   return transaction;
 }
 
 /// Whether an inquiry found that its order was not executed and can be submitted.
-bool MayBeSent(const Result<proto::SubmitTransactionResponse>& result) {
+bool CanBeSubmitted(const Result<proto::SubmitTransactionResponse>& result) {
   return result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
 }
 
@@ -41,50 +42,54 @@
 
 void OperatorClient::Submit(proto::ConfigurationTransaction transaction,
                             Done<proto::SubmitTransactionResponse> done) {
-  proto::SubmitTransactionRequest order;
-  *order.mutable_transaction() = std::move(transaction);
-  agent_.CallLeader<proto::SubmitTransactionResponse>("coordinator.SubmitTransaction", order,
+  proto::SubmitTransactionRequest request;
+  *request.mutable_transaction() = std::move(transaction);
+  agent_.CallLeader<proto::SubmitTransactionResponse>("coordinator.SubmitTransaction", request,
                                                       timeouts_.order, std::move(done));
 }
 
-void OperatorClient::SubmitDocumentTransaction(std::shared_ptr<const DocumentTransaction> order,
-                                               Done<proto::SubmitTransactionResponse> done) {
+void OperatorClient::SubmitDocumentTransaction(
+    std::shared_ptr<const DocumentTransaction> document_transaction,
+    Done<proto::SubmitTransactionResponse> done) {
   ReadConfiguration(
-      0, [this, alive = std::weak_ptr<bool>(alive_), order = std::move(order),
+      0, [this, alive = std::weak_ptr<bool>(alive_),
+          document_transaction = std::move(document_transaction),
           done = std::move(done)](const Result<proto::GetConfigurationResponse>& current) {
         if (!alive.expired()) {
-          SubmitOnConfiguration(current, order, done);
+          SubmitOnConfiguration(current, document_transaction, done);
         }
       });
 }
 
-void OperatorClient::SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
-                                           const std::shared_ptr<const DocumentTransaction>& order,
-                                           const Done<proto::SubmitTransactionResponse>& done) {
+void OperatorClient::SubmitOnConfiguration(
+    const Result<proto::GetConfigurationResponse>& current,
+    const std::shared_ptr<const DocumentTransaction>& document_transaction,
+    const Done<proto::SubmitTransactionResponse>& done) {
   if (!current.ok()) {
     done(current.status());
     return;
   }
   Result<proto::ConfigurationTransaction> transaction =
-      MakeTransaction(current->configuration(), *order);
+      MakeTransaction(current->configuration(), *document_transaction);
   if (!transaction.ok()) {
     done(transaction.status());
     return;
   }
-  Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), order,
+  Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), document_transaction,
                                    done](Result<proto::SubmitTransactionResponse> result) {
-    if (!alive.expired() && MayBeSent(result)) {
-      SubmitDocumentTransaction(order, done);  // The base arrived between the read and the inquiry.
+    if (!alive.expired() && CanBeSubmitted(result)) {
+      SubmitDocumentTransaction(document_transaction,
+                                done);  // The base arrived between the read and the inquiry.
     } else {
       done(std::move(result));
     }
   });
 }
 
-void OperatorClient::Retire(const proto::RetireServerRequest& order,
+void OperatorClient::Retire(const proto::RetireServerRequest& request,
                             Done<proto::RetireServerResponse> done) {
-  agent_.CallLeader<proto::RetireServerResponse>("coordinator.RetireServer", order, timeouts_.order,
-                                                 std::move(done));
+  agent_.CallLeader<proto::RetireServerResponse>("coordinator.RetireServer", request,
+                                                 timeouts_.order, std::move(done));
 }
 
 void OperatorClient::ReadRetirement(const std::string& machine,
--- a/src/control_client/operator_client.h
+++ b/src/control_client/operator_client.h
@@ -45,15 +45,15 @@
               Done<proto::SubmitTransactionResponse> done);
   /// As `Submit`, for an order that is computed from the current document: reads it, or inquires
   /// about the order's outcome if another label is current. kInvalidArgument: `make` refused.
-  void SubmitDocumentTransaction(std::shared_ptr<const DocumentTransaction> order,
+  void SubmitDocumentTransaction(std::shared_ptr<const DocumentTransaction> document_transaction,
                                  Done<proto::SubmitTransactionResponse> done);
-  void Retire(const proto::RetireServerRequest& order, Done<proto::RetireServerResponse> done);
+  void Retire(const proto::RetireServerRequest& request, Done<proto::RetireServerResponse> done);
   void ReadRetirement(const std::string& machine, Done<proto::GetRetirementResponse> done);
 
  private:
   /// Second step of `SubmitDocumentTransaction`: `current` is the answer to its read.
   void SubmitOnConfiguration(const Result<proto::GetConfigurationResponse>& current,
-                             const std::shared_ptr<const DocumentTransaction>& order,
+                             const std::shared_ptr<const DocumentTransaction>& document_transaction,
                              const Done<proto::SubmitTransactionResponse>& done);
 
   NodeAgent& agent_;
--- a/src/control_client/overload_rejection.h
+++ b/src/control_client/overload_rejection.h
@@ -12,7 +12,7 @@
 namespace cloverbank {
 
 /// @return a kResourceExhausted refusal: the batch was not accepted.
-Status RejectForOverload(std::string message, Duration come_after);
+Status RejectForOverload(std::string message, Duration retry_after);
 /// @return how long to wait before the batch is resubmitted, if `status` is such a refusal.
 std::optional<Duration> RetryAfter(const Status& status);
 
--- a/tests/control_client/fake_control.h
+++ b/tests/control_client/fake_control.h
@@ -21,9 +21,9 @@
 /// What the three fake coordinators share.
 struct FakeControl {
   std::string leader = "c1";
-  bool hints = true;
+  bool sends_leader_hints = true;
   std::uint64_t next_node_id = 1;
-  std::map<std::uint64_t, std::uint64_t> alive;  ///< Node id to incarnation.
+  std::map<std::uint64_t, std::uint64_t> live_incarnations;  ///< Node id to incarnation.
   std::uint64_t configuration_version = 0;
   std::vector<proto::ConfigurationChange> changes;  ///< Change i leads to version i + 1.
   bool skip_one_delta = false;                      ///< The next delta starts one version too high.
@@ -123,7 +123,7 @@
 
   Status NotLeader() const {
     const auto leader = endpoints_.find(control_.leader);
-    const bool known = control_.hints && leader != endpoints_.end();
+    const bool known = control_.sends_leader_hints && leader != endpoints_.end();
     return {StatusCode::kNotLeader, "not the leader", known ? leader->second.ToString() : ""};
   }
 
@@ -132,11 +132,11 @@
     proto::RegisterServerResponse response;
     response.set_node_id(control_.next_node_id++);
     response.set_partition_count(12);
-    control_.alive[response.node_id()] = request.server().incarnation();
+    control_.live_incarnations[response.node_id()] = request.server().incarnation();
     return response;
   }
 
-  bool Behind(const proto::HeartbeatRequest& request) const {
+  bool IsBehind(const proto::HeartbeatRequest& request) const {
     return request.configuration_version() != control_.configuration_version ||
            request.fleet_version() != control_.fleet.to_version();
   }
@@ -152,17 +152,17 @@
 
   void WaitForUpdate(const proto::HeartbeatRequest& request, TimePoint until,
                      const HeartbeatReply& reply) {
-    if (!control_.alive.contains(request.node_id())) {
+    if (!control_.live_incarnations.contains(request.node_id())) {
       reply(Status(StatusCode::kFenced, "declared dead"));
-    } else if (Behind(request) || environment_.Now() >= until) {
-      reply(MakeAnswer(request));
+    } else if (IsBehind(request) || environment_.Now() >= until) {
+      reply(MakeResponse(request));
     } else {
       environment_.ScheduleAfter(
           milliseconds(5), [this, request, until, reply] { WaitForUpdate(request, until, reply); });
     }
   }
 
-  proto::HeartbeatResponse MakeAnswer(const proto::HeartbeatRequest& request) {
+  proto::HeartbeatResponse MakeResponse(const proto::HeartbeatRequest& request) {
     proto::HeartbeatResponse response;
     response.set_lease_ms(kFakeLeaseMs);
     if (request.configuration_version() != control_.configuration_version) {
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -16,15 +16,16 @@
       options.role = proto::ROLE_GATEWAY;
       options.machine = "g";
       options.coordinators = seeds;
-      auto made = std::make_shared<NodeAgent>(environment, options);
-      agent = made.get();
+      auto created = std::make_shared<NodeAgent>(environment, options);
+      agent = created.get();
       agent->OnFenced([this] {
-        ++fences;
+        ++fence_count;
         lease_valid_when_fenced = agent->HasValidLease();
       });
-      agent->OnConfiguration([this] { versions.push_back(agent->configuration().version()); });
+      agent->OnConfiguration(
+          [this] { applied_versions.push_back(agent->configuration().version()); });
       agent->Start();
-      return made;
+      return created;
     });
   }
 
@@ -50,9 +51,9 @@
   std::vector<Endpoint> seeds;
   NodeAgent* agent = nullptr;
   StatusCode outcome = StatusCode::kInternal;
-  int fences = 0;
+  int fence_count = 0;
   bool lease_valid_when_fenced = false;
-  std::vector<std::uint64_t> versions;
+  std::vector<std::uint64_t> applied_versions;
   SimulatedWorld world{7};
 };
 
@@ -71,7 +72,7 @@
 
 TEST_F(NodeAgentTest, FindsTheLeaderWithoutHints) {
   control.leader = "c3";
-  control.hints = false;
+  control.sends_leader_hints = false;
   world.machine("c1").Kill();
   world.machine("g").Start();
   EXPECT_TRUE(WaitForLease(seconds(3)));
@@ -79,8 +80,9 @@
 
 TEST_F(NodeAgentTest, LeaseStartsWhenTheHeartbeatIsSent) {
   Join();
-  const std::size_t seen = control.heartbeats.size();
-  ASSERT_TRUE(world.RunUntil([&] { return control.heartbeats.size() > seen; }, seconds(1)));
+  const std::size_t heartbeats_before = control.heartbeats.size();
+  ASSERT_TRUE(
+      world.RunUntil([&] { return control.heartbeats.size() > heartbeats_before; }, seconds(1)));
   const TimePoint arrived = world.Now();  // Sent 1 to 5 ms before.
   world.RunFor(milliseconds(830));        // A long poll of 800 ms.
   const Duration usable = milliseconds(kFakeLeaseMs) * 99 / 100;
@@ -102,15 +104,15 @@
   EXPECT_FALSE(agent->HasValidLease());
   ASSERT_TRUE(WaitForLease(seconds(2)));
   EXPECT_EQ(agent->node_id(), NodeId(1)) << "the coordinators still knew it";
-  EXPECT_EQ(fences, 0);
+  EXPECT_EQ(fence_count, 0);
 }
 
 TEST_F(NodeAgentTest, FencedNodeRegistersUnderAFreshId) {
   Join();
   const Incarnation incarnation = agent->incarnation();
-  control.alive.clear();
+  control.live_incarnations.clear();
   ASSERT_TRUE(world.RunUntil([this] { return agent->node_id() == NodeId(2); }, seconds(3)));
-  EXPECT_EQ(fences, 1);
+  EXPECT_EQ(fence_count, 1);
   EXPECT_FALSE(lease_valid_when_fenced);
   ASSERT_EQ(control.registrations.size(), 2U);
   EXPECT_EQ(control.registrations[1].previous_node_id(), 1U);
@@ -123,7 +125,7 @@
   agent->AbandonNodeId("a backup refused it as fenced");
   EXPECT_FALSE(agent->HasValidLease());
   EXPECT_FALSE(agent->node_id().valid());
-  EXPECT_EQ(fences, 1);
+  EXPECT_EQ(fence_count, 1);
   ASSERT_TRUE(WaitForLease(seconds(2)));
   EXPECT_EQ(control.registrations[1].previous_node_id(), 1U);
 }
@@ -136,8 +138,10 @@
   ASSERT_TRUE(world.RunUntil(confirmed, milliseconds(40)));
   EXPECT_EQ(agent->configuration().routes(0).name(), "narrate");
   control.AddRoute("describe");  // The minimum interval does not delay a confirmation.
-  const auto again = [this] { return control.heartbeats.back().configuration_version() == 2; };
-  EXPECT_TRUE(world.RunUntil(again, milliseconds(21)));
+  const auto confirmed_again = [this] {
+    return control.heartbeats.back().configuration_version() == 2;
+  };
+  EXPECT_TRUE(world.RunUntil(confirmed_again, milliseconds(21)));
 }
 
 TEST_F(NodeAgentTest, RequestsAFullUpdateAfterAGap) {
@@ -154,7 +158,7 @@
   EXPECT_EQ(agent->lease_end(), end) << "the lease is not renewed without the configuration";
   ASSERT_TRUE(world.RunUntil([this] { return agent->configuration().version() == 3; }, seconds(1)));
   EXPECT_EQ(agent->configuration().routes_size(), 3);
-  EXPECT_EQ(versions, (std::vector<std::uint64_t>{1, 3}));
+  EXPECT_EQ(applied_versions, (std::vector<std::uint64_t>{1, 3}));
 }
 
 TEST_F(NodeAgentTest, RejectsOlderVersions) {
@@ -176,21 +180,21 @@
   control.AddRoute("b");
   world.RunFor(milliseconds(100));
   control.configuration_version = 1;  // Every heartbeat is answered at once from here on.
-  const std::size_t before = control.heartbeats.size();
+  const std::size_t heartbeats_before = control.heartbeats.size();
   world.RunFor(seconds(1));
-  EXPECT_LE(control.heartbeats.size() - before, 21U);
+  EXPECT_LE(control.heartbeats.size() - heartbeats_before, 21U);
 }
 
 TEST_F(NodeAgentTest, OutlivesItsSeeds) {
-  const Endpoint moved = world.AddMachine("c9", "10.0.1.9").endpoint();
+  const Endpoint replacement = world.AddMachine("c9", "10.0.1.9").endpoint();
   proto::Endpoint member;
-  member.set_host(moved.host);
-  member.set_port(moved.port);
+  member.set_host(replacement.host);
+  member.set_port(replacement.port);
   control.members.push_back(member);
   Join();
   world.RunFor(seconds(1));
   control.leader = "c9";
-  control.hints = false;
+  control.sends_leader_hints = false;
   world.machine("c9").SetProgram([this](Environment& environment, DataFolder&) {
     return std::make_shared<FakeCoordinator>(environment, "c9", control,
                                              std::map<std::string, Endpoint>());
--- a/tests/control_client/operator_client_test.cc
+++ b/tests/control_client/operator_client_test.cc
@@ -10,16 +10,16 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::uint64_t kBase = 7;
-constexpr std::uint64_t kLabel = 9;
+constexpr std::uint64_t kBaseLabel = 7;
+constexpr std::uint64_t kNewLabel = 9;
 
-struct OrderingNode {
-  OrderingNode(Environment& environment, const NodeAgentOptions& options)
-      : agent(environment, options), orders(agent) {
+struct OperatorNode {
+  OperatorNode(Environment& environment, const NodeAgentOptions& options)
+      : agent(environment, options), client(agent) {
     agent.Start();
   }
   NodeAgent agent;
-  OperatorClient orders;
+  OperatorClient client;
 };
 
 class OperatorClientTest : public testing::Test {
@@ -31,60 +31,61 @@
     options.coordinators = AddFakeCoordinators(world_, control_);
     world_.AddMachine("g", "10.0.0.1")
         .SetProgram([this, options](Environment& environment, DataFolder&) {
-          auto made = std::make_shared<OrderingNode>(environment, options);
-          node_ = made.get();
-          return made;
+          auto created = std::make_shared<OperatorNode>(environment, options);
+          node_ = created.get();
+          return created;
         });
     world_.machine("g").Start();
     world_.RunUntil([this] { return node_->agent.HasValidLease(); }, seconds(5));
   }
 
-  Result<proto::SubmitTransactionResponse> Order() {
-    auto order = std::make_shared<DocumentTransaction>();
-    order->operation_id = "patch";
-    order->base = kBase;
-    order->label = kLabel;
-    order->make = [](const std::string& document) -> Result<proto::ConfigurationTransaction> {
+  Result<proto::SubmitTransactionResponse> SubmitPatch() {
+    auto document_transaction = std::make_shared<DocumentTransaction>();
+    document_transaction->operation_id = "patch";
+    document_transaction->base = kBaseLabel;
+    document_transaction->label = kNewLabel;
+    document_transaction->make =
+        [](const std::string& document) -> Result<proto::ConfigurationTransaction> {
       proto::ConfigurationTransaction transaction;
       transaction.add_changes()->mutable_set_document()->set_source(document + " patched");
       return transaction;
     };
     std::optional<Result<proto::SubmitTransactionResponse>> answer;
-    node_->orders.SubmitDocumentTransaction(
-        order,
+    node_->client.SubmitDocumentTransaction(
+        document_transaction,
         [&answer](const Result<proto::SubmitTransactionResponse>& result) { answer = result; });
     world_.RunUntil([&answer] { return answer.has_value(); }, seconds(5));
     return answer.value_or(Status(StatusCode::kInternal, "no answer"));
   }
 
   FakeControl control_;
-  OrderingNode* node_ = nullptr;
+  OperatorNode* node_ = nullptr;
   SimulatedWorld world_{5};
 };
 
 TEST_F(OperatorClientTest, PatchesTheDocumentOfTheCurrentLabel) {
-  control_.label = kBase;
-  ASSERT_TRUE(Order().ok());
+  control_.label = kBaseLabel;
+  ASSERT_TRUE(SubmitPatch().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
   const auto& sent = control_.transactions[0].transaction();
   EXPECT_EQ(sent.changes(0).set_document().source(), "document 7 patched");
-  EXPECT_EQ(sent.expected_label(), kBase);
-  EXPECT_EQ(sent.label(), kLabel);
+  EXPECT_EQ(sent.expected_label(), kBaseLabel);
+  EXPECT_EQ(sent.label(), kNewLabel);
   EXPECT_FALSE(sent.inquiry());
 }
 
 TEST_F(OperatorClientTest, InquiresIfAnotherLabelIsCurrent) {
-  control_.label = kBase + 1;
-  ASSERT_TRUE(Order().ok());
+  control_.label = kBaseLabel + 1;
+  ASSERT_TRUE(SubmitPatch().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
   EXPECT_TRUE(control_.transactions[0].transaction().inquiry());
   EXPECT_EQ(control_.transactions[0].transaction().changes_size(), 0);
 }
 
 TEST_F(OperatorClientTest, SubmitsOnceTheBaseArrives) {
-  control_.label = kBase - 2;
-  control_.next_label = kBase;
-  const auto answer = Order();
+  control_.label = kBaseLabel - 2;
+  control_.next_label = kBaseLabel;
+  const auto answer = SubmitPatch();
   ASSERT_TRUE(answer.ok());
   EXPECT_EQ(answer->result().outcome(), proto::TRANSACTION_OUTCOME_APPLIED);
   ASSERT_EQ(control_.transactions.size(), 2U);
