--- a/src/control_client/configuration_watch.cc
+++ b/src/control_client/configuration_watch.cc
@@ -11,7 +11,8 @@
   return object.name() < name;
 }
 
-/// Replaces the element with the name of `object`, or inserts it in the order of the sorted `list`.
+/// Replaces the element that has the name of `object`, or inserts `object` at its place in `list`,
+/// which is sorted by name.
 template <typename List, typename Named>
 void UpsertByName(const Named& object, List* list) {
   auto position = std::lower_bound(list->begin(), list->end(), object.name(), NameLess<Named>);
@@ -21,11 +22,11 @@
   }
   const auto index = position - list->begin();
   *list->Add() = object;
-  // Moves pointers, not elements: there are thousands of tenants.
+  // Rotates the pointers instead of the elements, since a list can hold thousands of tenants.
   std::rotate(list->pointer_begin() + index, list->pointer_end() - 1, list->pointer_end());
 }
 
-/// Inserts `object` unless an element has its name.
+/// Inserts `object` unless `list`, which is sorted by name, has an element with the same name.
 template <typename List, typename Named>
 void InsertByNameIfAbsent(const Named& object, List* list) {
   const auto position =
@@ -131,7 +132,8 @@
     full_update_needed_ = true;
     return UpdateOutcome::kGap;
   }
-  // Checked before the first change is applied, so that no copy is needed to roll back.
+  // Every change is checked before the first one is applied: a refused delta must leave the
+  // configuration as it was, and otherwise a copy would be needed to roll back.
   const bool all_known =
       std::all_of(update.changes().begin(), update.changes().end(),
                   [](const proto::ConfigurationChange& change) {
--- a/src/control_client/configuration_watch.h
+++ b/src/control_client/configuration_watch.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Pure core: a node's copy of the routing configuration, kept current by updates from the
-/// coordinators. Its version never decreases. Threads: the owner's event loop only.
+/// A node's copy of the routing configuration, kept current by updates from the coordinators. The
+/// version of the copy never decreases. Performs no I/O and reads no clock. Threads: the owner's
+/// event loop only.
 
 #include <cstdint>
 #include <string_view>
@@ -11,32 +12,38 @@
 
 namespace cloverbank {
 
-/// Result of an offered update.
+/// Result of applying an update from the coordinators.
 enum class UpdateOutcome : std::uint8_t {
-  kUnchanged,  ///< It contains nothing new.
-  kApplied,    ///< The copy is now newer.
-  kGap,        ///< A delta from another version: a full update is requested next.
-  kOlder,      ///< Its version is lower; refused.
+  kUnchanged,  ///< The update has the version of the copy.
+  kApplied,    ///< The copy now has the version of the update.
+  kGap,        ///< Refused: a delta that does not start at the version of the copy, or that has a
+               ///< change unknown to this program. The next heartbeat requests a full update.
+  kOlder,      ///< Refused: the update has a lower version than the copy.
 };
 
-/// @return the name of `outcome` in metrics; stable.
+/// @return the name of `outcome` as a metric label. These names must stay stable.
 std::string_view UpdateOutcomeName(UpdateOutcome outcome);
 
-/// Applies one change to `configuration`, keeping lists sorted by name. Does not change the
+/// Applies one change to `configuration` and keeps its lists sorted by name. Does not change the
 /// version.
-/// @return false if the change is of a kind that this program does not know.
+/// @return false if this program does not know the kind of the change; `configuration` is then
+/// unchanged.
 bool ApplyChange(const proto::ConfigurationChange& change,
                  proto::RoutingConfiguration* configuration);
 
+/// Applies full and delta updates to one copy of the configuration, initially at version 0.
 class ConfigurationWatch {
  public:
   const proto::RoutingConfiguration& configuration() const { return configuration_; }
   ConfigurationVersion version() const { return ConfigurationVersion(configuration_.version()); }
-  /// @return the version to report in the next heartbeat; 0 requests a full update.
+  /// @return the version to report in the next heartbeat: that of the copy, or 0 to request a full
+  /// update.
   ConfigurationVersion VersionToReport() const;
 
+  /// Applies `update` completely or not at all.
   UpdateOutcome Apply(const proto::ConfigurationUpdate& update);
-  /// The leader has nothing newer than the reported version.
+  /// Handles a heartbeat response without an update: the leader has nothing newer than the reported
+  /// version.
   void HandleNoUpdate() { full_update_needed_ = false; }
 
  private:
--- a/src/control_client/coordinator_referral.cc
+++ b/src/control_client/coordinator_referral.cc
@@ -6,11 +6,14 @@
 namespace cloverbank {
 namespace {
 
-/// Methods that a node or an operator's gateway calls before it has heard from the coordinators.
+/// Methods that a node, or a gateway on behalf of an operator, may call before it knows the
+/// coordinators.
 constexpr std::array<std::string_view, 5> kCoordinatorMethods = {
     "coordinator.RegisterServer", "coordinator.GetConfiguration", "coordinator.SubmitTransaction",
     "coordinator.RetireServer", "coordinator.GetRetirement"};
 
+/// @return kNotLeader with the endpoint of the likely leader as the detail, or kUnavailable if
+/// `agent` has not received the list of coordinators.
 Status MakeReferral(const NodeAgent& agent) {
   const bool knows_coordinators = agent.list_sources().has_value();
   const std::vector<Endpoint> coordinators = agent.coordinators();
--- a/src/control_client/coordinator_referral.h
+++ b/src/control_client/coordinator_referral.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Refers calls for the coordinators to one of them, in a process that is no coordinator: a seed
-/// may be any machine, and a machine that has just started knows only its seeds. Threads: the
-/// owner's event loop only.
+/// Redirects coordinator calls that reach a process which is not a coordinator. Such calls arrive
+/// because any machine can be configured as a seed, and a machine that has just started knows only
+/// its seeds. Threads: the owner's event loop only.
 
 #include <memory>
 
@@ -11,13 +11,16 @@
 
 namespace cloverbank {
 
+/// Answers coordinator methods with kNotLeader and the endpoint of a coordinator as the detail.
 class CoordinatorReferral {
  public:
-  /// Registers the coordinators' methods; the process must not serve them itself. Refuses calls
-  /// until `agent`, which must outlive this, has heard from the coordinators.
+  /// Registers handlers for the coordinator methods, so the process must not serve them itself. The
+  /// handlers answer kUnavailable until `agent` has received its first heartbeat response.
+  /// @param agent must outlive this object.
   CoordinatorReferral(Environment& environment, const NodeAgent& agent);
 
  private:
+  /// The handlers answer kUnavailable once this object is destroyed.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/control_client/fleet_watch.cc
+++ b/src/control_client/fleet_watch.cc
@@ -19,7 +19,8 @@
   const FleetVersion new_version(update.to_version());
   const bool full = update.from_version() == 0;
   if (full) {
-    full_update_needed_ = false;  // Requested or not, it is the leader's complete state.
+    // Even an update that was not requested is the leader's complete state.
+    full_update_needed_ = false;
   }
   if (new_version < view_.version) {
     return UpdateOutcome::kOlder;
--- a/src/control_client/fleet_watch.h
+++ b/src/control_client/fleet_watch.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Pure core: a node's view of queue nodes, backups and partition owners, kept current by updates
-/// from the coordinators. Its version never decreases. Threads: the owner's event loop only.
+/// A node's view of queue nodes, backups and partition owners, kept current by updates from the
+/// coordinators. The version of the view never decreases. Performs no I/O and reads no clock.
+/// Threads: the owner's event loop only.
 
 #include "control_client/configuration_watch.h"
 #include "control_client/fleet_view.h"
@@ -9,15 +10,19 @@
 
 namespace cloverbank {
 
+/// Applies full and delta updates to one fleet view, initially at version 0.
 class FleetWatch {
  public:
   const FleetView& view() const { return view_; }
-  /// @return the version to report in the next heartbeat; 0 requests a full update.
+  /// @return the version to report in the next heartbeat: that of the view, or 0 to request a full
+  /// update.
   FleetVersion VersionToReport() const;
 
+  /// Applies `update` completely or not at all. An update from version 0 replaces the whole view.
   UpdateOutcome Apply(const proto::FleetUpdate& update);
 
  private:
+  /// Adds, replaces or removes the servers and partitions that `update` lists.
   void Merge(const proto::FleetUpdate& update);
 
   FleetView view_;
--- a/src/control_client/heartbeat_sender.cc
+++ b/src/control_client/heartbeat_sender.cc
@@ -8,9 +8,11 @@
 namespace cloverbank {
 namespace {
 
-/// Shortest interval between heartbeats, except for one that confirms a configuration.
+/// Minimum time from one heartbeat to the next regular one. A heartbeat that confirms a new
+/// configuration does not wait for it.
 constexpr Duration kMinimumInterval = milliseconds(50);
-/// How much longer than the hold to wait for an answer before another coordinator is called too.
+/// How long after the end of the hold the sender waits for a response before it also calls another
+/// coordinator.
 constexpr Duration kHeartbeatGrace = milliseconds(300);
 
 /// Whether the coordinators regard the sender's node id as dead or unknown.
@@ -46,8 +48,8 @@
   const auto request = std::make_shared<proto::HeartbeatRequest>();
   LeaderCallOptions call;
   call.method = "coordinator.Heartbeat";
-  // After a failure renewing the lease matters more than updates, so retries are to be answered at
-  // once.
+  // After a failed attempt, renewing the lease matters more than waiting for updates, so retries
+  // ask the leader to answer immediately.
   call.make_body = [this, request, hold](std::uint32_t attempt) {
     *request = context_.session.MakeHeartbeat(attempt == 0 ? hold : Duration::zero());
     last_sent_ = context_.environment.Now();
@@ -64,9 +66,9 @@
 
 void HeartbeatSender::HandleReply(const proto::HeartbeatRequest& request, const LeaderReply& reply,
                                   Completion complete) {
-  const std::weak_ptr<void> incarnation = context_.incarnation_token();
+  const std::weak_ptr<void> registration_token = context_.registration_token();
   const bool configuration_applied = ApplyReply(request, reply);
-  if (!incarnation.expired()) {
+  if (!registration_token.expired()) {
     (this->*complete)(configuration_applied);
   }
 }
--- a/src/control_client/heartbeat_telemetry.cc
+++ b/src/control_client/heartbeat_telemetry.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Shorter times without a lease are only counted.
+/// Shorter gaps between leases appear only in the metric, not in the log.
 constexpr Duration kMinimumLoggedLeaseGap = milliseconds(500);
 
 }  // namespace
--- a/src/control_client/heartbeat_telemetry.h
+++ b/src/control_client/heartbeat_telemetry.h
@@ -12,12 +12,15 @@
 
 namespace cloverbank {
 
-/// Counts a heartbeat that brought no usable answer.
+/// Counts a heartbeat that got no usable response.
+/// @param reason label of the metric: the name of the status code, or "malformed".
 void RecordHeartbeatFailure(const NodeContext& context, std::string_view reason);
-/// Counts an update that was refused. @param what "configuration" or "fleet".
+/// Counts the update if `outcome` says that it was refused, and logs it as an error if its version
+/// was older than the node's.
+/// @param what "configuration" or "fleet".
 void RecordUpdateOutcome(const NodeContext& context, std::string_view what, UpdateOutcome outcome);
-/// Records that there was no lease for `gap` (zero: there was none), and the configuration version
-/// before the answer that ended it.
+/// Records that the node had no lease for `gap`; does nothing if `gap` is zero.
+/// @param version_before the configuration version before the response that renewed the lease.
 void RecordLeaseGap(const NodeContext& context, Duration gap, std::uint64_t version_before);
 
 }  // namespace cloverbank
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -6,8 +6,8 @@
 namespace cloverbank {
 namespace {
 
-/// Hints followed at once in a row; further ones after a back-off, since two members may refer to
-/// each other.
+/// Maximum number of consecutive hints that a call follows without delay. It follows further hints
+/// only after a back-off, since two members may name each other as the leader.
 constexpr std::uint32_t kMaximumRedirects = 3;
 constexpr Duration kMaximumBackoff = milliseconds(150);
 
@@ -48,7 +48,7 @@
       return;
     }
   }
-  ScheduleNext(NextBackoff());  // Every member is being called already, or none is known.
+  ScheduleNext(NextBackoff());  // Every candidate has an attempt in flight, or none is known.
 }
 
 void LeaderCall::SendTo(const Endpoint& target) {
--- a/src/control_client/list_source.h
+++ b/src/control_client/list_source.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A gateway from which another one may request the list of replicas.
+/// A gateway from which other gateways can request the list of replicas.
 
 #include "base/ids.h"
 
@@ -8,7 +8,7 @@
 
 struct ListSource {
   Endpoint endpoint;
-  bool in_zone = true;  ///< In the zone of the gateway that requests.
+  bool in_zone = true;  ///< Whether it is in the same zone as the requesting gateway.
 };
 
 }  // namespace cloverbank
--- a/src/control_client/node_agent.cc
+++ b/src/control_client/node_agent.cc
@@ -12,7 +12,8 @@
 namespace cloverbank {
 namespace {
 
-/// Longer than a node lease, for which the acknowledgement of a transaction may have to wait.
+/// Longer than a node lease, because the leader may have to wait for one to expire before it
+/// acknowledges a transaction.
 constexpr Duration kCallAttemptDeadline = seconds(5);
 constexpr Duration kCallResponseTimeout = seconds(1);
 
@@ -24,9 +25,12 @@
   void OnRegistered();
   void OnNodeIdRefused(const Status& status) override;
   void OnHeartbeatApplied(const HeartbeatEffects& effects) override;
-  /// Accepts the list of coordinators from the leader: no seed may be a coordinator any more.
+  /// Serves the method by which the leader sends the list of coordinators. A node needs it if none
+  /// of its seeds is a coordinator any more.
   void ServeUpdateCoordinators();
-  void EndIncarnation(std::string_view reason);
+  /// Invalidates the node id, schedules a new registration and runs the `OnFenced` observers. Does
+  /// nothing without a valid node id.
+  void InvalidateNodeId(std::string_view reason);
 
   NodeContext context;
   NodeRegistration registration;
@@ -46,14 +50,14 @@
       heartbeats(context, *this) {}
 
 void NodeAgent::State::OnRegistered() {
-  const std::weak_ptr<void> incarnation = context.incarnation_token();
+  const std::weak_ptr<void> registration_token = context.registration_token();
   registered_observers.NotifyAll();
-  if (!incarnation.expired()) {
+  if (!registration_token.expired()) {
     heartbeats.Start();
   }
 }
 
-void NodeAgent::State::OnNodeIdRefused(const Status& status) { EndIncarnation(status.message()); }
+void NodeAgent::State::OnNodeIdRefused(const Status& status) { InvalidateNodeId(status.message()); }
 
 void NodeAgent::State::OnHeartbeatApplied(const HeartbeatEffects& effects) {
   if (effects.rank_changed) {
@@ -80,7 +84,7 @@
       });
 }
 
-void NodeAgent::State::EndIncarnation(std::string_view reason) {
+void NodeAgent::State::InvalidateNodeId(std::string_view reason) {
   const NodeId node_id = context.session.node_id();
   if (!node_id.valid()) {
     return;
@@ -88,7 +92,7 @@
   Log(LogLevel::kWarning, "node_id_ended",
       {{"machine", context.options.machine}, {"node_id", node_id.value()}, {"reason", reason}});
   context.environment.metrics().Increment("node_fenced_total");
-  context.EndIncarnation();
+  context.InvalidateNodeId();
   heartbeats.Stop();
   registration.StartAfterFence();
   fenced_observers.NotifyAll();
@@ -174,7 +178,7 @@
   state_->context.session.SetLoad(free_bytes, open_items, degraded);
 }
 
-void NodeAgent::AbandonNodeId(std::string_view reason) { state_->EndIncarnation(reason); }
+void NodeAgent::AbandonNodeId(std::string_view reason) { state_->InvalidateNodeId(reason); }
 
 void NodeAgent::CallLeaderRaw(std::string_view method, std::string body, Duration deadline,
                               PeerReplyCallback done) {
--- a/src/control_client/node_agent.h
+++ b/src/control_client/node_agent.h
@@ -1,12 +1,13 @@
 #pragma once
 /// @file
-/// A node's client of the coordinators: it registers the node under an id, renews its lease by
-/// heartbeats, and keeps copies of the routing configuration and the fleet current. One agent for
-/// each role on a machine.
+/// A node's client of the coordinators. It registers the node, which gives it a node id, renews the
+/// node's lease by heartbeats, and keeps copies of the routing configuration and the fleet view
+/// current. A machine runs one agent for each of its roles.
 ///
-/// The lease starts when the heartbeat that renewed it was *sent*, on the boot clock, so a process
-/// that was suspended finds it expired when it resumes. Owners of a lease check `HasValidLease()`
-/// immediately before each effect.
+/// The term of a lease starts when the node *sent* the heartbeat that renewed it. It is measured on
+/// the boot clock, which also advances during a suspend, so a process that was suspended for long
+/// finds its lease expired when it resumes. The owner of an agent must check `HasValidLease()`
+/// immediately before each action that requires the lease.
 ///
 /// Threads: the owner's event loop only.
 
@@ -30,63 +31,89 @@
 
 class NodeAgent {
  public:
+  /// @param environment must outlive this object.
   NodeAgent(Environment& environment, NodeAgentOptions options);
   ~NodeAgent();
   NodeAgent(const NodeAgent&) = delete;
   NodeAgent& operator=(const NodeAgent&) = delete;
 
-  /// Registers, then sends heartbeats, for as long as the agent lives.
+  /// Registers the node, then sends heartbeats until the agent is destroyed. Further calls do
+  /// nothing.
   void Start();
 
-  /// @return the id of this incarnation; invalid until registered, and again after `OnFenced`.
+  /// @return the current node id. It is invalid until the node is registered, and after a fence
+  /// until the node is registered again.
   NodeId node_id() const;
+  /// @return a random number that identifies this run of the agent. Unlike the node id, it stays
+  /// the same after a fence.
   Incarnation incarnation() const;
   const std::string& zone() const;
+  /// @return the number of partitions of the fleet; 0 until the node is registered.
   std::uint32_t partition_count() const;
-  /// @return the rank of this gateway in its zone, by which zone-wide rates and capacities are
-  /// divided.
+  /// @return the rank of this gateway in its zone. The gateways of a zone divide zone-wide rates
+  /// and capacities among them by it.
   GatewayRank gateway_rank() const;
-  /// @return peer endpoints of other gateways in this zone, a bounded number of them.
+  /// @return the peer endpoints of a bounded number of other gateways in this zone.
   const std::vector<Endpoint>& neighbours() const;
-  /// @return the gateways to request the list of replicas from, in order; none before the first
-  /// heartbeat was answered.
+  /// @return the gateways from which to request the list of replicas, in the order in which to try
+  /// them; nullopt until the first heartbeat is answered.
   const std::optional<std::vector<ListSource>>& list_sources() const;
-  /// Whether this node may act: it is registered, not fenced, and its lease has not expired.
+  /// @return whether this node may act: it is registered, not fenced, and its lease has not
+  /// expired.
   bool HasValidLease() const;
-  /// @return when the lease expires; a past time if there is none.
+  /// @return when the lease expires; a time in the past if there is no lease.
   TimePoint lease_end() const;
 
-  /// The newest known configuration; version 0 until the first arrives. The version never
-  /// decreases.
+  /// @return the newest known configuration, which has version 0 until the first one arrives. The
+  /// version never decreases.
   const proto::RoutingConfiguration& configuration() const;
   const FleetView& fleet() const;
-  /// Current coordinators, the likely leader first.
+  /// @return the known coordinators, the likely leader first, and then the seeds.
   std::vector<Endpoint> coordinators() const;
 
-  /// Observers run after a newer configuration or fleet view was applied.
+  // Observers run on the event loop, in the order in which they were added.
+
+  /// Runs `observer` after each update of the configuration to a newer version.
   void OnConfiguration(std::function<void()> observer);
+  /// Runs `observer` after each update of the fleet view to a newer version.
   void OnFleet(std::function<void()> observer);
-  /// Runs after the rank among the gateways of the zone has changed.
+  /// Runs `observer` after the rank of this gateway in its zone has changed.
   void OnGatewayRank(std::function<void()> observer);
-  /// Runs when the node id has become valid (at first, and again after each fence).
+  /// Runs `observer` after each registration, when the node id has become valid: the first one, and
+  /// one after each fence.
   void OnRegistered(std::function<void()> observer);
-  /// Runs when the coordinators refused this node id as dead. The owner must stop every act under
-  /// the old id at once. The agent then registers anew under a fresh id.
+  /// Runs `observer` when the node is fenced, that is, the coordinators refused its node id as dead
+  /// or unknown, or `AbandonNodeId` ended it. The id is already invalid then. The owner must
+  /// immediately stop everything that it does under the old id. The agent then registers again and
+  /// gets a new id.
   void OnFenced(std::function<void()> observer);
 
-  /// Reports `peer` as unresponsive to the coordinators at once, in a heartbeat of its own.
+  /// Reports to the coordinators that `peer` does not respond. Sends an additional heartbeat for it
+  /// immediately; if one is already in flight, the next heartbeat contains the report.
   void ReportSuspect(NodeId peer);
+  /// Sets the load that the following heartbeats report.
+  /// @param free_bytes free disk space, of a backup.
+  /// @param open_items number of open items, of a queue node.
+  /// @param degraded whether the log of a queue node has fewer replicas than configured.
   void SetLoad(std::uint64_t free_bytes, std::uint64_t open_items, bool degraded);
-  /// Ends this incarnation and registers under a fresh id (called by a queue node that a backup
-  /// refused as fenced). Runs the `OnFenced` observers.
+  /// Invalidates the node id, runs the `OnFenced` observers and registers again to get a new id. A
+  /// queue node calls it when a backup refused it as fenced. Does nothing without a valid node id.
+  /// @param reason for the log.
   void AbandonNodeId(std::string_view reason);
 
-  /// Calls `method` at the coordinator leader, following kNotLeader hints and trying the other
-  /// members until `deadline`. Only for methods that may safely be repeated (all coordinator.* are:
-  /// they carry an operation id or name the state they want).
+  /// Calls `method` at the coordinator leader; follows kNotLeader hints and tries the other members
+  /// until `deadline`. Only for methods that can safely be repeated. All coordinator.* methods can,
+  /// because their requests contain an operation id or state the desired result.
+  /// @param body the serialized request.
+  /// @param deadline of the whole call, from now.
+  /// @param done runs once on the event loop, unless the agent is destroyed before. If no leader
+  /// has answered by the deadline, the status is kUnknownOutcome if a member may have executed the
+  /// request, else kUnavailable.
   void CallLeaderRaw(std::string_view method, std::string body, Duration deadline,
                      PeerReplyCallback done);
 
+  /// Like `CallLeaderRaw`, with protobuf messages. `done` gets kInternal if the response cannot be
+  /// parsed.
   template <typename Response, typename Request>
   void CallLeader(std::string_view method, const Request& request, Duration deadline,
                   std::function<void(Result<Response>)> done) {
--- a/src/control_client/node_agent_options.h
+++ b/src/control_client/node_agent_options.h
@@ -13,15 +13,15 @@
 
 struct NodeAgentOptions {
   proto::Role role = proto::ROLE_UNSPECIFIED;
-  std::string machine;  ///< Name from the settings.
+  std::string machine;  ///< Name of the machine in the settings.
   std::string zone;
-  Endpoint client_endpoint;                     ///< Gateways: where callers reach it.
-  bool spare = false;                           ///< Backups on front machines.
-  std::string disk_id;                          ///< Backups: id stored on their disk.
-  std::vector<Endpoint> coordinators;           ///< Seeds; members learned later come first.
-  Duration heartbeat_hold = milliseconds(800);  ///< Limit of a heartbeat's long poll.
-  Duration heartbeat_deadline = milliseconds(1500);
-  Duration retry_delay = milliseconds(100);  ///< Between attempts, with jitter.
+  Endpoint client_endpoint;                     ///< Gateways only: where clients connect.
+  bool spare = false;                           ///< Backups only: runs on a front machine.
+  std::string disk_id;                          ///< Backups only: id stored on the disk.
+  std::vector<Endpoint> coordinators;           ///< Seeds, tried after the members received later.
+  Duration heartbeat_hold = milliseconds(800);  ///< How long the leader may hold a heartbeat.
+  Duration heartbeat_deadline = milliseconds(1500);  ///< Of one attempt at one coordinator.
+  Duration retry_delay = milliseconds(100);  ///< First back-off between attempts, less jitter.
 };
 
 }  // namespace cloverbank
--- a/src/control_client/node_context.cc
+++ b/src/control_client/node_context.cc
@@ -6,6 +6,7 @@
 namespace cloverbank {
 namespace {
 
+/// @return a random incarnation other than 0.
 Incarnation GenerateIncarnation(Environment& environment) {
   const std::uint64_t random_value = environment.Random();
   return Incarnation(random_value == 0 ? 1 : random_value);
@@ -21,12 +22,12 @@
 
 void NodeContext::CallLeader(LeaderCallOptions call,
                              std::function<void(const LeaderReply&)> done) const {
-  LeaderCall::Start(environment, directory, incarnation_token_, std::move(call), std::move(done));
+  LeaderCall::Start(environment, directory, registration_token_, std::move(call), std::move(done));
 }
 
-void NodeContext::EndIncarnation() {
-  session.EndIncarnation();
-  incarnation_token_ = std::make_shared<bool>(true);
+void NodeContext::InvalidateNodeId() {
+  session.InvalidateNodeId();
+  registration_token_ = std::make_shared<bool>(true);
 }
 
 }  // namespace cloverbank
--- a/src/control_client/node_context.h
+++ b/src/control_client/node_context.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// State that the parts of one `NodeAgent` share: environment, options, session, and calls to the
-/// leader on behalf of the current incarnation. Threads: the owner's event loop only.
+/// State that the parts of one `NodeAgent` share: the environment, options and session, and calls
+/// to the leader that are dropped when the node id becomes invalid. Threads: the owner's event loop
+/// only.
 
 #include <functional>
 #include <memory>
@@ -18,12 +19,14 @@
  public:
   NodeContext(Environment& node_environment, NodeAgentOptions node_options);
 
-  /// Calls the leader on behalf of this incarnation: `done` is dropped once it has ended.
+  /// Calls the leader to get or renew the current registration. `done` runs on the event loop,
+  /// unless `InvalidateNodeId` runs or the context is destroyed before.
   void CallLeader(LeaderCallOptions call, std::function<void(const LeaderReply&)> done) const;
-  /// Ends the validity of the node id and its lease, and drops pending calls.
-  void EndIncarnation();
-  /// Expires when the incarnation ends or the context is destroyed.
-  std::weak_ptr<void> incarnation_token() const { return incarnation_token_; }
+  /// Invalidates the node id and its lease, and drops pending calls.
+  void InvalidateNodeId();
+  /// @return a pointer that expires at the next `InvalidateNodeId`, or when the context is
+  /// destroyed.
+  std::weak_ptr<void> registration_token() const { return registration_token_; }
 
   Environment& environment;
   const NodeAgentOptions options;
@@ -31,7 +34,7 @@
   const std::shared_ptr<CoordinatorDirectory> directory;
 
  private:
-  std::shared_ptr<bool> incarnation_token_ = std::make_shared<bool>(true);
+  std::shared_ptr<bool> registration_token_ = std::make_shared<bool>(true);
 };
 
 }  // namespace cloverbank
--- a/src/control_client/node_registration.h
+++ b/src/control_client/node_registration.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Registers a node with the coordinators, and again after each fence, until it has a node id.
-/// Threads: the owner's event loop only.
+/// Registers a node with the coordinators at its start and after each fence, and retries until the
+/// node has a node id. Threads: the owner's event loop only.
 
 #include <functional>
 
@@ -11,16 +11,18 @@
 
 class NodeRegistration {
  public:
-  /// @param context must outlive this.
-  /// @param on_registered runs once the session has a node id.
+  /// @param context must outlive this object.
+  /// @param on_registered runs on the event loop after each successful registration, when the
+  /// session has a valid node id.
   NodeRegistration(NodeContext& context, std::function<void()> on_registered);
   ~NodeRegistration();
   NodeRegistration(const NodeRegistration&) = delete;
   NodeRegistration& operator=(const NodeRegistration&) = delete;
 
-  /// Registers; repeats it after a failure.
+  /// Registers the node. Retries after a failure, with the retry delay between the calls.
   void Start();
-  /// Registers under a fresh id, no sooner than the retry delay after the last registration.
+  /// Registers the node again to get a new id, no sooner than the retry delay after the last
+  /// successful registration.
   void StartAfterFence();
 
  private:
--- a/src/control_client/node_session.cc
+++ b/src/control_client/node_session.cc
@@ -19,10 +19,11 @@
   return sources;
 }
 
-/// The node's clock may run slower than the leader's, so it uses the lease less one part in this
-/// many.
+/// The node's clock may run slower than the leader's, so the node shortens its lease by this
+/// fraction: 1 / 100.
 constexpr int kClockDriftDivisor = 100;
 
+/// @return how long after sending a heartbeat the node may rely on the lease in its response.
 Duration ComputeUsableLease(std::uint32_t lease_ms) {
   const Duration lease = milliseconds(lease_ms);
   return lease - lease / kClockDriftDivisor;
@@ -36,7 +37,7 @@
   lease_end_ = TimePoint();
 }
 
-void NodeSession::EndIncarnation() {
+void NodeSession::InvalidateNodeId() {
   if (node_id_.valid()) {
     previous_node_id_ = node_id_;
   }
@@ -93,8 +94,8 @@
   effects.rank_changed = UpdateGatewayRank(response);
   neighbours_ = ToEndpoints(response.neighbours());
   list_sources_ = ToListSources(response);
-  const bool same_incarnation = node_id_.valid() && NodeId(request.node_id()) == node_id_;
-  if (same_incarnation && effects.configuration != UpdateOutcome::kGap) {
+  const bool same_node_id = node_id_.valid() && NodeId(request.node_id()) == node_id_;
+  if (same_node_id && effects.configuration != UpdateOutcome::kGap) {
     const TimePoint end = times.sent + ComputeUsableLease(response.lease_ms());
     effects.lease_extended = end > lease_end_;
     lease_end_ = std::max(lease_end_, end);
--- a/src/control_client/node_session.h
+++ b/src/control_client/node_session.h
@@ -1,11 +1,13 @@
 #pragma once
 /// @file
-/// Pure core of `NodeAgent`: the node id of this incarnation, its lease, and the copies of
-/// configuration and fleet. It makes heartbeat requests and applies their responses.
+/// State of a `NodeAgent`: the node id, its lease, and the copies of the configuration and the
+/// fleet view. It creates heartbeat requests and applies their responses. Performs no I/O and reads
+/// no clock.
 ///
 /// A response renews the lease only if the copy of the configuration is then at least as new as the
-/// one offered with it: otherwise a node that was partitioned could serve by a version older than
-/// one acknowledged meanwhile. Threads: the owner's event loop only.
+/// update in the response. Otherwise a node that had been cut off by a network partition could
+/// serve with an older version than one that was acknowledged to an operator in the meantime.
+/// Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <optional>
@@ -27,30 +29,31 @@
   UpdateOutcome configuration = UpdateOutcome::kUnchanged;
   UpdateOutcome fleet = UpdateOutcome::kUnchanged;
   bool lease_extended = false;
-  /// How long there had been no lease when this one began; zero if there was one, or if this is the
-  /// first.
+  /// How long the node had had no lease when the response arrived; zero if it had one, or if this
+  /// is its first.
   Duration lease_gap{};
-  bool rank_changed = false;
+  bool rank_changed = false;  ///< Whether the gateway rank changed.
 };
 
-/// When a heartbeat was sent and its answer arrived.
+/// When the node sent a heartbeat and when its response arrived.
 struct HeartbeatTimes {
   TimePoint sent;
   TimePoint answered;
 };
 
+/// Outlives fences: the copies, and the end of the last lease, carry over to the next node id.
 class NodeSession {
  public:
   explicit NodeSession(Incarnation incarnation) : incarnation_(incarnation) {}
 
   NodeId node_id() const { return node_id_; }
-  /// The id before this one in the same process; invalid if none.
+  /// @return the last node id of this session that was fenced; invalid if there was none.
   NodeId previous_node_id() const { return previous_node_id_; }
   Incarnation incarnation() const { return incarnation_; }
   std::uint32_t partition_count() const { return partition_count_; }
   GatewayRank gateway_rank() const { return gateway_rank_; }
   const std::vector<Endpoint>& neighbours() const { return neighbours_; }
-  /// None before the first heartbeat was answered.
+  /// @return nullopt until the first heartbeat is answered.
   const std::optional<std::vector<ListSource>>& list_sources() const { return list_sources_; }
   TimePoint lease_end() const { return lease_end_; }
   bool HasValidLease(TimePoint now) const { return node_id_.valid() && now < lease_end_; }
@@ -59,18 +62,22 @@
   }
   const FleetView& fleet() const { return fleet_.view(); }
 
-  /// Applies a fresh node id. There is no lease until the first heartbeat is answered.
+  /// Applies the new node id. It has no lease until its first heartbeat is answered.
   void ApplyRegistration(const proto::RegisterServerResponse& response);
-  /// Ends this incarnation: the id and its lease are invalid at once.
-  void EndIncarnation();
+  /// Invalidates the node id and its lease.
+  void InvalidateNodeId();
 
-  /// Adds a peer to report as suspect. @return false if its report is already pending.
+  /// Adds `peer` to the unresponsive peers that heartbeats report, until a response confirms the
+  /// report.
+  /// @return false if a report of `peer` is already pending.
   bool AddSuspect(NodeId peer) { return suspects_.insert(peer).second; }
+  /// Sets the load that the following heartbeats report; see `NodeAgent::SetLoad`.
   void SetLoad(std::uint64_t free_bytes, std::uint64_t open_items, bool degraded);
 
-  /// @return the request to send now; the leader may delay its answer for up to `hold`.
+  /// @return the request to send now.
+  /// @param hold how long the leader may delay its response while it has no updates.
   proto::HeartbeatRequest MakeHeartbeat(Duration hold) const;
-  /// Applies the response to `request`.
+  /// Applies the response to `request`, and renews the lease if the rule above allows it.
   HeartbeatEffects ApplyHeartbeat(const proto::HeartbeatRequest& request,
                                   const HeartbeatTimes& times,
                                   const proto::HeartbeatResponse& response);
@@ -87,7 +94,7 @@
   std::vector<Endpoint> neighbours_;
   std::optional<std::vector<ListSource>> list_sources_;
   TimePoint lease_end_{};
-  TimePoint last_lease_end_{};  ///< Of any incarnation of this process.
+  TimePoint last_lease_end_{};  ///< Of this or any earlier node id.
   ConfigurationWatch configuration_;
   FleetWatch fleet_;
   std::set<NodeId> suspects_;
--- a/src/control_client/observer_list.h
+++ b/src/control_client/observer_list.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Callbacks that run after an event, in the order of their registration. Threads: the owner's
-/// event loop only.
+/// A list of callbacks that run after each event, in the order in which they were added. Threads:
+/// the owner's event loop only.
 
 #include <cstddef>
 #include <deque>
@@ -14,7 +14,8 @@
  public:
   void Add(std::function<void()> observer) { observers_.push_back(std::move(observer)); }
 
-  /// Runs every observer once. One that is added meanwhile runs from the next event on.
+  /// Runs every observer once. An observer that is added during the run is first called for the
+  /// next event.
   void NotifyAll() const {
     const std::size_t count = observers_.size();
     for (std::size_t index = 0; index < count; ++index) {
@@ -23,7 +24,7 @@
   }
 
  private:
-  /// A deque: references stay valid when an observer adds another.
+  /// A deque, because references to its elements stay valid when a running observer adds another.
   std::deque<std::function<void()>> observers_;
 };
 
--- a/src/control_client/operator_client.cc
+++ b/src/control_client/operator_client.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// @return the order's transaction if `current` is its base, else an inquiry about its outcome.
+/// @return the computed transaction if `current` has the label that it is based on, else an inquiry
+/// about its outcome.
 Result<proto::ConfigurationTransaction> MakeTransaction(
     const proto::RoutingConfiguration& current, const DocumentTransaction& document_transaction) {
   proto::ConfigurationTransaction transaction;
@@ -25,7 +26,7 @@
   return transaction;
 }
 
-/// Whether an inquiry found that its order was not executed and can be submitted.
+/// @return whether an inquiry found that the transaction was not executed and can be submitted.
 bool CanBeSubmitted(const Result<proto::SubmitTransactionResponse>& result) {
   return result.ok() && result->result().outcome() == proto::TRANSACTION_OUTCOME_MAY_BE_SENT;
 }
@@ -78,8 +79,8 @@
   Submit(*std::move(transaction), [this, alive = std::weak_ptr<bool>(alive_), document_transaction,
                                    done](Result<proto::SubmitTransactionResponse> result) {
     if (!alive.expired() && CanBeSubmitted(result)) {
-      SubmitDocumentTransaction(document_transaction,
-                                done);  // The base arrived between the read and the inquiry.
+      // The base label became current between the read and the inquiry.
+      SubmitDocumentTransaction(document_transaction, done);
     } else {
       done(std::move(result));
     }
