--- a/src/control_client/coordinator_referral.cc
+++ b/src/control_client/coordinator_referral.cc
@@ -18,9 +18,10 @@
   const bool knows_coordinators = agent.list_sources().has_value();
   const std::vector<Endpoint> coordinators = agent.coordinators();
   if (!knows_coordinators || coordinators.empty()) {
-    return {StatusCode::kUnavailable, "this process is no coordinator and knows none"};
+    return {StatusCode::kUnavailable,
+            "this process is not a coordinator and has not received the list of coordinators yet"};
   }
-  return {StatusCode::kNotLeader, "this process is no coordinator",
+  return {StatusCode::kNotLeader, "this process is not a coordinator",
           coordinators.front().ToString()};
 }
 
--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -126,9 +126,11 @@
 void LeaderCall::FinishAtDeadline() {
   const bool unknown = outcome_unknown_ || !in_flight_.empty();
   const StatusCode code = unknown ? StatusCode::kUnknownOutcome : StatusCode::kUnavailable;
-  std::string message = "no coordinator leader answered " + options_.method + " in time";
+  std::string message =
+      "no coordinator leader answered " + options_.method + " within " +
+      std::to_string(std::chrono::duration_cast<milliseconds>(options_.deadline).count()) + " ms";
   if (!last_failure_.ok()) {
-    message += "; last: " + last_failure_.ToString();
+    message += "; last failure: " + last_failure_.ToString();
   }
   deadline_timer_ = 0;
   Finish({{Status(code, std::move(message)), {}}, environment_.Now()});
