--- a/tests/control_client/coordinator_referral_test.cc
+++ b/tests/control_client/coordinator_referral_test.cc
@@ -1,4 +1,4 @@
-// Processes none of whose seeds is a coordinator.
+// Nodes none of whose seeds is a coordinator must still find the coordinators.
 #include "control_client/coordinator_referral.h"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-/// A gateway's agent and its referrals to the coordinators.
+/// A gateway process: its agent, and the handlers that refer callers to the coordinators.
 struct Gateway {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<CoordinatorReferral> referral;
@@ -37,6 +37,7 @@
     return message;
   }
 
+  /// Adds a running gateway that knows only `seeds`.
   void AddGateway(const std::string& name, const std::string& address,
                   const std::vector<Endpoint>& seeds) {
     world_.AddMachine(name, address)
@@ -55,6 +56,7 @@
     world_.machine(name).Start();
   }
 
+  /// Runs the world for up to `limit`. @return whether the gateway `name` has a lease then.
   bool JoinsWithin(const std::string& name, Duration limit) {
     return world_.RunUntil([this, name] { return gateways_[name]->agent->HasValidLease(); }, limit);
   }
@@ -65,7 +67,8 @@
   SimulatedWorld world_{9};
 };
 
-// After a power loss of all machines, all seeds may be machines that know no coordinator either.
+// After a power loss of all machines, a node's seeds may all be machines that do not know the
+// coordinators either. The leader's list must then reach the node.
 TEST_F(CoordinatorReferralTest, AcceptsTheCoordinatorListFromTheLeader) {
   AddGateway("lost", "10.0.2.1", {Endpoint{"10.0.2.9", 7401}});
   EXPECT_FALSE(JoinsWithin("lost", seconds(2)));
@@ -78,15 +81,15 @@
   EXPECT_TRUE(JoinsWithin("lost", seconds(2)));
 }
 
-// After the seeds were replaced, all seeds of a machine that was off may be gateways.
-TEST_F(CoordinatorReferralTest, RefersToTheCoordinators) {
+// While a machine is off, all of its seeds may be replaced. They may then all be gateways.
+TEST_F(CoordinatorReferralTest, SeedThatIsAGatewayRefersToTheCoordinators) {
   AddGateway("known", "10.0.2.1", {endpoints_["c2"]});
   ASSERT_TRUE(JoinsWithin("known", seconds(3)));
   AddGateway("new", "10.0.2.2", {world_.machine("known").endpoint()});
   EXPECT_TRUE(JoinsWithin("new", seconds(2)));
 }
 
-TEST_F(CoordinatorReferralTest, RefersNobodyBeforeItsFirstHeartbeat) {
+TEST_F(CoordinatorReferralTest, RefersNoCallsBeforeItsFirstHeartbeat) {
   AddGateway("first", "10.0.2.1", {Endpoint{"10.0.2.2", 7401}});
   AddGateway("second", "10.0.2.2", {world_.machine("first").endpoint()});
   EXPECT_FALSE(JoinsWithin("first", seconds(3)));
--- a/tests/control_client/fake_control.h
+++ b/tests/control_client/fake_control.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A fake coordinator group for tests of nodes: three machines with a shared state and one leader.
+/// A fake coordinator group for tests of nodes: three processes with shared state, one of them the
+/// leader. Tests read and set the state directly.
 
 #include <algorithm>
 #include <map>
@@ -18,27 +19,32 @@
 
 inline constexpr std::uint32_t kFakeLeaseMs = 3000;
 
-/// What the three fake coordinators share.
+/// The state that the three fake coordinators share.
 struct FakeControl {
   std::string leader = "c1";
-  bool sends_leader_hints = true;
+  bool sends_leader_hints = true;  ///< Whether other members name the leader in kNotLeader.
   std::uint64_t next_node_id = 1;
-  std::map<std::uint64_t, std::uint64_t> live_incarnations;  ///< Node id to incarnation.
+  /// Node id to incarnation. A heartbeat of a node that is not listed is refused as fenced.
+  std::map<std::uint64_t, std::uint64_t> live_incarnations;
   std::uint64_t configuration_version = 0;
-  std::vector<proto::ConfigurationChange> changes;  ///< Change i leads to version i + 1.
-  bool skip_one_delta = false;                      ///< The next delta starts one version too high.
+  /// changes[i] leads from version i to version i + 1.
+  std::vector<proto::ConfigurationChange> changes;
+  bool skip_one_delta = false;  ///< The next delta starts one version above that of the node.
   std::vector<proto::Endpoint> members;
   proto::FleetUpdate fleet;
 
   std::vector<proto::RegisterServerRequest> registrations;
   std::vector<proto::HeartbeatRequest> heartbeats;
   std::vector<proto::SubmitTransactionRequest> transactions;
-  std::vector<std::string> retired;
-  proto::TransactionResult transaction_result;  ///< Answer to every transaction.
-  /// The operators' label, as read; an inquiry sets it to `next_label` if that is set.
+  std::vector<std::string> retired;  ///< Machines; "not " before a cancelled one.
+  /// Result of every transaction except the inquiry described below.
+  proto::TransactionResult transaction_result;
+  /// The current label. If `next_label` is not 0, the next inquiry sets `label` to it, answers that
+  /// the transaction may be sent, and resets `next_label` to 0.
   std::uint64_t label = 0;
   std::uint64_t next_label = 0;
 
+  /// Makes a new configuration version that adds the route `name`.
   void AddRoute(const std::string& name) {
     proto::ConfigurationChange change;
     change.mutable_set_route()->set_name(name);
@@ -47,7 +53,7 @@
   }
 };
 
-/// One fake coordinator process.
+/// One fake coordinator process. Only the leader executes requests; others answer kNotLeader.
 class FakeCoordinator {
  public:
   FakeCoordinator(Environment& environment, std::string name, FakeControl& control,
@@ -124,7 +130,8 @@
   Status NotLeader() const {
     const auto leader = endpoints_.find(control_.leader);
     const bool known = control_.sends_leader_hints && leader != endpoints_.end();
-    return {StatusCode::kNotLeader, "not the leader", known ? leader->second.ToString() : ""};
+    return {StatusCode::kNotLeader, "this coordinator is not the leader",
+            known ? leader->second.ToString() : ""};
   }
 
   Result<proto::RegisterServerResponse> Register(const proto::RegisterServerRequest& request) {
@@ -150,10 +157,13 @@
     WaitForUpdate(request, environment_.Now() + milliseconds(request.hold_ms()), reply);
   }
 
+  /// Answers `request` once there is an update or the time `until` has come, or with kFenced if the
+  /// node is not registered.
   void WaitForUpdate(const proto::HeartbeatRequest& request, TimePoint until,
                      const HeartbeatReply& reply) {
     if (!control_.live_incarnations.contains(request.node_id())) {
-      reply(Status(StatusCode::kFenced, "declared dead"));
+      reply(Status(StatusCode::kFenced,
+                   "node " + std::to_string(request.node_id()) + " is declared dead"));
     } else if (IsBehind(request) || environment_.Now() >= until) {
       reply(MakeResponse(request));
     } else {
@@ -177,6 +187,7 @@
     return response;
   }
 
+  /// @return the full configuration if `known_version` is 0 or too high, else a delta.
   proto::ConfigurationUpdate MakeUpdate(std::uint64_t known_version) {
     proto::ConfigurationUpdate update;
     update.set_to_version(control_.configuration_version);
@@ -203,7 +214,8 @@
   std::map<std::string, Endpoint> endpoints_;
 };
 
-/// Adds c1, c2 and c3 to `world`, running. @return their endpoints.
+/// Adds the machines c1, c2 and c3 to `world` and starts a fake coordinator on each.
+/// @return their endpoints, in this order.
 inline std::vector<Endpoint> AddFakeCoordinators(SimulatedWorld& world, FakeControl& control) {
   std::map<std::string, Endpoint> endpoints;
   std::vector<Endpoint> list;
--- a/tests/control_client/node_agent_test.cc
+++ b/tests/control_client/node_agent_test.cc
@@ -29,16 +29,18 @@
     });
   }
 
-  /// Starts the node and waits for its lease.
+  /// Starts the node and waits until it has a lease.
   void Join() {
     world.machine("g").Start();
     ASSERT_TRUE(world.RunUntil([this] { return agent->HasValidLease(); }, seconds(5)));
   }
+  /// @return whether the node has a lease within `limit`.
   bool WaitForLease(Duration limit) {
     return world.RunUntil([this] { return agent->HasValidLease(); }, limit);
   }
 
-  /// Calls the leader; `outcome` gets the code of the result.
+  /// Submits an empty transaction to the leader and stores the status code of the result in
+  /// `outcome`.
   void Submit(Duration deadline) {
     agent->CallLeader<proto::SubmitTransactionResponse>(
         "coordinator.SubmitTransaction", proto::SubmitTransactionRequest(), deadline,
@@ -83,8 +85,8 @@
   const std::size_t heartbeats_before = control.heartbeats.size();
   ASSERT_TRUE(
       world.RunUntil([&] { return control.heartbeats.size() > heartbeats_before; }, seconds(1)));
-  const TimePoint arrived = world.Now();  // Sent 1 to 5 ms before.
-  world.RunFor(milliseconds(830));        // A long poll of 800 ms.
+  const TimePoint arrived = world.Now();  // The node sent it 1 to 5 ms earlier.
+  world.RunFor(milliseconds(830));        // Longer than the hold of 800 ms.
   const Duration usable = milliseconds(kFakeLeaseMs) * 99 / 100;
   EXPECT_LE(agent->lease_end(), arrived + usable - milliseconds(1));
   EXPECT_GE(agent->lease_end(), arrived + usable - milliseconds(5));
@@ -99,11 +101,11 @@
   Join();
   world.machine("g").Freeze();
   world.RunFor(seconds(25));
-  EXPECT_FALSE(agent->HasValidLease()) << "invalid before it hears from a coordinator";
+  EXPECT_FALSE(agent->HasValidLease()) << "the lease must be invalid before a coordinator answers";
   world.machine("g").Wake();
   EXPECT_FALSE(agent->HasValidLease());
   ASSERT_TRUE(WaitForLease(seconds(2)));
-  EXPECT_EQ(agent->node_id(), NodeId(1)) << "the coordinators still knew it";
+  EXPECT_EQ(agent->node_id(), NodeId(1)) << "the coordinators still know the node id";
   EXPECT_EQ(fence_count, 0);
 }
 
@@ -130,7 +132,7 @@
   EXPECT_EQ(control.registrations[1].previous_node_id(), 1U);
 }
 
-TEST_F(NodeAgentTest, ConfirmsAConfigurationAtOnce) {
+TEST_F(NodeAgentTest, ConfirmsANewConfigurationWithoutDelay) {
   Join();
   world.RunFor(milliseconds(200));
   control.AddRoute("narrate");
@@ -155,7 +157,7 @@
   ASSERT_TRUE(world.RunUntil([this] { return !control.skip_one_delta; }, seconds(1)));
   world.RunFor(milliseconds(7));
   EXPECT_EQ(agent->configuration().version(), 1U);
-  EXPECT_EQ(agent->lease_end(), end) << "the lease is not renewed without the configuration";
+  EXPECT_EQ(agent->lease_end(), end) << "a refused update must not renew the lease";
   ASSERT_TRUE(world.RunUntil([this] { return agent->configuration().version() == 3; }, seconds(1)));
   EXPECT_EQ(agent->configuration().routes_size(), 3);
   EXPECT_EQ(applied_versions, (std::vector<std::uint64_t>{1, 3}));
@@ -167,25 +169,26 @@
   control.AddRoute("b");
   world.RunFor(milliseconds(100));
   ASSERT_EQ(agent->configuration().version(), 2U);
-  control.configuration_version = 1;  // A group that lost its state.
+  control.configuration_version = 1;  // As if the coordinators had lost their newest state.
   control.changes.pop_back();
   world.RunFor(seconds(2));
   EXPECT_EQ(agent->configuration().version(), 2U);
   EXPECT_EQ(agent->configuration().routes_size(), 2);
 }
 
-TEST_F(NodeAgentTest, LimitsTheRateOfImmediateHeartbeats) {
+TEST_F(NodeAgentTest, LimitsTheRateOfHeartbeatsThatAreAnsweredImmediately) {
   Join();
   control.AddRoute("a");
   control.AddRoute("b");
   world.RunFor(milliseconds(100));
-  control.configuration_version = 1;  // Every heartbeat is answered at once from here on.
+  // From here on the versions differ, so every heartbeat is answered immediately.
+  control.configuration_version = 1;
   const std::size_t heartbeats_before = control.heartbeats.size();
   world.RunFor(seconds(1));
   EXPECT_LE(control.heartbeats.size() - heartbeats_before, 21U);
 }
 
-TEST_F(NodeAgentTest, OutlivesItsSeeds) {
+TEST_F(NodeAgentTest, KeepsItsLeaseAfterAllSeedsAreReplaced) {
   const Endpoint replacement = world.AddMachine("c9", "10.0.1.9").endpoint();
   proto::Endpoint member;
   member.set_host(replacement.host);
@@ -209,7 +212,7 @@
   }
 }
 
-TEST_F(NodeAgentTest, KeepsItsLeaseWhenTheLeaderIsIsolated) {
+TEST_F(NodeAgentTest, KeepsItsLeaseWhileTheLeaderIsIsolated) {
   Join();
   world.RunFor(milliseconds(1500));
   world.Isolate("c1");
@@ -241,10 +244,11 @@
   const auto reported = [this] { return control.heartbeats.back().suspected_node_ids_size() == 1; };
   EXPECT_TRUE(world.RunUntil(reported, milliseconds(20)));
   world.RunFor(seconds(2));
-  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0) << "reported once";
+  EXPECT_EQ(control.heartbeats.back().suspected_node_ids_size(), 0)
+      << "a confirmed suspect must not be reported again";
 }
 
-TEST_F(NodeAgentTest, LeaderCallSurvivesAnElection) {
+TEST_F(NodeAgentTest, LeaderCallSucceedsAfterAnElection) {
   Join();
   control.leader = "nobody";
   world.ScheduleAfter(milliseconds(700), [this] { control.leader = "c2"; });
@@ -258,7 +262,7 @@
   control.leader = "nobody";
   Submit(seconds(1));
   world.RunFor(milliseconds(1010));
-  EXPECT_EQ(outcome, StatusCode::kUnavailable) << "no member executed it";
+  EXPECT_EQ(outcome, StatusCode::kUnavailable) << "no member executed the request";
 }
 
 TEST_F(NodeAgentTest, UnansweredLeaderCallHasAnUnknownOutcome) {
--- a/tests/control_client/operator_client_test.cc
+++ b/tests/control_client/operator_client_test.cc
@@ -1,4 +1,4 @@
-// Transactions that are computed from the operator's document.
+// Tests of transactions that are computed from the operator's document.
 #include "control_client/operator_client.h"
 
 #include <gtest/gtest.h>
@@ -13,6 +13,7 @@
 constexpr std::uint64_t kBaseLabel = 7;
 constexpr std::uint64_t kNewLabel = 9;
 
+/// A node that serves an operator interface.
 struct OperatorNode {
   OperatorNode(Environment& environment, const NodeAgentOptions& options)
       : agent(environment, options), client(agent) {
@@ -39,6 +40,8 @@
     world_.RunUntil([this] { return node_->agent.HasValidLease(); }, seconds(5));
   }
 
+  /// Submits a transaction that is based on `kBaseLabel` and sets `kNewLabel`.
+  /// @return its result.
   Result<proto::SubmitTransactionResponse> SubmitPatch() {
     auto document_transaction = std::make_shared<DocumentTransaction>();
     document_transaction->operation_id = "patch";
@@ -63,7 +66,7 @@
   SimulatedWorld world_{5};
 };
 
-TEST_F(OperatorClientTest, PatchesTheDocumentOfTheCurrentLabel) {
+TEST_F(OperatorClientTest, SubmitsAPatchOfTheDocumentIfTheBaseIsCurrent) {
   control_.label = kBaseLabel;
   ASSERT_TRUE(SubmitPatch().ok());
   ASSERT_EQ(control_.transactions.size(), 1U);
@@ -82,7 +85,7 @@
   EXPECT_EQ(control_.transactions[0].transaction().changes_size(), 0);
 }
 
-TEST_F(OperatorClientTest, SubmitsOnceTheBaseArrives) {
+TEST_F(OperatorClientTest, SubmitsAfterAnInquiryIfTheBaseBecameCurrent) {
   control_.label = kBaseLabel - 2;
   control_.next_label = kBaseLabel;
   const auto answer = SubmitPatch();
--- a/tests/control_client/watch_test.cc
+++ b/tests/control_client/watch_test.cc
@@ -13,7 +13,7 @@
   return update;
 }
 
-TEST(ConfigurationWatchTest, AppliesEveryKindOfChangeInOrder) {
+TEST(ConfigurationWatchTest, AppliesChangesInOrderAndKeepsListsSorted) {
   proto::ConfigurationUpdate update = Delta(0, 1);
   for (const char* name : {"b", "c", "a"}) {
     update.add_changes()->mutable_set_route()->set_name(name);
@@ -43,7 +43,7 @@
   EXPECT_EQ(configuration.version(), 1U);
 }
 
-TEST(ConfigurationWatchTest, UnknownChangeAppliesNothing) {
+TEST(ConfigurationWatchTest, RefusesADeltaWithAnUnknownChange) {
   proto::ConfigurationUpdate update = Delta(0, 1);
   update.add_changes()->mutable_set_route()->set_name("a");
   update.add_changes();
@@ -53,7 +53,7 @@
   EXPECT_EQ(watch.VersionToReport(), ConfigurationVersion(0));
 }
 
-/// A watch at version 4, with servers 10 and 11; server 10 owns partition 0.
+/// A fleet watch at version 4 with servers 10 and 11. Server 10 owns partition 0.
 class FleetWatchTest : public testing::Test {
  protected:
   FleetWatchTest() {
@@ -65,7 +65,7 @@
     EXPECT_EQ(watch_.Apply(full_), UpdateOutcome::kApplied);
   }
 
-  /// @return a delta to version 5 by which server 10 is dead.
+  /// @return a delta from version 4 to 5 that declares server 10, the owner of partition 0, dead.
   static proto::FleetUpdate DeathOfOwner() {
     proto::FleetUpdate delta;
     delta.set_from_version(4);
@@ -80,7 +80,7 @@
   FleetWatch watch_;
 };
 
-TEST_F(FleetWatchTest, RequestsAFullFleetAfterAGap) {
+TEST_F(FleetWatchTest, RequestsAFullUpdateAfterAGap) {
   proto::FleetUpdate gap;
   gap.set_from_version(5);
   gap.set_to_version(6);
@@ -88,7 +88,7 @@
   EXPECT_EQ(watch_.VersionToReport(), FleetVersion(0));
 }
 
-TEST_F(FleetWatchTest, AppliesADeltaAfterAGap) {
+TEST_F(FleetWatchTest, AppliesAMatchingDeltaAfterAGap) {
   proto::FleetUpdate gap;
   gap.set_from_version(5);
   gap.set_to_version(6);
@@ -103,7 +103,7 @@
   EXPECT_EQ(watch_.view().OwnerOf(PartitionId(0)), nullptr) << "a dead server owns no partition";
 }
 
-TEST_F(FleetWatchTest, RejectsAnOlderFleet) {
+TEST_F(FleetWatchTest, RejectsAnOlderVersion) {
   ASSERT_EQ(watch_.Apply(DeathOfOwner()), UpdateOutcome::kApplied);
   EXPECT_EQ(watch_.Apply(full_), UpdateOutcome::kOlder);
   EXPECT_EQ(watch_.view().version, FleetVersion(5));
