--- a/src/control_client/leader_call.cc
+++ b/src/control_client/leader_call.cc
@@ -6,8 +6,8 @@
 namespace cloverbank {
 namespace {
 
-/// Hints followed at once in a row; further ones after a back-off, since two members may refer to
-/// each other.
+/// Maximum number of consecutive hints that a call follows without delay. It follows further hints
+/// only after a back-off, since two members may name each other as the leader.
 constexpr std::uint32_t kMaximumRedirects = 3;
 constexpr Duration kMaximumBackoff = milliseconds(150);
 
@@ -38,7 +38,7 @@
       owner_(std::move(owner)),
       options_(std::move(options)),
       done_(std::move(done)),
-      end_(environment.Now() + options_.deadline),
+      deadline_(environment.Now() + options_.deadline),
       backoff_(options_.retry_delay) {}
 
 void LeaderCall::AttemptNext() {
@@ -48,12 +48,12 @@
       return;
     }
   }
-  ScheduleNext(NextBackoff());  // Every member is being called already, or none is known.
+  ScheduleNext(NextBackoff());  // Every candidate has an attempt in flight, or none is known.
 }
 
 void LeaderCall::SendTo(const Endpoint& target) {
   const TimePoint sent = environment_.Now();
-  if (sent >= end_) {
+  if (sent >= deadline_) {
     return;  // The deadline timer ends the call.
   }
   in_flight_.insert(target);
@@ -61,7 +61,7 @@
   ++attempts_;
   ScheduleNext(options_.response_timeout);
   environment_.CallPeer(target, options_.method, std::move(body),
-                        std::min(options_.attempt_deadline, end_ - sent),
+                        std::min(options_.attempt_deadline, deadline_ - sent),
                         [call = shared_from_this(), target, sent](PeerReply reply) {
                           if (!call->owner_.expired()) {
                             call->HandleReply(target, sent, std::move(reply));
@@ -126,9 +126,11 @@
 void LeaderCall::FinishAtDeadline() {
   const bool unknown = outcome_unknown_ || !in_flight_.empty();
   const StatusCode code = unknown ? StatusCode::kUnknownOutcome : StatusCode::kUnavailable;
-  std::string message = "no coordinator leader answered " + options_.method + " in time";
+  std::string message =
+      "no coordinator leader answered " + options_.method + " within " +
+      std::to_string(std::chrono::duration_cast<milliseconds>(options_.deadline).count()) + " ms";
   if (!last_failure_.ok()) {
-    message += "; last: " + last_failure_.ToString();
+    message += "; last failure: " + last_failure_.ToString();
   }
   deadline_timer_ = 0;
   Finish({{Status(code, std::move(message)), {}}, environment_.Now()});
--- a/src/control_client/node_context.cc
+++ b/src/control_client/node_context.cc
@@ -6,9 +6,10 @@
 namespace cloverbank {
 namespace {
 
-Incarnation DrawIncarnation(Environment& environment) {
-  const std::uint64_t drawn = environment.Random();
-  return Incarnation(drawn == 0 ? 1 : drawn);
+/// @return a random incarnation other than 0.
+Incarnation GenerateIncarnation(Environment& environment) {
+  const std::uint64_t random_value = environment.Random();
+  return Incarnation(random_value == 0 ? 1 : random_value);
 }
 
 }  // namespace
@@ -16,17 +17,17 @@
 NodeContext::NodeContext(Environment& node_environment, NodeAgentOptions node_options)
     : environment(node_environment),
       options(std::move(node_options)),
-      session(DrawIncarnation(node_environment)),
+      session(GenerateIncarnation(node_environment)),
       directory(std::make_shared<CoordinatorDirectory>(options.coordinators)) {}
 
 void NodeContext::CallLeader(LeaderCallOptions call,
                              std::function<void(const LeaderReply&)> done) const {
-  LeaderCall::Start(environment, directory, incarnation_token_, std::move(call), std::move(done));
+  LeaderCall::Start(environment, directory, registration_token_, std::move(call), std::move(done));
 }
 
-void NodeContext::EndIncarnation() {
-  session.EndIncarnation();
-  incarnation_token_ = std::make_shared<bool>(true);
+void NodeContext::InvalidateNodeId() {
+  session.InvalidateNodeId();
+  registration_token_ = std::make_shared<bool>(true);
 }
 
 }  // namespace cloverbank
