--- a/src/leader/arrival_gate.cc
+++ b/src/leader/arrival_gate.cc
@@ -14,9 +14,9 @@
 }
 
 bool ArrivalGate::Update(const ControlState& state, const std::set<NodeId>& unresponsive,
-                         bool waiting, TimePoint now) {
+                         bool partitions_waiting, TimePoint now) {
   RecordArrivals(FindEligibleQueueNodes(state, unresponsive), now);
-  if (!waiting || eligible_.empty()) {
+  if (!partitions_waiting || eligible_.empty()) {
     waiting_since_.reset();
     return false;
   }
@@ -25,10 +25,10 @@
 }
 
 void ArrivalGate::RecordArrivals(std::vector<NodeId> eligible, TimePoint now) {
-  const bool arrived = std::any_of(eligible.begin(), eligible.end(), [this](NodeId node) {
+  const bool has_new_node = std::any_of(eligible.begin(), eligible.end(), [this](NodeId node) {
     return std::find(eligible_.begin(), eligible_.end(), node) == eligible_.end();
   });
-  if (arrived) {
+  if (has_new_node) {
     last_arrival_ = now;
   }
   eligible_ = std::move(eligible);
--- a/src/leader/arrival_gate.h
+++ b/src/leader/arrival_gate.h
@@ -22,10 +22,10 @@
 
   /// Drops all state: this member became leader.
   void Reset();
-  /// Records the queue nodes that are eligible at `now`. `waiting`: whether partitions wait to be
-  /// assigned. @return whether they may be assigned now.
-  bool Update(const ControlState& state, const std::set<NodeId>& unresponsive, bool waiting,
-              TimePoint now);
+  /// Records the queue nodes that are eligible at `now`. `partitions_waiting`: whether partitions
+  /// wait to be assigned. @return whether they may be assigned now.
+  bool Update(const ControlState& state, const std::set<NodeId>& unresponsive,
+              bool partitions_waiting, TimePoint now);
 
  private:
   void RecordArrivals(std::vector<NodeId> eligible, TimePoint now);
--- a/src/leader/backup_sweeper.cc
+++ b/src/leader/backup_sweeper.cc
@@ -26,7 +26,7 @@
   for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
     Sweep& sweep = sweeps_[id];
-    if (!sweep.in_flight && now >= sweep.next) {
+    if (!sweep.in_flight && now >= sweep.next_start) {
       Start(backup->state() == proto::SERVER_STATE_RETIRING, now, &sweep);
       due.push_back(id);
     }
@@ -43,7 +43,7 @@
     sweep->is_settled = true;
   }
   sweep->in_flight = true;
-  sweep->next = now + (retiring ? retiring_interval_ : interval_);
+  sweep->next_start = now + (retiring ? retiring_interval_ : interval_);
 }
 
 void BackupSweeper::HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas) {
--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -45,7 +45,7 @@
  private:
   struct Sweep {
     bool in_flight = false;
-    TimePoint next;
+    TimePoint next_start;
     std::optional<TimePoint> retiring_since;  ///< When this leader saw it first.
     bool is_settled = true;                   ///< Whether the sweep in flight counts.
     std::optional<std::size_t> replicas;
--- a/src/leader/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-Result<proto::ControlCommandResult> Decode(const std::string& bytes) {
+Result<proto::ControlCommandResult> DecodeResult(const std::string& bytes) {
   proto::ControlCommandResult result;
   if (!result.ParseFromString(bytes)) {
     return Status(StatusCode::kInternal, "malformed control command result");
@@ -41,7 +41,7 @@
 
 void CommandProposer::HandleApplied(const Result<std::string>& applied, const Done& done) {
   if (applied.ok()) {
-    done(Decode(*applied));
+    done(DecodeResult(*applied));
     return;
   }
   context_.environment.metrics().Increment("coordinator_proposal_failed_total",
@@ -56,14 +56,14 @@
   }
   Propose(command, [this, key, generation = generation_,
                     done = std::move(done)](Result<proto::ControlCommandResult> result) {
-    Release(key, generation);
+    MarkFinished(key, generation);
     if (done != nullptr) {
       done(std::move(result));
     }
   });
 }
 
-void CommandProposer::Release(const std::string& key, std::uint64_t generation) {
+void CommandProposer::MarkFinished(const std::string& key, std::uint64_t generation) {
   if (generation == generation_) {
     in_flight_.erase(key);
   }
--- a/src/leader/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -41,7 +41,7 @@
  private:
   void HandleApplied(const Result<std::string>& applied, const Done& done);
   /// Allows `key` to be proposed again, unless its proposal is of an earlier term.
-  void Release(const std::string& key, std::uint64_t generation);
+  void MarkFinished(const std::string& key, std::uint64_t generation);
 
   LeaderContext& context_;
   std::set<std::string> in_flight_;
--- a/src/leader/unreachable_nodes.h
+++ b/src/leader/coordinator_notification_schedule.h
@@ -16,7 +16,7 @@
 
 namespace cloverbank {
 
-class UnreachableNodes {
+class CoordinatorNotificationSchedule {
  public:
   /// Last known endpoint of a node, and the role that serves there.
   struct NodeLocation {
@@ -37,14 +37,14 @@
 
  private:
   struct Entry {
-    TimePoint last_present{};
-    TimePoint next{};
+    TimePoint last_responsive{};
+    TimePoint next_notification{};
     bool notified = false;
   };
 
   /// @return the locations of live nodes that respond.
-  std::set<NodeLocation> RecordLive(const ControlState& state, const std::set<NodeId>& unresponsive,
-                                    TimePoint now);
+  std::set<NodeLocation> RecordLiveNodes(const ControlState& state,
+                                         const std::set<NodeId>& unresponsive, TimePoint now);
   void ForgetLongAbsent(TimePoint now);
 
   std::map<NodeLocation, Entry> entries_;
--- a/src/leader/unreachable_node_notifier.cc
+++ b/src/leader/coordinator_notifier.cc
@@ -1,4 +1,4 @@
-#include "leader/unreachable_node_notifier.h"
+#include "leader/coordinator_notifier.h"
 
 #include "control_state/proto_endpoint.h"
 #include "runtime/node_methods.h"
@@ -6,13 +6,14 @@
 
 namespace cloverbank {
 
-void UnreachableNodeNotifier::Step() {
+void CoordinatorNotifier::Step() {
   proto::UpdateCoordinatorsRequest request;
   for (const LogMember& member : context_.log.members()) {
     *request.add_coordinators() = ToProto(member.endpoint);
   }
-  for (const UnreachableNodes::NodeLocation& location : nodes_.StartDueNotifications(
-           context_.state, context_.unresponsive, context_.environment.Now())) {
+  for (const CoordinatorNotificationSchedule::NodeLocation& location :
+       schedule_.StartDueNotifications(context_.state, context_.unresponsive,
+                                       context_.environment.Now())) {
     CallPeer<proto::UpdateCoordinatorsResponse>(
         context_.environment, location.endpoint, UpdateCoordinatorsMethod(location.role), request,
         context_.options.call_deadline, [](const Result<proto::UpdateCoordinatorsResponse>&) {});
--- a/src/leader/death_declarer.cc
+++ b/src/leader/death_declarer.cc
@@ -88,11 +88,12 @@
   command.mutable_declare_server_dead()->set_reason(reason);
   proposer_.ProposeOnce("dead:" + node.ToString(), command,
                         [this, node](const Result<proto::ControlCommandResult>& result) {
-                          HandleDecision(node, result);
+                          HandleDeathResult(node, result);
                         });
 }
 
-void DeathDeclarer::HandleDecision(NodeId node, const Result<proto::ControlCommandResult>& result) {
+void DeathDeclarer::HandleDeathResult(NodeId node,
+                                      const Result<proto::ControlCommandResult>& result) {
   // A failure means that leadership was lost: the next term begins without pending deaths.
   if (result.ok()) {
     context_.pending_deaths.erase(node);
--- a/src/leader/death_declarer.h
+++ b/src/leader/death_declarer.h
@@ -44,7 +44,7 @@
   std::vector<DueDeath> FindDueDeaths(const std::set<NodeId>& live) const;
   std::optional<DeathReason> FindDeathReason(const proto::Server& server) const;
   void ProposeDeath(const DueDeath& death);
-  void HandleDecision(NodeId node, const Result<proto::ControlCommandResult>& result);
+  void HandleDeathResult(NodeId node, const Result<proto::ControlCommandResult>& result);
 
   LeaderContext& context_;
   CommandProposer& proposer_;
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -25,14 +25,14 @@
 };
 
 struct LeaderContext {
-  LeaderContext(Environment& world, ReplicatedLog& replicated_log, ControlState& control_state,
-                CoordinatorOptions settings)
-      : environment(world),
+  LeaderContext(Environment& runtime_environment, ReplicatedLog& replicated_log,
+                ControlState& control_state, CoordinatorOptions coordinator_options)
+      : environment(runtime_environment),
         log(replicated_log),
         state(control_state),
-        options(settings),
-        leases(settings.node_lease),
-        detector(settings.death_after) {}
+        options(coordinator_options),
+        leases(coordinator_options.node_lease),
+        detector(coordinator_options.death_after) {}
 
   /// @return whether this member may answer from its state now: it leads, has applied every
   /// committed command and no other member can lead. Check it immediately before each answer.
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -1,17 +1,17 @@
 #pragma once
 /// @file
 /// Runs the singleton work of the leader, one class a concern: `DeathDeclarer`,
-/// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `UnreachableNodeNotifier`.
+/// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `CoordinatorNotifier`.
 /// Threads: the owner's event loop only.
 
 #include "leader/arrival_gate.h"
 #include "leader/backup_sweep_executor.h"
 #include "leader/command_proposer.h"
+#include "leader/coordinator_notifier.h"
 #include "leader/death_declarer.h"
 #include "leader/leader_context.h"
 #include "leader/partition_assigner.h"
 #include "leader/recovery_executor.h"
-#include "leader/unreachable_node_notifier.h"
 
 namespace cloverbank {
 
@@ -35,11 +35,11 @@
 
   LeaderContext& context_;
   DeathDeclarer death_declarer_;
-  ArrivalGate arrivals_;
+  ArrivalGate arrival_gate_;
   PartitionAssigner partition_assigner_;
   RecoveryExecutor recovery_executor_;
   BackupSweepExecutor sweep_executor_;
-  UnreachableNodeNotifier unreachable_node_notifier_;
+  CoordinatorNotifier coordinator_notifier_;
 };
 
 }  // namespace cloverbank
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -15,11 +15,12 @@
 using ReplicaFilter = std::function<bool(const SegmentReplica&)>;
 
 /// @return the usable replicas of `segment` of the greatest length among them.
-std::vector<SegmentReplica> LongestReplicas(SegmentId segment, const StoredSegments& answers,
+std::vector<SegmentReplica> LongestReplicas(SegmentId segment,
+                                            const StoredSegments& stored_segments,
                                             const ReplicaFilter& usable) {
   std::vector<SegmentReplica> longest;
-  for (const auto& [backup, answer] : answers) {
-    for (const proto::StoredSegment& stored : answer.segments()) {
+  for (const auto& [backup, listing] : stored_segments) {
+    for (const proto::StoredSegment& stored : listing.segments()) {
       const SegmentReplica replica{backup, &stored};
       if (SegmentId(stored.segment_id()) != segment || !usable(replica)) {
         continue;
@@ -36,8 +37,8 @@
 }
 
 /// @return whether the replica contains everything acknowledged while `head` was committed.
-bool IsCurrent(const proto::LogHead& head, const SegmentReplica& replica,
-               const ServerRegistry& servers) {
+bool HasAllAcknowledgedEntries(const proto::LogHead& head, const SegmentReplica& replica,
+                               const ServerRegistry& servers) {
   if (replica.stored->epoch() != head.epoch()) {
     return replica.stored->epoch() > head.epoch();
   }
@@ -59,45 +60,46 @@
   return text;
 }
 
-class Assembly {
+class LogAssembler {
  public:
-  Assembly(const LogHeads& heads, const StoredSegments& answers, const ServerRegistry& servers)
-      : heads_(heads), answers_(answers), servers_(servers) {}
+  LogAssembler(const LogHeads& heads, const StoredSegments& stored_segments,
+               const ServerRegistry& servers)
+      : heads_(heads), stored_segments_(stored_segments), servers_(servers) {}
 
-  AssembledLog Run();
+  AssembledLog Assemble();
 
  private:
   std::vector<SegmentReplica> HeadReplicas() const;
-  std::vector<SegmentReplica> ClosedReplicas(SegmentId segment) const;
+  std::vector<SegmentReplica> EarlierSegmentReplicas(SegmentId segment) const;
   /// @return the segments in the digest of `head`, which includes the head itself.
-  static std::set<SegmentId> LiveSegments(const proto::StoredSegment& head);
+  static std::set<SegmentId> DigestSegments(const proto::StoredSegment& head);
   void AddMissingHead();
-  void AddClosed(SegmentId segment);
+  void AddEarlierSegment(SegmentId segment);
   void Add(SegmentId segment, const std::vector<SegmentReplica>& replicas);
 
   const LogHeads& heads_;
-  const StoredSegments& answers_;
+  const StoredSegments& stored_segments_;
   const ServerRegistry& servers_;
   AssembledLog log_;
 };
 
-AssembledLog Assembly::Run() {
+AssembledLog LogAssembler::Assemble() {
   const SegmentId head(heads_.current.segment_id());
   const std::vector<SegmentReplica> head_replicas = HeadReplicas();
   if (head_replicas.empty()) {
     AddMissingHead();
     return std::move(log_);
   }
-  std::set<SegmentId> live = LiveSegments(*head_replicas.front().stored);
+  std::set<SegmentId> live = DigestSegments(*head_replicas.front().stored);
   live.erase(head);
   for (const SegmentId segment : live) {
-    AddClosed(segment);
+    AddEarlierSegment(segment);
   }
   Add(head, head_replicas);
   return std::move(log_);
 }
 
-std::set<SegmentId> Assembly::LiveSegments(const proto::StoredSegment& head) {
+std::set<SegmentId> LogAssembler::DigestSegments(const proto::StoredSegment& head) {
   std::set<SegmentId> live;
   for (const std::uint64_t id : head.digest()) {
     live.insert(SegmentId(id));
@@ -105,14 +107,14 @@
   return live;
 }
 
-void Assembly::AddMissingHead() {
+void LogAssembler::AddMissingHead() {
   log_.missing.push_back("head segment " + std::to_string(heads_.current.segment_id()) +
                          " under epoch " + std::to_string(heads_.current.epoch()) + ", kept by " +
                          DescribeBackups(heads_.current, servers_));
 }
 
-void Assembly::AddClosed(SegmentId segment) {
-  const std::vector<SegmentReplica> replicas = ClosedReplicas(segment);
+void LogAssembler::AddEarlierSegment(SegmentId segment) {
+  const std::vector<SegmentReplica> replicas = EarlierSegmentReplicas(segment);
   if (replicas.empty()) {
     log_.missing.push_back("segment " + segment.ToString() +
                            ", of which no backup that answered has a whole copy");
@@ -121,27 +123,29 @@
   }
 }
 
-std::vector<SegmentReplica> Assembly::HeadReplicas() const {
-  return LongestReplicas(
-      SegmentId(heads_.current.segment_id()), answers_, [this](const SegmentReplica& replica) {
-        return !replica.stored->digest().empty() && IsCurrent(heads_.current, replica, servers_);
-      });
+std::vector<SegmentReplica> LogAssembler::HeadReplicas() const {
+  return LongestReplicas(SegmentId(heads_.current.segment_id()), stored_segments_,
+                         [this](const SegmentReplica& replica) {
+                           return !replica.stored->digest().empty() &&
+                                  HasAllAcknowledgedEntries(heads_.current, replica, servers_);
+                         });
 }
 
-std::vector<SegmentReplica> Assembly::ClosedReplicas(SegmentId segment) const {
-  std::vector<SegmentReplica> replicas = LongestReplicas(
-      segment, answers_, [](const SegmentReplica& replica) { return replica.stored->closed(); });
+std::vector<SegmentReplica> LogAssembler::EarlierSegmentReplicas(SegmentId segment) const {
+  std::vector<SegmentReplica> replicas =
+      LongestReplicas(segment, stored_segments_,
+                      [](const SegmentReplica& replica) { return replica.stored->closed(); });
   const bool was_head =
       heads_.previous.has_value() && SegmentId(heads_.previous->segment_id()) == segment;
   if (replicas.empty() && was_head) {
-    replicas = LongestReplicas(segment, answers_, [this](const SegmentReplica& replica) {
-      return IsCurrent(*heads_.previous, replica, servers_);
+    replicas = LongestReplicas(segment, stored_segments_, [this](const SegmentReplica& replica) {
+      return HasAllAcknowledgedEntries(*heads_.previous, replica, servers_);
     });
   }
   return replicas;
 }
 
-void Assembly::Add(SegmentId segment, const std::vector<SegmentReplica>& replicas) {
+void LogAssembler::Add(SegmentId segment, const std::vector<SegmentReplica>& replicas) {
   AssembledSegment assembled;
   assembled.segment = segment;
   for (const SegmentReplica& replica : replicas) {
@@ -152,9 +156,9 @@
 
 }  // namespace
 
-AssembledLog AssembleLog(const LogHeads& heads, const StoredSegments& answers,
+AssembledLog AssembleLog(const LogHeads& heads, const StoredSegments& stored_segments,
                          const ServerRegistry& servers) {
-  return Assembly(heads, answers, servers).Run();
+  return LogAssembler(heads, stored_segments, servers).Assemble();
 }
 
 }  // namespace cloverbank
--- a/src/leader/log_assembly.h
+++ b/src/leader/log_assembly.h
@@ -38,8 +38,8 @@
   bool complete() const { return missing.empty(); }
 };
 
-/// @param answers of the backups so far.
-AssembledLog AssembleLog(const LogHeads& heads, const StoredSegments& answers,
+/// @param stored_segments of the backups so far.
+AssembledLog AssembleLog(const LogHeads& heads, const StoredSegments& stored_segments,
                          const ServerRegistry& servers);
 
 }  // namespace cloverbank
--- a/src/leader/partition_assigner.cc
+++ b/src/leader/partition_assigner.cc
@@ -14,9 +14,9 @@
 }
 
 void PartitionAssigner::AssignFreePartitions() {
-  const auto spread = PlacePartitions(context_.state.partitions().FindFree(), context_.state,
-                                      context_.unresponsive);
-  for (const auto& [node, partitions] : spread) {
+  const auto placement = PlacePartitions(context_.state.partitions().FindFree(), context_.state,
+                                         context_.unresponsive);
+  for (const auto& [node, partitions] : placement) {
     proto::ControlCommand command;
     proto::AssignPartitionsCommand& assign = *command.mutable_assign_partitions();
     assign.set_queue_node_id(node.value());
--- a/src/leader/partition_placement.cc
+++ b/src/leader/partition_placement.cc
@@ -28,24 +28,24 @@
 std::map<NodeId, std::vector<PartitionId>> PlacePartitions(
     const std::vector<PartitionId>& partitions, const ControlState& state,
     const std::set<NodeId>& unresponsive, const PlannedLoads& planned) {
-  std::map<NodeId, std::size_t> load;
+  std::map<NodeId, std::size_t> partition_counts;
   for (const NodeId node : FindEligibleQueueNodes(state, unresponsive)) {
-    const auto more = planned.find(node);
-    load[node] =
-        state.partitions().CountAssigned(node) + (more == planned.end() ? 0 : more->second);
+    const auto extra = planned.find(node);
+    partition_counts[node] =
+        state.partitions().CountAssigned(node) + (extra == planned.end() ? 0 : extra->second);
   }
-  std::map<NodeId, std::vector<PartitionId>> spread;
-  if (load.empty()) {
-    return spread;
+  std::map<NodeId, std::vector<PartitionId>> placement;
+  if (partition_counts.empty()) {
+    return placement;
   }
   for (const PartitionId partition : partitions) {
     const auto least = std::min_element(
-        load.begin(), load.end(),
+        partition_counts.begin(), partition_counts.end(),
         [](const auto& left, const auto& right) { return left.second < right.second; });
     ++least->second;
-    spread[least->first].push_back(partition);
+    placement[least->first].push_back(partition);
   }
-  return spread;
+  return placement;
 }
 
 bool MustHandOver(const ControlState& state, const proto::Server& server,
--- a/src/leader/recovery_executor.cc
+++ b/src/leader/recovery_executor.cc
@@ -14,7 +14,7 @@
   input.may_assign = may_assign;
   input.unresponsive = context_.unresponsive;
   for (const RecoveryAction& action : manager_.Step(context_.state, input)) {
-    std::visit([this](const auto& one) { Execute(one); }, action);
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
 }
 
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -27,9 +27,9 @@
                                                   const RecoveryInput& input) {
   ForgetFinished(state);
   available_reading_calls_ =
-      RemainingCalls(options_.maximum_reading_calls, CountInFlight(&Progress::readings));
+      RemainingCalls(options_.maximum_reading_calls, CountInFlight(&Progress::reading_calls));
   available_release_calls_ =
-      RemainingCalls(options_.maximum_release_calls, CountInFlight(&Progress::releases));
+      RemainingCalls(options_.maximum_release_calls, CountInFlight(&Progress::release_calls));
   std::vector<RecoveryAction> actions;
   for (const auto& [dead, recovery] : state.partitions().recoveries()) {
     AdvanceRecovery(state, recovery, input, &actions);
@@ -41,7 +41,7 @@
   const auto& recoveries = state.partitions().recoveries();
   std::erase_if(progress_,
                 [&recoveries](const auto& entry) { return !recoveries.contains(entry.first); });
-  std::erase_if(proposed_, [&state](const auto& entry) {
+  std::erase_if(proposed_placements_, [&state](const auto& entry) {
     return state.partitions().FindUnassigned(entry.first).empty();
   });
 }
@@ -52,65 +52,66 @@
   const NodeId dead(recovery.dead_node_id());
   Progress& progress = progress_[dead];
   if (recovery.phase() == proto::RECOVERY_PHASE_RELEASING) {
-    ReleaseBackups(state, dead, input.now, &progress, actions);
+    RequestReleases(state, dead, input.now, &progress, actions);
     return;
   }
-  ReadBackups(state, dead, input.now, &progress, actions);
-  AssembleChangedLog(state, dead, &progress);
+  RequestStoredSegments(state, dead, input.now, &progress, actions);
+  UpdateAssembledLog(state, dead, &progress);
   if (!progress.log.complete()) {
     return;
   }
   if (input.may_assign) {
     ProposeReplay(state, dead, input, actions);
   }
-  SendReplays(state, recovery, input.now, &progress, actions);
+  RequestReplays(state, recovery, input.now, &progress, actions);
 }
 
-std::size_t RecoveryManager::CountInFlight(Calls Progress::*kind) const {
+std::size_t RecoveryManager::CountInFlight(BackupCalls Progress::*kind) const {
   std::size_t count = 0;
   for (const auto& [dead, progress] : progress_) {
-    const Calls& calls = progress.*kind;
+    const BackupCalls& calls = progress.*kind;
     count += static_cast<std::size_t>(std::count_if(
         calls.begin(), calls.end(), [](const auto& entry) { return entry.second.in_flight; }));
   }
   return count;
 }
 
-bool RecoveryManager::TryBegin(TimePoint now, Call* call, std::size_t* available) const {
-  if (call->in_flight || call->done || now < call->next || *available == 0) {
+bool RecoveryManager::TryStartCall(TimePoint now, BackupCall* call, std::size_t* available) const {
+  if (call->in_flight || call->done || now < call->next_attempt || *available == 0) {
     return false;
   }
   --*available;
   call->in_flight = true;
-  call->next = now + options_.retry_interval;
+  call->next_attempt = now + options_.retry_interval;
   return true;
 }
 
-void RecoveryManager::ReadBackups(const ControlState& state, NodeId dead, TimePoint now,
-                                  Progress* progress, std::vector<RecoveryAction>* actions) {
+void RecoveryManager::RequestStoredSegments(const ControlState& state, NodeId dead, TimePoint now,
+                                            Progress* progress,
+                                            std::vector<RecoveryAction>* actions) {
   // A restarted backup has a new node id and is asked again; answers of dead ones are void.
   const auto is_dead = [&state](const auto& entry) {
     return state.servers().FindLive(entry.first, proto::ROLE_BACKUP) == nullptr;
   };
-  if (std::erase_if(progress->answers, is_dead) > 0) {
-    progress->log_changed = true;
+  if (std::erase_if(progress->stored_segments, is_dead) > 0) {
+    progress->log_is_outdated = true;
   }
   for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
-    if (TryBegin(now, &progress->readings[id], &available_reading_calls_)) {
+    if (TryStartCall(now, &progress->reading_calls[id], &available_reading_calls_)) {
       actions->push_back(StartReadingAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
 }
 
-void RecoveryManager::AssembleChangedLog(const ControlState& state, NodeId dead,
+void RecoveryManager::UpdateAssembledLog(const ControlState& state, NodeId dead,
                                          Progress* progress) const {
-  if (!progress->log_changed) {
+  if (!progress->log_is_outdated) {
     return;
   }
   progress->log =
-      AssembleLog(state.partitions().heads().at(dead), progress->answers, state.servers());
-  progress->log_changed = false;
+      AssembleLog(state.partitions().heads().at(dead), progress->stored_segments, state.servers());
+  progress->log_is_outdated = false;
 }
 
 void RecoveryManager::ProposeReplay(const ControlState& state, NodeId dead,
@@ -130,14 +131,14 @@
     }
   }
   if (action.command.assignments_size() > 0) {
-    proposed_[dead] = std::move(loads);
+    proposed_placements_[dead] = std::move(loads);
     actions->push_back(std::move(action));
   }
 }
 
 PlannedLoads RecoveryManager::SumOtherPlacements(NodeId dead) const {
   PlannedLoads planned;
-  for (const auto& [other, loads] : proposed_) {
+  for (const auto& [other, loads] : proposed_placements_) {
     for (const auto& [node, count] : loads) {
       planned[node] += other == dead ? 0 : count;
     }
@@ -145,10 +146,10 @@
   return planned;
 }
 
-void RecoveryManager::SendReplays(const ControlState& state, const proto::Recovery& recovery,
-                                  TimePoint now, Progress* progress,
-                                  std::vector<RecoveryAction>* actions) const {
-  for (auto& [node, request] : UnfinishedReplays(recovery)) {
+void RecoveryManager::RequestReplays(const ControlState& state, const proto::Recovery& recovery,
+                                     TimePoint now, Progress* progress,
+                                     std::vector<RecoveryAction>* actions) const {
+  for (auto& [node, request] : MakeReplayRequests(recovery)) {
     const proto::Server* server = state.servers().FindLive(node, proto::ROLE_QUEUE);
     if (server == nullptr || now < progress->next_replay[node]) {
       continue;
@@ -160,7 +161,7 @@
   }
 }
 
-std::map<NodeId, proto::RecoverPartitionsRequest> RecoveryManager::UnfinishedReplays(
+std::map<NodeId, proto::RecoverPartitionsRequest> RecoveryManager::MakeReplayRequests(
     const proto::Recovery& recovery) {
   std::map<NodeId, proto::RecoverPartitionsRequest> requests;
   for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
@@ -185,14 +186,14 @@
   }
 }
 
-void RecoveryManager::ReleaseBackups(const ControlState& state, NodeId dead, TimePoint now,
-                                     Progress* progress, std::vector<RecoveryAction>* actions) {
+void RecoveryManager::RequestReleases(const ControlState& state, NodeId dead, TimePoint now,
+                                      Progress* progress, std::vector<RecoveryAction>* actions) {
   bool all_done = true;
   for (const proto::Server* backup : state.servers().FindLiveServers(proto::ROLE_BACKUP)) {
     const NodeId id(backup->node_id());
-    Call& call = progress->releases[id];
+    BackupCall& call = progress->release_calls[id];
     all_done = all_done && call.done;
-    if (TryBegin(now, &call, &available_release_calls_)) {
+    if (TryStartCall(now, &call, &available_release_calls_)) {
       actions->push_back(ReleaseAction{dead, id, ToEndpoint(backup->peer_endpoint())});
     }
   }
@@ -207,15 +208,15 @@
   if (entry == progress_.end()) {
     return;
   }
-  Call& call = entry->second.readings[backup];
+  BackupCall& call = entry->second.reading_calls[backup];
   call.in_flight = false;
   if (!answer.ok()) {
     call.failure = answer.status().ToString();
     return;
   }
   call.done = true;
-  entry->second.answers[backup] = std::move(answer).value();
-  entry->second.log_changed = true;
+  entry->second.stored_segments[backup] = std::move(answer).value();
+  entry->second.log_is_outdated = true;
 }
 
 void RecoveryManager::HandleReleased(NodeId dead, NodeId backup, const Status& status) {
@@ -223,7 +224,7 @@
   if (entry == progress_.end()) {
     return;
   }
-  Call& call = entry->second.releases[backup];
+  BackupCall& call = entry->second.release_calls[backup];
   call.in_flight = false;
   call.done = call.done || status.ok();
   call.failure = status.ok() ? std::string() : status.ToString();
@@ -231,7 +232,7 @@
 
 bool RecoveryManager::IsWaitingForQueueNodes(const ControlState& state) const {
   return std::any_of(progress_.begin(), progress_.end(), [&state](const auto& entry) {
-    return entry.second.log.complete() && !entry.second.log_changed &&
+    return entry.second.log.complete() && !entry.second.log_is_outdated &&
            !state.partitions().FindUnassigned(entry.first).empty();
   });
 }
@@ -245,17 +246,17 @@
   const Progress& progress = entry->second;
   std::vector<std::string> awaited;
   if (recovery->second.phase() == proto::RECOVERY_PHASE_RELEASING) {
-    DescribeAwaitedBackups(state, progress.releases, &awaited);
+    DescribeAwaitedBackups(state, progress.release_calls, &awaited);
   } else if (!progress.log.complete()) {
     awaited = progress.log.missing;
-    DescribeAwaitedBackups(state, progress.readings, &awaited);
+    DescribeAwaitedBackups(state, progress.reading_calls, &awaited);
   } else {
     DescribeAwaitedReplays(state, recovery->second, &awaited);
   }
   return Join(awaited);
 }
 
-void RecoveryManager::DescribeAwaitedBackups(const ControlState& state, const Calls& calls,
+void RecoveryManager::DescribeAwaitedBackups(const ControlState& state, const BackupCalls& calls,
                                              std::vector<std::string>* awaited) {
   for (const auto& [backup, call] : calls) {
     const proto::Server* server = state.servers().FindLive(backup, proto::ROLE_BACKUP);
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -72,7 +72,7 @@
   /// Drops all progress: this member became leader.
   void Reset() {
     progress_.clear();
-    proposed_.clear();
+    proposed_placements_.clear();
   }
 
   /// @return the actions due now. Proposals are returned at each step until they are applied.
@@ -91,57 +91,57 @@
 
  private:
   /// A call at one backup.
-  struct Call {
+  struct BackupCall {
     bool in_flight = false;
     bool done = false;
-    TimePoint next;
+    TimePoint next_attempt;
     std::string failure;
   };
   struct Progress {
-    std::map<NodeId, Call> readings;  // By backup.
-    std::map<NodeId, Call> releases;
-    StoredSegments answers;
-    bool log_changed = true;  // `log` must be assembled again.
+    std::map<NodeId, BackupCall> reading_calls;  // By backup.
+    std::map<NodeId, BackupCall> release_calls;
+    StoredSegments stored_segments;
+    bool log_is_outdated = true;  // `log` must be assembled again.
     AssembledLog log;
     std::map<NodeId, TimePoint> next_replay;  // By queue node.
   };
 
-  using Calls = std::map<NodeId, Call>;  // By backup.
+  using BackupCalls = std::map<NodeId, BackupCall>;  // By backup.
 
   /// Drops the progress of recoveries that are over and placements that the state shows.
   void ForgetFinished(const ControlState& state);
   void AdvanceRecovery(const ControlState& state, const proto::Recovery& recovery,
                        const RecoveryInput& input, std::vector<RecoveryAction>* actions);
-  void ReadBackups(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
-                   std::vector<RecoveryAction>* actions);
-  void AssembleChangedLog(const ControlState& state, NodeId dead, Progress* progress) const;
+  void RequestStoredSegments(const ControlState& state, NodeId dead, TimePoint now,
+                             Progress* progress, std::vector<RecoveryAction>* actions);
+  void UpdateAssembledLog(const ControlState& state, NodeId dead, Progress* progress) const;
   void ProposeReplay(const ControlState& state, NodeId dead, const RecoveryInput& input,
                      std::vector<RecoveryAction>* actions);
   /// @return placements proposed for other recoveries that the state does not show yet.
   PlannedLoads SumOtherPlacements(NodeId dead) const;
-  void SendReplays(const ControlState& state, const proto::Recovery& recovery, TimePoint now,
-                   Progress* progress, std::vector<RecoveryAction>* actions) const;
-  void ReleaseBackups(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
-                      std::vector<RecoveryAction>* actions);
+  void RequestReplays(const ControlState& state, const proto::Recovery& recovery, TimePoint now,
+                      Progress* progress, std::vector<RecoveryAction>* actions) const;
+  void RequestReleases(const ControlState& state, NodeId dead, TimePoint now, Progress* progress,
+                       std::vector<RecoveryAction>* actions);
   /// @return by queue node, the requests for its unfinished assignments, without segments.
-  static std::map<NodeId, proto::RecoverPartitionsRequest> UnfinishedReplays(
+  static std::map<NodeId, proto::RecoverPartitionsRequest> MakeReplayRequests(
       const proto::Recovery& recovery);
   static void AddSegments(const ControlState& state, const AssembledLog& log,
                           proto::RecoverPartitionsRequest* request);
-  static void DescribeAwaitedBackups(const ControlState& state, const Calls& calls,
+  static void DescribeAwaitedBackups(const ControlState& state, const BackupCalls& calls,
                                      std::vector<std::string>* awaited);
   static void DescribeAwaitedReplays(const ControlState& state, const proto::Recovery& recovery,
                                      std::vector<std::string>* awaited);
   /// @return number of calls of a kind in flight.
-  std::size_t CountInFlight(Calls Progress::*kind) const;
+  std::size_t CountInFlight(BackupCalls Progress::*kind) const;
   /// Marks the call as in flight if it is due and `available` is not 0. @return whether it did.
-  bool TryBegin(TimePoint now, Call* call, std::size_t* available) const;
+  bool TryStartCall(TimePoint now, BackupCall* call, std::size_t* available) const;
 
   RecoveryOptions options_;
   std::size_t available_reading_calls_ = 0;  // In the current step.
   std::size_t available_release_calls_ = 0;
-  std::map<NodeId, Progress> progress_;      // By dead node.
-  std::map<NodeId, PlannedLoads> proposed_;  // Not in the state yet, by dead node.
+  std::map<NodeId, Progress> progress_;                 // By dead node.
+  std::map<NodeId, PlannedLoads> proposed_placements_;  // Not in the state yet, by dead node.
 };
 
 }  // namespace cloverbank
--- a/tests/leader/backup_sweeper_test.cc
+++ b/tests/leader/backup_sweeper_test.cc
@@ -27,14 +27,14 @@
 };
 
 TEST_F(BackupSweeperTest, FindsSegmentsOfRecoveredNodes) {
-  const NodeId over = control.Register(proto::ROLE_QUEUE, "over", 1);
-  control.DeclareDead(over);
+  const NodeId recovered = control.Register(proto::ROLE_QUEUE, "recovered", 1);
+  control.DeclareDead(recovered);
   control.DeclareDead(dead);  // Its recovery needs them.
   proto::ListSegmentsResponse replicas;
-  for (const NodeId owner : {over, dead, first, NodeId(9999)}) {
+  for (const NodeId owner : {recovered, dead, first, NodeId(9999)}) {
     replicas.add_replicas()->set_node_id(owner.value());
   }
-  EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(over));
+  EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(recovered));
 }
 
 TEST_F(BackupSweeperTest, CountsReplicasAfterSettlingTime) {
--- a/tests/leader/failure_detector_test.cc
+++ b/tests/leader/failure_detector_test.cc
@@ -21,42 +21,43 @@
 };
 
 TEST_F(FailureDetectorTest, DeadOnlyAfterLeaseExpires) {
-  const TimePoint heard = kStart + seconds(10);
-  detector.RecordHeartbeat(kNode, heard);
-  EXPECT_FALSE(detector.IsDead(kNode, leases, heard + seconds(2)));
-  EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(3)));
-  leases.RecordGrant(kNode, ConfigurationVersion(1), heard + milliseconds(500));
-  EXPECT_FALSE(detector.IsDead(kNode, leases, heard + milliseconds(3400)));
-  EXPECT_TRUE(detector.IsDead(kNode, leases, heard + seconds(4)));
+  const TimePoint last_heartbeat = kStart + seconds(10);
+  detector.RecordHeartbeat(kNode, last_heartbeat);
+  EXPECT_FALSE(detector.IsDead(kNode, leases, last_heartbeat + seconds(2)));
+  EXPECT_TRUE(detector.IsDead(kNode, leases, last_heartbeat + seconds(3)));
+  leases.RecordGrant(kNode, ConfigurationVersion(1), last_heartbeat + milliseconds(500));
+  EXPECT_FALSE(detector.IsDead(kNode, leases, last_heartbeat + milliseconds(3400)));
+  EXPECT_TRUE(detector.IsDead(kNode, leases, last_heartbeat + seconds(4)));
 }
 
 TEST_F(FailureDetectorTest, SuspicionShortensTheTimeout) {
-  FailureDetector patient{seconds(9)};
-  patient.Start(kStart);
-  const TimePoint heard = kStart + seconds(10);
-  patient.RecordHeartbeat(kNode, heard);
-  patient.RecordSuspicion(kNode, heard + seconds(1));
-  EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(5))) << "too soon after a heartbeat";
-  patient.RecordSuspicion(kNode, heard + seconds(2));
-  EXPECT_TRUE(patient.IsDead(kNode, leases, heard + seconds(5)));
+  FailureDetector slow_detector{seconds(9)};
+  slow_detector.Start(kStart);
+  const TimePoint last_heartbeat = kStart + seconds(10);
+  slow_detector.RecordHeartbeat(kNode, last_heartbeat);
+  slow_detector.RecordSuspicion(kNode, last_heartbeat + seconds(1));
+  EXPECT_FALSE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(5)))
+      << "too soon after a heartbeat";
+  slow_detector.RecordSuspicion(kNode, last_heartbeat + seconds(2));
+  EXPECT_TRUE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(5)));
 }
 
 TEST_F(FailureDetectorTest, HeartbeatClearsSuspicion) {
-  FailureDetector patient{seconds(9)};
-  patient.Start(kStart);
-  const TimePoint heard = kStart + seconds(10);
-  patient.RecordHeartbeat(kNode, heard);
-  patient.RecordSuspicion(kNode, heard + seconds(2));
-  EXPECT_TRUE(patient.IsDead(kNode, leases, heard + seconds(5)));
-  patient.RecordHeartbeat(kNode, heard + seconds(5));
-  EXPECT_FALSE(patient.IsDead(kNode, leases, heard + seconds(7)));
+  FailureDetector slow_detector{seconds(9)};
+  slow_detector.Start(kStart);
+  const TimePoint last_heartbeat = kStart + seconds(10);
+  slow_detector.RecordHeartbeat(kNode, last_heartbeat);
+  slow_detector.RecordSuspicion(kNode, last_heartbeat + seconds(2));
+  EXPECT_TRUE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(5)));
+  slow_detector.RecordHeartbeat(kNode, last_heartbeat + seconds(5));
+  EXPECT_FALSE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(7)));
 }
 
 TEST_F(FailureDetectorTest, OwnPauseDoesNotCount) {
-  const TimePoint woken = kStart + seconds(30);
-  detector.ExcludePause(seconds(29), woken);
-  EXPECT_FALSE(detector.IsDead(kNode, leases, woken + seconds(1)));
-  EXPECT_TRUE(detector.IsDead(kNode, leases, woken + seconds(2)));
+  const TimePoint resumed = kStart + seconds(30);
+  detector.ExcludePause(seconds(29), resumed);
+  EXPECT_FALSE(detector.IsDead(kNode, leases, resumed + seconds(1)));
+  EXPECT_TRUE(detector.IsDead(kNode, leases, resumed + seconds(2)));
 }
 
 }  // namespace
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -18,16 +18,17 @@
   static constexpr std::size_t kOwners = 4;  ///< One for each partition.
 
   LargeRecoveryTest() {
-    std::vector<NodeId> earlier;
+    std::vector<NodeId> old_queue_nodes;
     for (std::size_t node = 0; node < kNodes; ++node) {
       backups_.push_back(fleet_.Register(proto::ROLE_BACKUP, "s" + std::to_string(node), node + 1));
-      earlier.push_back(fleet_.Register(proto::ROLE_QUEUE, "s" + std::to_string(node), 100));
-      fleet_.CommitHead(earlier.back(), 1, 1, {backups_.front()});
+      old_queue_nodes.push_back(
+          fleet_.Register(proto::ROLE_QUEUE, "s" + std::to_string(node), 100));
+      fleet_.CommitHead(old_queue_nodes.back(), 1, 1, {backups_.front()});
       if (node >= kNodes - kOwners) {
-        fleet_.Assign(earlier.back(), {node - (kNodes - kOwners)});
+        fleet_.Assign(old_queue_nodes.back(), {node - (kNodes - kOwners)});
       }
     }
-    for (const NodeId node : earlier) {
+    for (const NodeId node : old_queue_nodes) {
       fleet_.DeclareDead(node);
     }
   }
--- a/tests/leader/log_assembly_test.cc
+++ b/tests/leader/log_assembly_test.cc
@@ -23,35 +23,36 @@
     control.CommitHead(node, 2, 5, {backups[0], backups[1], backups[2]});
     control.CommitHead(node, 3, 2, {backups[0], backups[1], backups[2]});
   }
-  void Put(std::size_t backup, const proto::StoredSegment& stored) {
-    *answers[backups[backup]].add_segments() = stored;
+  void AddReplica(std::size_t backup, const proto::StoredSegment& stored) {
+    *stored_segments[backups[backup]].add_segments() = stored;
   }
   AssembledLog Assemble() {
-    return AssembleLog(control.state.partitions().heads().at(node), answers,
+    return AssembleLog(control.state.partitions().heads().at(node), stored_segments,
                        control.state.servers());
   }
 
   ControlDriver control;
   NodeId node;
   std::vector<NodeId> backups;
-  StoredSegments answers;
+  StoredSegments stored_segments;
 };
 
 TEST_F(LogAssemblyTest, MissingHeadNamesItsBackups) {
-  Put(0, Stored(2, 10, 5, true, {2}));
-  Put(1, Stored(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
-  Put(3, Stored(3, 99, 2, false, {2, 3}));  // Not in the committed set.
+  AddReplica(0, MakeStoredSegment(2, 10, 5, true, {2}));
+  AddReplica(1, MakeStoredSegment(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
+  AddReplica(3, MakeStoredSegment(3, 99, 2, false, {2, 3}));  // Not in the committed set.
   const AssembledLog log = Assemble();
   EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 under epoch 2, kept by s1")));
 }
 
 TEST_F(LogAssemblyTest, UsesLongestCurrentHeadAndClosedReplicas) {
-  Put(0, Stored(3, 40, 2, false, {2, 3}));
-  Put(1, Stored(3, 50, 2, false, {2, 3}));
-  Put(2, Stored(3, 99, 1, false, {2, 3}));
-  Put(3, Stored(3, 50, 3, false, {2, 3}));  // A later epoch, never committed: holds everything.
-  Put(2, Stored(2, 10, 5, true, {2}));
-  Put(3, Stored(2, 70, 4, false, {2}));
+  AddReplica(0, MakeStoredSegment(3, 40, 2, false, {2, 3}));
+  AddReplica(1, MakeStoredSegment(3, 50, 2, false, {2, 3}));
+  AddReplica(2, MakeStoredSegment(3, 99, 1, false, {2, 3}));
+  AddReplica(3, MakeStoredSegment(3, 50, 3, false,
+                                  {2, 3}));  // A later epoch, never committed: holds everything.
+  AddReplica(2, MakeStoredSegment(2, 10, 5, true, {2}));
+  AddReplica(3, MakeStoredSegment(2, 70, 4, false, {2}));
   const AssembledLog log = Assemble();
   ASSERT_TRUE(log.complete());
   ASSERT_EQ(log.segments.size(), 2U);
@@ -61,16 +62,17 @@
 }
 
 TEST_F(LogAssemblyTest, ReportsMissingSegmentsOfDigest) {
-  Put(0, Stored(3, 40, 2, false, {1, 2, 3}));
-  Put(1, Stored(1, 10, 1, false, {1}));  // Neither closed nor the segment before the head.
-  Put(3, Stored(2, 10, 5, false, {2}));  // Never in the committed set.
+  AddReplica(0, MakeStoredSegment(3, 40, 2, false, {1, 2, 3}));
+  AddReplica(1, MakeStoredSegment(1, 10, 1, false,
+                                  {1}));  // Neither closed nor the segment before the head.
+  AddReplica(3, MakeStoredSegment(2, 10, 5, false, {2}));  // Never in the committed set.
   EXPECT_THAT(Assemble().missing, ElementsAre(HasSubstr("segment 1"), HasSubstr("segment 2")));
 }
 
 TEST_F(LogAssemblyTest, UsesUnclosedSegmentBeforeTheHead) {
-  Put(0, Stored(3, 40, 2, false, {2, 3}));
-  Put(1, Stored(2, 10, 5, false, {2}));
-  Put(2, Stored(2, 12, 4, false, {2}));
+  AddReplica(0, MakeStoredSegment(3, 40, 2, false, {2, 3}));
+  AddReplica(1, MakeStoredSegment(2, 10, 5, false, {2}));
+  AddReplica(2, MakeStoredSegment(2, 12, 4, false, {2}));
   const AssembledLog log = Assemble();
   ASSERT_TRUE(log.complete());
   EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[1]));
@@ -78,7 +80,7 @@
 
 TEST_F(LogAssemblyTest, RecognisesRestartedBackupByDisk) {
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 77);
-  *answers[restarted].add_segments() = Stored(3, 40, 2, false, {3});
+  *stored_segments[restarted].add_segments() = MakeStoredSegment(3, 40, 2, false, {3});
   EXPECT_TRUE(Assemble().complete());
 }
 
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -26,7 +26,7 @@
     Store(backup, dead);
   }
   void Store(NodeId at, NodeId owner) {
-    *disks[at][owner].add_segments() = Stored(1, 10, 1, false, {1});
+    *disks[at][owner].add_segments() = MakeStoredSegment(1, 10, 1, false, {1});
   }
 
   void Execute(const StartReadingAction& action) {
@@ -46,7 +46,7 @@
     const NodeId node(action.request.queue_node_id());
     EXPECT_FALSE(action.request.segments().empty());
     replays.push_back(action.request);
-    if (!stuck.contains(node)) {
+    if (!stalled.contains(node)) {
       const auto& ids = action.request.partition_ids();
       control.FinishAssignment(NodeId(action.request.dead_node_id()), node,
                                {ids.begin(), ids.end()});
@@ -63,33 +63,33 @@
 
   void Step(int times = 1) {
     for (int time = 0; time < times; ++time) {
-      facts.now += milliseconds(600);
-      for (const RecoveryAction& action : manager.Step(control.state, facts)) {
-        std::visit([this](const auto& one) { Execute(one); }, action);
+      input.now += milliseconds(600);
+      for (const RecoveryAction& action : manager.Step(control.state, input)) {
+        std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
       }
     }
   }
-  bool IsOver() const { return control.state.partitions().recoveries().empty(); }
-  std::size_t Owned(NodeId node) const {
+  bool IsRecoveryFinished() const { return control.state.partitions().recoveries().empty(); }
+  std::size_t CountOwned(NodeId node) const {
     return control.state.partitions().FindOwnedBy(node).size();
   }
 
   ControlDriver control;
   RecoveryManager manager{RecoveryOptions{}};
-  RecoveryInput facts;
+  RecoveryInput input;
   NodeId dead, first, second, backup, spare;
   std::map<NodeId, std::map<NodeId, proto::StartReadingDataResponse>> disks;
   std::set<NodeId> unreachable;
-  std::set<NodeId> stuck;
+  std::set<NodeId> stalled;
   std::vector<proto::RecoverPartitionsRequest> replays;
 };
 
 TEST_F(RecoveryManagerTest, SpreadsReplaysAndReleasesLog) {
   control.DeclareDead(dead);
   Step(6);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(first), 2U);
-  EXPECT_EQ(Owned(second), 2U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(first), 2U);
+  EXPECT_EQ(CountOwned(second), 2U);
   EXPECT_THAT(disks[backup], IsEmpty());
 }
 
@@ -105,20 +105,20 @@
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 40);
   Store(restarted, dead);
   Step(6);
-  EXPECT_TRUE(IsOver());
+  EXPECT_TRUE(IsRecoveryFinished());
 }
 
 TEST_F(RecoveryManagerTest, ReassignsReplayOfDeadNode) {
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   Step(3);
   control.CommitHead(first, 1, 1, {backup});
   Store(backup, first);
   control.DeclareDead(first);
-  stuck.clear();
+  stalled.clear();
   Step(8);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(second), 4U);
 }
 
 TEST_F(RecoveryManagerTest, ResumesOnceAQueueNodeRegisters) {
@@ -129,7 +129,7 @@
   EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("a queue node"));
   const NodeId third = control.Register(proto::ROLE_QUEUE, "q3", 9);
   Step(5);
-  EXPECT_EQ(Owned(third), 4U);
+  EXPECT_EQ(CountOwned(third), 4U);
 }
 
 TEST_F(RecoveryManagerTest, ReleaseWaitsForEveryLiveBackup) {
@@ -141,26 +141,26 @@
   EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("the backup on s2"));
   control.DeclareDead(spare);
   Step(2);
-  EXPECT_TRUE(IsOver());
+  EXPECT_TRUE(IsRecoveryFinished());
 }
 
 // A new leader knows only the replicated state, in any phase.
 class LeaderChangeTest : public RecoveryManagerTest, public testing::WithParamInterface<int> {};
 
 TEST_P(LeaderChangeTest, RecoveryContinues) {
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   for (int step = 0; step < 10; ++step) {
     if (step == GetParam()) {
       manager.Reset();
     }
     if (step == 3) {
-      stuck.clear();
+      stalled.clear();
     }
     Step();
   }
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(first) + Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(first) + CountOwned(second), 4U);
 }
 
 INSTANTIATE_TEST_SUITE_P(AtAnyStep, LeaderChangeTest, testing::Range(0, 7));
@@ -169,27 +169,27 @@
 TEST_F(RecoveryManagerTest, RecoversReplayingNodeThatDies) {
   control.CommitHead(first, 1, 1, {spare});
   Store(spare, first);
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   Step(2);
   control.FinishAssignment(dead, first, {0});
   control.DeclareDead(first);
   EXPECT_EQ(control.state.partitions().recoveries().size(), 2U);
-  stuck.clear();
+  stalled.clear();
   Step(8);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(second), 4U);
 }
 
 // Each dead node had one partition, and no replay shows in the state when the others are placed.
 TEST_F(RecoveryManagerTest, SimultaneousReplaysGoToDifferentNodes) {
   ControlDriver fleet;
   std::vector<NodeId> owners;
-  const NodeId keeper = fleet.Register(proto::ROLE_BACKUP, "s1", 1);
+  const NodeId log_backup = fleet.Register(proto::ROLE_BACKUP, "s1", 1);
   for (const char* machine : {"d1", "d2", "d3", "d4"}) {
     owners.push_back(fleet.Register(proto::ROLE_QUEUE, machine, 1));
     fleet.Assign(owners.back(), {owners.size() - 1});
-    fleet.CommitHead(owners.back(), 1, 1, {keeper});
+    fleet.CommitHead(owners.back(), 1, 1, {log_backup});
   }
   for (const char* machine : {"q1", "q2", "q3", "q4"}) {
     fleet.Register(proto::ROLE_QUEUE, machine, 2);
@@ -201,8 +201,8 @@
   recoveries.Step(fleet.state, {TimePoint(seconds(100)), false, {}});
   for (const NodeId owner : owners) {
     proto::StartReadingDataResponse answer;
-    *answer.add_segments() = Stored(1, 10, 1, true, {1});
-    recoveries.HandleReadingData(owner, keeper, answer);
+    *answer.add_segments() = MakeStoredSegment(1, 10, 1, true, {1});
+    recoveries.HandleReadingData(owner, log_backup, answer);
   }
   std::set<std::uint64_t> assigned;
   for (const RecoveryAction& action :
--- a/tests/leader/stored_segment.h
+++ b/tests/leader/stored_segment.h
@@ -9,8 +9,9 @@
 
 namespace cloverbank {
 
-inline proto::StoredSegment Stored(std::uint64_t segment, std::uint64_t length, std::uint64_t epoch,
-                                   bool closed, const std::vector<std::uint64_t>& digest) {
+inline proto::StoredSegment MakeStoredSegment(std::uint64_t segment, std::uint64_t length,
+                                              std::uint64_t epoch, bool closed,
+                                              const std::vector<std::uint64_t>& digest) {
   proto::StoredSegment stored;
   stored.set_segment_id(segment);
   stored.set_length(length);
