--- a/src/leader/backup_sweeper.h
+++ b/src/leader/backup_sweeper.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
 /// Schedules sweeps: periodic listings of the segment replicas on each backup. A sweep finds
-/// segments of dead nodes whose recovery has finished, which a backup keeps that was unreachable
-/// when they were released; and it counts the replicas left on a backup that is being retired.
-/// Pure.
+/// segments of dead nodes whose recovery has finished; a backup still has them if it was
+/// unreachable when they were released. A sweep also counts the replicas left on a backup that is
+/// being retired. Does no I/O: `BackupSweepExecutor` makes the calls.
 
 #include <cstdint>
 #include <map>
@@ -26,32 +26,37 @@
 class BackupSweeper {
  public:
   /// @param interval between sweeps of a backup.
-  /// @param retiring_interval the same while the backup is being retired.
-  /// @param settling_time how long after the retirement began a sweep counts: one node lease, after
-  /// which no queue node with a valid lease can place new replicas on the backup.
+  /// @param retiring_interval between sweeps of a backup while the backup is being retired.
+  /// @param settling_time a sweep of a retiring backup counts its replicas only if it begins at
+  /// least this long after the retirement was seen. The caller passes one node lease: after that,
+  /// no queue node with a valid lease can place new replicas on the backup.
   BackupSweeper(Duration interval, Duration retiring_interval, Duration settling_time)
       : interval_(interval), retiring_interval_(retiring_interval), settling_time_(settling_time) {}
 
+  /// Forgets all sweeps; each live backup is due at once.
   void Reset() { sweeps_.clear(); }
-  /// @return backups to be listed now. Each is in flight until `HandleReplicaList` or
-  /// `HandleFailure` reports its result.
+  /// @return the live backups to be listed now. The sweep of each is in flight until the caller
+  /// reports its result with `HandleReplicaList` or `HandleFailure`.
   std::vector<NodeId> StartDueSweeps(const ControlState& state, TimePoint now);
+  /// Ends the sweep of `backup`, which answered with `replicas`. Ignored if it is no longer live.
   void HandleReplicaList(NodeId backup, const proto::ListSegmentsResponse& replicas);
+  /// Ends the sweep of `backup`, whose call failed. The last count of replicas stays.
   void HandleFailure(NodeId backup);
-  /// @return number of replicas on the backup at its last sweep; none before the first sweep, and
-  /// none for a retiring backup before the first sweep that began after the settling time.
+  /// @return number of replicas on the backup at its last successful sweep; no value before the
+  /// first, nor if the backup was already retiring and that sweep began before the settling time
+  /// was over.
   std::optional<std::size_t> FindReplicaCount(NodeId backup) const;
 
  private:
   struct Sweep {
     bool in_flight = false;
     TimePoint next_start;
-    std::optional<TimePoint> retiring_since;  ///< When this leader saw it first.
-    bool is_settled = true;                   ///< Whether the sweep in flight counts.
+    std::optional<TimePoint> retiring_since;  ///< When this leader first saw it retiring.
+    bool is_settled = true;  ///< Whether the last sweep began after the settling time.
     std::optional<std::size_t> replicas;
   };
 
-  /// Marks `sweep` as in flight from `now` and sets when the next is due.
+  /// Marks `sweep` as in flight from `now` and sets when the next one is due.
   void Start(bool retiring, TimePoint now, Sweep* sweep) const;
 
   Duration interval_;
--- a/src/leader/command_proposer.h
+++ b/src/leader/command_proposer.h
@@ -26,26 +26,31 @@
 
   explicit CommandProposer(LeaderContext& context) : context_(context) {}
 
-  /// Proposes `command`. `done` receives the result of applying it, the error of the state machine,
-  /// or kNotLeader if leadership was lost: whether the command was committed is then unknown, and
-  /// it may be proposed again.
+  /// Proposes `command`. `done` runs on the event loop, or never if the leader is destroyed first.
+  /// It receives the result of applying the command, the error that the state machine returned,
+  /// kInternal if the result cannot be decoded, or kNotLeader if the log failed to apply the
+  /// command, for example because leadership was lost. After kNotLeader it is unknown whether the
+  /// command was committed; the caller may propose it again.
   void Propose(const proto::ControlCommand& command, Done done);
 
-  /// As `Propose`, but does nothing while a proposal with the same `key` is in flight.
+  /// As `Propose`, but does nothing, and drops `done`, while a proposal with the same `key` is in
+  /// flight. `done` may be empty.
   void ProposeOnce(const std::string& key, const proto::ControlCommand& command,
                    Done done = nullptr);
 
-  /// This member became leader: proposals of earlier terms no longer count as in flight.
+  /// Call it when this member becomes leader: proposals of earlier terms then no longer count as in
+  /// flight.
   void Reset();
 
  private:
   void HandleApplied(const Result<std::string>& applied, const Done& done);
-  /// Allows `key` to be proposed again, unless its proposal is of an earlier term.
+  /// Allows `key` to be proposed again, unless the proposal that ended was made before the last
+  /// `Reset`, as `generation` shows: a newer proposal with this key may then be in flight.
   void MarkFinished(const std::string& key, std::uint64_t generation);
 
   LeaderContext& context_;
-  std::set<std::string> in_flight_;
-  std::uint64_t generation_ = 0;
+  std::set<std::string> in_flight_;  ///< Keys of the proposals of `ProposeOnce`.
+  std::uint64_t generation_ = 0;     ///< Number of calls of `Reset`.
 };
 
 }  // namespace cloverbank
--- a/src/leader/coordinator_notification_schedule.cc
+++ b/src/leader/coordinator_notification_schedule.cc
@@ -6,8 +6,10 @@
 namespace cloverbank {
 namespace {
 
+/// Between two notifications of the same location.
 constexpr Duration kNotificationInterval = milliseconds(500);
-/// A node that is absent for longer must find the coordinators by its seeds.
+/// How long the leader notifies a location whose node is unresponsive or dead. A node that is
+/// absent for longer must find the coordinators by its seeds.
 constexpr Duration kNotificationLimit = seconds(60);
 
 }  // namespace
--- a/src/leader/coordinator_notification_schedule.h
+++ b/src/leader/coordinator_notification_schedule.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Decides which nodes to notify of the coordinators' endpoints. A node that restarts knows only
-/// its seeds, which may name no present coordinator; the leader knows the node's last endpoint.
-/// Pure.
+/// Decides which nodes to notify of the coordinators' endpoints, and when. A node that restarts
+/// knows only its seeds, which may not include any present coordinator; but the leader knows the
+/// node's last endpoint. Does no I/O: `CoordinatorNotifier` sends the notifications.
 
 #include <compare>
 #include <map>
@@ -26,11 +26,12 @@
     auto operator<=>(const NodeLocation&) const = default;
   };
 
-  /// This member became leader: all nodes are notified once.
+  /// Forgets all locations, so that every live node is notified once. Call it when this member
+  /// becomes leader.
   void Reset() { entries_.clear(); }
   /// @param unresponsive live nodes without a recent heartbeat.
-  /// @return locations to be notified now. Those of nodes that respond are returned once, those of
-  /// unresponsive and dead ones repeatedly for a limited time.
+  /// @return the locations to be notified now. That of a responsive node is returned once; that of
+  /// an unresponsive or dead node every 500 ms, until 60 s after the node was last responsive.
   std::vector<NodeLocation> StartDueNotifications(const ControlState& state,
                                                   const std::set<NodeId>& unresponsive,
                                                   TimePoint now);
@@ -42,9 +43,10 @@
     bool notified = false;
   };
 
-  /// @return the locations of live nodes that respond.
+  /// Records the locations of all live nodes. @return those of the responsive ones.
   std::set<NodeLocation> RecordLiveNodes(const ControlState& state,
                                          const std::set<NodeId>& unresponsive, TimePoint now);
+  /// Forgets the locations whose node was last responsive more than 60 s before `now`.
   void ForgetLongAbsent(TimePoint now);
 
   std::map<NodeLocation, Entry> entries_;
--- a/src/leader/coordinator_notifier.h
+++ b/src/leader/coordinator_notifier.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Sends the endpoints of the coordinators to the nodes that `CoordinatorNotificationSchedule`
-/// names. Threads: the owner's event loop only.
+/// returns. Threads: the owner's event loop only.
 
 #include "leader/coordinator_notification_schedule.h"
 #include "leader/leader_context.h"
@@ -12,9 +12,10 @@
  public:
   explicit CoordinatorNotifier(LeaderContext& context) : context_(context) {}
 
-  /// This member became leader.
+  /// Starts the schedule anew. Call it when this member becomes leader.
   void Reset() { schedule_.Reset(); }
-  /// Notifies the nodes that are due. Lost notifications are repeated by a later step.
+  /// Notifies the nodes that are due. It ignores the results of the calls: a later step notifies
+  /// nodes again that remain unresponsive.
   void Step();
 
  private:
--- a/src/leader/death_declarer.cc
+++ b/src/leader/death_declarer.cc
@@ -7,7 +7,8 @@
 namespace cloverbank {
 namespace {
 
-/// Time without a heartbeat after which partitions are assigned to a node only as a last resort.
+/// Time without a heartbeat after which a node counts as unresponsive: partitions are then assigned
+/// to it only as a last resort.
 constexpr Duration kUnresponsiveAfter = milliseconds(1500);
 
 }  // namespace
@@ -20,7 +21,8 @@
   context_.leases.Expire(context_.environment.Now());
   const std::set<NodeId> live = FindLiveNodes();
   UpdateUnresponsive(live);
-  // Collected before the first proposal, which may change the state.
+  // All due deaths are collected before the first is proposed, because a proposal may change the
+  // state.
   const std::vector<DueDeath> due = FindDueDeaths(live);
   context_.detector.ForgetAllBut(live);
   std::erase_if(context_.loads, [&live](const auto& entry) { return !live.contains(entry.first); });
@@ -94,7 +96,8 @@
 
 void DeathDeclarer::HandleDeathResult(NodeId node,
                                       const Result<proto::ControlCommandResult>& result) {
-  // A failure means that leadership was lost: the next term begins without pending deaths.
+  // A failure means that leadership was lost. `pending_deaths` is cleared when a member becomes
+  // leader.
   if (result.ok()) {
     context_.pending_deaths.erase(node);
   }
--- a/src/leader/death_declarer.h
+++ b/src/leader/death_declarer.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Declares nodes dead: those that have not responded for too long and those whose machine has come
-/// back as a later incarnation; neither before the node's lease has expired (docs/DESIGN.md
+/// Declares nodes dead that have sent no heartbeat for too long, or whose machine has registered
+/// again as a later incarnation; never before the node's lease has expired (docs/DESIGN.md
 /// section 2). Threads: the owner's event loop only.
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   kSuperseded,    ///< A later incarnation of its machine is registered.
 };
 
-/// @return the name in commands, logs and metrics.
+/// @return the name of `reason` in commands, logs and metrics.
 std::string_view DeathReasonName(DeathReason reason);
 
 class DeathDeclarer {
@@ -29,8 +29,8 @@
   DeathDeclarer(LeaderContext& context, CommandProposer& proposer)
       : context_(context), proposer_(proposer) {}
 
-  /// Expires leases, updates the unresponsive nodes of the context, forgets nodes that are not live
-  /// and proposes the deaths that are due. Requires `context.CanAnswer()`.
+  /// Drops expired leases, updates `LeaderContext::unresponsive`, forgets nodes that are not live
+  /// and proposes to declare dead each node that is due. Requires `context.CanAnswer()`.
   void Step();
 
  private:
@@ -41,9 +41,12 @@
 
   std::set<NodeId> FindLiveNodes() const;
   void UpdateUnresponsive(const std::set<NodeId>& live);
+  /// @return the nodes of `live` to be declared dead now whose death is not yet proposed.
   std::vector<DueDeath> FindDueDeaths(const std::set<NodeId>& live) const;
+  /// @return why `server` is to be declared dead now; no value if it is not.
   std::optional<DeathReason> FindDeathReason(const proto::Server& server) const;
   void ProposeDeath(const DueDeath& death);
+  /// Handles the result of the command that declares `node` dead.
   void HandleDeathResult(NodeId node, const Result<proto::ControlCommandResult>& result);
 
   LeaderContext& context_;
--- a/src/leader/failure_detector.cc
+++ b/src/leader/failure_detector.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// Time without a heartbeat before a suspicion counts: longer than one stays pending and is resent.
+/// Time without a heartbeat after which a suspicion counts. Longer than the leader may delay the
+/// answer to a heartbeat and the node then takes to send the next one.
 constexpr Duration kSuspicionAfter = milliseconds(1500);
 
 }  // namespace
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// State shared by the parts of the leader: the replicated state and what the leader of one term
-/// knows beside it. Owned by `CoordinatorService`. Threads: the owner's event loop only.
+/// State shared by the classes of the leader: the replicated state, and what the leader knows
+/// during its term without replicating it. Owned by `CoordinatorService`. Threads: the owner's
+/// event loop only.
 
 #include <cstdint>
 #include <map>
@@ -34,11 +35,12 @@
         leases(coordinator_options.node_lease),
         detector(coordinator_options.death_after) {}
 
-  /// @return whether this member may answer from its state now: it leads, has applied every
-  /// committed command and no other member can lead. Check it immediately before each answer.
+  /// @return whether this member may answer requests from its state now: it is the leader, it has
+  /// applied every committed command, and no other member can be leader. Check it immediately
+  /// before each answer.
   bool CanAnswer() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
-  /// @return the error of a member that may not answer; its detail is the leader's "ip:port" if
-  /// known.
+  /// @return the kNotLeader error with which a member that may not answer refuses a request; its
+  /// detail is the leader's "ip:port", or empty if the leader is not known.
   Status NotLeader() const {
     const Endpoint leader = log.leader_endpoint();
     return {StatusCode::kNotLeader, "this coordinator is not the leader",
@@ -52,12 +54,15 @@
 
   LeaseTable leases;
   FailureDetector detector;
-  /// Nodes whose death is proposed and not yet applied. They are granted no lease.
+  /// Nodes that a proposed command declares dead, until it has been applied. The leader grants them
+  /// no lease.
   std::set<NodeId> pending_deaths;
-  /// Live nodes without a heartbeat for longer than one stays pending.
+  /// Live nodes that have sent no heartbeat for 1.5 s, longer than the leader delays the answer to
+  /// a heartbeat. `DeathDeclarer` updates them.
   std::set<NodeId> unresponsive;
-  std::map<NodeId, NodeLoad> loads;
-  /// Callbacks of timers and calls hold it weakly and do nothing once it has expired.
+  std::map<NodeId, NodeLoad> loads;  ///< By node.
+  /// Callbacks of timers and calls hold a weak pointer to it, and do nothing once the context has
+  /// been destroyed and the pointer has expired.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Runs the singleton work of the leader, one class a concern: `DeathDeclarer`,
+/// Runs the tasks that only the leader performs, each in a class of its own: `DeathDeclarer`,
 /// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `CoordinatorNotifier`.
 /// Threads: the owner's event loop only.
 
@@ -19,9 +19,10 @@
  public:
   LeaderController(LeaderContext& context, CommandProposer& proposer);
 
-  /// This member became leader: resets what is not replicated.
+  /// Resets the state that is not replicated, and proposes to create the partitions if this group
+  /// has none yet. Call it when this member becomes leader.
   void Begin();
-  /// Runs one step of each concern. Requires `context.CanAnswer()`.
+  /// Runs one step of each task. Requires `context.CanAnswer()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions() { partition_assigner_.InitializePartitions(); }
--- a/src/leader/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// Clocks of holder and leader may differ in rate by one part in this many.
+/// The rates of the holder's and the leader's clock may differ by at most 1 / kClockDriftDivisor.
 constexpr int kClockDriftDivisor = 100;
 
 }  // namespace
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -14,7 +14,7 @@
 
 using ReplicaFilter = std::function<bool(const SegmentReplica&)>;
 
-/// @return the usable replicas of `segment` of the greatest length among them.
+/// @return those usable replicas of `segment` that are the longest; empty if none is usable.
 std::vector<SegmentReplica> LongestReplicas(SegmentId segment,
                                             const StoredSegments& stored_segments,
                                             const ReplicaFilter& usable) {
@@ -36,7 +36,8 @@
   return longest;
 }
 
-/// @return whether the replica contains everything acknowledged while `head` was committed.
+/// @return whether `replica` contains everything that the owner acknowledged while `head` was the
+/// committed head.
 bool HasAllAcknowledgedEntries(const proto::LogHead& head, const SegmentReplica& replica,
                                const ServerRegistry& servers) {
   if (replica.stored->epoch() != head.epoch()) {
@@ -47,7 +48,8 @@
   });
 }
 
-/// @return "store-1 (node 4, dead)" for each backup of the head.
+/// @return a text such as "store-1 (node 4), store-2 (node 5, gone)": the machine and node id of
+/// each backup of `head`, and whether the backup is no longer live.
 std::string DescribeBackups(const proto::LogHead& head, const ServerRegistry& servers) {
   std::string text;
   for (const std::uint64_t id : head.backups()) {
@@ -60,6 +62,7 @@
   return text;
 }
 
+/// Assembles one log; used once.
 class LogAssembler {
  public:
   LogAssembler(const LogHeads& heads, const StoredSegments& stored_segments,
@@ -70,10 +73,13 @@
 
  private:
   std::vector<SegmentReplica> HeadReplicas() const;
+  /// @return the replicas from which `segment`, which is not the head, can be read; empty if none.
   std::vector<SegmentReplica> EarlierSegmentReplicas(SegmentId segment) const;
   /// @return the segments in the digest of `head`, which includes the head itself.
   static std::set<SegmentId> DigestSegments(const proto::StoredSegment& head);
+  /// Reports that no usable replica of the head was found.
   void AddMissingHead();
+  /// Adds `segment`, which is not the head, or reports that it is missing.
   void AddEarlierSegment(SegmentId segment);
   void Add(SegmentId segment, const std::vector<SegmentReplica>& replicas);
 
--- a/src/leader/partition_assigner.h
+++ b/src/leader/partition_assigner.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Proposes the partitions of a new group and assigns those without an owner to queue nodes.
-/// Partitions that are recovered from a log are not its concern: `RecoveryManager` places them.
+/// It does not assign partitions that are recovered from a log: `RecoveryManager` places those.
 /// Threads: the owner's event loop only.
 
 #include "leader/command_proposer.h"
@@ -16,7 +16,8 @@
 
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions();
-  /// Proposes an owner for each partition that has none. Requires `context.CanAnswer()`.
+  /// Proposes an owner for each partition that has none, if a queue node is live. Requires
+  /// `context.CanAnswer()`.
   void AssignFreePartitions();
 
  private:
--- a/src/leader/recovery_executor.h
+++ b/src/leader/recovery_executor.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Executes what `RecoveryManager` decides: calls backups and queue nodes and proposes commands.
+/// Executes the actions that `RecoveryManager` returns: calls backups and queue nodes and proposes
+/// commands.
 /// Threads: the owner's event loop only.
 
 #include "leader/command_proposer.h"
@@ -14,10 +15,11 @@
   RecoveryExecutor(LeaderContext& context, CommandProposer& proposer)
       : context_(context), proposer_(proposer), manager_(context.options.recovery) {}
 
-  /// This member became leader.
+  /// Drops all progress. Call it when this member becomes leader.
   void Reset() { manager_.Reset(); }
-  /// Executes the actions that are due. `may_assign`: whether partitions may be assigned now.
-  /// Requires `context.CanAnswer()`.
+  /// Executes the actions that are due. The responses to its calls are handled later on the event
+  /// loop. Requires `context.CanAnswer()`.
+  /// @param may_assign whether partitions may be assigned now, see `ArrivalGate`.
   void Step(bool may_assign);
 
   const RecoveryManager& manager() const { return manager_; }
@@ -28,6 +30,7 @@
   void Execute(const RecoverPartitionsAction& action);
   void Execute(const ReleaseAction& action);
   void Execute(const ProposeFinishAction& action);
+  /// If the queue node has replayed the partitions of `request`, proposes that it owns them.
   void HandleReplayAnswer(const proto::RecoverPartitionsRequest& request,
                           const Result<proto::RecoverPartitionsResponse>& answer);
 
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -89,7 +89,8 @@
 void RecoveryManager::RequestStoredSegments(const ControlState& state, NodeId dead, TimePoint now,
                                             Progress* progress,
                                             std::vector<RecoveryAction>* actions) {
-  // A restarted backup has a new node id and is asked again; answers of dead ones are void.
+  // A restarted backup has a new node id and is asked again. What a dead backup answered no longer
+  // counts.
   const auto is_dead = [&state](const auto& entry) {
     return state.servers().FindLive(entry.first, proto::ROLE_BACKUP) == nullptr;
   };
