--- a/src/leader/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -8,7 +8,9 @@
 Result<proto::ControlCommandResult> DecodeResult(const std::string& bytes) {
   proto::ControlCommandResult result;
   if (!result.ParseFromString(bytes)) {
-    return Status(StatusCode::kInternal, "malformed control command result");
+    return Status(StatusCode::kInternal, "the result of a control command, " +
+                                             std::to_string(bytes.size()) +
+                                             " bytes, cannot be decoded as a ControlCommandResult");
   }
   const auto code = static_cast<StatusCode>(result.error_code());
   if (code != StatusCode::kOk) {
--- a/src/leader/log_assembly.cc
+++ b/src/leader/log_assembly.cc
@@ -48,8 +48,8 @@
   });
 }
 
-/// @return a text such as "store-1 (node 4), store-2 (node 5, gone)": the machine and node id of
-/// each backup of `head`, and whether the backup is no longer live.
+/// @return a text such as "store-1 (node 4), store-2 (node 5, not live)": the machine and node id
+/// of each backup of `head`, and whether the backup is no longer live.
 std::string DescribeBackups(const proto::LogHead& head, const ServerRegistry& servers) {
   std::string text;
   for (const std::uint64_t id : head.backups()) {
@@ -57,7 +57,7 @@
     text += text.empty() ? "" : ", ";
     text += server == nullptr ? "unknown machine" : server->machine();
     text += " (node " + std::to_string(id);
-    text += server != nullptr && IsLive(*server) ? ")" : ", gone)";
+    text += server != nullptr && IsLive(*server) ? ")" : ", not live)";
   }
   return text;
 }
@@ -115,7 +115,7 @@
 
 void LogAssembler::AddMissingHead() {
   log_.missing.push_back("head segment " + std::to_string(heads_.current.segment_id()) +
-                         " under epoch " + std::to_string(heads_.current.epoch()) + ", kept by " +
+                         " of epoch " + std::to_string(heads_.current.epoch()) + ", stored on " +
                          DescribeBackups(heads_.current, servers_));
 }
 
@@ -123,7 +123,7 @@
   const std::vector<SegmentReplica> replicas = EarlierSegmentReplicas(segment);
   if (replicas.empty()) {
     log_.missing.push_back("segment " + segment.ToString() +
-                           ", of which no backup that answered has a whole copy");
+                           ", of which no backup that has answered has a complete replica");
   } else {
     Add(segment, replicas);
   }
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -262,7 +262,7 @@
   for (const auto& [backup, call] : calls) {
     const proto::Server* server = state.servers().FindLive(backup, proto::ROLE_BACKUP);
     if (server != nullptr && !call.done) {
-      awaited->push_back("an answer of the backup on " + server->machine() +
+      awaited->push_back("a response from the backup on " + server->machine() +
                          (call.failure.empty() ? "" : " (" + call.failure + ")"));
     }
   }
--- a/tests/leader/log_assembly_test.cc
+++ b/tests/leader/log_assembly_test.cc
@@ -42,7 +42,7 @@
   AddReplica(1, MakeStoredSegment(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
   AddReplica(3, MakeStoredSegment(3, 99, 2, false, {2, 3}));  // Not in the committed set.
   const AssembledLog log = Assemble();
-  EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 under epoch 2, kept by s1")));
+  EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 of epoch 2, stored on s1")));
 }
 
 TEST_F(LogAssemblyTest, UsesLongestCurrentHeadAndClosedReplicas) {
