--- a/tests/leader/arrival_gate_test.cc
+++ b/tests/leader/arrival_gate_test.cc
@@ -16,17 +16,17 @@
   TimePoint now{seconds(50)};
 };
 
-TEST_F(ArrivalGateTest, OpensAfterQuietPeriod) {
+TEST_F(ArrivalGateTest, AllowsAssignmentAfterQuietPeriod) {
   EXPECT_FALSE(gate.Update(control.state, {}, true, now));
   EXPECT_TRUE(gate.Update(control.state, {}, true, now + milliseconds(700)));
 }
 
-TEST_F(ArrivalGateTest, StaysClosedWithoutWaitingPartitions) {
+TEST_F(ArrivalGateTest, RefusesWithoutPartitionsToAssign) {
   EXPECT_FALSE(gate.Update(control.state, {}, false, now));
   EXPECT_FALSE(gate.Update(control.state, {}, false, now + seconds(9)));
 }
 
-TEST_F(ArrivalGateTest, OpensAtMaximumWaitDespiteArrivals) {
+TEST_F(ArrivalGateTest, AllowsAssignmentAtMaximumWaitDespiteNewNodes) {
   for (int arrival = 0; arrival < 3; ++arrival) {
     control.Register(proto::ROLE_QUEUE, "new" + std::to_string(arrival), 1);
     EXPECT_FALSE(gate.Update(control.state, {}, true, now + milliseconds(600) * arrival));
--- a/tests/leader/backup_sweeper_test.cc
+++ b/tests/leader/backup_sweeper_test.cc
@@ -10,7 +10,7 @@
 
 using ::testing::ElementsAre;
 
-/// Two backups and a dead queue node, whose log is on the first.
+/// Two backups and two queue nodes. The log of queue node `dead` is on the first backup.
 class BackupSweeperTest : public testing::Test {
  protected:
   BackupSweeperTest() {
@@ -26,10 +26,10 @@
   NodeId dead, first, backup, spare;
 };
 
-TEST_F(BackupSweeperTest, FindsSegmentsOfRecoveredNodes) {
+TEST_F(BackupSweeperTest, FindsOnlySegmentsOfRecoveredNodes) {
   const NodeId recovered = control.Register(proto::ROLE_QUEUE, "recovered", 1);
   control.DeclareDead(recovered);
-  control.DeclareDead(dead);  // Its recovery needs them.
+  control.DeclareDead(dead);  // Its recovery still needs its segments.
   proto::ListSegmentsResponse replicas;
   for (const NodeId owner : {recovered, dead, first, NodeId(9999)}) {
     replicas.add_replicas()->set_node_id(owner.value());
@@ -37,13 +37,14 @@
   EXPECT_THAT(FindLeftoverOwners(replicas, control.state), ElementsAre(recovered));
 }
 
-TEST_F(BackupSweeperTest, CountsReplicasAfterSettlingTime) {
+TEST_F(BackupSweeperTest, CountsReplicasOfRetiringBackupAfterSettlingTime) {
   BackupSweeper sweeper(seconds(5), seconds(1), seconds(3));
   proto::ControlCommand retire;
   retire.mutable_retire_machine()->set_machine("s1");
   control.Apply(retire);
   for (int elapsed = 0; elapsed <= 3; ++elapsed) {
-    EXPECT_EQ(sweeper.FindReplicaCount(backup), std::nullopt) << elapsed;
+    EXPECT_EQ(sweeper.FindReplicaCount(backup), std::nullopt)
+        << elapsed << " s after the retirement";
     EXPECT_THAT(sweeper.StartDueSweeps(control.state, TimePoint(seconds(100 + elapsed))),
                 testing::Contains(backup));
     sweeper.HandleReplicaList(backup, proto::ListSegmentsResponse());
--- a/tests/leader/coordinator_notification_schedule_test.cc
+++ b/tests/leader/coordinator_notification_schedule_test.cc
@@ -40,13 +40,13 @@
   StartDue();
   now_ += seconds(2);
   EXPECT_THAT(StartDue({gateway_}), SizeIs(1));
-  EXPECT_THAT(StartDue({gateway_}), IsEmpty()) << "not more often than twice a second";
+  EXPECT_THAT(StartDue({gateway_}), IsEmpty()) << "notified at most every 500 ms";
   control_.DeclareDead(gateway_);
   now_ += seconds(1);
   EXPECT_THAT(StartDue(), SizeIs(1));
 }
 
-TEST_F(CoordinatorNotificationScheduleTest, GivesUpOnLongAbsentNodes) {
+TEST_F(CoordinatorNotificationScheduleTest, StopsAfterSixtySecondsOfAbsence) {
   StartDue();
   control_.DeclareDead(gateway_);
   now_ += seconds(61);
--- a/tests/leader/death_declarer_test.cc
+++ b/tests/leader/death_declarer_test.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-// They are stored in the replicated log and are labels of a metric.
+// The names are stored in the replicated log and are labels of a metric, so they must not change.
 TEST(DeathReasonTest, NamesAreStable) {
   EXPECT_EQ(DeathReasonName(DeathReason::kUnresponsive), "silent");
   EXPECT_EQ(DeathReasonName(DeathReason::kSuperseded), "superseded");
--- a/tests/leader/failure_detector_test.cc
+++ b/tests/leader/failure_detector_test.cc
@@ -20,7 +20,7 @@
   FailureDetector detector{seconds(3)};
 };
 
-TEST_F(FailureDetectorTest, DeadOnlyAfterLeaseExpires) {
+TEST_F(FailureDetectorTest, NodeIsDeadOnlyAfterLeaseExpires) {
   const TimePoint last_heartbeat = kStart + seconds(10);
   detector.RecordHeartbeat(kNode, last_heartbeat);
   EXPECT_FALSE(detector.IsDead(kNode, leases, last_heartbeat + seconds(2)));
@@ -37,7 +37,7 @@
   slow_detector.RecordHeartbeat(kNode, last_heartbeat);
   slow_detector.RecordSuspicion(kNode, last_heartbeat + seconds(1));
   EXPECT_FALSE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(5)))
-      << "too soon after a heartbeat";
+      << "a suspicion 1 s after a heartbeat must not count";
   slow_detector.RecordSuspicion(kNode, last_heartbeat + seconds(2));
   EXPECT_TRUE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(5)));
 }
@@ -53,7 +53,7 @@
   EXPECT_FALSE(slow_detector.IsDead(kNode, leases, last_heartbeat + seconds(7)));
 }
 
-TEST_F(FailureDetectorTest, OwnPauseDoesNotCount) {
+TEST_F(FailureDetectorTest, LeaderPauseDoesNotCountAsSilence) {
   const TimePoint resumed = kStart + seconds(30);
   detector.ExcludePause(seconds(29), resumed);
   EXPECT_FALSE(detector.IsDead(kNode, leases, resumed + seconds(1)));
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -1,4 +1,5 @@
-// Recoveries after every queue node of a large fleet has failed.
+// Limits and order of the calls to backups when every queue node of a large fleet has failed: with
+// the log of every node to be released at every backup, a recovery must not wait for releases.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,7 +12,8 @@
 namespace cloverbank {
 namespace {
 
-/// Every queue node and backup of a large fleet restarts at once.
+/// A large fleet of which every queue node has died at once, as when all machines restart. Four of
+/// them owned a partition, whose log must be read; the logs of the others are only released.
 class LargeRecoveryTest : public testing::Test {
  protected:
   static constexpr std::size_t kNodes = 90;
@@ -32,11 +34,12 @@
       fleet_.DeclareDead(node);
     }
   }
-  /// Calls to backups that a step asks for.
+  /// Numbers of calls to backups that a step requests.
   struct CallCounts {
     std::size_t readings = 0;
     std::size_t releases = 0;
   };
+  /// Runs step number `step`, 50 ms after the one before, with no partition to be assigned.
   CallCounts Step(int step) {
     CallCounts counts;
     const TimePoint now = TimePoint(seconds(100)) + step * milliseconds(50);
@@ -51,6 +54,7 @@
     }
     return counts;
   }
+  /// Answers every call that was requested and not yet answered.
   void AnswerAll() {
     for (const StartReadingAction& action : std::exchange(readings_, {})) {
       manager_.HandleReadingData(action.dead, action.backup, proto::StartReadingDataResponse());
@@ -73,8 +77,8 @@
   EXPECT_EQ(first.readings, options.maximum_reading_calls);
   EXPECT_EQ(first.releases, options.maximum_release_calls);
   const CallCounts second = Step(1);
-  EXPECT_EQ(second.readings, 0U) << "none has been answered";
-  EXPECT_EQ(second.releases, 0U) << "none has been answered";
+  EXPECT_EQ(second.readings, 0U) << "no call has been answered yet";
+  EXPECT_EQ(second.releases, 0U) << "no call has been answered yet";
 }
 
 TEST_F(LargeRecoveryTest, ReadingsDoNotWaitForReleases) {
--- a/tests/leader/lease_table_test.cc
+++ b/tests/leader/lease_table_test.cc
@@ -16,16 +16,17 @@
   LeaseTable leases{seconds(3)};
 };
 
-TEST_F(LeaseTableTest, UnknownLeasesLastOneFullLease) {
+TEST_F(LeaseTableTest, AssumesPredecessorLeasesLastOneLease) {
   EXPECT_GE(leases.FindLeaseEnd(kNode), kStart + seconds(3));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
   leases.RecordConfirmation(kNode, ConfigurationVersion(4));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(4));
   EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart + seconds(4)), std::nullopt);
-  EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt) << "registered since";
+  EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt)
+      << "registered after this leader started";
 }
 
-TEST_F(LeaseTableTest, LeaseEndsNoEarlierThanAtHolder) {
+TEST_F(LeaseTableTest, LeaseDoesNotEndBeforeItEndsAtHolder) {
   const TimePoint arrival = kStart + seconds(10);
   leases.RecordGrant(kNode, ConfigurationVersion(1), arrival);
   EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
@@ -33,7 +34,9 @@
   EXPECT_GE(leases.FindLeaseEnd(kNode), arrival + leases.lease());
 }
 
-// A gateway that sends requests but receives no replies must not block a version forever.
+// A gateway that sends requests but receives no replies is granted leases with the new version and
+// never confirms it. Such a renewal must not prolong the use of the old version, or the gateway
+// would block the new one forever.
 TEST_F(LeaseTableTest, RenewalDoesNotProlongOldVersion) {
   const TimePoint first = kStart + seconds(10);
   leases.RecordGrant(kNode, ConfigurationVersion(1), first);
--- a/tests/leader/log_assembly_test.cc
+++ b/tests/leader/log_assembly_test.cc
@@ -12,7 +12,9 @@
 using ::testing::ElementsAre;
 using ::testing::HasSubstr;
 
-/// A dead queue node whose head is segment 3 of the log {2, 3}, epoch 2, on three backups.
+/// A dead queue node with the log {2, 3}. Its committed head is segment 3 with epoch 2 on the
+/// backups s1, s2 and s3; segment 2, the head before, was committed with epoch 5 on the same
+/// backups.
 class LogAssemblyTest : public testing::Test {
  protected:
   LogAssemblyTest() {
@@ -37,20 +39,22 @@
   StoredSegments stored_segments;
 };
 
-TEST_F(LogAssemblyTest, MissingHeadNamesItsBackups) {
+TEST_F(LogAssemblyTest, DescribesMissingHeadWithItsBackups) {
   AddReplica(0, MakeStoredSegment(2, 10, 5, true, {2}));
-  AddReplica(1, MakeStoredSegment(3, 99, 1, false, {2, 3}));  // An epoch that was superseded.
-  AddReplica(3, MakeStoredSegment(3, 99, 2, false, {2, 3}));  // Not in the committed set.
+  // An earlier epoch than the committed one.
+  AddReplica(1, MakeStoredSegment(3, 99, 1, false, {2, 3}));
+  // Not among the backups committed with the head.
+  AddReplica(3, MakeStoredSegment(3, 99, 2, false, {2, 3}));
   const AssembledLog log = Assemble();
   EXPECT_THAT(log.missing, ElementsAre(HasSubstr("head segment 3 of epoch 2, stored on s1")));
 }
 
-TEST_F(LogAssemblyTest, UsesLongestCurrentHeadAndClosedReplicas) {
+TEST_F(LogAssemblyTest, UsesLongestHeadReplicasAndClosedReplicas) {
   AddReplica(0, MakeStoredSegment(3, 40, 2, false, {2, 3}));
   AddReplica(1, MakeStoredSegment(3, 50, 2, false, {2, 3}));
   AddReplica(2, MakeStoredSegment(3, 99, 1, false, {2, 3}));
-  AddReplica(3, MakeStoredSegment(3, 50, 3, false,
-                                  {2, 3}));  // A later epoch, never committed: holds everything.
+  // A later epoch that was not committed contains everything.
+  AddReplica(3, MakeStoredSegment(3, 50, 3, false, {2, 3}));
   AddReplica(2, MakeStoredSegment(2, 10, 5, true, {2}));
   AddReplica(3, MakeStoredSegment(2, 70, 4, false, {2}));
   const AssembledLog log = Assemble();
@@ -63,13 +67,14 @@
 
 TEST_F(LogAssemblyTest, ReportsMissingSegmentsOfDigest) {
   AddReplica(0, MakeStoredSegment(3, 40, 2, false, {1, 2, 3}));
-  AddReplica(1, MakeStoredSegment(1, 10, 1, false,
-                                  {1}));  // Neither closed nor the segment before the head.
-  AddReplica(3, MakeStoredSegment(2, 10, 5, false, {2}));  // Never in the committed set.
+  // Neither closed nor the segment before the head.
+  AddReplica(1, MakeStoredSegment(1, 10, 1, false, {1}));
+  // Not on a backup committed with segment 2.
+  AddReplica(3, MakeStoredSegment(2, 10, 5, false, {2}));
   EXPECT_THAT(Assemble().missing, ElementsAre(HasSubstr("segment 1"), HasSubstr("segment 2")));
 }
 
-TEST_F(LogAssemblyTest, UsesUnclosedSegmentBeforeTheHead) {
+TEST_F(LogAssemblyTest, UsesUnclosedReplicaOfSegmentBeforeHead) {
   AddReplica(0, MakeStoredSegment(3, 40, 2, false, {2, 3}));
   AddReplica(1, MakeStoredSegment(2, 10, 5, false, {2}));
   AddReplica(2, MakeStoredSegment(2, 12, 4, false, {2}));
@@ -78,7 +83,7 @@
   EXPECT_THAT(log.segments[0].backups, ElementsAre(backups[1]));
 }
 
-TEST_F(LogAssemblyTest, RecognisesRestartedBackupByDisk) {
+TEST_F(LogAssemblyTest, RecognisesRestartedBackupByDiskId) {
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 77);
   *stored_segments[restarted].add_segments() = MakeStoredSegment(3, 40, 2, false, {3});
   EXPECT_TRUE(Assemble().complete());
--- a/tests/leader/partition_placement_test.cc
+++ b/tests/leader/partition_placement_test.cc
@@ -13,7 +13,7 @@
 class PartitionPlacementTest : public testing::Test {
  protected:
   PartitionPlacementTest() {
-    unresponsive = control.Register(proto::ROLE_QUEUE, "dead", 1);
+    unresponsive = control.Register(proto::ROLE_QUEUE, "q0", 1);
     first = control.Register(proto::ROLE_QUEUE, "q1", 2);
     second = control.Register(proto::ROLE_QUEUE, "q2", 3);
   }
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -12,7 +12,8 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-/// Backups and queue nodes that answer at once, and proposals that are applied at once.
+/// Executes the actions of a RecoveryManager against simulated backups and queue nodes that answer
+/// at once, and applies its proposals at once.
 class RecoveryManagerTest : public testing::Test {
  protected:
   RecoveryManagerTest() {
@@ -78,13 +79,14 @@
   RecoveryManager manager{RecoveryOptions{}};
   RecoveryInput input;
   NodeId dead, first, second, backup, spare;
+  /// Segments that each backup stores, by backup and owner.
   std::map<NodeId, std::map<NodeId, proto::StartReadingDataResponse>> disks;
-  std::set<NodeId> unreachable;
-  std::set<NodeId> stalled;
-  std::vector<proto::RecoverPartitionsRequest> replays;
+  std::set<NodeId> unreachable;  ///< Backups to which calls fail.
+  std::set<NodeId> stalled;      ///< Queue nodes that do not finish replays.
+  std::vector<proto::RecoverPartitionsRequest> replays;  ///< In the order sent.
 };
 
-TEST_F(RecoveryManagerTest, SpreadsReplaysAndReleasesLog) {
+TEST_F(RecoveryManagerTest, SpreadsReplaysOverNodesAndReleasesLog) {
   control.DeclareDead(dead);
   Step(6);
   EXPECT_TRUE(IsRecoveryFinished());
@@ -101,7 +103,7 @@
   EXPECT_THAT(
       manager.DescribeAwaited(control.state, dead),
       AllOf(HasSubstr("head segment 1"), HasSubstr("the backup on s1"), HasSubstr("no route")));
-  // The backup restarts: another node id, the same disk.
+  // The backup restarts: it registers with another node id and the same disk.
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 40);
   Store(restarted, dead);
   Step(6);
@@ -121,7 +123,7 @@
   EXPECT_EQ(CountOwned(second), 4U);
 }
 
-TEST_F(RecoveryManagerTest, ResumesOnceAQueueNodeRegisters) {
+TEST_F(RecoveryManagerTest, ContinuesOnceAQueueNodeRegisters) {
   control.DeclareDead(dead);
   control.DeclareDead(first);
   control.DeclareDead(second);
@@ -144,7 +146,8 @@
   EXPECT_TRUE(IsRecoveryFinished());
 }
 
-// A new leader knows only the replicated state, in any phase.
+// A new leader knows only the replicated state. The leader changes before the step with the number
+// of the parameter, so that the change falls into each phase of the recovery.
 class LeaderChangeTest : public RecoveryManagerTest, public testing::WithParamInterface<int> {};
 
 TEST_P(LeaderChangeTest, RecoveryContinues) {
@@ -165,8 +168,9 @@
 
 INSTANTIATE_TEST_SUITE_P(AtAnyStep, LeaderChangeTest, testing::Range(0, 7));
 
-// The replaying node dies too, owning one of the dead node's partitions by then.
-TEST_F(RecoveryManagerTest, RecoversReplayingNodeThatDies) {
+// A node that replays a log dies too. By then it owns one of the dead node's partitions, so its own
+// log must be recovered as well.
+TEST_F(RecoveryManagerTest, RecoversNodeThatDiesDuringReplay) {
   control.CommitHead(first, 1, 1, {spare});
   Store(spare, first);
   stalled = {first, second};
@@ -181,7 +185,8 @@
   EXPECT_EQ(CountOwned(second), 4U);
 }
 
-// Each dead node had one partition, and no replay shows in the state when the others are placed.
+// Each of four dead nodes had one partition. When the second and later ones are placed, the state
+// does not show the placement of the earlier ones yet; it must be counted all the same.
 TEST_F(RecoveryManagerTest, SimultaneousReplaysGoToDifferentNodes) {
   ControlDriver fleet;
   std::vector<NodeId> owners;
--- a/tests/leader/stored_segment.h
+++ b/tests/leader/stored_segment.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A segment as a backup lists it.
+/// Makes segments as a backup lists them in its response to StartReadingData.
 
 #include <cstdint>
 #include <vector>
