--- a/src/leader/death_declarer.h
+++ b/src/leader/death_declarer.h
@@ -17,8 +17,11 @@
 
 /// Why a node is declared dead.
 enum class DeathReason : std::uint8_t {
-  kUnresponsive,  ///< No heartbeat for `CoordinatorOptions::death_after`.
-  kSuperseded,    ///< A later incarnation of its machine is registered.
+  /// No heartbeat for `CoordinatorOptions::death_after`, or a shorter time if a peer reports
+  /// failing
+  /// calls to the node (`FailureDetector::RecordSuspicion`).
+  kUnresponsive,
+  kSuperseded,  ///< A later incarnation of its machine is registered.
 };
 
 /// @return the name of `reason` in commands, logs and metrics.
