--- a/src/leader/death_declarer.h
+++ b/src/leader/death_declarer.h
@@ -18,8 +18,7 @@
 /// Why a node is declared dead.
 enum class DeathReason : std::uint8_t {
   /// No heartbeat for `CoordinatorOptions::death_after`, or a shorter time if a peer reports
-  /// failing
-  /// calls to the node (`FailureDetector::RecordSuspicion`).
+  /// failing calls to the node (`FailureDetector::RecordSuspicion`).
   kUnresponsive,
   kSuperseded,  ///< A later incarnation of its machine is registered.
 };
