--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -1,17 +1,17 @@
 #pragma once
 /// @file
-/// Runs the singleton work of the leader, one class a concern: `DeathDeclarer`,
-/// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `UnreachableNodeNotifier`.
+/// Runs the tasks that only the leader performs, each in a class of its own: `DeathDeclarer`,
+/// `PartitionAssigner`, `RecoveryExecutor`, `BackupSweepExecutor`, `CoordinatorNotifier`.
 /// Threads: the owner's event loop only.
 
 #include "leader/arrival_gate.h"
 #include "leader/backup_sweep_executor.h"
 #include "leader/command_proposer.h"
+#include "leader/coordinator_notifier.h"
 #include "leader/death_declarer.h"
 #include "leader/leader_context.h"
 #include "leader/partition_assigner.h"
 #include "leader/recovery_executor.h"
-#include "leader/unreachable_node_notifier.h"
 
 namespace cloverbank {
 
@@ -19,9 +19,10 @@
  public:
   LeaderController(LeaderContext& context, CommandProposer& proposer);
 
-  /// This member became leader: resets what is not replicated.
+  /// Resets the state that is not replicated, and proposes to create the partitions if this group
+  /// has none yet. Call it when this member becomes leader.
   void Begin();
-  /// Runs one step of each concern. Requires `context.CanAnswer()`.
+  /// Runs one step of each task. Requires `context.CanAnswer()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions() { partition_assigner_.InitializePartitions(); }
@@ -35,11 +36,11 @@
 
   LeaderContext& context_;
   DeathDeclarer death_declarer_;
-  ArrivalGate arrivals_;
+  ArrivalGate arrival_gate_;
   PartitionAssigner partition_assigner_;
   RecoveryExecutor recovery_executor_;
   BackupSweepExecutor sweep_executor_;
-  UnreachableNodeNotifier unreachable_node_notifier_;
+  CoordinatorNotifier coordinator_notifier_;
 };
 
 }  // namespace cloverbank
--- a/tests/leader/large_recovery_test.cc
+++ b/tests/leader/large_recovery_test.cc
@@ -1,4 +1,5 @@
-// Recoveries after every queue node of a large fleet has failed.
+// Limits and order of the calls to backups when every queue node of a large fleet has failed: with
+// the log of every node to be released at every backup, a recovery must not wait for releases.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -11,31 +12,34 @@
 namespace cloverbank {
 namespace {
 
-/// Every queue node and backup of a large fleet restarts at once.
+/// A large fleet of which every queue node has died at once, as when all machines restart. Four of
+/// them owned a partition, whose log must be read; the logs of the others are only released.
 class LargeRecoveryTest : public testing::Test {
  protected:
   static constexpr std::size_t kNodes = 90;
   static constexpr std::size_t kOwners = 4;  ///< One for each partition.
 
   LargeRecoveryTest() {
-    std::vector<NodeId> earlier;
+    std::vector<NodeId> old_queue_nodes;
     for (std::size_t node = 0; node < kNodes; ++node) {
       backups_.push_back(fleet_.Register(proto::ROLE_BACKUP, "s" + std::to_string(node), node + 1));
-      earlier.push_back(fleet_.Register(proto::ROLE_QUEUE, "s" + std::to_string(node), 100));
-      fleet_.CommitHead(earlier.back(), 1, 1, {backups_.front()});
+      old_queue_nodes.push_back(
+          fleet_.Register(proto::ROLE_QUEUE, "s" + std::to_string(node), 100));
+      fleet_.CommitHead(old_queue_nodes.back(), 1, 1, {backups_.front()});
       if (node >= kNodes - kOwners) {
-        fleet_.Assign(earlier.back(), {node - (kNodes - kOwners)});
+        fleet_.Assign(old_queue_nodes.back(), {node - (kNodes - kOwners)});
       }
     }
-    for (const NodeId node : earlier) {
+    for (const NodeId node : old_queue_nodes) {
       fleet_.DeclareDead(node);
     }
   }
-  /// Calls to backups that a step asks for.
+  /// Numbers of calls to backups that a step requests.
   struct CallCounts {
     std::size_t readings = 0;
     std::size_t releases = 0;
   };
+  /// Runs step number `step`, 50 ms after the one before, with no partition to be assigned.
   CallCounts Step(int step) {
     CallCounts counts;
     const TimePoint now = TimePoint(seconds(100)) + step * milliseconds(50);
@@ -50,6 +54,7 @@
     }
     return counts;
   }
+  /// Answers every call that was requested and not yet answered.
   void AnswerAll() {
     for (const StartReadingAction& action : std::exchange(readings_, {})) {
       manager_.HandleReadingData(action.dead, action.backup, proto::StartReadingDataResponse());
@@ -72,8 +77,8 @@
   EXPECT_EQ(first.readings, options.maximum_reading_calls);
   EXPECT_EQ(first.releases, options.maximum_release_calls);
   const CallCounts second = Step(1);
-  EXPECT_EQ(second.readings, 0U) << "none has been answered";
-  EXPECT_EQ(second.releases, 0U) << "none has been answered";
+  EXPECT_EQ(second.readings, 0U) << "no call has been answered yet";
+  EXPECT_EQ(second.releases, 0U) << "no call has been answered yet";
 }
 
 TEST_F(LargeRecoveryTest, ReadingsDoNotWaitForReleases) {
