--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -7,10 +7,10 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kPaceWindow = milliseconds(500);
-constexpr double kPaceMemory = 0.5;  // Share of the past in the moving average.
+constexpr Duration kRateWindow = milliseconds(500);
+constexpr double kRateHistoryWeight = 0.5;  // Share of the past in the moving average.
 
-int UrgencyFor(proto::Priority priority) {
+int PriorityOrder(proto::Priority priority) {
   return priority == proto::PRIORITY_UNSPECIFIED ? proto::PRIORITY_STANDARD : priority;
 }
 
@@ -71,7 +71,7 @@
   if (wait && now + *wait >= bounded.wait_deadline) {
     return RefusalNotice{Refusal::kQueueTooSlow, RetryAfter(call.backend)};
   }
-  if (!DisplaceLowerRanked(queue, rank, call.bytes, displaced)) {
+  if (!DisplaceLowerPriority(queue, rank, call.bytes, displaced)) {
     return RefusalNotice{Refusal::kQueueFull, RetryAfter(call.backend)};
   }
   if (queue.ranks.empty()) {
@@ -92,8 +92,8 @@
          waiting_bytes_ + bytes <= options_.queue_bytes;
 }
 
-bool AdmissionControl::DisplaceLowerRanked(Queue& queue, const Rank& rank, std::size_t bytes,
-                                           std::vector<WaitId>* displaced) {
+bool AdmissionControl::DisplaceLowerPriority(Queue& queue, const Rank& rank, std::size_t bytes,
+                                             std::vector<WaitId>* displaced) {
   if (HasCapacity(queue, bytes)) {
     return true;
   }
@@ -102,7 +102,7 @@
   }
   const Rank last = *queue.ranks.rbegin();
   // Only a higher priority displaces: an earlier deadline alone would let a crowd churn the queue.
-  if (last.urgency <= rank.urgency) {
+  if (last.priority_order <= rank.priority_order) {
     return false;
   }
   const WaitId id = last.id;
@@ -165,11 +165,12 @@
   Queue& queue = queues_[found->second.backend];
   ++queue.served_in_window;
   const Duration elapsed = now - queue.window_start;
-  if (elapsed >= kPaceWindow) {
-    const double pace = static_cast<double>(queue.served_in_window) / ToSeconds(elapsed);
-    const bool known = queue.served_per_second > 0;
-    queue.served_per_second =
-        known ? queue.served_per_second * kPaceMemory + pace * (1 - kPaceMemory) : pace;
+  if (elapsed >= kRateWindow) {
+    const double measured_rate = static_cast<double>(queue.served_in_window) / ToSeconds(elapsed);
+    const bool has_rate = queue.served_per_second > 0;
+    queue.served_per_second = has_rate ? queue.served_per_second * kRateHistoryWeight +
+                                             measured_rate * (1 - kRateHistoryWeight)
+                                       : measured_rate;
     queue.served_in_window = 0;
     queue.window_start = now;
   }
@@ -197,8 +198,8 @@
     return options_.longest_wait;
   }
   const double length = static_cast<double>(found->second.ranks.size());
-  const Duration drain = FromSeconds(length / found->second.served_per_second);
-  return std::clamp(drain, options_.minimum_retry_after, options_.maximum_retry_after);
+  const Duration drain_time = FromSeconds(length / found->second.served_per_second);
+  return std::clamp(drain_time, options_.minimum_retry_after, options_.maximum_retry_after);
 }
 
 void AdmissionControl::RemoveIdle(const proto::RoutingConfiguration& configuration, TimePoint now) {
@@ -215,7 +216,7 @@
 }
 
 AdmissionControl::Rank AdmissionControl::MakeRank(const WaitingCall& call) {
-  return {UrgencyFor(call.priority), call.wait_deadline, call.id};
+  return {PriorityOrder(call.priority), call.wait_deadline, call.id};
 }
 
 std::optional<Duration> AdmissionControl::ExpectedWait(const Queue& queue, const Rank& rank) const {
--- a/src/admission/admission_control.h
+++ b/src/admission/admission_control.h
@@ -102,7 +102,7 @@
  private:
   /// Position in a queue, first served first: urgent, then early deadline, then early arrival.
   struct Rank {
-    int urgency = 0;  ///< Lower is served first.
+    int priority_order = 0;  ///< Lower is served first.
     TimePoint wait_deadline{};
     WaitId id = 0;
     // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
@@ -126,8 +126,8 @@
   static Rank MakeRank(const WaitingCall& call);
   std::optional<Duration> ExpectedWait(const Queue& queue, const Rank& rank) const;
   bool HasCapacity(const Queue& queue, std::size_t bytes) const;
-  bool DisplaceLowerRanked(Queue& queue, const Rank& rank, std::size_t bytes,
-                           std::vector<WaitId>* displaced);
+  bool DisplaceLowerPriority(Queue& queue, const Rank& rank, std::size_t bytes,
+                             std::vector<WaitId>* displaced);
 
   AdmissionOptions options_;
   std::unordered_map<std::string, std::uint32_t> in_flight_;
--- a/src/admission/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -8,9 +8,9 @@
 
 /// Between checks of the queue while calls wait: for expired waits, and for capacity that time
 /// alone brings (slow start, pauses after refusals).
-constexpr Duration kTick = milliseconds(20);
+constexpr Duration kTickInterval = milliseconds(20);
 /// Waiting calls that may find no capacity before the rest of the queue is skipped.
-constexpr std::size_t kMaximumMisses = 4;
+constexpr std::size_t kDispatchLookahead = 4;
 
 }  // namespace
 
@@ -76,7 +76,7 @@
 
 bool CallQueue::ServeFirst(const std::string& backend) {
   bool served = false;
-  for (const WaitId id : admission_.FirstWaiting(backend, kMaximumMisses)) {
+  for (const WaitId id : admission_.FirstWaiting(backend, kDispatchLookahead)) {
     const auto found = waiters_.find(id);
     const std::shared_ptr<WaitingCallOwner> owner =
         found == waiters_.end() ? nullptr : found->second.owner.lock();
@@ -106,7 +106,7 @@
   if (tick_timer_ != 0 || admission_.waiting() == 0) {
     return;
   }
-  tick_timer_ = environment_.ScheduleAfter(kTick, [this] {
+  tick_timer_ = environment_.ScheduleAfter(kTickInterval, [this] {
     tick_timer_ = 0;
     Dispatch();
   });
--- a/src/token_quota/quota_wait_queue.cc
+++ b/src/token_quota/quota_wait_queue.cc
@@ -9,7 +9,7 @@
 void QuotaWaitQueue::Enter(const std::string& batch, std::uint64_t tokens) {
   const auto found = by_batch_.find(batch);
   if (found != by_batch_.end()) {
-    found->second->reserved_until.reset();
+    found->second->position_expires_at.reset();
     return;
   }
   entries_.push_back({batch, tokens, ++last_position_, std::nullopt});
@@ -17,10 +17,10 @@
   requested_ += tokens;
 }
 
-void QuotaWaitQueue::ReserveUntil(const std::string& batch, TimePoint until) {
+void QuotaWaitQueue::KeepPositionUntil(const std::string& batch, TimePoint until) {
   const auto found = by_batch_.find(batch);
   if (found != by_batch_.end()) {
-    found->second->reserved_until = until;
+    found->second->position_expires_at = until;
   }
 }
 
@@ -48,20 +48,20 @@
 }
 
 std::uint64_t QuotaWaitQueue::ReservedBefore(const std::string& batch) const {
-  std::uint64_t present = 0;
+  std::uint64_t waiting_tokens = 0;
   for (const Entry& entry : entries_) {
     if (entry.batch == batch) {
       break;
     }
-    present += entry.reserved_until ? 0 : entry.tokens;
+    waiting_tokens += entry.position_expires_at ? 0 : entry.tokens;
   }
-  return std::min(reserved_, present);
+  return std::min(reserved_, waiting_tokens);
 }
 
 void QuotaWaitQueue::DropExpired(TimePoint now) {
   for (auto entry = entries_.begin(); entry != entries_.end();) {
     const auto next = std::next(entry);
-    if (entry->reserved_until && *entry->reserved_until < now) {
+    if (entry->position_expires_at && *entry->position_expires_at < now) {
       Remove(entry);
     }
     entry = next;
--- a/src/token_quota/quota_wait_queue.h
+++ b/src/token_quota/quota_wait_queue.h
@@ -21,7 +21,7 @@
   /// Adds a waiting batch at the end; a batch that has a position keeps it.
   void Enter(const std::string& batch, std::uint64_t tokens);
   /// The batch was rejected; its position expires if its client does not retry by `until`.
-  void ReserveUntil(const std::string& batch, TimePoint until);
+  void KeepPositionUntil(const std::string& batch, TimePoint until);
   /// The batch was accepted, or its client gave up.
   void Leave(const std::string& batch);
   /// Reserves freed tokens for the waiting batches, up to what they request.
@@ -42,7 +42,7 @@
     std::string batch;
     std::uint64_t tokens = 0;
     std::uint64_t position = 0;
-    std::optional<TimePoint> reserved_until;  ///< Set between rejection and retry.
+    std::optional<TimePoint> position_expires_at;  ///< Set between rejection and retry.
   };
 
   void Remove(std::list<Entry>::iterator entry);
--- a/src/token_quota/token_allowance.cc
+++ b/src/token_quota/token_allowance.cc
@@ -5,14 +5,14 @@
 namespace cloverbank {
 
 void TokenAllowance::RecordGrant(std::uint64_t tokens) {
-  if (granted_) {
-    *granted_ += tokens;
+  if (max_open_tokens_) {
+    *max_open_tokens_ += tokens;
   }
 }
 
 std::uint64_t TokenAllowance::Remaining(std::uint64_t open) const {
-  const std::uint64_t granted = granted_.value_or(0);
-  return granted - std::min(granted, open);
+  const std::uint64_t max_open = max_open_tokens_.value_or(0);
+  return max_open - std::min(max_open, open);
 }
 
 void TokenAllowances::Drop(PartitionId partition) {
--- a/src/token_quota/token_allowance.h
+++ b/src/token_quota/token_allowance.h
@@ -21,14 +21,14 @@
 class TokenAllowance {
  public:
   /// The quota owner was sent a count of `open` tokens.
-  void RecordCount(std::uint64_t open) { granted_ = open; }
+  void RecordCount(std::uint64_t open) { max_open_tokens_ = open; }
   /// The quota owner granted so many more, its extra allowance included.
   void RecordGrant(std::uint64_t tokens);
   /// @return the tokens that may be used beyond the `open` ones; 0 before the first count.
   std::uint64_t Remaining(std::uint64_t open) const;
 
  private:
-  std::optional<std::uint64_t> granted_;
+  std::optional<std::uint64_t> max_open_tokens_;
 };
 
 /// A route as used by one tenant in one partition.
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -38,110 +38,111 @@
 TokenQuotaOwner::TokenQuotaOwner(Environment& environment, NodeAgent& agent, CountLocal count_local)
     : environment_(environment), agent_(agent), count_local_(std::move(count_local)) {}
 
-bool TokenQuotaOwner::TryGrant(Limit& limit, const proto::ReserveTokensRequest& request,
+bool TokenQuotaOwner::TryGrant(Quota& quota, const proto::ReserveTokensRequest& request,
                                std::uint64_t allowance) {
   const std::uint64_t tokens = request.tokens() + allowance;
-  const std::uint64_t reserved = limit.wait_queue.ReservedBefore(MakeBatchName(request));
-  if (limit.usage.UpperBound() + reserved + tokens > request.limit()) {
+  const std::uint64_t reserved = quota.wait_queue.ReservedBefore(MakeBatchName(request));
+  if (quota.usage.UpperBound() + reserved + tokens > request.limit()) {
     return false;
   }
-  limit.wait_queue.Leave(MakeBatchName(request));
-  limit.usage.AddGrant({PartitionId(request.requester_partition_id()),
+  quota.wait_queue.Leave(MakeBatchName(request));
+  quota.usage.AddGrant({PartitionId(request.requester_partition_id()),
                         NodeId(request.owner_node_id()), request.sequence(), tokens});
-  limit.granted_since_count += request.tokens();
-  limit.allowance_granted = limit.allowance_granted || allowance > 0;
+  quota.granted_since_count += request.tokens();
+  quota.allowance_granted = quota.allowance_granted || allowance > 0;
   return true;
 }
 
-std::uint64_t TokenQuotaOwner::ComputeAllowance(const Limit& limit,
+std::uint64_t TokenQuotaOwner::ComputeAllowance(const Quota& quota,
                                                 const proto::ReserveTokensRequest& request) const {
-  const std::uint64_t open = limit.usage.UpperBound() + request.tokens();
+  const std::uint64_t open = quota.usage.UpperBound() + request.tokens();
   const std::uint64_t allowance_pool = request.limit() / kAllowanceDivisor;
   const std::uint64_t available = allowance_pool - std::min(allowance_pool, open);
-  const std::uint64_t allowance = limit.waiting.empty() ? available / agent_.partition_count() : 0;
+  const std::uint64_t allowance = quota.waiting.empty() ? available / agent_.partition_count() : 0;
   return allowance - std::min(allowance, request.spare());
 }
 
-bool TokenQuotaOwner::IsFullyCounted(const Limit& limit) const {
-  return limit.usage.IsComplete(agent_.partition_count());
+bool TokenQuotaOwner::IsFullyCounted(const Quota& quota) const {
+  return quota.usage.IsComplete(agent_.partition_count());
 }
 
-TokenQuotaOwner::LimitPtr& TokenQuotaOwner::GetLimit(const QuotaKey& key, PartitionId partition) {
-  LimitPtr& limit = limits_[key];
-  if (limit == nullptr) {
-    limit = std::make_shared<Limit>();
-    limit->partition = partition;
+TokenQuotaOwner::QuotaPtr& TokenQuotaOwner::GetQuota(const QuotaKey& key, PartitionId partition) {
+  QuotaPtr& quota = quotas_[key];
+  if (quota == nullptr) {
+    quota = std::make_shared<Quota>();
+    quota->partition = partition;
   }
-  return limit;
+  return quota;
 }
 
 void TokenQuotaOwner::Reserve(const proto::ReserveTokensRequest& request, Reply reply) {
   const QuotaKey key{request.tenant(), request.route()};
-  const LimitPtr& limit = GetLimit(key, PartitionId(request.partition_id()));
+  const QuotaPtr& quota = GetQuota(key, PartitionId(request.partition_id()));
   const TimePoint now = environment_.Now();
-  limit->wait_queue.DropExpired(now);
+  quota->wait_queue.DropExpired(now);
   if (request.tokens() <= request.limit()) {
-    limit->wait_queue.Enter(MakeBatchName(request), request.tokens());
+    quota->wait_queue.Enter(MakeBatchName(request), request.tokens());
   }
   proto::ReserveTokensResponse response;
-  response.set_allowance(ComputeAllowance(*limit, request));
-  if (IsFullyCounted(*limit) && TryGrant(*limit, request, response.allowance())) {
+  response.set_allowance(ComputeAllowance(*quota, request));
+  if (IsFullyCounted(*quota) && TryGrant(*quota, request, response.allowance())) {
     reply(std::move(response));
     return;
   }
-  const bool fresh = HasFreshCount(*limit, now);
-  if (fresh && !limit->counting && !ShouldWait(*limit, request)) {
-    Reject(*limit, request, reply);
+  const bool fresh = HasFreshCount(*quota, now);
+  if (fresh && !quota->counting && !ShouldWait(*quota, request)) {
+    Reject(*quota, request, reply);
     return;
   }
-  limit->waiting.push_back(
+  quota->waiting.push_back(
       {request, std::move(reply), now + kCountTimeout, now + milliseconds(request.wait_ms())});
   if (fresh) {
-    ScheduleCount(key, limit);
-  } else if (!limit->counting) {
-    StartCount(key, limit);
+    ScheduleCount(key, quota);
+  } else if (!quota->counting) {
+    StartCount(key, quota);
   }
 }
 
-bool TokenQuotaOwner::HasFreshCount(const Limit& limit, TimePoint now) const {
-  return IsFullyCounted(limit) && !limit.allowance_granted &&
-         now - limit.last_count_started_at <= kMaxCountAge;
+bool TokenQuotaOwner::HasFreshCount(const Quota& quota, TimePoint now) const {
+  return IsFullyCounted(quota) && !quota.allowance_granted &&
+         now - quota.last_count_started_at <= kMaxCountAge;
 }
 
-bool TokenQuotaOwner::ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request) {
+bool TokenQuotaOwner::ShouldWait(const Quota& quota, const proto::ReserveTokensRequest& request) {
   if (request.wait_ms() == 0 || request.tokens() > request.limit()) {
     return false;
   }
   const std::optional<Duration> time =
-      limit.drain_rate.EstimateTime(ComputeShortfall(limit, request));
+      quota.drain_rate.EstimateTime(ComputeShortfall(quota, request));
   return !time || *time <= milliseconds(request.wait_ms());
 }
 
-std::uint64_t TokenQuotaOwner::ComputeShortfall(const Limit& limit,
+std::uint64_t TokenQuotaOwner::ComputeShortfall(const Quota& quota,
                                                 const proto::ReserveTokensRequest& request) {
-  const std::uint64_t before = limit.wait_queue.TokensBefore(MakeBatchName(request));
-  const std::uint64_t needed = limit.usage.UpperBound() + before + request.tokens();
+  const std::uint64_t before = quota.wait_queue.TokensBefore(MakeBatchName(request));
+  const std::uint64_t needed = quota.usage.UpperBound() + before + request.tokens();
   return needed - std::min(needed, request.limit());
 }
 
-void TokenQuotaOwner::Reject(Limit& limit, const proto::ReserveTokensRequest& request,
+void TokenQuotaOwner::Reject(Quota& quota, const proto::ReserveTokensRequest& request,
                              const Reply& reply) {
-  const std::uint64_t open = limit.usage.UpperBound();
+  const std::uint64_t open = quota.usage.UpperBound();
   const Duration expected =
-      limit.drain_rate.EstimateTime(ComputeShortfall(limit, request)).value_or(kMaxRetryAfter);
+      quota.drain_rate.EstimateTime(ComputeShortfall(quota, request)).value_or(kMaxRetryAfter);
   const Duration wait = std::clamp(expected, kMinRetryAfter, kMaxRetryAfter);
-  limit.wait_queue.ReserveUntil(MakeBatchName(request), environment_.Now() + wait + kRetryMargin);
+  quota.wait_queue.KeepPositionUntil(MakeBatchName(request),
+                                     environment_.Now() + wait + kRetryMargin);
   reply(RejectForOverload("route " + request.route() + " has " + std::to_string(open) +
                               " tokens waiting and may have " + std::to_string(request.limit()) +
                               "; submit again when some are finished",
                           wait));
 }
 
-void TokenQuotaOwner::ScheduleCount(const QuotaKey& key, const LimitPtr& limit) {
-  environment_.ScheduleAfter(kMaxCountAge, [weak = weak_from_this(), key, limit] {
+void TokenQuotaOwner::ScheduleCount(const QuotaKey& key, const QuotaPtr& quota) {
+  environment_.ScheduleAfter(kMaxCountAge, [weak = weak_from_this(), key, quota] {
     const auto self = weak.lock();
-    if (self != nullptr && !limit->counting && !limit->waiting.empty()) {
-      self->StartCount(key, limit);
+    if (self != nullptr && !quota->counting && !quota->waiting.empty()) {
+      self->StartCount(key, quota);
     }
   });
 }
@@ -160,98 +161,98 @@
   return requests;
 }
 
-void TokenQuotaOwner::StartCount(const QuotaKey& key, const LimitPtr& limit) {
+void TokenQuotaOwner::StartCount(const QuotaKey& key, const QuotaPtr& quota) {
   const std::map<NodeId, proto::CountOpenTokensRequest> requests = MakeCountRequests(key);
-  limit->counting = true;
-  limit->allowance_granted = false;
-  limit->count_started_at = environment_.Now();
-  limit->pending_answers = static_cast<int>(requests.size()) + 1;
+  quota->counting = true;
+  quota->allowance_granted = false;
+  quota->count_started_at = environment_.Now();
+  quota->pending_answers = static_cast<int>(requests.size()) + 1;
   environment_.metrics().Increment("queue_token_counts_total");
   for (const auto& [owner, request] : requests) {
-    RequestCount(key, limit, owner, request);
+    RequestCount(key, quota, owner, request);
   }
   // The count itself holds one pending answer, so it cannot complete before all owners are asked.
-  HandleCounts(key, limit, proto::CountOpenTokensResponse());
+  HandleCounts(key, quota, proto::CountOpenTokensResponse());
 }
 
-void TokenQuotaOwner::RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
+void TokenQuotaOwner::RequestCount(const QuotaKey& key, const QuotaPtr& quota, NodeId owner,
                                    const proto::CountOpenTokensRequest& request) {
   if (owner == agent_.node_id()) {
-    HandleCounts(key, limit, count_local_(request));
+    HandleCounts(key, quota, count_local_(request));
     return;
   }
   const auto server = agent_.fleet().servers.find(owner);
   if (server == agent_.fleet().servers.end()) {
-    HandleCounts(key, limit, Status(StatusCode::kUnavailable, "its owner is not known"));
+    HandleCounts(key, quota, Status(StatusCode::kUnavailable, "its owner is not known"));
     return;
   }
   const proto::Endpoint& endpoint = server->second.peer_endpoint();
   CallPeer<proto::CountOpenTokensResponse>(
       environment_, {endpoint.host(), static_cast<std::uint16_t>(endpoint.port())},
       "queue.CountOpenTokens", request, kCountDeadline,
-      [weak = weak_from_this(), key, limit](const Result<proto::CountOpenTokensResponse>& counts) {
+      [weak = weak_from_this(), key, quota](const Result<proto::CountOpenTokensResponse>& counts) {
         if (const auto self = weak.lock()) {
-          self->HandleCounts(key, limit, counts);
+          self->HandleCounts(key, quota, counts);
         }
       });
 }
 
-void TokenQuotaOwner::HandleCounts(const QuotaKey& key, const LimitPtr& limit,
+void TokenQuotaOwner::HandleCounts(const QuotaKey& key, const QuotaPtr& quota,
                                    const Result<proto::CountOpenTokensResponse>& counts) {
   if (counts.ok()) {
     for (const proto::OpenTokens& count : counts->counts()) {
-      limit->usage.ApplyCount({PartitionId(count.partition_id()),
+      quota->usage.ApplyCount({PartitionId(count.partition_id()),
                                NodeId(counts->owner_node_id()),
                                count.tokens(),
                                counts->completed_below(),
                                {counts->pending().begin(), counts->pending().end()}});
     }
   }
-  if (--limit->pending_answers == 0) {
-    CompleteCount(key, limit);
+  if (--quota->pending_answers == 0) {
+    CompleteCount(key, quota);
   }
 }
 
-void TokenQuotaOwner::CompleteCount(const QuotaKey& key, const LimitPtr& limit) {
-  limit->counting = false;
-  limit->last_count_started_at = limit->count_started_at;
-  const std::uint64_t finished = limit->drain_rate.Update(
-      limit->usage.UpperBound(), std::exchange(limit->granted_since_count, 0), environment_.Now());
-  limit->wait_queue.RecordFreed(finished);
-  AnswerWaiting(key, limit);
+void TokenQuotaOwner::CompleteCount(const QuotaKey& key, const QuotaPtr& quota) {
+  quota->counting = false;
+  quota->last_count_started_at = quota->count_started_at;
+  const std::uint64_t finished = quota->drain_rate.Update(
+      quota->usage.UpperBound(), std::exchange(quota->granted_since_count, 0), environment_.Now());
+  quota->wait_queue.RecordFreed(finished);
+  AnswerWaiting(key, quota);
 }
 
-void TokenQuotaOwner::AnswerWaiting(const QuotaKey& key, const LimitPtr& limit) {
-  const bool complete = IsFullyCounted(*limit);
+void TokenQuotaOwner::AnswerWaiting(const QuotaKey& key, const QuotaPtr& quota) {
+  const bool complete = IsFullyCounted(*quota);
   const TimePoint now = environment_.Now();
   std::list<Waiting> still_waiting;
-  limit->wait_queue.DropExpired(now);
-  limit->waiting.sort([&wait_queue = limit->wait_queue](const Waiting& one, const Waiting& other) {
+  quota->wait_queue.DropExpired(now);
+  quota->waiting.sort([&wait_queue = quota->wait_queue](const Waiting& one, const Waiting& other) {
     return wait_queue.FindPosition(MakeBatchName(one.request)) <
            wait_queue.FindPosition(MakeBatchName(other.request));
   });
-  for (Waiting& waiting : std::exchange(limit->waiting, {})) {
+  for (Waiting& waiting : std::exchange(quota->waiting, {})) {
     const TimePoint give_up_at = complete ? waiting.wait_until : waiting.deadline;
-    if (complete && TryGrant(*limit, waiting.request, /*allowance=*/0)) {
+    if (complete && TryGrant(*quota, waiting.request, /*allowance=*/0)) {
       waiting.reply(proto::ReserveTokensResponse());
     } else if (now < give_up_at) {
       still_waiting.push_back(std::move(waiting));
     } else if (complete) {
-      Reject(*limit, waiting.request, waiting.reply);
+      Reject(*quota, waiting.request, waiting.reply);
     } else {
-      limit->wait_queue.Leave(MakeBatchName(waiting.request));
+      quota->wait_queue.Leave(MakeBatchName(waiting.request));
       waiting.reply(Status(StatusCode::kUnavailable, "not all partitions can be counted now"));
     }
   }
-  limit->waiting.splice(limit->waiting.begin(), still_waiting);
-  if (limit->waiting.empty()) {
+  quota->waiting.splice(quota->waiting.begin(), still_waiting);
+  if (quota->waiting.empty()) {
     return;
   }
-  ScheduleCount(key, limit);
+  ScheduleCount(key, quota);
 }
 
 void TokenQuotaOwner::Drop(PartitionId partition) {
-  for (auto entry = limits_.begin(); entry != limits_.end();) {
+  for (auto entry = quotas_.begin(); entry != quotas_.end();) {
     if (entry->second->partition != partition) {
       ++entry;
       continue;
@@ -259,7 +260,7 @@
     for (const Waiting& waiting : std::exchange(entry->second->waiting, {})) {
       waiting.reply(Status(StatusCode::kUnavailable, "the limit has another keeper now"));
     }
-    entry = limits_.erase(entry);
+    entry = quotas_.erase(entry);
   }
 }
 
--- a/src/token_quota/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -61,7 +61,7 @@
     TimePoint deadline{};    ///< For the counts of all partitions.
     TimePoint wait_until{};  ///< For capacity.
   };
-  struct Limit {
+  struct Quota {
     PartitionId partition;  ///< Whose owner is the quota owner.
     TokenUsage usage;
     std::list<Waiting> waiting;
@@ -74,40 +74,40 @@
     TimePoint count_started_at{};
     TimePoint last_count_started_at{};  ///< Of the last completed count.
   };
-  using LimitPtr = std::shared_ptr<Limit>;
+  using QuotaPtr = std::shared_ptr<Quota>;
 
   /// @return the state of the limit, created at its first request.
-  LimitPtr& GetLimit(const QuotaKey& key, PartitionId partition);
+  QuotaPtr& GetQuota(const QuotaKey& key, PartitionId partition);
   /// Whether a new count would say no more than the last one.
-  bool HasFreshCount(const Limit& limit, TimePoint now) const;
+  bool HasFreshCount(const Quota& quota, TimePoint now) const;
   /// Grants the request if there is capacity for it and for all batches ahead of it.
-  static bool TryGrant(Limit& limit, const proto::ReserveTokensRequest& request,
+  static bool TryGrant(Quota& quota, const proto::ReserveTokensRequest& request,
                        std::uint64_t allowance);
   /// @return the tokens that must be finished before the request can be granted.
-  static std::uint64_t ComputeShortfall(const Limit& limit,
+  static std::uint64_t ComputeShortfall(const Quota& quota,
                                         const proto::ReserveTokensRequest& request);
-  void Reject(Limit& limit, const proto::ReserveTokensRequest& request, const Reply& reply);
+  void Reject(Quota& quota, const proto::ReserveTokensRequest& request, const Reply& reply);
   /// @return the allowance granted in addition to the requested tokens; 0 while others wait.
-  std::uint64_t ComputeAllowance(const Limit& limit,
+  std::uint64_t ComputeAllowance(const Quota& quota,
                                  const proto::ReserveTokensRequest& request) const;
-  bool IsFullyCounted(const Limit& limit) const;
+  bool IsFullyCounted(const Quota& quota) const;
   /// Whether capacity is expected to be free before the request stops waiting.
-  static bool ShouldWait(const Limit& limit, const proto::ReserveTokensRequest& request);
-  void ScheduleCount(const QuotaKey& key, const LimitPtr& limit);
-  void StartCount(const QuotaKey& key, const LimitPtr& limit);
+  static bool ShouldWait(const Quota& quota, const proto::ReserveTokensRequest& request);
+  void ScheduleCount(const QuotaKey& key, const QuotaPtr& quota);
+  void StartCount(const QuotaKey& key, const QuotaPtr& quota);
   /// @return the count request for each owner of partitions.
   std::map<NodeId, proto::CountOpenTokensRequest> MakeCountRequests(const QuotaKey& key) const;
-  void RequestCount(const QuotaKey& key, const LimitPtr& limit, NodeId owner,
+  void RequestCount(const QuotaKey& key, const QuotaPtr& quota, NodeId owner,
                     const proto::CountOpenTokensRequest& request);
-  void HandleCounts(const QuotaKey& key, const LimitPtr& limit,
+  void HandleCounts(const QuotaKey& key, const QuotaPtr& quota,
                     const Result<proto::CountOpenTokensResponse>& counts);
-  void CompleteCount(const QuotaKey& key, const LimitPtr& limit);
-  void AnswerWaiting(const QuotaKey& key, const LimitPtr& limit);
+  void CompleteCount(const QuotaKey& key, const QuotaPtr& quota);
+  void AnswerWaiting(const QuotaKey& key, const QuotaPtr& quota);
 
   Environment& environment_;
   NodeAgent& agent_;
   CountLocal count_local_;
-  std::map<QuotaKey, LimitPtr> limits_;
+  std::map<QuotaKey, QuotaPtr> quotas_;
 };
 
 }  // namespace cloverbank
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -13,7 +13,7 @@
 /// A quota owner that does not answer within this time, in addition to the time a batch may wait,
 /// is taken for failed.
 constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
-constexpr Duration kWatchInterval = milliseconds(100);
+constexpr Duration kAllowanceCheckInterval = milliseconds(100);
 
 Status QuotaOwnerUnavailable(const std::string& reason) {
   return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + reason,
@@ -41,7 +41,7 @@
              std::make_shared<Done>(std::move(done))};
   const proto::ReserveTokensRequest request =
       MakeRequest(sequence, pending, reservation, batch.open_token_limit());
-  WatchQuotaOwner(sequence, reservation.max_wait + kQuotaOwnerTimeout);
+  ScheduleAllowanceCheck(sequence, reservation.max_wait + kQuotaOwnerTimeout);
   SendRequest(request);
 }
 
@@ -110,7 +110,7 @@
   }
 }
 
-void TokenReserver::WatchQuotaOwner(std::uint64_t sequence, Duration timeout) {
+void TokenReserver::ScheduleAllowanceCheck(std::uint64_t sequence, Duration timeout) {
   environment_.ScheduleAfter(timeout, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     const bool pending = self != nullptr && self->pending_.contains(sequence);
@@ -120,7 +120,7 @@
     if (self->FitsAllowance(self->pending_.at(sequence))) {
       self->Complete(sequence, Status::Ok());
     } else {
-      self->WatchQuotaOwner(sequence, kWatchInterval);
+      self->ScheduleAllowanceCheck(sequence, kAllowanceCheckInterval);
     }
   });
 }
--- a/src/token_quota/token_reserver.h
+++ b/src/token_quota/token_reserver.h
@@ -65,7 +65,7 @@
   void SendRequest(const proto::ReserveTokensRequest& request);
   void HandleAnswer(std::uint64_t sequence, const Result<proto::ReserveTokensResponse>& answer);
   /// Accepts the batch within the allowance as soon as that suffices, while no answer arrives.
-  void WatchQuotaOwner(std::uint64_t sequence, Duration timeout);
+  void ScheduleAllowanceCheck(std::uint64_t sequence, Duration timeout);
   std::uint64_t RemainingAllowance(const AllowanceKey& key);
   bool FitsAllowance(const Pending& pending) {
     return pending.tokens <= RemainingAllowance(pending.key);
--- a/tests/token_quota/quota_wait_queue_test.cc
+++ b/tests/token_quota/quota_wait_queue_test.cc
@@ -25,7 +25,7 @@
 }
 
 TEST_F(QuotaWaitQueueTest, RetryInTimeKeepsItsPosition) {
-  queue_.ReserveUntil("first", kStart);
+  queue_.KeepPositionUntil("first", kStart);
   queue_.DropExpired(kStart);
   queue_.Enter("first", 10);
   EXPECT_EQ(queue_.TokensBefore("second"), 10U);
@@ -35,7 +35,7 @@
 }
 
 TEST_F(QuotaWaitQueueTest, LateRetryLosesItsPosition) {
-  queue_.ReserveUntil("first", kStart);
+  queue_.KeepPositionUntil("first", kStart);
   queue_.DropExpired(kStart + milliseconds(1));
   EXPECT_EQ(queue_.TokensBefore("second"), 0U);
   queue_.Enter("first", 10);
@@ -64,7 +64,7 @@
 
 TEST_F(QuotaWaitQueueTest, ReservesNothingBetweenRejectionAndRetry) {
   queue_.RecordFreed(30);
-  queue_.ReserveUntil("first", kStart);
+  queue_.KeepPositionUntil("first", kStart);
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 20U);
   queue_.Enter("first", 10);
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 30U);
