--- a/src/admission/admission_control.cc
+++ b/src/admission/admission_control.cc
@@ -7,9 +7,12 @@
 namespace cloverbank {
 namespace {
 
+/// Shortest time over which a queue's service rate is measured.
 constexpr Duration kRateWindow = milliseconds(500);
-constexpr double kRateHistoryWeight = 0.5;  // Share of the past in the moving average.
+/// Weight of the previous average in the moving average of the service rate.
+constexpr double kRateHistoryWeight = 0.5;
 
+/// @return the position of a priority in the order of service; lower is served first.
 int PriorityOrder(proto::Priority priority) {
   return priority == proto::PRIORITY_UNSPECIFIED ? proto::PRIORITY_STANDARD : priority;
 }
@@ -98,10 +101,11 @@
     return true;
   }
   if (queue.ranks.empty()) {
-    return false;  // Other back ends fill the total: theirs is not ours to take.
+    return false;  // Calls for other backends fill the total; they are not displaced.
   }
   const Rank last = *queue.ranks.rbegin();
-  // Only a higher priority displaces: an earlier deadline alone would let a crowd churn the queue.
+  // A call displaces only calls of lower priority. If an earlier deadline sufficed, many arrivals
+  // of one priority would constantly displace each other.
   if (last.priority_order <= rank.priority_order) {
     return false;
   }
--- a/src/admission/call_queue.cc
+++ b/src/admission/call_queue.cc
@@ -6,10 +6,12 @@
 namespace cloverbank {
 namespace {
 
-/// Between checks of the queue while calls wait: for expired waits, and for capacity that time
-/// alone brings (slow start, pauses after refusals).
+/// Time between checks of the queue while calls wait. The checks find expired waits, and capacity
+/// that becomes available without an event: by slow start and at the end of a replica's pause after
+/// refusals.
 constexpr Duration kTickInterval = milliseconds(20);
-/// Waiting calls that may find no capacity before the rest of the queue is skipped.
+/// Calls at the front of a queue that are tried at a time. If none of them finds capacity, the rest
+/// of the queue is skipped.
 constexpr std::size_t kDispatchLookahead = 4;
 
 }  // namespace
--- a/src/admission/fractional_seconds.h
+++ b/src/admission/fractional_seconds.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Durations as seconds with fractions, for rates. Pure.
+/// Converts between durations and fractional seconds, for computing rates. Pure.
 
 #include <chrono>
 
@@ -12,6 +12,7 @@
   return std::chrono::duration<double>(duration).count();
 }
 
+/// @return the duration, rounded towards zero.
 inline Duration FromSeconds(double count) {
   return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(count));
 }
--- a/src/scheduler/fair_queue.cc
+++ b/src/scheduler/fair_queue.cc
@@ -8,11 +8,12 @@
 
 namespace {
 
-/// Waiting items and their groups; a group is numbered in the order of its first item.
+/// The waiting items of a batch and their prefix groups. Groups are numbered from 0 in the order of
+/// their first items.
 struct PrefixGroups {
-  std::vector<std::uint32_t> items;
-  std::vector<std::uint32_t> group_of_item;  ///< Beside `items`.
-  std::vector<std::uint32_t> sizes;          ///< By group.
+  std::vector<std::uint32_t> items;          ///< Indexes of the items.
+  std::vector<std::uint32_t> group_of_item;  ///< The group of each element of `items`.
+  std::vector<std::uint32_t> sizes;          ///< Number of items of each group.
 };
 
 PrefixGroups CollectGroups(std::uint32_t item_count,
@@ -126,7 +127,8 @@
   BackendQueue& backend = backends_[batch.backend];
   TenantQueue& tenant = backend.tenants[batch.tenant];
   if (tenant.batches.empty()) {
-    // Idle time earns no credit.
+    // A tenant that was idle starts at the present virtual time, so it cannot claim the service
+    // that it did not use meanwhile.
     tenant.pass = std::max(tenant.pass, backend.virtual_time);
     backend.order.insert({tenant.pass, batch.tenant});
   }
--- a/src/scheduler/fair_queue.h
+++ b/src/scheduler/fair_queue.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Which waiting batch item runs next: weighted fair between tenants, fair between the batches of a
-/// tenant (start-time fair queueing: the one with the least service received goes first), and
-/// within a batch in runs of items that share a prompt prefix, so that replicas reuse their prefix
-/// cache.
+/// Chooses which waiting batch item runs next. Tenants share a backend in proportion to their
+/// weights, and the batches of a tenant share equally (start-time fair queueing: the one that has
+/// received the least service goes first). Within a batch, items that share a prompt prefix run in
+/// succession, so that replicas reuse their prefix cache.
 ///
-/// Pure: no clock, no randomness. A pick costs O(log tenants + log batches) whatever the size of
-/// the batches; an item costs four bytes. Threads: none of its own.
+/// Pure: no clock, no randomness. A pick costs O(log tenants + log batches), regardless of the size
+/// of the batches. An item takes four bytes. Starts no threads.
 
 #include <compare>
 #include <cstdint>
@@ -22,21 +22,26 @@
 
 namespace cloverbank {
 
-/// A batch while it is in a `FairQueue`.
+/// Identifies a batch within a `FairQueue`.
 using QueuedBatchId = StrongId<struct QueuedBatchIdTag>;
 
-/// An item in the order in which its batch runs.
+/// An item of a batch whose items are sorted into the order in which they run.
 struct OrderedItem {
-  std::uint32_t index : 31;
-  std::uint32_t starts_group : 1;  ///< Its prefix differs from that of the item before it.
+  std::uint32_t index : 31;        ///< Of the item in its batch.
+  std::uint32_t starts_group : 1;  ///< 1 if the item before it has another prefix or there is none.
 };
 
-/// @return the items for which `is_waiting` holds, those with the same prefix key together, groups
-/// in the order of their first item and items of a group by index.
+/// Groups the waiting items of a batch by prompt prefix.
+/// @param prefix_key returns the prefix key of an item by its index; the views must stay valid
+/// during the call.
+/// @param is_waiting returns whether the item with that index is to be included.
+/// @return the included items, those with the same prefix key together. The groups are in the order
+/// of their first items, the items of a group in the order of their indexes.
 std::vector<OrderedItem> GroupByPrefix(
     std::uint32_t item_count, const std::function<std::string_view(std::uint32_t)>& prefix_key,
     const std::function<bool(std::uint32_t)>& is_waiting);
 
+/// An item that `FairQueue::Pick` removed from the queue.
 struct PickedItem {
   QueuedBatchId batch;
   std::uint32_t index = 0;
@@ -44,30 +49,39 @@
 
 class FairQueue {
  public:
-  /// Items of one prefix that a batch may get in a row before the next tenant's turn.
+  /// Maximum of items that a batch gets in succession before the next tenant's turn. They share one
+  /// prefix, unless they are returned items.
   static constexpr std::size_t kLongestRun = 8;
 
-  /// Sets the tenant's share relative to others; 0 counts as 1. Tenants never named have 1.
+  /// Sets the tenant's weight, its share relative to others; 0 counts as 1. Other tenants have the
+  /// weight 1.
   void SetTenantWeight(const std::string& tenant, std::uint32_t weight);
 
-  /// Adds a batch whose waiting items are `items`. `backend` is the model or service it runs on.
+  /// Adds a batch.
+  /// @param backend the model or service that runs the batch.
+  /// @param items its waiting items in the order in which they should run, see `GroupByPrefix`.
   QueuedBatchId AddBatch(const std::string& tenant, const std::string& backend,
                          std::vector<OrderedItem> items);
-  /// Removes the batch and its waiting items; unknown ids are ignored.
+  /// Removes the batch and its waiting items; ignores unknown ids.
   void RemoveBatch(QueuedBatchId batch);
-  /// Queues an item that was picked again, ahead of those that were never picked.
+  /// Queues again an item that was picked before, ahead of the items of its batch that were never
+  /// picked; ignores unknown batches.
   void ReturnItem(QueuedBatchId batch, std::uint32_t index);
-  /// Moves the batch to another backend (its route was changed).
+  /// Moves the batch to another backend, after a change of its route; ignores unknown batches.
   void SetBackend(QueuedBatchId batch, const std::string& backend);
 
-  /// Removes up to `limit` items that run on `backend`. @return them.
+  /// Removes up to `limit` waiting items of `backend` and charges them to their tenants and
+  /// batches.
+  /// @return the items, the one to run first at the front.
   std::vector<PickedItem> Pick(const std::string& backend, std::size_t limit);
 
   bool HasWaiting(const std::string& backend) const;
+  /// @return the number of waiting items of all backends.
   std::size_t waiting_count() const { return waiting_count_; }
 
  private:
-  /// Service received, in items scaled by `kPassScale` and divided by weight.
+  /// Service received: picked items times `kPassScale`, divided by the weight for tenants. The
+  /// lowest value is served first. A virtual time is the pass that was served last.
   using Pass = std::uint64_t;
   static constexpr Pass kPassScale = 1U << 20U;
 
@@ -75,12 +89,12 @@
     std::string tenant;
     std::string backend;
     std::vector<OrderedItem> items;
-    std::size_t next = 0;
-    std::deque<std::uint32_t> returned;
+    std::size_t next = 0;                ///< Position in `items` of the first one never picked.
+    std::deque<std::uint32_t> returned;  ///< Indexes of the items of `ReturnItem`.
     Pass pass = 0;
     std::size_t waiting() const { return items.size() - next + returned.size(); }
   };
-  /// Orders by service received; ties by id or name.
+  /// Sort key by service received, then by id (batches) or name (tenants).
   struct RankedBatch {
     Pass pass = 0;
     QueuedBatchId id;
@@ -93,19 +107,24 @@
     // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
     auto operator<=>(const RankedTenant&) const = default;
   };
+  /// A tenant's batches on one backend.
   struct TenantQueue {
     Pass pass = 0;
-    Pass virtual_time = 0;
+    Pass virtual_time = 0;          ///< Of its batches.
     std::set<RankedBatch> batches;  ///< Those with waiting items.
   };
   struct BackendQueue {
-    Pass virtual_time = 0;
+    Pass virtual_time = 0;  ///< Of its tenants.
     std::map<std::string, TenantQueue> tenants;
     std::set<RankedTenant> order;  ///< Tenants with waiting items.
   };
 
+  /// Adds a batch with waiting items to the queue of its tenant and backend.
   void Activate(QueuedBatchId id, Batch& batch);
+  /// Removes the batch from the queue of its tenant and backend, if it is there.
   void Deactivate(QueuedBatchId id, const Batch& batch);
+  /// Moves the next items of the batch to `picked`, at most `limit`: returned items if there are
+  /// any, else items of one prefix group. Requires that an item waits. @return their number.
   std::size_t PopRun(QueuedBatchId id, Batch& batch, std::size_t limit,
                      std::vector<PickedItem>* picked);
   Pass Weight(const std::string& tenant) const;
--- a/src/token_quota/drain_rate.cc
+++ b/src/token_quota/drain_rate.cc
@@ -5,8 +5,10 @@
 namespace cloverbank {
 namespace {
 
-/// Counts further apart than this say nothing about the current rate.
+/// The rate becomes unknown if two counts are further apart than this, since they then say nothing
+/// about the current rate.
 constexpr Duration kMaxInterval = seconds(1);
+/// Weight of the latest measurement in the moving average.
 constexpr double kSmoothingFactor = 0.3;
 
 }  // namespace
--- a/src/token_quota/quota_wait_queue.cc
+++ b/src/token_quota/quota_wait_queue.cc
@@ -29,7 +29,7 @@
   if (found == by_batch_.end()) {
     return;
   }
-  // It uses the tokens reserved for itself, not those reserved for batches ahead of it.
+  // The batch uses the tokens reserved for itself, not those reserved for batches ahead of it.
   const std::uint64_t for_others = std::min(reserved_, TokensBefore(batch));
   const std::uint64_t tokens = found->second->tokens;
   reserved_ = std::max(for_others, reserved_ - std::min(reserved_, tokens));
--- a/src/token_quota/token_allowance.h
+++ b/src/token_quota/token_allowance.h
@@ -3,10 +3,11 @@
 /// Tokens that the owner of a partition may use for new batches of a route while the quota owner
 /// does not answer. Pure.
 ///
-/// Invariant: the allowance is never above the quota owner's upper bound for the partition. Both
-/// start from the same count and grow by the same grants; a grant or count that only one side has
-/// recorded leaves the partition's side lower. A quota owner that has failed grants nothing more,
-/// and its successor counts first. So all batches accepted within allowances stay within the limit.
+/// Invariant: the open tokens that an allowance permits never exceed the quota owner's upper bound
+/// for the partition. Both start from the same count and grow by the same grants. If only one side
+/// has recorded a grant or a count, the partition owner's value is the lower one. A quota owner
+/// that has failed grants nothing more, and its successor counts before its first grant. So all
+/// batches that are accepted within allowances stay within the limit.
 
 #include <compare>
 #include <cstdint>
@@ -18,20 +19,23 @@
 
 namespace cloverbank {
 
+/// The allowance for one `AllowanceKey`.
 class TokenAllowance {
  public:
-  /// The quota owner was sent a count of `open` tokens.
+  /// Records that the quota owner was sent a count of `open` tokens. Revokes earlier grants.
   void RecordCount(std::uint64_t open) { max_open_tokens_ = open; }
-  /// The quota owner granted so many more, its extra allowance included.
+  /// Records a grant by the quota owner.
+  /// @param tokens the requested tokens plus the allowance granted in addition.
   void RecordGrant(std::uint64_t tokens);
-  /// @return the tokens that may be used beyond the `open` ones; 0 before the first count.
+  /// @return the tokens that may be used in addition to the `open` ones; 0 before the first count.
   std::uint64_t Remaining(std::uint64_t open) const;
 
  private:
+  /// The last count plus the grants since; empty before the first count.
   std::optional<std::uint64_t> max_open_tokens_;
 };
 
-/// A route as used by one tenant in one partition.
+/// One tenant's use of a route in one partition.
 struct AllowanceKey {
   PartitionId partition;
   std::string tenant;
@@ -40,11 +44,11 @@
   auto operator<=>(const AllowanceKey&) const = default;
 };
 
-/// The allowances of all routes at a queue node's partitions.
+/// The allowances of all tenants and routes at a queue node's partitions.
 class TokenAllowances {
  public:
   TokenAllowance& operator[](const AllowanceKey& key) { return allowances_[key]; }
-  /// The partition has another owner now.
+  /// Removes the allowances of a partition that this node no longer owns.
   void Drop(PartitionId partition);
 
  private:
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -11,21 +11,24 @@
 namespace cloverbank {
 namespace {
 
+/// Deadline of the count request to one partition owner.
 constexpr Duration kCountDeadline = milliseconds(300);
-/// A count that started within this time is not repeated.
+/// A count that started less than this time ago is not repeated.
 constexpr Duration kMaxCountAge = milliseconds(100);
-/// Allowances are granted only from the first 1/kAllowanceDivisor of a limit.
+/// Allowances are granted only while the open tokens are below 1/kAllowanceDivisor of the limit,
+/// and only up to that share.
 constexpr std::uint64_t kAllowanceDivisor = 2;
-/// Requests fail if not all partitions could be counted in this time.
+/// A request fails if not all partitions could be counted within this time.
 constexpr Duration kCountTimeout = milliseconds(1200);
 
-/// Bounds of the retry delay sent with a rejection.
+/// Bounds of the retry delay that is sent with a rejection.
 constexpr Duration kMinRetryAfter = milliseconds(200);
 constexpr Duration kMaxRetryAfter = seconds(1);
-/// Clients retry somewhat later than requested.
+/// A rejected batch keeps its position for this time after its retry delay, since clients retry
+/// somewhat later than requested.
 constexpr Duration kRetryMargin = milliseconds(500);
 
-/// @return the name of the batch in the wait queue, unique for requests without a name.
+/// @return the name of the batch in the wait queue. Requests without a batch name get a unique one.
 std::string MakeBatchName(const proto::ReserveTokensRequest& request) {
   if (!request.batch().empty()) {
     return request.batch();
@@ -171,7 +174,8 @@
   for (const auto& [owner, request] : requests) {
     RequestCount(key, quota, owner, request);
   }
-  // The count itself holds one pending answer, so it cannot complete before all owners are asked.
+  // One additional answer stays pending until here, so that the count cannot complete before all
+  // owners have been asked.
   HandleCounts(key, quota, proto::CountOpenTokensResponse());
 }
 
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -8,11 +8,13 @@
 namespace cloverbank {
 namespace {
 
-/// Longer than the time in which a quota owner completes a count.
+/// Deadline of a request to the quota owner. Longer than the time in which a quota owner completes
+/// a count.
 constexpr Duration kReserveDeadline = milliseconds(1600);
-/// A quota owner that does not answer within this time, in addition to the time a batch may wait,
-/// is taken for failed.
+/// A quota owner that does not answer within this time, in addition to the time that the batch may
+/// wait, is considered failed.
 constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
+/// Time between checks whether a pending request fits the allowance.
 constexpr Duration kAllowanceCheckInterval = milliseconds(100);
 
 Status QuotaOwnerUnavailable(const std::string& reason) {
@@ -96,7 +98,7 @@
                                  const Result<proto::ReserveTokensResponse>& answer) {
   const auto found = pending_.find(sequence);
   if (found == pending_.end()) {
-    return;  // Accepted within the allowance meanwhile.
+    return;  // It was accepted within the allowance before this answer arrived.
   }
   if (answer.ok()) {
     allowances_[found->second.key].RecordGrant(found->second.tokens + answer->allowance());
@@ -110,8 +112,8 @@
   }
 }
 
-void TokenReserver::ScheduleAllowanceCheck(std::uint64_t sequence, Duration timeout) {
-  environment_.ScheduleAfter(timeout, [weak = weak_from_this(), sequence] {
+void TokenReserver::ScheduleAllowanceCheck(std::uint64_t sequence, Duration delay) {
+  environment_.ScheduleAfter(delay, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     const bool pending = self != nullptr && self->pending_.contains(sequence);
     if (!pending) {
@@ -143,7 +145,8 @@
 }
 
 void TokenReserver::Complete(std::uint64_t sequence, const Status& status) {
-  // It stays pending until its tokens count as open, so that no count between the two misses it.
+  // The request stays pending until its tokens count as open. Otherwise a count in between would
+  // include it neither as pending nor as open.
   const std::shared_ptr<Done> done = pending_.at(sequence).done;
   CallOnce(*done, status);
   pending_.erase(sequence);
--- a/src/token_quota/token_usage.cc
+++ b/src/token_quota/token_usage.cc
@@ -16,7 +16,8 @@
 }
 
 bool TokenUsage::Count::Includes(const Grant& grant) const {
-  // What an earlier owner logged is in the partition that the present one recovered.
+  // The present owner recovered the partition with all that earlier owners logged, so its count
+  // includes the grants to them.
   return grant.owner != owner ||
          (grant.sequence < completed_below && !pending.contains(grant.sequence));
 }
