--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -136,8 +136,9 @@
   quota.wait_queue.KeepPositionUntil(MakeBatchName(request),
                                      environment_.Now() + wait + kRetryMargin);
   reply(RejectForOverload("route " + request.route() + " has " + std::to_string(open) +
-                              " tokens waiting and may have " + std::to_string(request.limit()) +
-                              "; submit again when some are finished",
+                              " open tokens, the batch adds " + std::to_string(request.tokens()) +
+                              ", and the limit is " + std::to_string(request.limit()) +
+                              "; submit it again when some tokens have finished",
                           wait));
 }
 
@@ -187,7 +188,9 @@
   }
   const auto server = agent_.fleet().servers.find(owner);
   if (server == agent_.fleet().servers.end()) {
-    HandleCounts(key, quota, Status(StatusCode::kUnavailable, "its owner is not known"));
+    HandleCounts(
+        key, quota,
+        Status(StatusCode::kUnavailable, "the owner of the partitions is not a registered server"));
     return;
   }
   const proto::Endpoint& endpoint = server->second.peer_endpoint();
@@ -245,7 +248,9 @@
       Reject(*quota, waiting.request, waiting.reply);
     } else {
       quota->wait_queue.Leave(MakeBatchName(waiting.request));
-      waiting.reply(Status(StatusCode::kUnavailable, "not all partitions can be counted now"));
+      waiting.reply(Status(
+          StatusCode::kUnavailable,
+          "the open tokens of route " + key.route + " could not be counted at all partitions"));
     }
   }
   quota->waiting.splice(quota->waiting.begin(), still_waiting);
@@ -262,7 +267,8 @@
       continue;
     }
     for (const Waiting& waiting : std::exchange(entry->second->waiting, {})) {
-      waiting.reply(Status(StatusCode::kUnavailable, "the limit has another keeper now"));
+      waiting.reply(Status(StatusCode::kUnavailable,
+                           "the quota of route " + entry->first.route + " has another owner now"));
     }
     entry = quotas_.erase(entry);
   }
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -18,7 +18,7 @@
 constexpr Duration kAllowanceCheckInterval = milliseconds(100);
 
 Status QuotaOwnerUnavailable(const std::string& reason) {
-  return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + reason,
+  return {StatusCode::kConflict, "the quota owner of the route is unavailable: " + reason,
           std::string(kQuotaOwnerUnavailableDetail)};
 }
 
@@ -72,7 +72,9 @@
   const proto::Server* server = agent_.fleet().OwnerOf(PartitionId(request.partition_id()));
   if (server == nullptr) {
     HandleAnswer(request.sequence(),
-                 Status(StatusCode::kUnavailable, "its partition has no owner now"));
+                 Status(StatusCode::kUnavailable, "the quota's partition " +
+                                                      std::to_string(request.partition_id()) +
+                                                      " has no owner"));
     return;
   }
   const auto finish = [weak = weak_from_this(), sequence = request.sequence(),
@@ -81,7 +83,7 @@
     if (const auto self = weak.lock()) {
       self->HandleAnswer(sequence, answer);
     } else {
-      CallOnce(*done, QuotaOwnerUnavailable("this queue node's life ended"));
+      CallOnce(*done, QuotaOwnerUnavailable("this queue node's incarnation ended"));
     }
   };
   if (NodeId(server->node_id()) == agent_.node_id()) {
