--- a/tests/admission/admission_control_test.cc
+++ b/tests/admission/admission_control_test.cc
@@ -14,7 +14,7 @@
   return {id, "model", priority, start_time + wait, 1000};
 }
 
-TEST(AdmissionControlTest, ServesByPriorityThenDeadline) {
+TEST(AdmissionControlTest, OrdersByPriorityThenDeadline) {
   AdmissionControl admission({});
   std::vector<WaitId> displaced;
   admission.Enqueue(Waiting(1, proto::PRIORITY_STANDARD, milliseconds(900)), start_time,
@@ -30,7 +30,7 @@
   EXPECT_EQ(admission.waiting(), 1U);
 }
 
-TEST(AdmissionControlTest, DisplacesOnlyLowerPrioritiesWhenFull) {
+TEST(AdmissionControlTest, FullQueueDisplacesOnlyLowerPriority) {
   AdmissionOptions options;
   options.queue_length = 2;
   AdmissionControl admission(options);
@@ -54,7 +54,7 @@
   for (WaitId id = 1; id <= 50; ++id) {
     admission.Enqueue(Waiting(id, proto::PRIORITY_STANDARD, seconds(3)), start_time, &displaced);
   }
-  for (WaitId id = 1; id <= 10; ++id) {  // 10 a second.
+  for (WaitId id = 1; id <= 10; ++id) {  // 10 calls per second.
     admission.Serve(id, start_time + milliseconds(100) * static_cast<int>(id));
   }
   const TimePoint now = start_time + seconds(1);
@@ -62,47 +62,47 @@
   const auto refused = admission.Enqueue(late, now, &displaced);
   ASSERT_TRUE(refused.has_value());
   EXPECT_EQ(refused->refusal, Refusal::kQueueTooSlow);
-  late.priority = proto::PRIORITY_INTERACTIVE;  // Goes before the others, so in time.
+  late.priority = proto::PRIORITY_INTERACTIVE;  // Ahead of the others, so it is served in time.
   EXPECT_FALSE(admission.Enqueue(late, now, &displaced).has_value());
 }
 
-TEST(AdmissionControlTest, KeepsEveryBoundUnderRandomLoad) {
+TEST(AdmissionControlTest, StaysWithinBoundsUnderRandomLoad) {
   AdmissionOptions options;
   options.queue_length = 20;
   options.total_queue_length = 30;
   options.queue_bytes = 25'000;
   AdmissionControl admission(options);
   std::mt19937_64 random(7);
-  std::map<WaitId, TimePoint> inside;
+  std::map<WaitId, TimePoint> expected_waiting;
   TimePoint now = start_time;
   for (WaitId id = 1; id < 50'000; ++id) {
     now += milliseconds(random() % 4);
     for (const WaitId expired : admission.TakeExpired(now)) {
-      ASSERT_LE(inside.at(expired), now);
-      inside.erase(expired);
+      ASSERT_LE(expected_waiting.at(expired), now);
+      expected_waiting.erase(expired);
     }
     WaitingCall call = Waiting(id, static_cast<proto::Priority>(random() % 4), {});
     call.backend = random() % 2 == 0 ? "model" : "other";
     call.wait_deadline = now + milliseconds(1 + random() % 5000);
     std::vector<WaitId> displaced;
     const auto refused = admission.Enqueue(call, now, &displaced);
-    for (const WaitId gone : displaced) {
-      ASSERT_EQ(inside.erase(gone), 1U);
+    for (const WaitId removed : displaced) {
+      ASSERT_EQ(expected_waiting.erase(removed), 1U);
     }
     if (!refused) {
-      inside[id] = std::min(call.wait_deadline, now + options.longest_wait);
+      expected_waiting[id] = std::min(call.wait_deadline, now + options.longest_wait);
     }
     if (random() % 8 == 0) {
       for (const WaitId first : admission.FirstWaiting(call.backend, 1)) {
         ASSERT_TRUE(admission.Serve(first, now));
-        ASSERT_EQ(inside.erase(first), 1U);
+        ASSERT_EQ(expected_waiting.erase(first), 1U);
       }
     }
     ASSERT_LE(admission.Waiting("model"), options.queue_length);
     ASSERT_LE(admission.waiting(), options.total_queue_length);
-    ASSERT_EQ(admission.waiting(), inside.size());
+    ASSERT_EQ(admission.waiting(), expected_waiting.size());
     ASSERT_LE(admission.waiting_bytes(), options.queue_bytes);
-    ASSERT_EQ(admission.waiting_bytes(), 1000 * inside.size());
+    ASSERT_EQ(admission.waiting_bytes(), 1000 * expected_waiting.size());
   }
 }
 
--- a/tests/admission/token_bucket_test.cc
+++ b/tests/admission/token_bucket_test.cc
@@ -21,7 +21,7 @@
     ASSERT_LE(wait, milliseconds(21));
     ASSERT_LE(taken, 50 + std::chrono::duration<double>(now - start_time).count() * 50 + 1);
   }
-  EXPECT_GT(taken, 1900);  // About 40 s at 50 a second.
+  EXPECT_GT(taken, 1900);  // About 40 s at 50 calls per second.
 }
 
 }  // namespace
--- a/tests/scheduler/fair_queue_test.cc
+++ b/tests/scheduler/fair_queue_test.cc
@@ -7,13 +7,14 @@
 namespace cloverbank {
 namespace {
 
-std::vector<OrderedItem> PlainItems(std::uint32_t count) {
+/// @return `count` items that all have the same prefix.
+std::vector<OrderedItem> SamePrefixItems(std::uint32_t count) {
   return GroupByPrefix(
       count, [](std::uint32_t) { return std::string_view("same"); },
       [](std::uint32_t) { return true; });
 }
 
-TEST(GroupByPrefixTest, GroupsItemsByPrefixInOrderOfFirst) {
+TEST(GroupByPrefixTest, OrdersGroupsByTheirFirstItems) {
   const std::vector<std::string> keys = {"a", "b", "a", "c", "b", "a"};
   const auto items = GroupByPrefix(
       6, [&](std::uint32_t index) { return std::string_view{keys[index]}; },
@@ -28,11 +29,11 @@
   EXPECT_EQ(starts, (std::vector<std::uint32_t>{1, 0, 1, 0, 1}));
 }
 
-TEST(FairQueueTest, SharesByWeightForAnyBacklog) {
+TEST(FairQueueTest, SharesByWeightRegardlessOfBacklog) {
   FairQueue queue;
   queue.SetTenantWeight("heavy", 3);
-  const QueuedBatchId large = queue.AddBatch("light", "model", PlainItems(420'000));
-  const QueuedBatchId small = queue.AddBatch("heavy", "model", PlainItems(3'000));
+  const QueuedBatchId large = queue.AddBatch("light", "model", SamePrefixItems(420'000));
+  const QueuedBatchId small = queue.AddBatch("heavy", "model", SamePrefixItems(3'000));
   std::map<QueuedBatchId, int> served;
   for (int i = 0; i < 400; ++i) {
     for (const PickedItem& item : queue.Pick("model", 1)) {
@@ -45,9 +46,9 @@
 
 TEST(FairQueueTest, SharesEquallyAmongBatchesOfATenant) {
   FairQueue queue;
-  const QueuedBatchId first = queue.AddBatch("tenant", "model", PlainItems(1000));
+  const QueuedBatchId first = queue.AddBatch("tenant", "model", SamePrefixItems(1000));
   std::ignore = queue.Pick("model", 500);
-  const QueuedBatchId second = queue.AddBatch("tenant", "model", PlainItems(1000));
+  const QueuedBatchId second = queue.AddBatch("tenant", "model", SamePrefixItems(1000));
   std::map<QueuedBatchId, int> served;
   for (const PickedItem& item : queue.Pick("model", 160)) {
     ++served[item.batch];
@@ -56,11 +57,11 @@
   EXPECT_EQ(served[second], 80);
 }
 
-TEST(FairQueueTest, IdleTimeEarnsNoCredit) {
+TEST(FairQueueTest, LateTenantGetsNoMoreThanItsShare) {
   FairQueue queue;
-  queue.AddBatch("busy", "model", PlainItems(10'000));
+  queue.AddBatch("busy", "model", SamePrefixItems(10'000));
   std::ignore = queue.Pick("model", 5'000);
-  const QueuedBatchId late = queue.AddBatch("late", "model", PlainItems(10'000));
+  const QueuedBatchId late = queue.AddBatch("late", "model", SamePrefixItems(10'000));
   int late_served = 0;
   for (const PickedItem& item : queue.Pick("model", 160)) {
     late_served += item.batch == late ? 1 : 0;
@@ -68,9 +69,9 @@
   EXPECT_EQ(late_served, 80);
 }
 
-TEST(FairQueueTest, PicksEachItemOnceAndReturnedFirst) {
+TEST(FairQueueTest, PicksEachItemOnceAndReturnedItemsFirst) {
   FairQueue queue;
-  const QueuedBatchId batch = queue.AddBatch("tenant", "model", PlainItems(20));
+  const QueuedBatchId batch = queue.AddBatch("tenant", "model", SamePrefixItems(20));
   std::set<std::uint32_t> seen;
   for (const PickedItem& item : queue.Pick("model", 15)) {
     EXPECT_TRUE(seen.insert(item.index).second);
@@ -86,7 +87,7 @@
   EXPECT_TRUE(queue.HasWaiting("model"));
 }
 
-TEST(FairQueueTest, KeepsRunsOfOnePrefixTogether) {
+TEST(FairQueueTest, PicksItemsOfOnePrefixInSuccession) {
   FairQueue queue;
   const auto prefix_of = [](std::uint32_t index) {
     return std::string_view(index % 2 == 0 ? "even" : "odd");
@@ -106,8 +107,8 @@
 
 TEST(FairQueueTest, RemovedAndMovedBatchesAreNotPicked) {
   FairQueue queue;
-  const QueuedBatchId removed = queue.AddBatch("tenant", "model", PlainItems(5));
-  const QueuedBatchId moved = queue.AddBatch("tenant", "model", PlainItems(5));
+  const QueuedBatchId removed = queue.AddBatch("tenant", "model", SamePrefixItems(5));
+  const QueuedBatchId moved = queue.AddBatch("tenant", "model", SamePrefixItems(5));
   queue.RemoveBatch(removed);
   queue.SetBackend(moved, "other");
   EXPECT_TRUE(queue.Pick("model", 10).empty());
--- a/tests/token_quota/drain_rate_test.cc
+++ b/tests/token_quota/drain_rate_test.cc
@@ -13,7 +13,7 @@
   EXPECT_FALSE(rate.EstimateTime(100).has_value());
 }
 
-TEST(DrainRateTest, CountsFinishedAndGrantedTokens) {
+TEST(DrainRateTest, GrantedTokensDoNotHideFinishedOnes) {
   DrainRate rate;
   rate.Update(1'000, 0, kStart);
   rate.Update(1'000, 50, kStart + milliseconds(100));
--- a/tests/token_quota/quota_wait_queue_test.cc
+++ b/tests/token_quota/quota_wait_queue_test.cc
@@ -31,7 +31,7 @@
   EXPECT_EQ(queue_.TokensBefore("second"), 10U);
   queue_.DropExpired(kStart + seconds(10));
   EXPECT_EQ(queue_.TokensBefore("second"), 10U)
-      << "it was retried, so its position does not expire";
+      << "the batch was retried, so its position does not expire";
 }
 
 TEST_F(QuotaWaitQueueTest, LateRetryLosesItsPosition) {
@@ -51,10 +51,10 @@
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 30U) << "no more than the batches request";
 }
 
-TEST_F(QuotaWaitQueueTest, LeavingUsesOnlyItsOwnReservation) {
+TEST_F(QuotaWaitQueueTest, AcceptedBatchUsesOnlyItsOwnReservation) {
   queue_.RecordFreed(15);
   queue_.Enter("third", 40);
-  queue_.Leave("third");  // Accepted within capacity that was not reserved.
+  queue_.Leave("third");  // It was accepted within capacity that was not reserved.
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 15U);
   queue_.Leave("first");
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 5U);
@@ -68,10 +68,10 @@
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 20U);
   queue_.Enter("first", 10);
   EXPECT_EQ(queue_.ReservedBefore("not queued"), 30U);
-  EXPECT_EQ(queue_.ReservedBefore("second"), 10U) << "it has its old position";
+  EXPECT_EQ(queue_.ReservedBefore("second"), 10U) << "the retried batch has its old position";
 }
 
-TEST_F(QuotaWaitQueueTest, AcceptedBatchLeaves) {
+TEST_F(QuotaWaitQueueTest, LeaveRemovesOnlyThatBatch) {
   queue_.Leave("first");
   queue_.Leave("not queued");
   EXPECT_EQ(queue_.TokensBefore("second"), 0U);
--- a/tests/token_quota/token_allowance_test.cc
+++ b/tests/token_quota/token_allowance_test.cc
@@ -44,11 +44,12 @@
   EXPECT_EQ((allowances[{PartitionId(2), "studio", "audit"}].Remaining(0)), 10U);
 }
 
-/// A partition owner and a quota owner between which answers are lost or late. Whatever is accepted
-/// within the allowance, the upper bound never falls below the open tokens.
-class Exchange {
+/// A partition owner and a quota owner that lose or delay each other's answers. Each step takes one
+/// random action: a count, a grant, the arrival of an answer, finished tokens, or batches accepted
+/// within the allowance. The upper bound must never fall below the open tokens.
+class LossyQuotaModel {
  public:
-  explicit Exchange(std::uint64_t seed) : random_(seed) { Count(); }
+  explicit LossyQuotaModel(std::uint64_t seed) : random_(seed) { Count(); }
 
   void Step() {
     switch (random_() % 5) {
@@ -81,12 +82,12 @@
     for (const PendingAnswer& answer : answers_) {
       pending.insert(answer.sequence);
     }
-    if (random_() % 4 != 0) {  // Else the answer is lost.
-      usage_.ApplyCount({PartitionId(0), NodeId(1), open_, next_, pending});
+    if (random_() % 4 != 0) {  // Otherwise the answer is lost.
+      usage_.ApplyCount({PartitionId(0), NodeId(1), open_, next_sequence_, pending});
     }
   }
   void Grant() {
-    const PendingAnswer answer{next_++, random_() % 100, random_() % 30};
+    const PendingAnswer answer{next_sequence_++, random_() % 100, random_() % 30};
     usage_.AddGrant({PartitionId(0), NodeId(1), answer.sequence, answer.tokens + answer.allowance});
     answers_.push_back(answer);
   }
@@ -95,7 +96,7 @@
       return;
     }
     const auto chosen = answers_.begin() + static_cast<std::ptrdiff_t>(random_() % answers_.size());
-    if (random_() % 4 != 0) {  // Else the request has timed out.
+    if (random_() % 4 != 0) {  // Otherwise the request has timed out.
       allowance_.RecordGrant(chosen->tokens + chosen->allowance);
       open_ += chosen->tokens;
     }
@@ -106,16 +107,16 @@
   TokenUsage usage_;
   TokenAllowance allowance_;
   std::uint64_t open_ = 0;
-  std::uint64_t next_ = 1;
+  std::uint64_t next_sequence_ = 1;
   std::vector<PendingAnswer> answers_;
 };
 
 TEST(TokenAllowanceTest, UpperBoundNeverFallsBelowOpenTokens) {
   for (const std::uint64_t seed : TestSeeds(20)) {
-    Exchange exchange(seed);
+    LossyQuotaModel model(seed);
     for (int step = 0; step < 2000; ++step) {
-      exchange.Step();
-      ASSERT_GE(exchange.bound(), exchange.open()) << "seed " << seed << ", step " << step;
+      model.Step();
+      ASSERT_GE(model.bound(), model.open()) << "seed " << seed << ", step " << step;
     }
   }
 }
--- a/tests/token_quota/token_usage_test.cc
+++ b/tests/token_quota/token_usage_test.cc
@@ -8,7 +8,7 @@
 constexpr PartitionId kFirst(0);
 constexpr PartitionId kSecond(1);
 constexpr NodeId kOwner(7);
-/// Node ids of later owners may be lower: they registered before.
+/// A later owner of a partition may have a lower node id, if its node registered earlier.
 constexpr NodeId kLaterOwner(5);
 
 class TokenUsageTest : public testing::Test {
@@ -30,7 +30,7 @@
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   EXPECT_EQ(usage_.UpperBound(), 180U);
   usage_.ApplyCount(
-      {kFirst, kOwner, 100, 4, {}});  // The answer to request 4 has not arrived there.
+      {kFirst, kOwner, 100, 4, {}});  // The answer to request 4 has not arrived at the owner.
   EXPECT_EQ(usage_.UpperBound(), 180U);
   usage_.ApplyCount({kFirst, kOwner, 130, 5, {}});
   EXPECT_EQ(usage_.UpperBound(), 180U);
@@ -38,13 +38,13 @@
   EXPECT_EQ(usage_.UpperBound(), 140U);
 }
 
-TEST_F(TokenUsageTest, CountIncludesGrantDespiteEarlierPending) {
+TEST_F(TokenUsageTest, CountIncludesGrantAfterAPendingRequest) {
   usage_.AddGrant({kFirst, kOwner, 5, 30});
   usage_.ApplyCount({kFirst, kOwner, 130, 6, {4}});
   EXPECT_EQ(usage_.UpperBound(), 180U) << "request 4 is pending; the count includes request 5";
 }
 
-TEST_F(TokenUsageTest, PendingGrantCountsBesideLaterOnes) {
+TEST_F(TokenUsageTest, PendingGrantIsAddedToACountOfLaterGrants) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   usage_.AddGrant({kFirst, kOwner, 5, 20});
   usage_.ApplyCount({kFirst, kOwner, 120, 6, {4}});
@@ -57,7 +57,7 @@
   EXPECT_EQ(usage_.UpperBound(), 180U);
 }
 
-TEST_F(TokenUsageTest, SuccessorsCountIncludesEarlierGrants) {
+TEST_F(TokenUsageTest, CountOfALaterOwnerIncludesEarlierGrants) {
   usage_.AddGrant({kFirst, kOwner, 4, 30});
   usage_.ApplyCount({kFirst, kLaterOwner, 130, 1, {}});
   EXPECT_EQ(usage_.UpperBound(), 180U);
