--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -13,7 +13,7 @@
 
 /// Deadline of the count request to one partition owner.
 constexpr Duration kCountDeadline = milliseconds(300);
-/// A count that started less than this time ago is not repeated.
+/// A count that started at most this time ago is not repeated.
 constexpr Duration kMaxCountAge = milliseconds(100);
 /// Allowances are granted only while the open tokens are below 1/kAllowanceDivisor of the limit,
 /// and only up to that share.
