--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -56,9 +56,9 @@
   if (batch.tenant().empty() || batch.route().empty() || batch.items().empty()) {
     return MakeInvalidStatus("a batch needs a tenant, a route and at least one item");
   }
-  std::unordered_set<std::string_view> ids;
+  std::unordered_set<std::string_view> custom_ids;
   for (const proto::BatchItem& item : batch.items()) {
-    if (!ids.insert(item.custom_id()).second) {
+    if (!custom_ids.insert(item.custom_id()).second) {
       return MakeInvalidStatus("custom_id \"" + item.custom_id() + "\" is used twice");
     }
     if (item.ByteSizeLong() > log_.largest_entry() / 2) {
@@ -75,13 +75,13 @@
   if (tenant == nullptr || tenant->max_open_items() == 0) {
     return Status::Ok();
   }
-  const std::uint64_t open = partition.CountOpenItems(batch.tenant());
-  const auto more = static_cast<std::uint64_t>(batch.items_size());
-  if (open + more <= tenant->max_open_items()) {
+  const std::uint64_t open_items = partition.CountOpenItems(batch.tenant());
+  const auto submitted_items = static_cast<std::uint64_t>(batch.items_size());
+  if (open_items + submitted_items <= tenant->max_open_items()) {
     return Status::Ok();
   }
   return {StatusCode::kResourceExhausted,
-          "tenant has " + std::to_string(open) + " unfinished items and may have " +
+          "tenant has " + std::to_string(open_items) + " unfinished items and may have " +
               std::to_string(tenant->max_open_items()) + "; submit again when some are finished"};
 }
 
@@ -96,16 +96,16 @@
   return log_.Accepting();
 }
 
-bool BatchIntake::JoinEarlier(OwnedPartition& partition, const SubmissionKey& key,
-                              std::uint64_t checksum, Reply& reply) {
+bool BatchIntake::JoinEarlierSubmission(OwnedPartition& partition, const SubmissionKey& key,
+                                        std::uint64_t checksum, Reply& reply) {
   const std::string& idempotency_key = key.idempotency_key;
   if (idempotency_key.empty()) {
     return false;
   }
-  const auto waiting = pending_.find(key);
-  if (waiting != pending_.end()) {
-    if (waiting->second->accepted.request_checksum() == checksum) {
-      waiting->second->replies.push_back(std::move(reply));
+  const auto pending = pending_.find(key);
+  if (pending != pending_.end()) {
+    if (pending->second->accepted.request_checksum() == checksum) {
+      pending->second->replies.push_back(std::move(reply));
     } else {
       reply(MakeKeyReusedStatus(idempotency_key));
     }
@@ -131,7 +131,7 @@
   const proto::SubmitBatch& batch = request.batch();
   const std::uint64_t checksum = Checksum(batch.SerializeAsString());
   const SubmissionKey key{partition->id(), batch.tenant(), batch.idempotency_key()};
-  if (JoinEarlier(*partition, key, checksum, reply)) {
+  if (JoinEarlierSubmission(*partition, key, checksum, reply)) {
     return;
   }
   if (Status status = CheckAcceptable(*partition, batch); !status.ok()) {
@@ -144,13 +144,13 @@
     pending_[key] = submission;
   }
   if (submission->batch.open_token_limit() == 0) {
-    LogNextItems(submission);
+    LogNextEntries(submission);
   } else {
-    LogWithinLimit(submission);
+    ReserveTokensAndLog(submission);
   }
 }
 
-void BatchIntake::LogWithinLimit(const SubmissionPtr& submission) {
+void BatchIntake::ReserveTokensAndLog(const SubmissionPtr& submission) {
   reserve_tokens_(
       submission->partition->id(), submission->batch, submission->reservation,
       [weak = weak_from_this(), submission](const Status& status) {
@@ -171,7 +171,7 @@
   submission->tokens_reserved = true;
   submission->partition->ReserveTokens(submission->accepted.tenant(), submission->accepted.route(),
                                        submission->reservation.tokens);
-  LogNextItems(submission);
+  LogNextEntries(submission);
 }
 
 BatchIntake::SubmissionPtr BatchIntake::StartSubmission(
@@ -181,8 +181,8 @@
   submission->partition = partition;
   submission->batch = std::move(*request.mutable_batch());
   proto::BatchAccepted& accepted = submission->accepted;
-  const std::string& chosen = submission->batch.batch_id();
-  accepted.set_batch_id(chosen.empty() ? NewBatchId(*partition) : chosen);
+  const std::string& requested_id = submission->batch.batch_id();
+  accepted.set_batch_id(requested_id.empty() ? MakeBatchId(*partition) : requested_id);
   accepted.set_tenant(submission->batch.tenant());
   accepted.set_idempotency_key(submission->batch.idempotency_key());
   accepted.set_route(submission->batch.route());
@@ -195,7 +195,7 @@
   return submission;
 }
 
-std::string BatchIntake::NewBatchId(const OwnedPartition& partition) {
+std::string BatchIntake::MakeBatchId(const OwnedPartition& partition) {
   std::array<char, 16> digits{};
   const auto end =
       std::to_chars(digits.data(), digits.data() + digits.size(), environment_.Random(), 16);
@@ -207,12 +207,13 @@
   proto::BatchItems& items = *entry.mutable_batch_items();
   items.set_batch_id(submission.accepted.batch_id());
   items.set_first_index(static_cast<std::uint64_t>(submission.next_item));
-  const std::size_t limit = std::min<std::size_t>(kMaxItemsEntryBytes, log_.largest_entry() / 2);
+  const std::size_t max_bytes =
+      std::min<std::size_t>(kMaxItemsEntryBytes, log_.largest_entry() / 2);
   std::size_t bytes = 0;
-  while (submission.next_item < submission.batch.items_size() && bytes < limit) {
+  while (submission.next_item < submission.batch.items_size() && bytes < max_bytes) {
     proto::BatchItem& item = *submission.batch.mutable_items(submission.next_item);
     bytes += item.ByteSizeLong();
-    if (bytes > limit && items.items_size() > 0) {
+    if (bytes > max_bytes && items.items_size() > 0) {
       break;
     }
     *items.add_items() = std::move(item);
@@ -221,21 +222,21 @@
   return entry;
 }
 
-void BatchIntake::LogNextItems(const SubmissionPtr& submission) {
+void BatchIntake::LogNextEntries(const SubmissionPtr& submission) {
   std::vector<proto::LogEntry> entries;
   const int item_count = submission->batch.items_size();
   while (submission->next_item < item_count && entries.size() < kMaxEntriesPerAppend) {
     entries.push_back(MakeItemsEntry(*submission));
   }
-  const bool last = submission->next_item == item_count;
-  if (last) {
+  const bool is_last = submission->next_item == item_count;
+  if (is_last) {
     submission->accepted.set_accepted_at_ms(environment_.WallMilliseconds());
     *entries.emplace_back().mutable_batch_accepted() = submission->accepted;
   }
   submission->partition->Log(
-      std::move(entries), [weak = weak_from_this(), submission, last](const Status& status) {
+      std::move(entries), [weak = weak_from_this(), submission, is_last](const Status& status) {
         if (const auto self = weak.lock()) {
-          self->HandleLogged(submission, last, status);
+          self->HandleLogged(submission, is_last, status);
         } else {
           AnswerFailed(*submission,
                        Status(StatusCode::kUnknownOutcome, "this queue node's life ended"));
@@ -243,11 +244,12 @@
       });
 }
 
-void BatchIntake::HandleLogged(const SubmissionPtr& submission, bool last, const Status& status) {
-  if (!status.ok() || last) {
+void BatchIntake::HandleLogged(const SubmissionPtr& submission, bool is_last,
+                               const Status& status) {
+  if (!status.ok() || is_last) {
     Complete(submission, status);
   } else {
-    LogNextItems(submission);
+    LogNextEntries(submission);
   }
 }
 
@@ -273,10 +275,10 @@
   if (submission->tokens_reserved) {
     partition.ReleaseTokens(accepted.tenant(), accepted.route(), submission->reservation.tokens);
   }
-  const auto waiting =
+  const auto pending =
       pending_.find({partition.id(), accepted.tenant(), accepted.idempotency_key()});
-  if (waiting != pending_.end() && waiting->second == submission) {
-    pending_.erase(waiting);
+  if (pending != pending_.end() && pending->second == submission) {
+    pending_.erase(pending);
   }
 }
 
--- a/src/queue/batch_intake.h
+++ b/src/queue/batch_intake.h
@@ -72,16 +72,16 @@
   Status CheckItemLimit(const OwnedPartition& partition, const proto::SubmitBatch& batch) const;
   /// Answers a resent submission, or adds its reply to the pending one.
   /// @return false if there is no earlier submission.
-  bool JoinEarlier(OwnedPartition& partition, const SubmissionKey& key, std::uint64_t checksum,
-                   Reply& reply);
+  bool JoinEarlierSubmission(OwnedPartition& partition, const SubmissionKey& key,
+                             std::uint64_t checksum, Reply& reply);
   SubmissionPtr StartSubmission(const std::shared_ptr<OwnedPartition>& partition,
                                 proto::SubmitBatchRequest request, std::uint64_t checksum);
-  std::string NewBatchId(const OwnedPartition& partition);
+  std::string MakeBatchId(const OwnedPartition& partition);
   /// Logs the batch once its tokens are reserved at the route's quota owner.
-  void LogWithinLimit(const SubmissionPtr& submission);
+  void ReserveTokensAndLog(const SubmissionPtr& submission);
   void HandleTokensReserved(const SubmissionPtr& submission, const Status& status);
-  void LogNextItems(const SubmissionPtr& submission);
-  void HandleLogged(const SubmissionPtr& submission, bool last, const Status& status);
+  void LogNextEntries(const SubmissionPtr& submission);
+  void HandleLogged(const SubmissionPtr& submission, bool is_last, const Status& status);
   proto::LogEntry MakeItemsEntry(Submission& submission) const;
   void Complete(const SubmissionPtr& submission, const Status& status);
   void ReleaseReservations(const SubmissionPtr& submission);
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -11,11 +11,11 @@
                                        RecoveryRunner& recoveries, Observers observers)
     : agent_(agent), log_(log), recoveries_(recoveries), observers_(std::move(observers)) {}
 
-void PartitionOwnership::Sync() {
-  std::set<PartitionId> owned;
+void PartitionOwnership::ApplyFleetView() {
+  std::set<PartitionId> assigned;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
     if (NodeId(partition.owner()) == agent_.node_id() && agent_.node_id().valid()) {
-      owned.insert(id);
+      assigned.insert(id);
     } else if (partition.owner() != 0) {
       // A view from before the death still names the dead owner.
       recoveries_.Drop(id, NodeId(partition.owner()));
@@ -23,14 +23,14 @@
   }
   std::vector<PartitionId> lost;
   for (const auto& [id, partition] : partitions_) {
-    if (!owned.contains(id)) {
+    if (!assigned.contains(id)) {
       lost.push_back(id);
     }
   }
   for (const PartitionId id : lost) {
     Deactivate(id);
   }
-  for (const PartitionId id : owned) {
+  for (const PartitionId id : assigned) {
     if (!partitions_.contains(id)) {
       Activate(id);
     }
--- a/src/queue/partition_ownership.h
+++ b/src/queue/partition_ownership.h
@@ -35,7 +35,7 @@
                      Observers observers);
 
   /// Activates and deactivates partitions as the fleet view names their owners.
-  void Sync();
+  void ApplyFleetView();
   /// Deactivates all partitions without notifying the observers: nothing is answered from them any
   /// more.
   void DeactivateAll();
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -14,7 +14,7 @@
 constexpr Duration kReportDeadline = seconds(2);
 constexpr Duration kRetryDelay = milliseconds(100);
 /// Size of one append.
-constexpr std::size_t kChunkBytes = 2U << 20U;
+constexpr std::size_t kTargetChunkBytes = 2U << 20U;
 
 }  // namespace
 
@@ -29,7 +29,7 @@
       read_limit_(std::move(read_limit)),
       request_(std::move(request)),
       on_fenced_(std::move(on_fenced)),
-      sources_(static_cast<std::size_t>(request_.segments_size())) {
+      segment_reads_(static_cast<std::size_t>(request_.segments_size())) {
   for (const PartitionId partition : partitions) {
     recovering_[partition];
   }
@@ -37,18 +37,18 @@
 
 void PartitionRecovery::Start() { ReadRemaining(); }
 
-void PartitionRecovery::UpdateSources(const proto::RecoverPartitionsRequest& request) {
-  for (proto::RecoverySegment& known : *request_.mutable_segments()) {
-    for (const proto::RecoverySegment& listed : request.segments()) {
-      if (listed.segment_id() == known.segment_id()) {
-        known = listed;
+void PartitionRecovery::HandleRepeatedRequest(const proto::RecoverPartitionsRequest& request) {
+  for (proto::RecoverySegment& current : *request_.mutable_segments()) {
+    for (const proto::RecoverySegment& updated : request.segments()) {
+      if (updated.segment_id() == current.segment_id()) {
+        current = updated;
       }
     }
   }
   const bool all_durable =
       std::all_of(recovering_.begin(), recovering_.end(),
                   [](const auto& recovering) { return recovering.second.durable; });
-  if (all_durable && sorted_) {
+  if (all_durable && entries_sorted_) {
     reported_ = false;
     ReportRecovered();
   }
@@ -85,22 +85,23 @@
 }
 
 void PartitionRecovery::ReadRemaining() {
-  for (std::size_t i = 0; i < sources_.size() && !waits_for_read_slot_; ++i) {
-    if (!sources_[i].read && !sources_[i].reading) {
+  for (std::size_t i = 0; i < segment_reads_.size() && !waiting_for_read_slot_; ++i) {
+    if (!segment_reads_[i].done && !segment_reads_[i].in_progress) {
       ReadSegment(i);
     }
   }
-  const bool all_read = std::all_of(sources_.begin(), sources_.end(),
-                                    [](const Source& source) { return source.read; });
-  if (all_read && !sorted_) {
+  const bool all_read =
+      std::all_of(segment_reads_.begin(), segment_reads_.end(),
+                  [](const SegmentRead& segment_read) { return segment_read.done; });
+  if (all_read && !entries_sorted_) {
     SortEntries();
     LogRemaining();
   }
 }
 
-void PartitionRecovery::ReadSegment(std::size_t position) {
-  Source& source = sources_[position];
-  const proto::RecoverySegment& segment = request_.segments(static_cast<int>(position));
+void PartitionRecovery::ReadSegment(std::size_t segment_index) {
+  SegmentRead& segment_read = segment_reads_[segment_index];
+  const proto::RecoverySegment& segment = request_.segments(static_cast<int>(segment_index));
   if (segment.backups().empty()) {
     RetryLater(&PartitionRecovery::ReadRemaining);
     return;
@@ -108,18 +109,18 @@
   if (!AcquireReadSlot()) {
     return;
   }
-  const auto backup =
-      static_cast<int>(source.attempts % static_cast<std::size_t>(segment.backups_size()));
+  const auto backup = static_cast<int>(segment_read.failed_attempts %
+                                       static_cast<std::size_t>(segment.backups_size()));
   const Endpoint endpoint{segment.backups(backup).host(),
                           static_cast<std::uint16_t>(segment.backups(backup).port())};
-  source.reading = true;
+  segment_read.in_progress = true;
   CallPeer<proto::GetRecoveryDataResponse>(
       environment_, endpoint, "backup.GetRecoveryData", MakeReadRequest(segment), kReadDeadline,
       [weak = weak_from_this(), read_limit = read_limit_,
-       position](Result<proto::GetRecoveryDataResponse> result) {
+       segment_index](Result<proto::GetRecoveryDataResponse> result) {
         read_limit->Release();
         if (const auto self = weak.lock()) {
-          self->HandleSegmentRead(position, std::move(result));
+          self->HandleSegmentRead(segment_index, std::move(result));
         }
       });
 }
@@ -136,45 +137,45 @@
 }
 
 bool PartitionRecovery::AcquireReadSlot() {
-  const bool taken = read_limit_->Acquire([weak = weak_from_this()] {
+  const bool acquired = read_limit_->Acquire([weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
-      self->waits_for_read_slot_ = false;
+      self->waiting_for_read_slot_ = false;
       self->ReadRemaining();
     }
   });
-  waits_for_read_slot_ = !taken;
-  return taken;
+  waiting_for_read_slot_ = !acquired;
+  return acquired;
 }
 
-void PartitionRecovery::HandleSegmentRead(std::size_t position,
+void PartitionRecovery::HandleSegmentRead(std::size_t segment_index,
                                           Result<proto::GetRecoveryDataResponse> result) {
-  Source& source = sources_[position];
-  source.reading = false;
+  SegmentRead& segment_read = segment_reads_[segment_index];
+  segment_read.in_progress = false;
   if (!result.ok()) {
-    ++source.attempts;
+    ++segment_read.failed_attempts;
     Log(LogLevel::kWarning, "recovery_read_failed",
         {{"dead_node", request_.dead_node_id()},
-         {"segment", request_.segments(static_cast<int>(position)).segment_id()},
+         {"segment", request_.segments(static_cast<int>(segment_index)).segment_id()},
          {"status", result.status().ToString()}});
     RetryLater(&PartitionRecovery::ReadRemaining);
     return;
   }
-  source.read = true;
+  segment_read.done = true;
   for (proto::LogEntry& entry : *result->mutable_entries()) {
-    source.entries.push_back(std::move(entry));
+    segment_read.entries.push_back(std::move(entry));
   }
   ReadRemaining();
 }
 
 void PartitionRecovery::SortEntries() {
-  sorted_ = true;
+  entries_sorted_ = true;
   std::map<std::uint64_t, PartitionReplay> replays;
-  for (Source& source : sources_) {
-    for (proto::LogEntry& entry : source.entries) {
+  for (SegmentRead& segment_read : segment_reads_) {
+    for (proto::LogEntry& entry : segment_read.entries) {
       PartitionReplay& replay = replays[entry.partition_tag()];
       replay.Add(std::move(entry));
     }
-    source.entries.clear();
+    segment_read.entries.clear();
   }
   for (auto& [partition, recovering] : recovering_) {
     PartitionReplay& replay = replays[PartitionTag(partition)];
@@ -191,7 +192,7 @@
   if (recovering.logged == 0) {
     chunk.push_back(MakePartitionWatermark(partition, PartitionSequence(1), true));
   }
-  while (recovering.logged < recovering.entries.size() && bytes < kChunkBytes) {
+  while (recovering.logged < recovering.entries.size() && bytes < kTargetChunkBytes) {
     bytes += FramedEntryBytes(recovering.entries[recovering.logged]);
     chunk.push_back(recovering.entries[recovering.logged]);
     ++recovering.logged;
@@ -203,7 +204,7 @@
 }
 
 void PartitionRecovery::LogRemaining() {
-  if (logging_ || !sorted_) {
+  if (logging_ || !entries_sorted_) {
     return;
   }
   for (auto& [partition, recovering] : recovering_) {
@@ -217,13 +218,14 @@
 
 void PartitionRecovery::LogChunk(PartitionId partition, RecoveringPartition& recovering) {
   logging_ = true;
-  const std::size_t before = recovering.logged;
+  const std::size_t logged_before = recovering.logged;
   auto chunk = std::make_shared<std::vector<proto::LogEntry>>(MakeNextChunk(partition, recovering));
-  log_.Append(*chunk, [weak = weak_from_this(), partition, before, chunk](const Status& status) {
-    if (const auto self = weak.lock()) {
-      self->HandleLogged(partition, before, chunk, status);
-    }
-  });
+  log_.Append(*chunk,
+              [weak = weak_from_this(), partition, logged_before, chunk](const Status& status) {
+                if (const auto self = weak.lock()) {
+                  self->HandleLogged(partition, logged_before, chunk, status);
+                }
+              });
 }
 
 void PartitionRecovery::HandleLogged(PartitionId partition, std::size_t logged_before,
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -35,10 +35,10 @@
   void Start();
   /// Handles a repeated request: the list of backups may have changed, and the report is sent
   /// again.
-  void UpdateSources(const proto::RecoverPartitionsRequest& request);
+  void HandleRepeatedRequest(const proto::RecoverPartitionsRequest& request);
 
   NodeId dead_node() const { return NodeId(request_.dead_node_id()); }
-  bool Covers(PartitionId partition) const { return recovering_.contains(partition); }
+  bool Includes(PartitionId partition) const { return recovering_.contains(partition); }
   /// Abandons the partition: it is recovered from another log now, or has another owner.
   void Drop(PartitionId partition);
   /// @return the partition's batches once its entries are durable, else nullptr. The partition is
@@ -58,19 +58,19 @@
     std::unique_ptr<BatchStore> store;
     bool durable = false;  ///< All entries are logged again and applied to `store`.
   };
-  struct Source {
-    std::size_t attempts = 0;
-    bool reading = false;
-    bool read = false;
+  struct SegmentRead {
+    std::size_t failed_attempts = 0;
+    bool in_progress = false;
+    bool done = false;
     std::vector<proto::LogEntry> entries;
   };
 
   void ReadRemaining();
-  void ReadSegment(std::size_t position);
+  void ReadSegment(std::size_t segment_index);
   proto::GetRecoveryDataRequest MakeReadRequest(const proto::RecoverySegment& segment) const;
   /// @return whether a read may start now; if not, `ReadRemaining` runs when one has ended.
   bool AcquireReadSlot();
-  void HandleSegmentRead(std::size_t position, Result<proto::GetRecoveryDataResponse> result);
+  void HandleSegmentRead(std::size_t segment_index, Result<proto::GetRecoveryDataResponse> result);
   void SortEntries();
   void LogRemaining();
   std::vector<proto::LogEntry> MakeNextChunk(PartitionId partition,
@@ -92,9 +92,9 @@
   proto::RecoverPartitionsRequest request_;
   std::function<void(const std::string&)> on_fenced_;
   std::map<PartitionId, RecoveringPartition> recovering_;
-  std::vector<Source> sources_;       ///< One for each segment of the request.
-  bool waits_for_read_slot_ = false;  ///< `read_limit_` will call back.
-  bool sorted_ = false;
+  std::vector<SegmentRead> segment_reads_;  ///< One for each segment of the request.
+  bool waiting_for_read_slot_ = false;      ///< `read_limit_` will call back.
+  bool entries_sorted_ = false;
   bool logging_ = false;
   bool reporting_ = false;
   bool reported_ = false;
--- a/src/queue/queue_node_incarnation.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -19,10 +19,10 @@
       reserver_(MakeReserver()),
       intake_(MakeIntake()),
       retention_(environment, agent, log_, ownership_,
-                 {options.retention_sweep, options.default_retention}),
-      batch_requests_(ownership_, *intake_, *dispatcher_),
-      work_requests_(ownership_, *dispatcher_),
-      token_requests_(agent, ownership_, *quota_owner_, *reserver_) {}
+                 {options.sweep_interval, options.default_retention}),
+      batch_request_handler_(ownership_, *intake_, *dispatcher_),
+      work_request_handler_(ownership_, *dispatcher_),
+      token_request_handler_(agent, ownership_, *quota_owner_, *reserver_) {}
 
 PartitionOwnership::Observers QueueNodeIncarnation::MakeOwnershipObservers() {
   return {.on_activated =
@@ -40,7 +40,7 @@
 std::shared_ptr<TokenQuotaOwner> QueueNodeIncarnation::MakeQuotaOwner() {
   return std::make_shared<TokenQuotaOwner>(environment_, agent_,
                                            [this](const proto::CountOpenTokensRequest& request) {
-                                             return token_requests_.CountOwnTokens(request);
+                                             return token_request_handler_.CountOwnTokens(request);
                                            });
 }
 
@@ -67,8 +67,8 @@
 
 void QueueNodeIncarnation::Start() {
   log_.Start();
-  ownership_.Sync();
-  Tick();
+  ownership_.ApplyFleetView();
+  ScheduleTick();
 }
 
 void QueueNodeIncarnation::Stop() {
@@ -84,14 +84,14 @@
 void QueueNodeIncarnation::OnFleet() {
   log_.OnFleet();
   if (!stopped_) {
-    ownership_.Sync();
+    ownership_.ApplyFleetView();
   }
 }
 
 void QueueNodeIncarnation::OnConfiguration() { dispatcher_->OnConfiguration(); }
 
-void QueueNodeIncarnation::Tick() {
-  environment_.ScheduleAfter(options_.tick, [weak = weak_from_this()] {
+void QueueNodeIncarnation::ScheduleTick() {
+  environment_.ScheduleAfter(options_.tick_interval, [weak = weak_from_this()] {
     const auto self = weak.lock();
     if (self == nullptr || self->stopped_) {
       return;
@@ -99,7 +99,7 @@
     self->dispatcher_->Tick();
     self->retention_.SweepIfDue();
     self->ReportLoad();
-    self->Tick();
+    self->ScheduleTick();
   });
 }
 
--- a/src/queue/queue_node_incarnation.h
+++ b/src/queue/queue_node_incarnation.h
@@ -30,8 +30,8 @@
 
 struct QueueOptions {
   SegmentLogOptions log;
-  Duration tick = milliseconds(250);              ///< Between checks of leases and cancellations.
-  Duration retention_sweep = seconds(30);         ///< Between removals of old batches.
+  Duration tick_interval = milliseconds(250);     ///< Between checks of leases and cancellations.
+  Duration sweep_interval = seconds(30);          ///< Between removals of old batches.
   Duration default_retention = seconds(604'800);  ///< Used where the configuration sets none.
 };
 
@@ -49,9 +49,9 @@
   /// Whether some log segment has fewer replicas than configured.
   bool degraded() const { return log_.degraded(); }
 
-  BatchRequestHandler& batch_requests() { return batch_requests_; }
-  WorkRequestHandler& work_requests() { return work_requests_; }
-  TokenRequestHandler& token_requests() { return token_requests_; }
+  BatchRequestHandler& batch_request_handler() { return batch_request_handler_; }
+  WorkRequestHandler& work_request_handler() { return work_request_handler_; }
+  TokenRequestHandler& token_request_handler() { return token_request_handler_; }
   PartitionOwnership& ownership() { return ownership_; }
 
  private:
@@ -59,7 +59,7 @@
   std::shared_ptr<TokenQuotaOwner> MakeQuotaOwner();
   std::shared_ptr<TokenReserver> MakeReserver();
   std::shared_ptr<BatchIntake> MakeIntake();
-  void Tick();
+  void ScheduleTick();
   void ReportLoad();
 
   Environment& environment_;
@@ -73,9 +73,9 @@
   std::shared_ptr<TokenReserver> reserver_;
   std::shared_ptr<BatchIntake> intake_;
   RetentionSweeper retention_;
-  BatchRequestHandler batch_requests_;
-  WorkRequestHandler work_requests_;
-  TokenRequestHandler token_requests_;
+  BatchRequestHandler batch_request_handler_;
+  WorkRequestHandler work_request_handler_;
+  TokenRequestHandler token_request_handler_;
   bool stopped_ = false;
 };
 
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -16,21 +16,21 @@
   ServeWork();
   ServeRecovery();
   const std::weak_ptr<bool> alive = alive_;
-  const auto guarded = [alive](std::function<void()> action) {
+  const auto if_alive = [alive](std::function<void()> action) {
     return [alive, action = std::move(action)] {
       if (!alive.expired()) {
         action();
       }
     };
   };
-  agent_.OnRegistered(guarded([this] { BeginIncarnation(); }));
-  agent_.OnFenced(guarded([this] { EndIncarnation(); }));
-  agent_.OnFleet(guarded([this] {
+  agent_.OnRegistered(if_alive([this] { BeginIncarnation(); }));
+  agent_.OnFenced(if_alive([this] { EndIncarnation(); }));
+  agent_.OnFleet(if_alive([this] {
     if (incarnation_ != nullptr) {
       incarnation_->OnFleet();
     }
   }));
-  agent_.OnConfiguration(guarded([this] {
+  agent_.OnConfiguration(if_alive([this] {
     if (incarnation_ != nullptr) {
       incarnation_->OnConfiguration();
     }
@@ -71,7 +71,7 @@
           reply(Status(StatusCode::kUnavailable, "this queue node is not registered"));
           return;
         }
-        const auto counted = [this, alive, name, reply](Result<Response> result) {
+        const auto count_and_reply = [this, alive, name, reply](Result<Response> result) {
           if (!result.ok() && !alive.expired()) {
             environment_.metrics().Increment(
                 "queue_refusals_total",
@@ -79,30 +79,30 @@
           }
           reply(std::move(result));
         };
-        (((*incarnation_).*get_handler)().*handle)(request, counted);
+        (((*incarnation_).*get_handler)().*handle)(request, count_and_reply);
       });
 }
 
 void QueueService::ServeBatches() {
-  const auto batch_requests = &QueueNodeIncarnation::batch_requests;
-  Serve("queue.SubmitBatch", batch_requests, &BatchRequestHandler::Submit);
-  Serve("queue.GetBatch", batch_requests, &BatchRequestHandler::Get);
-  Serve("queue.ListBatches", batch_requests, &BatchRequestHandler::ListBatches);
-  Serve("queue.ListResults", batch_requests, &BatchRequestHandler::ListResults);
-  Serve("queue.GetItem", batch_requests, &BatchRequestHandler::GetItem);
-  Serve("queue.CancelBatch", batch_requests, &BatchRequestHandler::Cancel);
+  const auto batch_request_handler = &QueueNodeIncarnation::batch_request_handler;
+  Serve("queue.SubmitBatch", batch_request_handler, &BatchRequestHandler::Submit);
+  Serve("queue.GetBatch", batch_request_handler, &BatchRequestHandler::Get);
+  Serve("queue.ListBatches", batch_request_handler, &BatchRequestHandler::ListBatches);
+  Serve("queue.ListResults", batch_request_handler, &BatchRequestHandler::ListResults);
+  Serve("queue.GetItem", batch_request_handler, &BatchRequestHandler::GetItem);
+  Serve("queue.CancelBatch", batch_request_handler, &BatchRequestHandler::Cancel);
 }
 
 void QueueService::ServeTokens() {
-  const auto token_requests = &QueueNodeIncarnation::token_requests;
-  Serve("queue.ReserveTokens", token_requests, &TokenRequestHandler::ReserveTokens);
-  Serve("queue.CountOpenTokens", token_requests, &TokenRequestHandler::CountOpenTokens);
+  const auto token_request_handler = &QueueNodeIncarnation::token_request_handler;
+  Serve("queue.ReserveTokens", token_request_handler, &TokenRequestHandler::ReserveTokens);
+  Serve("queue.CountOpenTokens", token_request_handler, &TokenRequestHandler::CountOpenTokens);
 }
 
 void QueueService::ServeWork() {
-  const auto work_requests = &QueueNodeIncarnation::work_requests;
-  Serve("queue.AcquireWork", work_requests, &WorkRequestHandler::Acquire);
-  Serve("queue.ReportWork", work_requests, &WorkRequestHandler::Report);
+  const auto work_request_handler = &QueueNodeIncarnation::work_request_handler;
+  Serve("queue.AcquireWork", work_request_handler, &WorkRequestHandler::Acquire);
+  Serve("queue.ReportWork", work_request_handler, &WorkRequestHandler::Report);
 }
 
 void QueueService::ServeRecovery() {
--- a/src/queue/read_limit.h
+++ b/src/queue/read_limit.h
@@ -19,25 +19,25 @@
   /// @return whether a read may start. If not, `on_capacity` runs once after a running read has
   /// ended.
   bool Acquire(std::function<void()> on_capacity) {
-    if (active_ < max_parallel_) {
-      ++active_;
+    if (running_ < max_parallel_) {
+      ++running_;
       return true;
     }
-    waiting_.push_back(std::move(on_capacity));
+    waiting_callbacks_.push_back(std::move(on_capacity));
     return false;
   }
   /// Call it when a read that `Acquire` allowed has ended.
   void Release() {
-    --active_;
-    for (const std::function<void()>& on_capacity : std::exchange(waiting_, {})) {
+    --running_;
+    for (const std::function<void()>& on_capacity : std::exchange(waiting_callbacks_, {})) {
       on_capacity();
     }
   }
 
  private:
   const std::size_t max_parallel_;
-  std::size_t active_ = 0;
-  std::vector<std::function<void()>> waiting_;
+  std::size_t running_ = 0;
+  std::vector<std::function<void()>> waiting_callbacks_;
 };
 
 }  // namespace cloverbank
--- a/src/queue/recovery_runner.cc
+++ b/src/queue/recovery_runner.cc
@@ -6,7 +6,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kParallelSegmentReads = 4;
+constexpr std::size_t kMaxParallelSegmentReads = 4;
 
 }  // namespace
 
@@ -16,7 +16,7 @@
       agent_(agent),
       log_(log),
       on_fenced_(std::move(on_fenced)),
-      read_limit_(std::make_shared<ReadLimit>(kParallelSegmentReads)) {}
+      read_limit_(std::make_shared<ReadLimit>(kMaxParallelSegmentReads)) {}
 
 void RecoveryRunner::Recover(const proto::RecoverPartitionsRequest& request,
                              const std::vector<PartitionId>& partitions) {
@@ -30,7 +30,7 @@
   }
   for (const auto& recovery : recoveries_) {
     if (recovery->dead_node() == dead_node) {
-      recovery->UpdateSources(request);
+      recovery->HandleRepeatedRequest(request);
     }
   }
   if (!to_start.empty()) {
@@ -40,9 +40,9 @@
   }
 }
 
-void RecoveryRunner::Drop(PartitionId partition, NodeId except) {
+void RecoveryRunner::Drop(PartitionId partition, NodeId kept_dead_node) {
   for (const auto& recovery : recoveries_) {
-    if (recovery->dead_node() != except) {
+    if (recovery->dead_node() != kept_dead_node) {
       recovery->Drop(partition);
     }
   }
@@ -70,7 +70,7 @@
 
 bool RecoveryRunner::IsRecovering(PartitionId partition) const {
   return std::any_of(recoveries_.begin(), recoveries_.end(),
-                     [partition](const auto& recovery) { return recovery->Covers(partition); });
+                     [partition](const auto& recovery) { return recovery->Includes(partition); });
 }
 
 void RecoveryRunner::EraseFinished() {
--- a/src/queue/recovery_runner.h
+++ b/src/queue/recovery_runner.h
@@ -31,9 +31,9 @@
   /// @param partitions of `request` that this node does not own yet.
   void Recover(const proto::RecoverPartitionsRequest& request,
                const std::vector<PartitionId>& partitions);
-  /// Abandons recoveries of the partition from any log but that of `except`: it has another owner,
-  /// or is recovered from another log now.
-  void Drop(PartitionId partition, NodeId except);
+  /// Abandons recoveries of the partition from any log but that of `kept_dead_node`: it has another
+  /// owner, or is recovered from another log now.
+  void Drop(PartitionId partition, NodeId kept_dead_node);
   /// @return the batches of a recovered partition; nullptr if it was not recovered here.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
   /// @return watermarks of the recovered partitions that have not been taken.
--- a/src/queue/retention_sweeper.cc
+++ b/src/queue/retention_sweeper.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Batches removed from one partition in one sweep.
-constexpr std::size_t kRemovedPerSweep = 500;
+constexpr std::size_t kMaxRemovedPerSweep = 500;
 
 }  // namespace
 
@@ -22,17 +22,17 @@
       options_(options) {}
 
 void RetentionSweeper::SweepIfDue() {
-  if (environment_.Now() - swept_at_ < options_.sweep_interval || !log_.Accepting().ok()) {
+  if (environment_.Now() - last_sweep_at_ < options_.sweep_interval || !log_.Accepting().ok()) {
     return;
   }
-  swept_at_ = environment_.Now();
-  const std::int64_t cutoff_ms = Cutoff();
+  last_sweep_at_ = environment_.Now();
+  const std::int64_t cutoff_ms = ComputeCutoffMs();
   for (const auto& [id, partition] : ownership_.partitions()) {
     RemoveFinished(*partition, cutoff_ms);
   }
 }
 
-std::int64_t RetentionSweeper::Cutoff() const {
+std::int64_t RetentionSweeper::ComputeCutoffMs() const {
   const std::uint64_t configured = agent_.configuration().batch().retention_s();
   const Duration retention = configured == 0 ? options_.default_retention : seconds(configured);
   return environment_.WallMilliseconds() -
@@ -42,7 +42,7 @@
 void RetentionSweeper::RemoveFinished(OwnedPartition& partition, std::int64_t cutoff_ms) {
   std::vector<proto::LogEntry> entries;
   for (std::string& batch_id : partition.store().FindFinishedBy(cutoff_ms)) {
-    if (entries.size() < kRemovedPerSweep) {
+    if (entries.size() < kMaxRemovedPerSweep) {
       entries.emplace_back().mutable_batch_removed()->set_batch_id(std::move(batch_id));
     }
   }
--- a/src/queue/retention_sweeper.h
+++ b/src/queue/retention_sweeper.h
@@ -27,7 +27,7 @@
 
  private:
   /// @return wall time in milliseconds since the epoch; batches that finished by then are removed.
-  std::int64_t Cutoff() const;
+  std::int64_t ComputeCutoffMs() const;
   static void RemoveFinished(OwnedPartition& partition, std::int64_t cutoff_ms);
 
   Environment& environment_;
@@ -35,7 +35,7 @@
   const SegmentLog& log_;
   const PartitionOwnership& ownership_;
   RetentionOptions options_;
-  TimePoint swept_at_;
+  TimePoint last_sweep_at_;
 };
 
 }  // namespace cloverbank
--- a/tests/queue/durability_simulation_test.cc
+++ b/tests/queue/durability_simulation_test.cc
@@ -13,7 +13,7 @@
  protected:
   explicit DurabilityTest(std::uint64_t retention_s = 0)
       : fleet_(static_cast<std::uint64_t>(GetParam())), workload_(fleet_, retention_s) {
-    fleet_.queue_options.retention_sweep = seconds(1);
+    fleet_.queue_options.sweep_interval = seconds(1);
     fleet_.StartAll();
     workload_.Start();
     fleet_.world.RunFor(seconds(6));
