--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -10,9 +10,10 @@
 namespace cloverbank {
 namespace {
 
-/// Size of one BatchItems entry.
+/// Limit of the summed item sizes in one BatchItems entry. A larger item gets an entry of its own.
 constexpr std::size_t kMaxItemsEntryBytes = 128U << 10U;
-/// Appended together; entries of other batches may be logged between two appends of a large batch.
+/// BatchItems entries in one append. A large batch takes several appends, so that entries of other
+/// batches can be logged between them.
 constexpr std::size_t kMaxEntriesPerAppend = 8;
 
 Status MakeInvalidStatus(const std::string& message) {
--- a/src/queue/batch_request_handler.cc
+++ b/src/queue/batch_request_handler.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// Answers with what `read` finds among the partition's batches, or why it must not be asked.
+/// Replies with the result of `read` on the partition's store, or with the error of
+/// `PartitionOwnership::Require` if this node may not answer for the partition.
 template <typename Response, typename Read>
 void AnswerFromStore(const PartitionOwnership& ownership, std::uint64_t partition_id,
                      const BatchRequestHandler::Reply<Response>& reply, const Read& read) {
--- a/src/queue/batch_request_handler.h
+++ b/src/queue/batch_request_handler.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Answers requests for batches of the partitions that this queue node owns: submission, status,
-/// lists and cancellation. Each refuses kUnavailable without the node's lease and kConflict
-/// (`MakeNotOwnerStatus`) for a partition of another owner.
+/// Answers requests about batches in the partitions that this queue node owns: submission, status,
+/// lists and cancellation. Every request fails with kUnavailable if the node has no valid lease,
+/// and with kConflict (`MakeNotOwnerStatus`) if the node does not own the partition.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; replies run there too.
 
 #include <functional>
 
@@ -23,20 +23,20 @@
   BatchRequestHandler(const PartitionOwnership& ownership, BatchIntake& intake,
                       WorkDispatcher& dispatcher);
 
-  /// Errors as of `BatchIntake::Submit`.
+  /// Other errors: those of `BatchIntake::Submit`.
   void Submit(const proto::SubmitBatchRequest& request,
               const Reply<proto::SubmitBatchResponse>& reply);
-  /// kNotFound if there is no such batch.
+  /// Fails with kNotFound if the partition has no such batch.
   void Get(const proto::GetBatchRequest& request, const Reply<proto::GetBatchResponse>& reply);
-  /// Errors as of `BatchStore::ListBatches`.
+  /// Other errors: those of `BatchStore::ListBatches`.
   void ListBatches(const proto::ListBatchesRequest& request,
                    const Reply<proto::ListBatchesResponse>& reply);
-  /// Errors as of `BatchStore::ListResults`.
+  /// Other errors: those of `BatchStore::ListResults`.
   void ListResults(const proto::ListResultsRequest& request,
                    const Reply<proto::ListResultsResponse>& reply);
-  /// kNotFound for an item that has its result or does not exist.
+  /// Fails with kNotFound if the item already has its result or does not exist.
   void GetItem(const proto::GetItemRequest& request, const Reply<proto::GetItemResponse>& reply);
-  /// Errors as of `WorkDispatcher::Cancel`.
+  /// Other errors: those of `WorkDispatcher::Cancel`.
   void Cancel(const proto::CancelBatchRequest& request,
               const Reply<proto::CancelBatchResponse>& reply);
 
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -17,7 +17,8 @@
     if (NodeId(partition.owner()) == agent_.node_id() && agent_.node_id().valid()) {
       assigned.insert(id);
     } else if (partition.owner() != 0) {
-      // A view from before the death still names the dead owner.
+      // Keeps a recovery from this owner's own log: a fleet view from before the owner's death
+      // still names it.
       recoveries_.Drop(id, NodeId(partition.owner()));
     }
   }
@@ -38,7 +39,7 @@
 }
 
 void PartitionOwnership::Activate(PartitionId id) {
-  // Without a recovery it is a partition that was never used: nothing was logged of it anywhere.
+  // A partition without a recovery was never used: no log has entries of it.
   std::unique_ptr<BatchStore> store = recoveries_.TakeStore(id);
   const bool recovered = store != nullptr;
   if (!recovered) {
--- a/src/queue/partition_ownership.h
+++ b/src/queue/partition_ownership.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The partitions that one incarnation of a queue node owns, and its right to answer for them.
-/// Follows the fleet view: a partition becomes owned once the coordinators have committed this node
-/// as its owner, with the batches that were recovered for it.
+/// The partitions that one incarnation of a queue node owns, and the checks whether it may answer
+/// for them now. Ownership follows the fleet view: a partition becomes owned once the coordinators
+/// have committed this node as its owner. It starts with the batches that were recovered for it.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; observers and replies run there too.
 
 #include <cstdint>
 #include <functional>
@@ -25,34 +25,38 @@
 class PartitionOwnership {
  public:
   using PartitionMap = std::map<PartitionId, std::shared_ptr<OwnedPartition>>;
-  /// Run when a partition becomes owned, and when it is lost (it is still listed then).
   struct Observers {
+    /// Runs after a partition has become owned.
     std::function<void(const std::shared_ptr<OwnedPartition>&)> on_activated;
+    /// Runs when this node has lost a partition, while `partitions()` still contains it.
     std::function<void(PartitionId)> on_deactivated;
   };
 
   PartitionOwnership(NodeAgent& agent, SegmentLog& log, RecoveryRunner& recoveries,
                      Observers observers);
 
-  /// Activates and deactivates partitions as the fleet view names their owners.
+  /// Activates the partitions that the agent's fleet view newly assigns to this node, deactivates
+  /// those it no longer assigns, and drops recoveries of partitions that have another owner.
   void ApplyFleetView();
-  /// Deactivates all partitions without notifying the observers: nothing is answered from them any
-  /// more.
+  /// Deactivates all partitions when the incarnation ends, without notifying the observers.
+  /// Nothing is answered from them any more; pending `OwnedPartition::Log` calls fail with
+  /// kUnknownOutcome.
   void DeactivateAll();
-  /// Answers a coordinator's request to recover partitions: starts recovery of those not owned yet.
-  /// kConflict if the request is for another node id.
+  /// Starts recovery of the requested partitions that this node does not own yet, and replies at
+  /// once. Fails with kConflict if the request is for another node id.
   void Recover(const proto::RecoverPartitionsRequest& request,
                const std::function<void(Result<proto::RecoverPartitionsResponse>)>& reply);
 
-  /// @return kUnavailable if this node may answer nothing now because its lease has run out.
+  /// @return OK, or kUnavailable if this node has no valid lease and so may not answer.
   Status RequireLease() const;
-  /// @return the partition if this node may answer for it now; kUnavailable without the lease,
-  /// kConflict (`MakeNotOwnerStatus`) for one that it does not own.
+  /// @return the partition if this node may answer for it now; kUnavailable if the node has no
+  /// valid lease, kConflict (`MakeNotOwnerStatus`) if it does not own the partition.
   Result<std::shared_ptr<OwnedPartition>> Require(std::uint64_t partition_id) const;
   /// @return the partition, or nullptr if it is not owned. Does not check the lease.
   std::shared_ptr<OwnedPartition> Find(PartitionId partition) const;
   const PartitionMap& partitions() const { return partitions_; }
-  /// @return watermarks of owned and of recovered partitions, for the start of a segment.
+  /// @return watermarks for the start of a new log segment: of the owned partitions, and of those
+  /// that are recovered but not owned yet.
   std::vector<proto::LogEntry> Watermarks() const;
 
  private:
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -13,7 +13,7 @@
 constexpr Duration kReadDeadline = seconds(3);
 constexpr Duration kReportDeadline = seconds(2);
 constexpr Duration kRetryDelay = milliseconds(100);
-/// Size of one append.
+/// An append takes entries until they reach this size, so it may exceed it by part of one entry.
 constexpr std::size_t kTargetChunkBytes = 2U << 20U;
 
 }  // namespace
@@ -289,7 +289,8 @@
   reporting_ = false;
   switch (status.code()) {
     case StatusCode::kOk:
-      reported_ = true;  // The stores wait until the fleet view names this node as the owner.
+      // The recovered stores are kept until the fleet view names this node as the owner.
+      reported_ = true;
       Log(LogLevel::kInfo, "recovery_reported",
           {{"dead_node", request_.dead_node_id()}, {"partitions", recovering_.size()}});
       return;
@@ -299,8 +300,9 @@
     case StatusCode::kConflict:
     case StatusCode::kNotFound:
     case StatusCode::kInvalidArgument:
-      // Probably assigned to another node. The batches are dropped only when the fleet view names
-      // that owner: dropping them too early would make a recovered partition look unused.
+      // The partitions were probably assigned to another node. Their batches are dropped only when
+      // the fleet view names that owner: if they were dropped earlier and this node became the
+      // owner after all, it would take the partition for one that was never used.
       reported_ = true;
       Log(LogLevel::kWarning, "recovery_report_refused", {{"status", status.ToString()}});
       return;
--- a/src/queue/partition_recovery.h
+++ b/src/queue/partition_recovery.h
@@ -1,11 +1,15 @@
 #pragma once
 /// @file
-/// Recovery of some partitions of one dead queue node at this one (RAMCloud page, recovery steps 5
-/// and 6): reads their entries from the backups, logs them again, and reports to the coordinators
-/// when they are durable. None of it is visible until the coordinators commit this node as the
-/// partitions' owner.
+/// Recovers some partitions of one dead queue node at this node (RAMCloud page, recovery steps 5
+/// and 6): reads their entries from the backups, appends them to this node's log, and reports to
+/// the coordinators when all are durable. Clients see none of it until the coordinators commit this
+/// node as the partitions' owner.
 ///
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// A failed read, append or report is retried until it succeeds, the coordinators refuse the
+/// report, or the incarnation ends.
+///
+/// Threads: the owner's event loop only; callbacks run there too. Create it with
+/// `std::make_shared`.
 
 #include <functional>
 #include <map>
@@ -24,63 +28,75 @@
 
 class PartitionRecovery : public std::enable_shared_from_this<PartitionRecovery> {
  public:
-  /// @param read_limit shared by all recoveries of this node.
-  /// @param partitions of `request` to recover.
-  /// @param on_fenced runs when the coordinators reject this node id as dead.
+  /// @param read_limit the limit of parallel segment reads, shared by all recoveries of this node.
+  /// @param partitions the partitions of `request` to recover.
+  /// @param on_fenced runs with a reason for logs when the coordinators reject this node id as
+  /// dead.
   PartitionRecovery(Environment& environment, NodeAgent& agent, SegmentLog& log,
                     std::shared_ptr<ReadLimit> read_limit, proto::RecoverPartitionsRequest request,
                     const std::vector<PartitionId>& partitions,
                     std::function<void(const std::string&)> on_fenced);
 
   void Start();
-  /// Handles a repeated request: the list of backups may have changed, and the report is sent
-  /// again.
+  /// Takes over the lists of backups of a repeated request, which may have changed. Sends the
+  /// report again if all partitions are durable.
   void HandleRepeatedRequest(const proto::RecoverPartitionsRequest& request);
 
   NodeId dead_node() const { return NodeId(request_.dead_node_id()); }
   bool Includes(PartitionId partition) const { return recovering_.contains(partition); }
-  /// Abandons the partition: it is recovered from another log now, or has another owner.
+  /// Abandons the recovery of a partition that is recovered from another log now, or has another
+  /// owner.
   void Drop(PartitionId partition);
-  /// @return the partition's batches once its entries are durable, else nullptr. The partition is
-  /// no longer part of this recovery then.
+  /// Hands over the batches of a recovered partition and removes it from this recovery.
+  /// @return nullptr if the partition's entries are not all durable yet, or if it is not part of
+  /// this recovery.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
-  /// Whether no partition remains to be recovered or taken.
+  /// Whether every partition was taken (`TakeStore`) or dropped.
   bool IsFinished() const { return recovering_.empty(); }
   /// @return watermarks of the partitions whose entries are durable.
   std::vector<proto::LogEntry> Watermarks() const;
 
  private:
-  /// Replay of one partition.
+  /// The state of one partition's recovery.
   struct RecoveringPartition {
-    std::vector<proto::LogEntry> entries;
-    std::size_t logged = 0;
-    PartitionSequence next_sequence;
+    std::vector<proto::LogEntry> entries;  ///< To append to this node's log, by sequence.
+    std::size_t logged = 0;                ///< How many of `entries` were appended.
+    PartitionSequence next_sequence;       ///< Of the first entry that the new owner adds.
     std::unique_ptr<BatchStore> store;
-    bool durable = false;  ///< All entries are logged again and applied to `store`.
+    bool durable = false;  ///< Whether all entries are durable again and applied to `store`.
   };
+  /// The state of reading one segment of the dead node's log.
   struct SegmentRead {
-    std::size_t failed_attempts = 0;
+    std::size_t failed_attempts = 0;  ///< Selects the backup to read from next.
     bool in_progress = false;
     bool done = false;
     std::vector<proto::LogEntry> entries;
   };
 
+  /// Starts the reads that are still to be done; once all segments are read, goes on to log them.
   void ReadRemaining();
   void ReadSegment(std::size_t segment_index);
   proto::GetRecoveryDataRequest MakeReadRequest(const proto::RecoverySegment& segment) const;
-  /// @return whether a read may start now; if not, `ReadRemaining` runs when one has ended.
+  /// @return whether a read may start now; if not, `ReadRemaining` runs after another read has
+  /// ended.
   bool AcquireReadSlot();
   void HandleSegmentRead(std::size_t segment_index, Result<proto::GetRecoveryDataResponse> result);
+  /// Distributes the entries of all segments to their partitions, in replay order.
   void SortEntries();
+  /// Appends the next chunk, one at a time; once all partitions are durable, reports.
   void LogRemaining();
+  /// @return the next entries of the partition. The first chunk starts with a watermark that voids
+  /// earlier entries of the partition in this log, the last one ends with one of the next sequence.
   std::vector<proto::LogEntry> MakeNextChunk(PartitionId partition,
                                              RecoveringPartition& recovering) const;
   void LogChunk(PartitionId partition, RecoveringPartition& recovering);
-  /// @param logged_before how much of the partition was logged without this chunk.
+  /// @param logged_before how many of the partition's entries were logged before this chunk.
   void HandleLogged(PartitionId partition, std::size_t logged_before,
                     const std::shared_ptr<std::vector<proto::LogEntry>>& chunk,
                     const Status& status);
+  /// Applies a durable chunk to the partition's store.
   void ApplyChunk(RecoveringPartition& recovering, std::vector<proto::LogEntry>& chunk);
+  /// Reports all remaining partitions to the coordinators as recovered.
   void ReportRecovered();
   void HandleReportAnswer(const Status& status);
   void RetryLater(void (PartitionRecovery::*step)());
@@ -92,12 +108,12 @@
   proto::RecoverPartitionsRequest request_;
   std::function<void(const std::string&)> on_fenced_;
   std::map<PartitionId, RecoveringPartition> recovering_;
-  std::vector<SegmentRead> segment_reads_;  ///< One for each segment of the request.
+  std::vector<SegmentRead> segment_reads_;  ///< One for each segment of the request, same order.
   bool waiting_for_read_slot_ = false;      ///< `read_limit_` will call back.
-  bool entries_sorted_ = false;
-  bool logging_ = false;
-  bool reporting_ = false;
-  bool reported_ = false;
+  bool entries_sorted_ = false;             ///< `SortEntries` has run.
+  bool logging_ = false;                    ///< An append has not completed yet.
+  bool reporting_ = false;                  ///< A report has not been answered yet.
+  bool reported_ = false;                   ///< The coordinators accepted or refused the report.
 };
 
 }  // namespace cloverbank
--- a/src/queue/queue_node_incarnation.h
+++ b/src/queue/queue_node_incarnation.h
@@ -1,11 +1,12 @@
 #pragma once
 /// @file
 /// One incarnation of a queue node, from its registration under a node id until that id is dead.
-/// Builds and ties together the parts that do the work: the log, the owned partitions, recoveries,
-/// intake, dispatch, token quotas, retention. All of it is dropped with the incarnation; the
-/// durable part is in the log.
+/// Creates and connects its components: the log, the owned partitions, recoveries, batch intake,
+/// work dispatch, token quotas and retention. Their state is dropped with the incarnation; what is
+/// durable is in the log.
 ///
-/// Threads: the owner's event loop only. Made by `std::make_shared`.
+/// Threads: the owner's event loop only; callbacks run there too. Create it with
+/// `std::make_shared`.
 
 #include <functional>
 #include <memory>
@@ -31,20 +32,26 @@
 struct QueueOptions {
   SegmentLogOptions log;
   Duration tick_interval = milliseconds(250);     ///< Between checks of leases and cancellations.
-  Duration sweep_interval = seconds(30);          ///< Between removals of old batches.
-  Duration default_retention = seconds(604'800);  ///< Used where the configuration sets none.
+  Duration sweep_interval = seconds(30);          ///< Between removals of old finished batches.
+  Duration default_retention = seconds(604'800);  ///< Used if the configuration sets none.
 };
 
 class QueueNodeIncarnation : public std::enable_shared_from_this<QueueNodeIncarnation> {
  public:
+  /// @param on_fenced runs with a reason for logs when a backup or the coordinators reject the
+  /// agent's node id as dead.
   QueueNodeIncarnation(Environment& environment, NodeAgent& agent, QueueOptions options,
                        std::function<void(const std::string& reason)> on_fenced);
 
+  /// Opens the log, activates the partitions that the fleet view assigns to this node, and starts
+  /// the periodic work.
   void Start();
   /// Ends the incarnation: pending appends fail with kUnknownOutcome, pending AcquireWork requests
   /// with kUnavailable.
   void Stop();
+  /// Reacts to a change of the agent's fleet view.
   void OnFleet();
+  /// Reacts to a change of the agent's configuration.
   void OnConfiguration();
   /// Whether some log segment has fewer replicas than configured.
   bool degraded() const { return log_.degraded(); }
@@ -59,7 +66,9 @@
   std::shared_ptr<TokenQuotaOwner> MakeQuotaOwner();
   std::shared_ptr<TokenReserver> MakeReserver();
   std::shared_ptr<BatchIntake> MakeIntake();
+  /// Runs the periodic work after each `QueueOptions::tick_interval` until `Stop`.
   void ScheduleTick();
+  /// Updates the gauges and the load that the agent reports to the coordinators.
   void ReportLoad();
 
   Environment& environment_;
--- a/src/queue/queue_service.cc
+++ b/src/queue/queue_service.cc
@@ -55,7 +55,8 @@
   const std::shared_ptr<QueueNodeIncarnation> ended = std::move(incarnation_);
   incarnation_ = nullptr;
   ended->Stop();
-  // It may be on the call stack now, and its log still answers pending appends.
+  // Keeps the incarnation alive until a later turn of the event loop: one of its functions may be
+  // on the call stack now, and its log still has to answer pending appends.
   environment_.ScheduleAfter(Duration::zero(), [ended] {});
 }
 
--- a/src/queue/queue_service.h
+++ b/src/queue/queue_service.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// A queue node (RAMCloud's master): owner of batch partitions. Serves the `queue.*` methods of
-/// batch.proto and log.proto. Each registration starts a new `QueueNodeIncarnation` under a fresh
-/// node id with an empty log; when the id is declared dead, all pending requests fail and the state
-/// is dropped.
+/// A queue node (a master in RAMCloud's terms): the owner of batch partitions. Serves the `queue.*`
+/// methods of batch.proto and log.proto. Each registration starts a new `QueueNodeIncarnation`
+/// under a fresh node id with an empty log; when the id is declared dead, all pending requests fail
+/// and the incarnation's state is dropped.
 ///
 /// Threads: the environment's event loop only.
 
@@ -25,7 +25,7 @@
   QueueService(const QueueService&) = delete;
   QueueService& operator=(const QueueService&) = delete;
 
-  /// Registers the peer methods and starts an incarnation at each registration of the agent. Call
+  /// Registers the peer methods, and starts an incarnation each time the agent has registered. Call
   /// it once, before the agent starts.
   void Start();
   /// Whether the node is not registered, or some log segment has fewer replicas than configured.
@@ -46,7 +46,9 @@
   Environment& environment_;
   NodeAgent& agent_;
   QueueOptions options_;
-  std::shared_ptr<QueueNodeIncarnation> incarnation_;
+  std::shared_ptr<QueueNodeIncarnation> incarnation_;  ///< nullptr while not registered.
+  /// Expires with the service. Callbacks that may run later hold a weak pointer to it and do
+  /// nothing then.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/queue/read_limit.h
+++ b/src/queue/read_limit.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Limits how many segments a queue node reads in parallel over all its recoveries. Too many reads
-/// on one link would all exceed their deadlines, and no recovery would end.
+/// Limits how many segments a queue node reads in parallel, over all its recoveries. With too many
+/// reads on one link, all would exceed their deadlines and no recovery would end.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; callbacks run there too.
 
 #include <cstddef>
 #include <functional>
@@ -16,8 +16,8 @@
  public:
   explicit ReadLimit(std::size_t max_parallel) : max_parallel_(max_parallel) {}
 
-  /// @return whether a read may start. If not, `on_capacity` runs once after a running read has
-  /// ended.
+  /// @return whether a read may start now. If not, `on_capacity` runs once, in the next `Release`;
+  /// it must call `Acquire` again to start its read.
   bool Acquire(std::function<void()> on_capacity) {
     if (running_ < max_parallel_) {
       ++running_;
@@ -26,7 +26,7 @@
     waiting_callbacks_.push_back(std::move(on_capacity));
     return false;
   }
-  /// Call it when a read that `Acquire` allowed has ended.
+  /// Ends a read that `Acquire` allowed, and runs the waiting callbacks.
   void Release() {
     --running_;
     for (const std::function<void()>& on_capacity : std::exchange(waiting_callbacks_, {})) {
--- a/src/queue/recovery_runner.h
+++ b/src/queue/recovery_runner.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// The partition recoveries of one incarnation of a queue node. A partition is recovered from one
-/// dead node's log at a time; all recoveries share a limit of parallel segment reads.
+/// Runs the partition recoveries of one incarnation of a queue node. A partition is recovered from
+/// the log of one dead node at a time; all recoveries share one limit of parallel segment reads.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; callbacks run there too.
 
 #include <functional>
 #include <memory>
@@ -22,21 +22,24 @@
 
 class RecoveryRunner {
  public:
-  /// @param on_fenced runs when the coordinators reject this node id as dead.
+  /// @param on_fenced runs with a reason for logs when the coordinators reject this node id as
+  /// dead.
   RecoveryRunner(Environment& environment, NodeAgent& agent, SegmentLog& log,
                  std::function<void(const std::string& reason)> on_fenced);
 
-  /// Starts recovery of those of `partitions` that are not being recovered from the request's log,
-  /// and gives running recoveries of that log its newer list of backups.
-  /// @param partitions of `request` that this node does not own yet.
+  /// Starts recovery of those `partitions` that are not being recovered from the log of the
+  /// request's dead node yet, and passes the request to running recoveries of that log, whose lists
+  /// of backups may be older. Abandons recoveries of `partitions` from other logs.
+  /// @param partitions the partitions of `request` that this node does not own yet.
   void Recover(const proto::RecoverPartitionsRequest& request,
                const std::vector<PartitionId>& partitions);
-  /// Abandons recoveries of the partition from any log but that of `kept_dead_node`: it has another
-  /// owner, or is recovered from another log now.
+  /// Abandons recoveries of a partition that has another owner or is recovered from another log
+  /// now. Keeps a recovery from the log of `kept_dead_node`.
   void Drop(PartitionId partition, NodeId kept_dead_node);
-  /// @return the batches of a recovered partition; nullptr if it was not recovered here.
+  /// Hands over the batches of a recovered partition.
+  /// @return nullptr if this node has not recovered the partition.
   std::unique_ptr<BatchStore> TakeStore(PartitionId partition);
-  /// @return watermarks of the recovered partitions that have not been taken.
+  /// @return watermarks of the recovered partitions that were not handed over by `TakeStore` yet.
   std::vector<proto::LogEntry> Watermarks() const;
 
  private:
--- a/src/queue/retention_sweeper.cc
+++ b/src/queue/retention_sweeper.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-/// Batches removed from one partition in one sweep.
+/// Limit of the batches removed from one partition in one sweep.
 constexpr std::size_t kMaxRemovedPerSweep = 500;
 
 }  // namespace
--- a/src/queue/retention_sweeper.h
+++ b/src/queue/retention_sweeper.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Removes finished batches after the configured retention time, by logging their removal.
+/// Removes batches once they have been finished for the configured retention time, by logging their
+/// removal.
 ///
 /// Threads: the owner's event loop only.
 
@@ -14,7 +15,7 @@
 
 struct RetentionOptions {
   Duration sweep_interval{};
-  Duration default_retention{};  ///< Where the configuration names none.
+  Duration default_retention{};  ///< Used if the configuration sets none.
 };
 
 class RetentionSweeper {
@@ -22,11 +23,13 @@
   RetentionSweeper(Environment& environment, NodeAgent& agent, const SegmentLog& log,
                    const PartitionOwnership& ownership, RetentionOptions options);
 
-  /// Sweeps if the interval has passed and the log accepts entries. Call it at each tick.
+  /// Removes old batches if `sweep_interval` has passed since the last sweep and the log accepts
+  /// entries. Call it at each tick.
   void SweepIfDue();
 
  private:
-  /// @return wall time in milliseconds since the epoch; batches that finished by then are removed.
+  /// @return wall-clock time in milliseconds since the epoch. Batches that had finished by then are
+  /// removed.
   std::int64_t ComputeCutoffMs() const;
   static void RemoveFinished(OwnedPartition& partition, std::int64_t cutoff_ms);
 
--- a/src/queue/token_request_handler.h
+++ b/src/queue/token_request_handler.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Answers other queue nodes about the limits of open tokens: reservations where this node is the
-/// quota owner, and counts at its own partitions.
+/// Answers requests of other queue nodes about the limits of open tokens: reservations, for which
+/// this node is the quota owner, and counts of the open tokens in this node's partitions.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; replies run there too.
 
 #include <functional>
 
@@ -20,14 +20,16 @@
   TokenRequestHandler(NodeAgent& agent, const PartitionOwnership& ownership,
                       TokenQuotaOwner& quota_owner, TokenReserver& reserver);
 
-  /// As `TokenQuotaOwner::Reserve`; kUnavailable without the lease, kConflict
-  /// (`MakeNotOwnerStatus`) if the quota's partition is not owned here.
+  /// Calls `TokenQuotaOwner::Reserve`. Fails with kUnavailable if the node has no valid lease, and
+  /// with kConflict (`MakeNotOwnerStatus`) if it does not own the partition of the request.
   void ReserveTokens(const proto::ReserveTokensRequest& request,
                      const TokenQuotaOwner::Reply& reply);
-  /// Never refuses: partitions that this node does not own are left out.
+  /// Never fails: leaves out partitions that this node may not answer for, because it does not own
+  /// them or has no valid lease. Replies before it returns.
   void CountOpenTokens(const proto::CountOpenTokensRequest& request,
                        const std::function<void(Result<proto::CountOpenTokensResponse>)>& reply);
-  /// @return the open tokens of those partitions of the request that this node owns.
+  /// Counts open tokens and records the counts at the reserver.
+  /// @return the open tokens in each partition of the request that this node may answer for.
   proto::CountOpenTokensResponse CountOwnTokens(const proto::CountOpenTokensRequest& request);
 
  private:
--- a/src/queue/work_request_handler.h
+++ b/src/queue/work_request_handler.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Answers gateways that acquire batch items or report on them. Refuses kUnavailable without the
-/// node's lease.
+/// Answers requests of gateways that acquire batch items or report on them. Every request fails
+/// with kUnavailable if the node has no valid lease.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: the owner's event loop only; replies run there too.
 
 #include "queue/partition_ownership.h"
 #include "work_dispatch/work_dispatcher.h"
@@ -14,9 +14,9 @@
  public:
   WorkRequestHandler(const PartitionOwnership& ownership, WorkDispatcher& dispatcher);
 
-  /// As `WorkDispatcher::Acquire`.
+  /// Calls `WorkDispatcher::Acquire`.
   void Acquire(const proto::AcquireWorkRequest& request, const WorkDispatcher::AcquireReply& reply);
-  /// As `WorkDispatcher::Report`.
+  /// Calls `WorkDispatcher::Report`.
   void Report(const proto::ReportWorkRequest& request, const WorkDispatcher::ReportReply& reply);
 
  private:
