--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -55,16 +55,21 @@
 
 Status BatchIntake::CheckContent(const proto::SubmitBatch& batch) const {
   if (batch.tenant().empty() || batch.route().empty() || batch.items().empty()) {
-    return MakeInvalidStatus("a batch needs a tenant, a route and at least one item");
+    return MakeInvalidStatus(
+        "a batch needs a tenant, a route and at least one item; this one has tenant \"" +
+        batch.tenant() + "\", route \"" + batch.route() + "\" and " +
+        std::to_string(batch.items_size()) + " items");
   }
   std::unordered_set<std::string_view> custom_ids;
   for (const proto::BatchItem& item : batch.items()) {
     if (!custom_ids.insert(item.custom_id()).second) {
-      return MakeInvalidStatus("custom_id \"" + item.custom_id() + "\" is used twice");
+      return MakeInvalidStatus("custom_id \"" + item.custom_id() +
+                               "\" is used by more than one item");
     }
     if (item.ByteSizeLong() > log_.largest_entry() / 2) {
-      return MakeInvalidStatus("item \"" + item.custom_id() + "\" is larger than " +
-                               std::to_string(log_.largest_entry() / 2) + " bytes");
+      return MakeInvalidStatus("item \"" + item.custom_id() + "\" has " +
+                               std::to_string(item.ByteSizeLong()) + " bytes; at most " +
+                               std::to_string(log_.largest_entry() / 2) + " are allowed");
     }
   }
   return Status::Ok();
@@ -82,8 +87,10 @@
     return Status::Ok();
   }
   return {StatusCode::kResourceExhausted,
-          "tenant has " + std::to_string(open_items) + " unfinished items and may have " +
-              std::to_string(tenant->max_open_items()) + "; submit again when some are finished"};
+          "tenant \"" + batch.tenant() + "\" has " + std::to_string(open_items) +
+              " unfinished items; " + std::to_string(submitted_items) +
+              " more would exceed its limit of " + std::to_string(tenant->max_open_items()) +
+              "; submit again when some are finished"};
 }
 
 Status BatchIntake::CheckAcceptable(const OwnedPartition& partition,
@@ -158,8 +165,12 @@
         if (const auto self = weak.lock()) {
           self->HandleTokensReserved(submission, status);
         } else {
-          AnswerFailed(*submission,
-                       status.ok() ? Status(StatusCode::kUnavailable, "this life ended") : status);
+          AnswerFailed(
+              *submission,
+              status.ok()
+                  ? Status(StatusCode::kUnavailable,
+                           "this queue node's incarnation ended before the tokens were reserved")
+                  : status);
         }
       });
 }
@@ -240,7 +251,8 @@
           self->HandleLogged(submission, is_last, status);
         } else {
           AnswerFailed(*submission,
-                       Status(StatusCode::kUnknownOutcome, "this queue node's life ended"));
+                       Status(StatusCode::kUnknownOutcome,
+                              "this queue node's incarnation ended before the batch was durable"));
         }
       });
 }
@@ -261,8 +273,10 @@
   const StoredBatch* batch = partition.store().Find(batch_id);
   if (!status.ok() || batch == nullptr) {
     partition.DropUnaccepted(batch_id);
-    AnswerFailed(*submission,
-                 status.ok() ? Status(StatusCode::kInternal, "batch was not applied") : status);
+    AnswerFailed(*submission, status.ok()
+                                  ? Status(StatusCode::kInternal,
+                                           "batch \"" + batch_id + "\" was logged but not applied")
+                                  : status);
     return;
   }
   on_accepted_(partition, *batch);
--- a/src/queue/batch_request_handler.cc
+++ b/src/queue/batch_request_handler.cc
@@ -40,7 +40,10 @@
                   [&](const BatchStore& store) -> Result<proto::GetBatchResponse> {
                     const StoredBatch* batch = store.Find(request.batch_id());
                     if (batch == nullptr) {
-                      return Status(StatusCode::kNotFound, "no batch " + request.batch_id());
+                      return Status(StatusCode::kNotFound,
+                                    "there is no batch \"" + request.batch_id() +
+                                        "\" in partition " +
+                                        std::to_string(request.partition_id()));
                     }
                     proto::GetBatchResponse response;
                     *response.mutable_status() = batch->ToStatus();
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -71,7 +71,9 @@
     const proto::RecoverPartitionsRequest& request,
     const std::function<void(Result<proto::RecoverPartitionsResponse>)>& reply) {
   if (NodeId(request.queue_node_id()) != agent_.node_id()) {
-    reply(Status(StatusCode::kConflict, "this node has another id now"));
+    reply(Status(StatusCode::kConflict, "the request is for queue node " +
+                                            std::to_string(request.queue_node_id()) +
+                                            "; this node is " + agent_.node_id().ToString()));
     return;
   }
   std::vector<PartitionId> not_owned;
@@ -89,7 +91,7 @@
 Status PartitionOwnership::RequireLease() const {
   return agent_.HasValidLease()
              ? Status::Ok()
-             : Status(StatusCode::kUnavailable, "this queue node has lost its lease");
+             : Status(StatusCode::kUnavailable, "this queue node has no valid lease");
 }
 
 Result<std::shared_ptr<OwnedPartition>> PartitionOwnership::Require(
--- a/src/queue/partition_recovery.cc
+++ b/src/queue/partition_recovery.cc
@@ -295,7 +295,7 @@
           {{"dead_node", request_.dead_node_id()}, {"partitions", recovering_.size()}});
       return;
     case StatusCode::kFenced:
-      on_fenced_("coordinators refused a recovery: " + status.message());
+      on_fenced_("the coordinators refused a recovery report: " + status.message());
       return;
     case StatusCode::kConflict:
     case StatusCode::kNotFound:
