--- a/tests/queue/batch_workload.cc
+++ b/tests/queue/batch_workload.cc
@@ -18,7 +18,7 @@
     route.set_accepts_batches(true);
   }
   transaction.add_changes()->mutable_set_batch()->set_retention_s(retention_s_);
-  const std::string front = fleet_.fronts[world_.RandomBelow(fleet_.fronts.size())];
+  const std::string front = fleet_.front_machines[world_.RandomBelow(fleet_.front_machines.size())];
   Call<proto::SubmitTransactionResponse>(
       front, "coordinator.SubmitTransaction", request, seconds(3),
       [this](const Result<proto::SubmitTransactionResponse>& result) {
@@ -26,7 +26,7 @@
           configured_ = true;
         } else {
           if (result.ok()) {
-            Violation("configuration refused: " + result->result().DebugString());
+            RecordViolation("configuration refused: " + result->result().DebugString());
           }
           world_.ScheduleAfter(milliseconds(200), [this] { Configure(); });
         }
@@ -37,7 +37,7 @@
   if (submitting_) {
     auto request = std::make_shared<proto::SubmitBatchRequest>();
     proto::SubmitBatch& batch = *request->mutable_batch();
-    batch.set_tenant("tenant" + std::to_string(world_.RandomBelow(kTenants)));
+    batch.set_tenant("tenant" + std::to_string(world_.RandomBelow(kTenantCount)));
     batch.set_idempotency_key("key" + std::to_string(++submitted_));
     batch.set_route(world_.RandomBelow(2) == 0 ? "describe" : "unlock");
     request->set_idempotent(batch.route() == "describe");
@@ -56,7 +56,7 @@
 
 void BatchWorkload::Submit(const std::shared_ptr<proto::SubmitBatchRequest>& request) {
   Call<proto::SubmitBatchResponse>(
-      AnyStore(), "queue.SubmitBatch", *request, seconds(3),
+      RandomStoreMachine(), "queue.SubmitBatch", *request, seconds(3),
       [this, request](const Result<proto::SubmitBatchResponse>& result) {
         if (result.ok()) {
           --pending_submissions_;
@@ -70,7 +70,7 @@
 void BatchWorkload::HandleAccepted(const proto::SubmitBatchRequest& request,
                                    const proto::BatchStatus& status) {
   if (accepted_.contains(status.batch_id())) {
-    Violation("batch " + status.batch_id() + " accepted twice");
+    RecordViolation("batch " + status.batch_id() + " accepted twice");
   }
   AcceptedBatch& batch = accepted_[status.batch_id()];
   batch.items = request.batch().items_size();
@@ -78,7 +78,8 @@
   batch.partition = request.partition_id();
   batch.tenant = request.batch().tenant();
   if (status.total() != static_cast<std::uint64_t>(batch.items)) {
-    Violation("batch " + status.batch_id() + " has another number of items");
+    RecordViolation("batch " + status.batch_id() + " has " + std::to_string(status.total()) +
+                    " items; submitted were " + std::to_string(batch.items));
   }
   if (world_.RandomBelow(8) == 0) {
     world_.ScheduleAfter(milliseconds(world_.RandomBelow(2000)),
@@ -91,7 +92,7 @@
   request.set_partition_id(accepted_[batch_id].partition);
   request.set_batch_id(batch_id);
   Call<proto::CancelBatchResponse>(
-      AnyStore(), "queue.CancelBatch", request, seconds(3),
+      RandomStoreMachine(), "queue.CancelBatch", request, seconds(3),
       [this, batch_id](const Result<proto::CancelBatchResponse>& result) {
         if (result.ok()) {
           accepted_[batch_id].cancelled_at = world_.Now();
@@ -102,12 +103,12 @@
 }
 
 void BatchWorkload::ListLoop() {
-  for (std::uint64_t i = 0; i < kTenants; ++i) {
+  for (std::uint64_t i = 0; i < kTenantCount; ++i) {
     ListTenant("tenant" + std::to_string(i));
   }
   for (const auto& [id, batch] : accepted_) {
-    for (std::size_t i = 0; i < fleet_.stores.size() && !batch.finished(); ++i) {
-      ListResults(fleet_.stores[i], id);
+    for (std::size_t i = 0; i < fleet_.store_machines.size() && !batch.finished(); ++i) {
+      ListResults(fleet_.store_machines[i], id);
     }
   }
   world_.ScheduleAfter(milliseconds(500), [this] { ListLoop(); });
@@ -125,10 +126,10 @@
     }
   }
   Call<proto::ListBatchesResponse>(
-      AnyStore(), "queue.ListBatches", request, seconds(2),
+      RandomStoreMachine(), "queue.ListBatches", request, seconds(2),
       [this, tenant, expected](const Result<proto::ListBatchesResponse>& result) {
         if (result.ok()) {
-          answered_[PartitionOf(tenant)] = world_.Now();
+          last_listed_at_[PartitionOf(tenant)] = world_.Now();
           CheckList(tenant, result->list(), expected);
         }
       });
@@ -136,17 +137,18 @@
 
 void BatchWorkload::CheckList(const std::string& tenant, const proto::BatchList& list,
                               const std::vector<std::string>& expected) {
-  std::map<std::uint64_t, std::string>& known = listed_[tenant];
+  std::map<std::uint64_t, std::string>& positions = listed_positions_[tenant];
   std::set<std::string> ids;
   for (const proto::BatchStatus& status : list.batches()) {
     ids.insert(status.batch_id());
-    const auto [place, is_new] = known.emplace(status.position(), status.batch_id());
-    if (place->second != status.batch_id() || (is_new && std::next(place) != known.end())) {
-      Violation("the list of " + tenant + " changed where it had been read");
+    const auto [listed, is_new] = positions.emplace(status.position(), status.batch_id());
+    if (listed->second != status.batch_id() || (is_new && std::next(listed) != positions.end())) {
+      RecordViolation("the batches of " + tenant +
+                      " at positions that were listed before have changed");
     }
     const auto batch = accepted_.find(status.batch_id());
     if (batch != accepted_.end() && batch->second.removed) {
-      Violation("removed batch " + status.batch_id() + " came back");
+      RecordViolation("removed batch " + status.batch_id() + " is listed again");
     }
   }
   for (const std::string& id : expected) {
@@ -154,7 +156,7 @@
       continue;
     }
     if (retention_s_ == 0 || !accepted_[id].finished()) {
-      Violation("accepted batch " + id + " is not listed");
+      RecordViolation("accepted batch " + id + " is not listed");
     }
     accepted_[id].removed = true;
   }
@@ -165,10 +167,10 @@
   request.set_partition_id(accepted_[batch_id].partition);
   request.set_batch_id(batch_id);
   request.set_limit(1000);
-  const std::size_t known = accepted_[batch_id].results.size();
+  const std::size_t known_results = accepted_[batch_id].results.size();
   Call<proto::ListResultsResponse>(
       store, "queue.ListResults", request, seconds(2),
-      [this, batch_id, known](const Result<proto::ListResultsResponse>& result) {
+      [this, batch_id, known_results](const Result<proto::ListResultsResponse>& result) {
         if (!result.ok()) {
           return;
         }
@@ -178,20 +180,21 @@
         std::set<std::uint64_t> items;
         for (std::size_t i = 0; i < results.size(); ++i) {
           if (!items.insert(results[i].item_index()).second) {
-            Violation("an item of " + batch_id + " has two results");
+            RecordViolation("an item of " + batch_id + " has two results");
           }
           if (i < batch.results.size() &&
               results[i].SerializeAsString() != batch.results[i].SerializeAsString()) {
-            Violation("a listed result of " + batch_id + " changed");
+            RecordViolation("a listed result of " + batch_id + " changed");
           }
-          const auto& outputs = starts_[{batch_id, results[i].item_index()}];
+          const auto& outputs = run_outputs_[{batch_id, results[i].item_index()}];
           if (results[i].outcome() == proto::ITEM_OUTCOME_SUCCEEDED &&
               std::find(outputs.begin(), outputs.end(), results[i].output()) == outputs.end()) {
-            Violation("a result of " + batch_id + " comes from no run");
+            RecordViolation("a result of " + batch_id +
+                            " has an output that no run of the item produced");
           }
         }
-        if (results.size() < known) {
-          Violation("results of " + batch_id + " were lost");
+        if (results.size() < known_results) {
+          RecordViolation("results of " + batch_id + " were lost");
         }
         if (results.size() > batch.results.size()) {
           batch.results = std::move(results);
@@ -201,7 +204,7 @@
 
 void BatchWorkload::AcquireLoop(const std::string& store) {
   proto::AcquireWorkRequest request;
-  request.set_gateway_node_id(kGateway);
+  request.set_gateway_node_id(kGatewayNodeId);
   request.set_incarnation(1);
   request.add_capacity()->set_backend("model");
   request.mutable_capacity(0)->set_slots(static_cast<std::uint32_t>(1 + world_.RandomBelow(10)));
@@ -222,42 +225,44 @@
 void BatchWorkload::HandleGrant(const proto::WorkGrant& grant, TimePoint sent) {
   Run run;
   run.grant = grant;
-  const bool late = world_.Now() >= sent + milliseconds(grant.start_within_ms());
-  if (late || world_.RandomBelow(20) == 0) {
+  const bool expired = world_.Now() >= sent + milliseconds(grant.start_within_ms());
+  if (expired || world_.RandomBelow(20) == 0) {
     run.disposition = proto::WORK_DISPOSITION_NOT_RUN;
     run.ends = world_.Now();
   } else {
-    std::vector<std::string>& outputs = starts_[{grant.batch_id(), grant.item_index()}];
+    std::vector<std::string>& outputs = run_outputs_[{grant.batch_id(), grant.item_index()}];
     if (!grant.idempotent() && !outputs.empty()) {
-      Violation("item " + std::to_string(grant.item_index()) + " of " + grant.batch_id() +
-                " was started twice");
+      RecordViolation("item " + std::to_string(grant.item_index()) + " of " + grant.batch_id() +
+                      " was started twice");
     }
     const auto batch = accepted_.find(grant.batch_id());
     if (batch != accepted_.end() && batch->second.cancelled_at.has_value() &&
         world_.Now() > *batch->second.cancelled_at + seconds(3)) {
-      Violation("cancelled batch " + grant.batch_id() + " started new work");
+      RecordViolation("cancelled batch " + grant.batch_id() +
+                      " started an item more than 3 s after the cancellation was acknowledged");
     }
-    run.output = "run" + std::to_string(++runs_);
+    run.output = "run" + std::to_string(++run_count_);
     outputs.push_back(run.output);
     run.ends = world_.Now() + milliseconds(5 + world_.RandomBelow(1500));
   }
   if (!running_.emplace(grant.lease_id(), run).second) {
-    Violation("lease " + std::to_string(grant.lease_id()) + " was given out twice");
+    RecordViolation("lease " + std::to_string(grant.lease_id()) + " was granted twice");
   }
 }
 
 void BatchWorkload::ReportLoop() {
-  for (const std::string& store : fleet_.stores) {
+  for (const std::string& store : fleet_.store_machines) {
     Report(store);
   }
   world_.ScheduleAfter(milliseconds(200), [this] { ReportLoop(); });
 }
 
 void BatchWorkload::Report(const std::string& store) {
-  // One partition a call and store by store: whoever owns it takes the call, the others refuse.
+  // Each call is for one partition, and every store machine gets it: the owner of the partition
+  // accepts it, the other nodes reject it.
   for (std::uint64_t partition = 0; partition < FleetWorld::kPartitions; ++partition) {
     proto::ReportWorkRequest request;
-    request.set_gateway_node_id(kGateway);
+    request.set_gateway_node_id(kGatewayNodeId);
     request.set_incarnation(1);
     std::vector<std::uint64_t> leases;
     for (const auto& [lease, run] : running_) {
@@ -294,12 +299,12 @@
   }
 }
 
-std::string BatchWorkload::Unfinished() const {
+std::string BatchWorkload::DescribeUnfinished() const {
   std::string text = "pending submissions " + std::to_string(pending_submissions_) + ", running " +
                      std::to_string(running_.size());
   for (const auto& [id, batch] : accepted_) {
     if (!batch.finished()) {
-      text += "; " + id + (batch.idempotent ? " (repeatable) " : " ") +
+      text += "; " + id + (batch.idempotent ? " (idempotent) " : " ") +
               std::to_string(batch.results.size()) + "/" + std::to_string(batch.items);
     }
   }
--- a/tests/queue/durability_simulation_test.cc
+++ b/tests/queue/durability_simulation_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// A complete batch fleet under seeded faults. A failing seed replays exactly.
+/// Runs `BatchWorkload` on a complete batch fleet under random faults. All randomness comes from
+/// the test's seed, so a failing seed fails the same way again.
 
 #include <gtest/gtest.h>
 
@@ -20,7 +21,7 @@
   }
 
   SimulatedMachine& Machine(const std::string& name) { return fleet_.world.machine(name); }
-  std::string RandomOf(const std::vector<std::string>& names) {
+  std::string PickRandom(const std::vector<std::string>& names) {
     return names[fleet_.world.RandomBelow(names.size())];
   }
   void StartLater(const std::string& name, Duration delay) {
@@ -34,10 +35,10 @@
     return milliseconds(fleet_.world.RandomBelow(limit_ms));
   }
 
-  /// @return the coordinators' fleet status as text.
-  std::string FleetProblems() {
+  /// @return the coordinators' fleet status as text, for failure messages.
+  std::string DescribeFleet() {
     std::string problems;
-    for (const std::string& front : fleet_.fronts) {
+    for (const std::string& front : fleet_.front_machines) {
       fleet_.world.CallPeer(Machine(front).endpoint(), "coordinator.GetFleetStatus", "", seconds(2),
                             [&](const PeerReply& reply) {
                               proto::GetFleetStatusResponse response;
@@ -50,19 +51,23 @@
     return problems;
   }
 
-  /// Ends the faults, waits until all batches have finished and checks the promises.
-  void HealAndVerify(std::size_t least_accepted) {
+  /// Ends all faults, waits until all batches have finished, and checks the guarantees of
+  /// `BatchWorkload`.
+  /// @param min_accepted how many batches must have been accepted at least, so that the test has
+  /// checked something.
+  void HealAndVerify(std::size_t min_accepted) {
     fleet_.world.HealAll();
     fleet_.world.network() = NetworkBehaviour();
     fleet_.StartAll();
     workload_.StopSubmitting();
-    const bool done = fleet_.world.RunUntil([this] { return workload_.Done(); }, seconds(120));
-    EXPECT_TRUE(done) << workload_.Unfinished() << FleetProblems();
+    const bool done =
+        fleet_.world.RunUntil([this] { return workload_.AllFinished(); }, seconds(120));
+    EXPECT_TRUE(done) << workload_.DescribeUnfinished() << DescribeFleet();
     fleet_.world.RunFor(seconds(2));
     for (std::size_t i = 0; i < workload_.violations().size() && i < 10; ++i) {
       ADD_FAILURE() << workload_.violations()[i];
     }
-    EXPECT_GE(workload_.accepted(), least_accepted);
+    EXPECT_GE(workload_.accepted(), min_accepted);
     RecordProperty("accepted", static_cast<int>(workload_.accepted()));
     RecordProperty("unknown",
                    static_cast<int>(workload_.CountOutcome(proto::ITEM_OUTCOME_UNKNOWN)));
@@ -79,16 +84,18 @@
 }
 
 TEST_P(DurabilityTest, TwoStoresLoseTheirDisksAtOnce) {
-  ASSERT_TRUE(fleet_.world.RunUntil([this] { return fleet_.FullConfiguration(); }, seconds(20)));
+  ASSERT_TRUE(
+      fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
   fleet_.world.RunFor(RandomTime(1000));
-  if (!fleet_.FullConfiguration()) {
-    ASSERT_TRUE(fleet_.world.RunUntil([this] { return fleet_.FullConfiguration(); }, seconds(20)));
+  if (!fleet_.AllLogsFullyReplicated()) {
+    ASSERT_TRUE(
+        fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
   }
   const std::uint64_t survivor = fleet_.world.RandomBelow(3);
   for (std::uint64_t i = 0; i < 3; ++i) {
     if (i != survivor) {
-      Machine(fleet_.stores[i]).LoseDisk();
-      StartLater(fleet_.stores[i], seconds(1) + RandomTime(8000));
+      Machine(fleet_.store_machines[i]).LoseDisk();
+      StartLater(fleet_.store_machines[i], seconds(1) + RandomTime(8000));
     }
   }
   fleet_.world.RunFor(seconds(15));
@@ -97,8 +104,9 @@
 
 TEST_P(DurabilityTest, DisksLostOneAfterTheOther) {
   for (int round = 0; round < 3; ++round) {
-    ASSERT_TRUE(fleet_.world.RunUntil([this] { return fleet_.FullConfiguration(); }, seconds(60)));
-    const std::string first = RandomOf(fleet_.stores);
+    ASSERT_TRUE(
+        fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(60)));
+    const std::string first = PickRandom(fleet_.store_machines);
     Machine(first).LoseDisk();
     StartLater(first, RandomTime(6000));
     fleet_.world.RunFor(seconds(7));
@@ -107,12 +115,13 @@
 }
 
 TEST_P(DurabilityTest, IsolatedStoreThenBothOthersLost) {
-  ASSERT_TRUE(fleet_.world.RunUntil([this] { return fleet_.FullConfiguration(); }, seconds(20)));
-  const std::string isolated = RandomOf(fleet_.stores);
+  ASSERT_TRUE(
+      fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
+  const std::string isolated = PickRandom(fleet_.store_machines);
   fleet_.world.Isolate(isolated);
-  // At no moment may the loss of both others lose what was acknowledged.
+  // After any time of isolation, losing both other disks must lose nothing that was acknowledged.
   fleet_.world.RunFor(RandomTime(12000));
-  for (const std::string& store : fleet_.stores) {
+  for (const std::string& store : fleet_.store_machines) {
     if (store != isolated) {
       Machine(store).LoseDisk();
       StartLater(store, seconds(1) + RandomTime(8000));
@@ -124,35 +133,37 @@
 }
 
 TEST_P(DurabilityTest, AllMachinesLosePower) {
-  std::vector<std::string> machines = fleet_.stores;
+  std::vector<std::string> machines = fleet_.store_machines;
   for (int round = 0; round < 2; ++round) {
     fleet_.world.RunFor(RandomTime(3000));
     for (const std::string& machine : machines) {
       Machine(machine).LosePower();
       StartLater(machine, RandomTime(3000));
     }
-    machines.insert(machines.end(), fleet_.fronts.begin(), fleet_.fronts.end());
+    machines.insert(machines.end(), fleet_.front_machines.begin(), fleet_.front_machines.end());
     fleet_.world.RunFor(seconds(3));
-    const TimePoint back = fleet_.world.Now();
-    EXPECT_TRUE(fleet_.world.RunUntil([&] { return workload_.ServedSince(back); }, seconds(12)))
-        << FleetProblems();
+    const TimePoint restarted_at = fleet_.world.Now();
+    EXPECT_TRUE(fleet_.world.RunUntil(
+        [&] { return workload_.AllPartitionsListedSince(restarted_at); }, seconds(12)))
+        << DescribeFleet();
   }
   HealAndVerify(10);
 }
 
 TEST_P(DurabilityTest, RetiredStoreIsDrainedThenLost) {
-  ASSERT_TRUE(fleet_.world.RunUntil([this] { return fleet_.FullConfiguration(); }, seconds(20)));
-  const std::string retired = RandomOf(fleet_.stores);
+  ASSERT_TRUE(
+      fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
+  const std::string retired = PickRandom(fleet_.store_machines);
   proto::RetireServerRequest request;
   request.set_machine(retired);
-  const auto ask = [&] {
-    for (const std::string& front : fleet_.fronts) {
+  const auto request_retirement = [&] {
+    for (const std::string& front : fleet_.front_machines) {
       fleet_.world.CallPeer(Machine(front).endpoint(), "coordinator.RetireServer",
                             request.SerializeAsString(), seconds(2), [](const PeerReply&) {});
     }
   };
-  ask();
-  const auto drained = [&] {
+  request_retirement();
+  const auto is_drained = [&] {
     bool empty = false;
     fleet_.world.CallPeer(Machine(retired).endpoint(), "backup.ListSegments", "", seconds(1),
                           [&](const PeerReply& reply) {
@@ -164,11 +175,11 @@
     return empty;
   };
   int seconds_left = 60;
-  while (!drained() && --seconds_left > 0) {
+  while (!is_drained() && --seconds_left > 0) {
   }
-  EXPECT_GT(seconds_left, 0) << FleetProblems();
+  EXPECT_GT(seconds_left, 0) << DescribeFleet();
   Machine(retired).LoseDisk();
-  const std::string second = RandomOf(fleet_.stores);
+  const std::string second = PickRandom(fleet_.store_machines);
   Machine(second).LoseDisk();
   StartLater(second, seconds(2));
   fleet_.world.RunFor(seconds(8));
@@ -180,26 +191,28 @@
   constexpr std::uint64_t kAmple = 1ULL << 40U;
   constexpr int kRounds = 4;
   for (int round = 0; round < kRounds; ++round) {
-    for (const std::string& name : {RandomOf(fleet_.stores), RandomOf(fleet_.fronts)}) {
+    for (const std::string& name :
+         {PickRandom(fleet_.store_machines), PickRandom(fleet_.front_machines)}) {
       Machine(name).SetDiskLimit(kFull);
     }
     if (round == kRounds - 1) {
-      for (const std::string& name : fleet_.stores) {
-        Machine(name).SetDiskLimit(kFull);  // No backup can store a new batch.
+      for (const std::string& name : fleet_.store_machines) {
+        Machine(name).SetDiskLimit(kFull);  // No backup on a store machine can store a new batch.
       }
     }
     fleet_.world.RunFor(seconds(3) + RandomTime(3000));
-    for (const std::vector<std::string>* machines : {&fleet_.stores, &fleet_.fronts}) {
+    for (const std::vector<std::string>* machines :
+         {&fleet_.store_machines, &fleet_.front_machines}) {
       for (const std::string& name : *machines) {
         Machine(name).SetDiskLimit(kAmple);
-        EXPECT_TRUE(Machine(name).running()) << name << " ended of a full disk";
+        EXPECT_TRUE(Machine(name).running()) << name << " stopped running because of its full disk";
       }
     }
     fleet_.world.RunFor(seconds(2) + RandomTime(2000));
   }
   const TimePoint space_available_at = fleet_.world.Now();
-  EXPECT_TRUE(fleet_.world.RunUntil([&] { return workload_.ServedSince(space_available_at); },
-                                    seconds(10)));
+  EXPECT_TRUE(fleet_.world.RunUntil(
+      [&] { return workload_.AllPartitionsListedSince(space_available_at); }, seconds(10)));
   HealAndVerify(20);
 }
 
@@ -209,7 +222,7 @@
   fleet_.world.network().request_duplication = 0.01;
   for (int round = 0; round < 12; ++round) {
     const bool store = fleet_.world.RandomBelow(3) != 0;
-    const std::string name = RandomOf(store ? fleet_.stores : fleet_.fronts);
+    const std::string name = PickRandom(store ? fleet_.store_machines : fleet_.front_machines);
     SimulatedMachine& machine = Machine(name);
     if (machine.running()) {
       switch (fleet_.world.RandomBelow(4)) {
@@ -236,7 +249,7 @@
   HealAndVerify(10);
 }
 
-/// Finished batches are removed and the log is cleaned, over recoveries.
+/// Finished batches are removed after 20 s and the log is cleaned, while queue nodes are recovered.
 class CleaningTest : public DurabilityTest {
  protected:
   CleaningTest() : DurabilityTest(20) {}
@@ -245,7 +258,7 @@
 TEST_P(CleaningTest, RemovedBatchesNeverComeBack) {
   for (int round = 0; round < 8; ++round) {
     fleet_.world.RunFor(seconds(10));
-    const std::string store = RandomOf(fleet_.stores);
+    const std::string store = PickRandom(fleet_.store_machines);
     if (Machine(store).running()) {
       Machine(store).LosePower();
       StartLater(store, RandomTime(5000));
@@ -254,7 +267,8 @@
   HealAndVerify(20);
 }
 
-/// More seeds for longer trials: CLOVERBANK_SEEDS=200 test_queue --gtest_filter=...
+/// @return the number of seeds. To run more of them:
+/// CLOVERBANK_SEEDS=200 test_queue --gtest_filter=...
 int SeedCount() {
   constexpr int kDefaultSeeds = 4;
   return static_cast<int>(NumberFromEnvironment("CLOVERBANK_SEEDS", kDefaultSeeds));
--- a/tests/queue/fake_coordinator.h
+++ b/tests/queue/fake_coordinator.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A scripted coordinator for tests of queue nodes: one process whose state the test holds and
-/// changes.
+/// A fake coordinator for tests of queue nodes: a single process without consensus. The test owns
+/// its state and changes it directly.
 
 #include <map>
 #include <memory>
@@ -15,21 +15,22 @@
 
 namespace cloverbank {
 
-/// What the fake coordinator knows; outlives its process.
+/// The state of the fake coordinator. It is kept when the coordinator's process restarts.
 struct FakeCoordinatorState {
   std::uint64_t next_node_id = 1;
   std::uint64_t fleet_version = 1;
-  std::map<std::uint64_t, proto::Server> servers;
+  std::map<std::uint64_t, proto::Server> servers;  ///< By node id.
   std::map<std::uint64_t, proto::Partition> partitions;
-  std::map<std::uint64_t, proto::LogHead> heads;
+  std::map<std::uint64_t, proto::LogHead> heads;  ///< Committed log heads, by node id.
   proto::RoutingConfiguration configuration;
-  bool answers_commits = true;
-  std::vector<proto::FinishAssignmentRequest> finished;
+  bool answers_commits = true;  ///< If false, CommitHead requests get no answer.
+  std::vector<proto::FinishAssignmentRequest> finished_assignments;
 
   bool IsDead(std::uint64_t node) const {
     const auto server = servers.find(node);
     return server == servers.end() || server->second.state() == proto::SERVER_STATE_DEAD;
   }
+  /// Declares the node dead and takes its partitions from it, to be recovered from its log.
   void DeclareDead(std::uint64_t node) {
     servers[node].set_state(proto::SERVER_STATE_DEAD);
     for (auto& [id, partition] : partitions) {
@@ -40,12 +41,13 @@
     }
     ++fleet_version;
   }
+  /// Makes the node the owner of the partition.
   void Assign(std::uint64_t partition, std::uint64_t node) {
     partitions[partition].set_partition_id(partition);
     partitions[partition].set_owner(node);
     ++fleet_version;
   }
-  /// @return the live node of `role` on `machine`, or 0.
+  /// @return the id of the live node of `role` on `machine`, or 0 if there is none.
   std::uint64_t NodeOf(const std::string& machine, proto::Role role) const {
     for (const auto& [id, server] : servers) {
       if (server.machine() == machine && server.role() == role && !IsDead(id)) {
@@ -63,18 +65,19 @@
     Serve<proto::RegisterServerRequest, proto::RegisterServerResponse>(
         "coordinator.RegisterServer", [this](const auto& request) { return Register(request); });
     Serve<proto::FinishAssignmentRequest, proto::FinishAssignmentResponse>(
-        "coordinator.FinishAssignment", [this](const auto& request) { return Finish(request); });
+        "coordinator.FinishAssignment",
+        [this](const auto& request) { return FinishAssignment(request); });
     ServePeer<proto::CommitHeadRequest, proto::CommitHeadResponse>(
         environment_, "coordinator.CommitHead",
         [this](const auto& request, const std::string&, const auto& reply) {
           if (state_.answers_commits) {
-            reply(Commit(request.head()));
+            reply(CommitHead(request.head()));
           }
         });
     ServePeer<proto::HeartbeatRequest, proto::HeartbeatResponse>(
         environment_, "coordinator.Heartbeat",
         [this](const auto& request, const std::string&, const HeartbeatReply& reply) {
-          Wait(request, environment_.Now() + milliseconds(request.hold_ms()), reply);
+          AnswerHeartbeat(request, environment_.Now() + milliseconds(request.hold_ms()), reply);
         });
   }
 
@@ -108,18 +111,20 @@
     return response;
   }
 
-  Result<proto::FinishAssignmentResponse> Finish(const proto::FinishAssignmentRequest& request) {
+  Result<proto::FinishAssignmentResponse> FinishAssignment(
+      const proto::FinishAssignmentRequest& request) {
     if (state_.IsDead(request.queue_node_id())) {
       return Status(StatusCode::kFenced, "dead");
     }
     for (const std::uint64_t partition : request.partition_ids()) {
-      const proto::Partition& known = state_.partitions[partition];
-      const bool open = known.owner() == 0 && known.recovering_from() == request.dead_node_id();
-      if (!open && known.owner() != request.queue_node_id()) {
-        return Status(StatusCode::kConflict, "recovered by another node");
+      const proto::Partition& current = state_.partitions[partition];
+      const bool awaits_recovery =
+          current.owner() == 0 && current.recovering_from() == request.dead_node_id();
+      if (!awaits_recovery && current.owner() != request.queue_node_id()) {
+        return Status(StatusCode::kConflict, "the partition is not awaiting this recovery");
       }
     }
-    state_.finished.push_back(request);
+    state_.finished_assignments.push_back(request);
     for (const std::uint64_t partition : request.partition_ids()) {
       state_.partitions[partition].set_recovering_from(0);
       state_.Assign(partition, request.queue_node_id());
@@ -127,35 +132,38 @@
     return proto::FinishAssignmentResponse();
   }
 
-  Result<proto::CommitHeadResponse> Commit(const proto::LogHead& head) {
+  Result<proto::CommitHeadResponse> CommitHead(const proto::LogHead& head) {
     if (state_.IsDead(head.node_id())) {
       return Status(StatusCode::kFenced, "dead");
     }
     proto::LogHead& current = state_.heads[head.node_id()];
     if (std::pair(head.segment_id(), head.epoch()) <
         std::pair(current.segment_id(), current.epoch())) {
-      return Status(StatusCode::kStaleEpoch, "older head");
+      return Status(StatusCode::kStaleEpoch, "the head is older than the committed one");
     }
     current = head;
     return proto::CommitHeadResponse();
   }
 
-  void Wait(const proto::HeartbeatRequest& request, TimePoint until, const HeartbeatReply& reply) {
+  /// Answers once there is a change to send or `hold_until` has passed.
+  void AnswerHeartbeat(const proto::HeartbeatRequest& request, TimePoint hold_until,
+                       const HeartbeatReply& reply) {
     if (state_.IsDead(request.node_id())) {
       reply(Status(StatusCode::kFenced, "declared dead"));
       return;
     }
-    const bool news = request.fleet_version() != state_.fleet_version ||
-                      request.configuration_version() != state_.configuration.version();
-    if (!news && environment_.Now() < until) {
-      environment_.ScheduleAfter(milliseconds(5),
-                                 [this, request, until, reply] { Wait(request, until, reply); });
+    const bool has_update = request.fleet_version() != state_.fleet_version ||
+                            request.configuration_version() != state_.configuration.version();
+    if (!has_update && environment_.Now() < hold_until) {
+      environment_.ScheduleAfter(milliseconds(5), [this, request, hold_until, reply] {
+        AnswerHeartbeat(request, hold_until, reply);
+      });
       return;
     }
-    reply(Answer(request));
+    reply(MakeHeartbeatResponse(request));
   }
 
-  proto::HeartbeatResponse Answer(const proto::HeartbeatRequest& request) {
+  proto::HeartbeatResponse MakeHeartbeatResponse(const proto::HeartbeatRequest& request) {
     proto::HeartbeatResponse response;
     response.set_lease_ms(3000);
     if (request.configuration_version() != state_.configuration.version()) {
--- a/tests/queue/fleet_world.h
+++ b/tests/queue/fleet_world.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// A whole batch fleet in a simulated world, all with the real services: three front machines
-/// (coordinator, spare backup) and three store machines (queue node, backup), one of each a zone.
+/// A complete batch fleet of real services in a simulated world: three front machines (each with a
+/// coordinator and a spare backup) and three store machines (each with a queue node and a backup).
+/// Each of three zones has one machine of either kind.
 
 #include <map>
 #include <memory>
@@ -20,27 +21,29 @@
 
 class FleetWorld {
  public:
-  static constexpr int kMachinesEach = 3;
+  static constexpr int kMachinesPerKind = 3;
   static constexpr std::uint32_t kPartitions = 4;
 
   explicit FleetWorld(std::uint64_t seed) : world(seed) {
-    for (int i = 1; i <= kMachinesEach; ++i) {
-      fronts.push_back("f" + std::to_string(i));
-      stores.push_back("s" + std::to_string(i));
-      seeds_.push_back(world.AddMachine(fronts.back(), "10.0.1." + std::to_string(i)).endpoint());
-      world.AddMachine(stores.back(), "10.0.2." + std::to_string(i));
+    for (int i = 1; i <= kMachinesPerKind; ++i) {
+      front_machines.push_back("f" + std::to_string(i));
+      store_machines.push_back("s" + std::to_string(i));
+      coordinator_endpoints_.push_back(
+          world.AddMachine(front_machines.back(), "10.0.1." + std::to_string(i)).endpoint());
+      world.AddMachine(store_machines.back(), "10.0.2." + std::to_string(i));
     }
-    for (int i = 0; i < kMachinesEach; ++i) {
+    for (int i = 0; i < kMachinesPerKind; ++i) {
       const std::string zone = "zone" + std::to_string(i);
-      AddFront(fronts[i], zone);
-      AddStore(stores[i], zone);
+      AddFrontMachine(front_machines[i], zone);
+      AddStoreMachine(store_machines[i], zone);
     }
     queue_options.log.segment_bytes = 64 << 10;
     queue_options.log.write_bytes = 16 << 10;
   }
 
+  /// Starts the machines that are not running.
   void StartAll() {
-    for (const std::vector<std::string>* machines : {&fronts, &stores}) {
+    for (const std::vector<std::string>* machines : {&front_machines, &store_machines}) {
       for (const std::string& name : *machines) {
         if (!world.machine(name).running()) {
           world.machine(name).Start();
@@ -49,21 +52,21 @@
     }
   }
 
-  /// Whether every store machine but `except` runs and has all copies wanted of its log.
-  bool FullConfiguration(const std::string& except = "") {
-    for (const std::string& name : stores) {
+  /// Whether every store machine but `except` runs and its log has all configured replicas.
+  bool AllLogsFullyReplicated(const std::string& except = "") {
+    for (const std::string& name : store_machines) {
       if (name == except) {
         continue;
       }
-      if (!world.machine(name).running() || queues_[name].expired() ||
-          queues_[name].lock()->degraded()) {
+      if (!world.machine(name).running() || queue_services_[name].expired() ||
+          queue_services_[name].lock()->degraded()) {
         return false;
       }
     }
     return true;
   }
 
-  /// Calls a machine from outside, as a client, a gateway or an operator's node would.
+  /// Calls a peer method of a machine from outside the fleet's machines, as a gateway does.
   template <typename Response, typename Request>
   void Call(const std::string& machine, std::string_view method, const Request& request,
             Duration deadline, std::function<void(Result<Response>)> done) {
@@ -77,29 +80,31 @@
                      }
                    });
   }
-  const std::string& AnyStore() { return stores[world.RandomBelow(stores.size())]; }
+  const std::string& RandomStoreMachine() {
+    return store_machines[world.RandomBelow(store_machines.size())];
+  }
 
   SimulatedWorld world;
-  std::vector<std::string> fronts;
-  std::vector<std::string> stores;
+  std::vector<std::string> front_machines;
+  std::vector<std::string> store_machines;
   QueueOptions queue_options;
 
  private:
-  struct Front {
+  struct FrontProcess {
     ControlState state{kPartitions};
     std::unique_ptr<RaftNode> raft;
     std::unique_ptr<CoordinatorService> coordinator;
     std::unique_ptr<BackupService> backup;
     std::unique_ptr<NodeAgent> backup_agent;
   };
-  struct Store {
+  struct StoreProcess {
     std::unique_ptr<BackupService> backup;
     std::unique_ptr<NodeAgent> backup_agent;
     std::unique_ptr<NodeAgent> queue_agent;
     std::shared_ptr<QueueService> queue;
   };
 
-  static void Require(const Status& status) {
+  static void ThrowIfFailed(const Status& status) {
     if (!status.ok()) {
       throw std::runtime_error(status.ToString());
     }
@@ -111,7 +116,7 @@
     options.role = role;
     options.machine = name;
     options.zone = zone;
-    options.coordinators = seeds_;
+    options.coordinators = coordinator_endpoints_;
     return options;
   }
 
@@ -119,18 +124,18 @@
     BackupOptions options;
     options.store.spare_disk_bytes = 1 << 20;
     auto backup = std::make_unique<BackupService>(environment, folder, options);
-    Require(backup->Load());
+    ThrowIfFailed(backup->Load());
     return backup;
   }
 
-  void AddFront(const std::string& name, const std::string& zone) {
+  void AddFrontMachine(const std::string& name, const std::string& zone) {
     world.machine(name).SetProgram(
         [this, name, zone](Environment& environment, DataFolder& folder) {
-          auto front = std::make_shared<Front>();
+          auto front = std::make_shared<FrontProcess>();
           RaftNodeOptions raft_options;
-          raft_options.seeds = seeds_;
+          raft_options.seeds = coordinator_endpoints_;
           front->raft = std::make_unique<RaftNode>(environment, folder, front->state, raft_options);
-          Require(front->raft->Load());
+          ThrowIfFailed(front->raft->Load());
           front->coordinator =
               std::make_unique<CoordinatorService>(environment, *front->raft, front->state);
           front->coordinator->Start();
@@ -145,10 +150,10 @@
         });
   }
 
-  void AddStore(const std::string& name, const std::string& zone) {
+  void AddStoreMachine(const std::string& name, const std::string& zone) {
     world.machine(name).SetProgram(
         [this, name, zone](Environment& environment, DataFolder& folder) {
-          auto store = std::make_shared<Store>();
+          auto store = std::make_shared<StoreProcess>();
           store->backup = LoadBackup(environment, folder);
           NodeAgentOptions options = AgentOptions(name, zone, proto::ROLE_BACKUP);
           options.disk_id = store->backup->disk_id();
@@ -160,13 +165,13 @@
               std::make_shared<QueueService>(environment, *store->queue_agent, queue_options);
           store->queue->Start();
           store->queue_agent->Start();
-          queues_[name] = store->queue;
+          queue_services_[name] = store->queue;
           return store;
         });
   }
 
-  std::vector<Endpoint> seeds_;
-  std::map<std::string, std::weak_ptr<QueueService>> queues_;
+  std::vector<Endpoint> coordinator_endpoints_;
+  std::map<std::string, std::weak_ptr<QueueService>> queue_services_;
 };
 
 }  // namespace cloverbank
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -1,5 +1,6 @@
-// Batches under a limit of open tokens, spread over the partitions of a whole fleet under seeded
-// faults: the limit holds whichever queue nodes die, and all of it becomes free again.
+// Batches under a limit of open tokens, spread over the partitions of a complete fleet with faults.
+// Guards against exceeding the limit when queue nodes die, and against tokens that stay reserved
+// after their batches have finished. All randomness comes from the test's seed.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,11 +16,11 @@
 
 constexpr std::uint64_t kLimit = 20'000;
 constexpr std::uint64_t kItemTokens = 100;
-constexpr std::uint64_t kGateway = 1'000'000;
-/// The gateway is slower than the clients, so that the limit is reached.
+constexpr std::uint64_t kGatewayNodeId = 1'000'000;
+/// Slots and pause make the gateway slower than the clients, so that the limit is reached.
 constexpr std::uint32_t kWorkSlots = 4;
 constexpr Duration kWorkPause = milliseconds(60);
-constexpr const char* kHost = "shop.example";
+constexpr const char* kTenant = "shop.example";
 constexpr const char* kRoute = "audit";
 
 class LimitedBatchesTest : public testing::TestWithParam<int> {
@@ -36,7 +37,7 @@
             Duration deadline, std::function<void(Result<Response>)> done) {
     fleet_.Call<Response>(machine, method, request, deadline, std::move(done));
   }
-  const std::string& AnyStore() { return fleet_.AnyStore(); }
+  const std::string& RandomStoreMachine() { return fleet_.RandomStoreMachine(); }
 
   void Configure() {
     proto::SubmitTransactionRequest request;
@@ -51,7 +52,7 @@
     route.set_priority(proto::PRIORITY_BATCH);
     route.set_deadline_ms(10'000);
     route.set_accepts_batches(true);
-    for (const std::string& front : fleet_.fronts) {
+    for (const std::string& front : fleet_.front_machines) {
       Call<proto::SubmitTransactionResponse>(
           front, "coordinator.SubmitTransaction", request, seconds(5),
           [](const Result<proto::SubmitTransactionResponse>&) {});
@@ -60,7 +61,7 @@
 
   void Start() {
     SubmitLoop();
-    for (const std::string& store : fleet_.stores) {
+    for (const std::string& store : fleet_.store_machines) {
       WorkLoop(store);
     }
     ReportLoop();
@@ -77,9 +78,9 @@
   static proto::SubmitBatchRequest MakeBatch(const std::string& id, std::uint64_t items) {
     proto::SubmitBatchRequest request;
     request.set_idempotent(true);
-    request.set_partition_id(PartitionForNamedBatch(kHost, id, FleetWorld::kPartitions).value());
+    request.set_partition_id(PartitionForNamedBatch(kTenant, id, FleetWorld::kPartitions).value());
     proto::SubmitBatch& batch = *request.mutable_batch();
-    batch.set_tenant(kHost);
+    batch.set_tenant(kTenant);
     batch.set_route(kRoute);
     batch.set_batch_id(id);
     batch.set_idempotency_key(id);
@@ -93,13 +94,13 @@
     return request;
   }
 
-  /// Resends a batch until its outcome is known, or it is over the limit.
+  /// Sends a batch until it is accepted or is rejected because it would exceed the limit.
   void Submit(const std::shared_ptr<proto::SubmitBatchRequest>& request) {
     Call<proto::SubmitBatchResponse>(
-        AnyStore(), "queue.SubmitBatch", *request, seconds(3),
+        RandomStoreMachine(), "queue.SubmitBatch", *request, seconds(3),
         [this, request](const Result<proto::SubmitBatchResponse>& result) {
           if (result.ok()) {
-            OnAccepted(*request);
+            HandleAccepted(*request);
           } else if (result.status().code() == StatusCode::kResourceExhausted) {
             ++over_limit_;
           } else {
@@ -107,7 +108,7 @@
           }
         });
   }
-  void OnAccepted(const proto::SubmitBatchRequest& request) {
+  void HandleAccepted(const proto::SubmitBatchRequest& request) {
     const std::string& id = request.batch().batch_id();
     accepted_items_[id] = static_cast<std::uint64_t>(request.batch().items_size());
     std::uint64_t open = 0;
@@ -119,7 +120,7 @@
 
   void WorkLoop(const std::string& store) {
     proto::AcquireWorkRequest request;
-    request.set_gateway_node_id(kGateway);
+    request.set_gateway_node_id(kGatewayNodeId);
     request.set_incarnation(1);
     request.add_capacity()->set_backend("model");
     request.mutable_capacity(0)->set_slots(kWorkSlots);
@@ -128,12 +129,13 @@
         store, "queue.AcquireWork", request, seconds(1),
         [this, store](const Result<proto::AcquireWorkResponse>& result) {
           if (result.ok() && result->grants_size() > 0) {
-            Finish(*result);
+            RunGrants(*result);
           }
           world_.ScheduleAfter(kWorkPause, [this, store] { WorkLoop(store); });
         });
   }
-  void Finish(const proto::AcquireWorkResponse& work) {
+  /// Counts granted items as finished and queues their reports.
+  void RunGrants(const proto::AcquireWorkResponse& work) {
     for (const proto::WorkGrant& grant : work.grants()) {
       finished_[grant.batch_id()].insert(grant.item_index());
       proto::WorkReport& report = reports_[grant.lease_id()];
@@ -154,9 +156,9 @@
     }
     for (auto& entry : requests) {
       proto::ReportWorkRequest& request = entry.second;
-      request.set_gateway_node_id(kGateway);
+      request.set_gateway_node_id(kGatewayNodeId);
       request.set_incarnation(1);
-      for (const std::string& store : fleet_.stores) {
+      for (const std::string& store : fleet_.store_machines) {
         Call<proto::ReportWorkResponse>(
             store, "queue.ReportWork", request, seconds(2),
             [this, request](const Result<proto::ReportWorkResponse>& answer) {
@@ -180,7 +182,8 @@
     return true;
   }
 
-  /// Ends the faults and checks that the limit was never exceeded and all of it is free again.
+  /// Ends all faults and checks that the limit was not exceeded by more than a tenth, and that all
+  /// of it is free again once the accepted batches have finished.
   void HealAndVerify() {
     world_.HealAll();
     fleet_.StartAll();
@@ -189,16 +192,16 @@
     EXPECT_LE(most_open_, kLimit + kLimit / 10);
     EXPECT_GT(over_limit_, 0) << "the limit was never reached";
     EXPECT_GT(accepted_items_.size(), 20U);
-    world_.RunFor(seconds(20));  // Leases of work whose report was lost run out.
-    // Nothing is open any more: a batch of the whole limit fits, at the latest when every count
-    // that was running has ended.
+    world_.RunFor(seconds(20));  // Leases of items whose report was lost expire.
+    // No tokens are open any more, so a batch of the whole limit fits. It is tried three times,
+    // because a count of open tokens that was started earlier may still be running.
     const std::string full = "full";
     bool fits = false;
     for (int attempt = 0; attempt < 3 && !fits; ++attempt) {
       Submit(std::make_shared<proto::SubmitBatchRequest>(MakeBatch(full, kLimit / kItemTokens)));
       fits = world_.RunUntil([&] { return accepted_items_.contains(full); }, seconds(5));
     }
-    EXPECT_TRUE(fits) << "capacity was lost";
+    EXPECT_TRUE(fits) << "tokens of finished batches still count as open";
   }
 
   FleetWorld fleet_;
@@ -209,7 +212,8 @@
   std::uint64_t most_open_ = 0;
   std::map<std::string, std::uint64_t> accepted_items_;
   std::map<std::string, std::set<std::uint64_t>> finished_;
-  std::map<std::uint64_t, proto::WorkReport> reports_;  ///< Not accepted yet, by lease.
+  std::map<std::uint64_t, proto::WorkReport>
+      reports_;  ///< By lease; reports that are not accepted yet.
 };
 
 TEST_P(LimitedBatchesTest, CalmFleetStaysWithinTheLimit) {
@@ -220,7 +224,7 @@
 
 TEST_P(LimitedBatchesTest, QueueNodesKilledOneAfterTheOther) {
   Start();
-  for (const std::string& store : fleet_.stores) {
+  for (const std::string& store : fleet_.store_machines) {
     world_.RunFor(seconds(3));
     world_.machine(store).Kill();
     world_.RunFor(seconds(2));
@@ -233,7 +237,8 @@
 TEST_P(LimitedBatchesTest, AllMachinesLosePower) {
   Start();
   world_.RunFor(seconds(4));
-  for (const std::vector<std::string>* machines : {&fleet_.fronts, &fleet_.stores}) {
+  for (const std::vector<std::string>* machines :
+       {&fleet_.front_machines, &fleet_.store_machines}) {
     for (const std::string& name : *machines) {
       world_.machine(name).LosePower();
     }
@@ -247,7 +252,7 @@
 TEST_P(LimitedBatchesTest, QueueNodeFreezesAndResumes) {
   Start();
   world_.RunFor(seconds(3));
-  const std::string& store = AnyStore();
+  const std::string& store = RandomStoreMachine();
   world_.machine(store).Freeze();
   world_.RunFor(seconds(5));
   world_.machine(store).Wake();
--- a/tests/queue/pending_acquire_test.cc
+++ b/tests/queue/pending_acquire_test.cc
@@ -1,4 +1,4 @@
-// Pending AcquireWork requests: which gateways are woken when there is work.
+// Which pending AcquireWork requests a queue node answers when batch items become available.
 #include <gtest/gtest.h>
 
 #include <string>
@@ -8,18 +8,19 @@
 namespace cloverbank {
 namespace {
 
-/// Many gateways, each of which sends a new request as soon as it was answered without grants.
+/// Many gateways. Each sends a new request as soon as one was answered without grants.
 class PendingAcquireTest : public testing::Test {
  protected:
   PendingAcquireTest() : world_(21) {
     world_.AddQueue("q1");
-    world_.Own("q1");
+    world_.AssignPartition("q1");
   }
 
   static constexpr int kGateways = 60;
   static constexpr std::uint32_t kSlots = 2;
   static constexpr std::uint64_t kFirstGatewayId = 1000;
 
+  /// Sends a request for each gateway and waits until all are pending.
   void SendAll(const std::string& backend = "model") {
     for (int gateway = 0; gateway < kGateways; ++gateway) {
       // A third of them are in the queue node's zone.
@@ -50,7 +51,7 @@
   }
 
   QueueWorld world_;
-  int sent_ = 0;  ///< Requests since all were pending.
+  int sent_ = 0;  ///< Requests sent since `SendAll`.
   int granted_ = 0;
   int granted_in_zone_ = 0;
 };
@@ -60,7 +61,8 @@
   world_.Accept("q1", "key", 6);
   world_.world.RunFor(milliseconds(100));
   EXPECT_EQ(granted_, 6);
-  EXPECT_LE(sent_, 12) << "twice the slots for 6 items, not all 60 gateways";
+  EXPECT_LE(sent_, 12)
+      << "at most twice as many requests as items may be sent, not one for each of 60 gateways";
 }
 
 TEST_F(PendingAcquireTest, WakesGatewaysOfItsZoneFirst) {
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -17,7 +17,7 @@
  protected:
   QueueServiceTest() : world_(21) {
     world_.AddQueue("q1");
-    world_.Own("q1");
+    world_.AssignPartition("q1");
   }
   QueueWorld world_;
 };
@@ -61,15 +61,15 @@
 }
 
 TEST_F(QueueServiceTest, RejectsDuplicateCustomIds) {
-  auto twice = QueueWorld::MakeBatch("key", 2);
-  twice.mutable_batch()->mutable_items(1)->set_custom_id("item0");
-  EXPECT_THAT(world_.Submit("q1", twice), FailsWith(StatusCode::kInvalidArgument));
+  auto request = QueueWorld::MakeBatch("key", 2);
+  request.mutable_batch()->mutable_items(1)->set_custom_id("item0");
+  EXPECT_THAT(world_.Submit("q1", request), FailsWith(StatusCode::kInvalidArgument));
 }
 
 TEST_F(QueueServiceTest, RejectsPartitionsItDoesNotOwn) {
-  auto elsewhere = QueueWorld::MakeBatch("key", 2);
-  elsewhere.set_partition_id(5);
-  const auto refused = world_.Submit("q1", elsewhere);
+  auto request = QueueWorld::MakeBatch("key", 2);
+  request.set_partition_id(5);
+  const auto refused = world_.Submit("q1", request);
   EXPECT_THAT(refused, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(refused.status().detail(), kNotOwnerDetail);
 }
@@ -116,7 +116,7 @@
   request.mutable_capacity(0)->set_slots(3);
   request.set_hold_ms(2000);
   std::optional<proto::AcquireWorkResponse> response;
-  const auto ask = [&] {
+  const auto send_acquire = [&] {
     response.reset();
     world_.world.CallPeer(world_.world.machine("q1").endpoint(), "queue.AcquireWork",
                           request.SerializeAsString(), seconds(4), [&](const PeerReply& reply) {
@@ -124,13 +124,14 @@
                             ASSERT_TRUE(response->ParseFromString(reply.body));
                           });
   };
-  ask();
+  send_acquire();
   world_.world.RunFor(milliseconds(1000));
   EXPECT_FALSE(response.has_value());
   world_.Accept("q1", "key", 5);
   ASSERT_TRUE(world_.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
-  EXPECT_EQ(response->grants_size(), 0) << "its gateway may have failed meanwhile";
-  ask();
+  EXPECT_EQ(response->grants_size(), 0)
+      << "a woken request gets no grants, because its gateway may have failed meanwhile";
+  send_acquire();
   ASSERT_TRUE(world_.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
   ASSERT_EQ(response->grants_size(), 3);
   EXPECT_GE(response->grants(0).start_within_ms(), 2000U);
@@ -244,8 +245,9 @@
     }
     return ids;
   }
-  /// Kills q1. q2 replays its partition, but its report never arrives; q3 becomes the owner.
-  void FailOverToQ3WhileQ2ReplaysInVain() {
+  /// Kills q1. q2 recovers its partition, but its report never reaches the coordinator; then q3
+  /// recovers the partition and becomes its owner.
+  void FailOverToQ3AfterQ2Replayed() {
     const std::uint64_t dead = world_.QueueId("q1");
     world_.world.machine("q1").Kill();
     world_.coordinator.DeclareDead(dead);
@@ -253,7 +255,7 @@
     ASSERT_TRUE(world_.StartRecovery(dead, "q2").ok());
     world_.world.RunFor(milliseconds(500));
     ASSERT_TRUE(world_.StartRecovery(dead, "q3").ok());
-    ASSERT_TRUE(world_.world.RunUntil([&] { return world_.Owns("q3"); }, seconds(5)));
+    ASSERT_TRUE(world_.world.RunUntil([&] { return world_.IsOwner("q3"); }, seconds(5)));
     world_.world.HealAll();
     world_.world.RunFor(milliseconds(300));
   }
@@ -268,12 +270,12 @@
   world_.FailOver("q1", "q2");
   EXPECT_EQ(world_.BatchIds("q2"), ids);
   EXPECT_EQ(world_.Results("q2", ids[0]), results);
-  std::size_t left = 0;
+  std::size_t remaining_items = 0;
   for (const auto& grant : world_.Acquire("q2", 100)) {
     EXPECT_TRUE(world_.Finish("q2", grant, "after").ok());
-    ++left;
+    ++remaining_items;
   }
-  EXPECT_EQ(left, 38U);
+  EXPECT_EQ(remaining_items, 38U);
   const auto later = world_.Results("q2", ids[0]);
   ASSERT_EQ(later.size(), 10U);
   EXPECT_TRUE(std::equal(results.begin(), results.end(), later.begin()));
@@ -297,7 +299,7 @@
 
 TEST_F(QueueRecoveryTest, AbandonedReplayLeavesNothing) {
   std::vector<std::string> ids = AcceptMany(4, 5);
-  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
   ids.push_back(world_.Accept("q3", "late", 5));
   EXPECT_EQ(world_.BatchIds("q3"), ids);
   proto::GetBatchRequest get;
@@ -308,8 +310,8 @@
 
 TEST_F(QueueRecoveryTest, SecondReplayIntoTheSameLogIsExact) {
   const std::string first = world_.Accept("q1", "first", 5);
-  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
-  // At q3 the batch is finished and removed.
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
+  // At q3 the batch is finished and removed. The log of q2 still has the entries of its recovery.
   EXPECT_EQ(world_.BatchIds("q3"), std::vector<std::string>{first});
   for (const auto& grant : world_.Acquire("q3", 5)) {
     EXPECT_TRUE(world_.Finish("q3", grant).ok());
@@ -318,7 +320,8 @@
   world_.PublishConfiguration();
   ASSERT_TRUE(world_.world.RunUntil([&] { return world_.BatchIds("q3").empty(); }, seconds(60)));
   const std::string second = world_.Accept("q3", "second", 2);
-  // Then q2 becomes the owner after all, and its own log is replayed at the end.
+  // q2 recovers the partition again, into the same log, and becomes its owner. Then that log is
+  // replayed: the entries of the first recovery must not count.
   world_.FailOver("q3", "q2");
   EXPECT_EQ(world_.BatchIds("q2"), std::vector<std::string>{second});
   world_.world.machine("q1").Start();
@@ -334,7 +337,7 @@
   world_.world.machine("q1").Freeze();
   world_.coordinator.DeclareDead(first);
   ASSERT_TRUE(world_.StartRecovery(first, "q2").ok());
-  ASSERT_TRUE(world_.world.RunUntil([&] { return world_.Owns("q2"); }, seconds(10)));
+  ASSERT_TRUE(world_.world.RunUntil([&] { return world_.IsOwner("q2"); }, seconds(10)));
   world_.world.machine("q1").Wake();
   EXPECT_FALSE(world_.Submit("q1", QueueWorld::MakeBatch("late", 1)).ok());
   world_.world.RunFor(seconds(2));
--- a/tests/queue/queue_world.h
+++ b/tests/queue/queue_world.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Queue nodes in a `LogWorld`, and a client, a gateway and a coordinator's recovery as tests play
-/// them.
+/// Queue nodes in a `LogWorld`, with calls that take the part of a client, of a gateway and of the
+/// coordinator that starts a recovery.
 
 #include <gmock/gmock.h>
 
@@ -25,6 +25,7 @@
   return arg.status().code() == code;
 }
 
+/// A queue node's process: its agent and its service.
 struct QueueProcess {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<QueueService> service;
@@ -49,12 +50,13 @@
     route->set_idempotent(idempotent);
     route->set_accepts_batches(true);
   }
-  /// Publishes the present content of `coordinator.configuration`.
+  /// Publishes the content of `coordinator.configuration` under the next version.
   void PublishConfiguration() {
     coordinator.configuration.set_version(coordinator.configuration.version() + 1);
     world.RunFor(milliseconds(100));
   }
 
+  /// Adds and starts a machine with a queue node.
   void AddQueue(const std::string& name) {
     ++queue_count_;
     world.AddMachine(name, "10.0.2." + std::to_string(queue_count_))
@@ -75,8 +77,8 @@
   std::uint64_t QueueId(const std::string& name) const {
     return coordinator.NodeOf(name, proto::ROLE_QUEUE);
   }
-  /// Gives a partition that was never used to `name`.
-  void Own(const std::string& name, std::uint64_t partition = 0) {
+  /// Makes the queue node on machine `name` the owner of a partition that was never used.
+  void AssignPartition(const std::string& name, std::uint64_t partition = 0) {
     coordinator.Assign(partition, QueueId(name));
     world.RunFor(milliseconds(300));
   }
@@ -100,7 +102,8 @@
                                             const proto::SubmitBatchRequest& request) {
     return Call<proto::SubmitBatchResponse>(queue, "queue.SubmitBatch", request);
   }
-  /// Submits and requires acceptance. @return the batch's id.
+  /// Submits a batch and expects that it is accepted.
+  /// @return the batch's id.
   std::string Accept(const std::string& queue, const std::string& key, int items,
                      const std::string& route = "describe") {
     const auto response = Submit(queue, MakeBatch(key, items, route));
@@ -144,7 +147,7 @@
   std::vector<proto::WorkGrant> Acquire(const std::string& queue, std::uint32_t slots,
                                         std::uint32_t hold_ms = 0) {
     proto::AcquireWorkRequest request;
-    request.set_gateway_node_id(kGateway);
+    request.set_gateway_node_id(kGatewayNodeId);
     request.set_incarnation(1);
     request.add_capacity()->set_backend("model");
     request.mutable_capacity(0)->set_slots(slots);
@@ -172,7 +175,7 @@
                                            const std::vector<proto::WorkReport>& reports,
                                            const std::vector<proto::WorkGrant>& running = {}) {
     proto::ReportWorkRequest request;
-    request.set_gateway_node_id(kGateway);
+    request.set_gateway_node_id(kGatewayNodeId);
     request.set_incarnation(1);
     for (const proto::WorkReport& report : reports) {
       *request.add_reports() = report;
@@ -187,7 +190,8 @@
     return Report(queue, {MakeReport(grant, proto::WORK_DISPOSITION_FINISHED, output)}).status();
   }
 
-  /// Makes `to` recover `partition` from the log of the dead `node`, without waiting.
+  /// Requests that `to` recover `partition` from the log of the dead `node`. Does not wait until it
+  /// is recovered.
   Status StartRecovery(std::uint64_t node, const std::string& to, std::uint64_t partition = 0) {
     const auto segments = Collect(node);
     if (!segments.ok()) {
@@ -202,23 +206,23 @@
     }
     return Call<proto::RecoverPartitionsResponse>(to, "queue.RecoverPartitions", request).status();
   }
-  bool Owns(const std::string& name, std::uint64_t partition = 0) const {
+  bool IsOwner(const std::string& name, std::uint64_t partition = 0) const {
     const auto found = coordinator.partitions.find(partition);
     return found != coordinator.partitions.end() && found->second.owner() == QueueId(name) &&
            QueueId(name) != 0;
   }
-  /// Kills `from` and lets `to` recover its partition.
+  /// Kills machine `from` and waits until `to` has recovered its partition and owns it.
   void FailOver(const std::string& from, const std::string& to, std::uint64_t partition = 0) {
     const std::uint64_t node = QueueId(from);
     world.machine(from).Kill();
     coordinator.DeclareDead(node);
     const Status started = StartRecovery(node, to, partition);
     ASSERT_TRUE(started.ok()) << started.ToString();
-    ASSERT_TRUE(world.RunUntil([&] { return Owns(to, partition); }, seconds(10)));
+    ASSERT_TRUE(world.RunUntil([&] { return IsOwner(to, partition); }, seconds(10)));
     world.RunFor(milliseconds(300));
   }
 
-  static constexpr std::uint64_t kGateway = 900;
+  static constexpr std::uint64_t kGatewayNodeId = 900;
   QueueOptions queue_options;
 
  private:
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -1,4 +1,4 @@
-// The limit of a route's open tokens over partitions of several queue nodes.
+// The limit of a route's open tokens, over partitions that several queue nodes own.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -24,17 +24,17 @@
       world_.coordinator.Assign(id, 0);
     }
     for (std::uint64_t id = 0; id < kPartitions; ++id) {
-      world_.AddQueue(Name(id));
-      world_.Own(Name(id), id);
+      world_.AddQueue(NodeName(id));
+      world_.AssignPartition(NodeName(id), id);
     }
   }
 
-  static std::string Name(std::uint64_t partition) { return "q" + std::to_string(partition); }
+  static std::string NodeName(std::uint64_t partition) { return "q" + std::to_string(partition); }
   static std::uint64_t QuotaOwner() { return PartitionForTenant("studio", kPartitions).value(); }
 
   Result<proto::SubmitBatchResponse> Submit(std::uint64_t partition, const std::string& key,
                                             int items, std::uint64_t limit = kLimit) {
-    return world_.Submit(Name(partition), MakeBatch(partition, key, items, limit));
+    return world_.Submit(NodeName(partition), MakeBatch(partition, key, items, limit));
   }
   static proto::SubmitBatchRequest MakeBatch(std::uint64_t partition, const std::string& key,
                                              int items, std::uint64_t limit) {
@@ -52,7 +52,7 @@
     proto::SubmitBatchRequest request = MakeBatch(partition, key, items, kLimit);
     request.set_wait_ms(
         static_cast<std::uint32_t>(std::chrono::duration_cast<milliseconds>(wait).count()));
-    world_.world.CallPeer(world_.world.machine(Name(partition)).endpoint(), "queue.SubmitBatch",
+    world_.world.CallPeer(world_.world.machine(NodeName(partition)).endpoint(), "queue.SubmitBatch",
                           request.SerializeAsString(), seconds(5),
                           [this, key](const PeerReply& reply) {
                             answers_[key] = {reply.status.code(), world_.world.Now()};
@@ -62,8 +62,10 @@
     StatusCode code = StatusCode::kOk;
     TimePoint at;
   };
-  /// Runs for a second and checks that the batch was rejected, and how long after `sent`.
-  void ExpectRefused(const std::string& key, TimePoint sent, Duration earliest, Duration latest) {
+  /// Runs the world for 1 s and checks that the batch was rejected between `earliest` and `latest`
+  /// after `sent`.
+  void ExpectRejectedAfter(const std::string& key, TimePoint sent, Duration earliest,
+                           Duration latest) {
     world_.world.RunFor(seconds(1));
     ASSERT_TRUE(answers_.contains(key));
     EXPECT_EQ(answers_[key].code, StatusCode::kResourceExhausted);
@@ -72,8 +74,8 @@
   }
 
   void FinishAll(std::uint64_t partition) {
-    for (const proto::WorkGrant& grant : world_.Acquire(Name(partition), 100)) {
-      EXPECT_TRUE(world_.Finish(Name(partition), grant).ok());
+    for (const proto::WorkGrant& grant : world_.Acquire(NodeName(partition), 100)) {
+      EXPECT_TRUE(world_.Finish(NodeName(partition), grant).ok());
     }
   }
 
@@ -109,7 +111,7 @@
   for (int batch = 0; batch < 30; ++batch) {
     const std::uint64_t partition = static_cast<std::uint64_t>(batch) % kPartitions;
     world_.world.CallPeer(
-        world_.world.machine(Name(partition)).endpoint(), "queue.SubmitBatch",
+        world_.world.machine(NodeName(partition)).endpoint(), "queue.SubmitBatch",
         MakeBatch(partition, "k" + std::to_string(batch), 1, kLimit).SerializeAsString(),
         seconds(5), [&](const PeerReply& reply) {
           ++answers;
@@ -124,7 +126,7 @@
   int accepted = 0;
   int answers = 0;
   for (int copy = 0; copy < 3; ++copy) {
-    world_.world.CallPeer(world_.world.machine(Name(1)).endpoint(), "queue.SubmitBatch",
+    world_.world.CallPeer(world_.world.machine(NodeName(1)).endpoint(), "queue.SubmitBatch",
                           MakeBatch(1, "same", 6, kLimit).SerializeAsString(), seconds(5),
                           [&](const PeerReply& reply) {
                             ++answers;
@@ -133,7 +135,7 @@
   }
   ASSERT_TRUE(world_.world.RunUntil([&] { return answers == 3; }, seconds(10)));
   EXPECT_EQ(accepted, 3);
-  EXPECT_THAT(Submit(0, "other", 4), IsOk()) << "its tokens count once";
+  EXPECT_THAT(Submit(0, "other", 4), IsOk()) << "the tokens of resent submissions must count once";
 }
 
 TEST_F(TokenLimitTest, AcceptsWaitingBatchOnceCapacityIsFree) {
@@ -151,7 +153,7 @@
   EXPECT_THAT(Submit(1, "a", 10), IsOk());
   const TimePoint sent = world_.world.Now();
   SubmitWaiting(2, "b", 5, milliseconds(300));
-  ExpectRefused("b", sent, milliseconds(300), milliseconds(450));
+  ExpectRejectedAfter("b", sent, milliseconds(300), milliseconds(450));
 }
 
 TEST_F(TokenLimitTest, RejectsBatchAboveTheLimitAtOnce) {
@@ -159,7 +161,7 @@
   EXPECT_THAT(Submit(2, "counted", 5), FailsWith(StatusCode::kResourceExhausted));
   const TimePoint sent = world_.world.Now();
   SubmitWaiting(2, "b", 11, milliseconds(300));
-  ExpectRefused("b", sent, Duration::zero(), milliseconds(50));
+  ExpectRejectedAfter("b", sent, Duration::zero(), milliseconds(50));
 }
 
 TEST_F(TokenLimitTest, WaitingBatchesStayWithinTheLimit) {
@@ -220,7 +222,7 @@
 TEST_F(TokenLimitTest, NewQuotaOwnerCountsBeforeItGrants) {
   EXPECT_THAT(Submit((QuotaOwner() + 1) % kPartitions, "a", 8), IsOk());
   const std::uint64_t successor = (QuotaOwner() + 2) % kPartitions;
-  world_.FailOver(Name(QuotaOwner()), Name(successor), QuotaOwner());
+  world_.FailOver(NodeName(QuotaOwner()), NodeName(successor), QuotaOwner());
   world_.world.RunFor(seconds(3));
   EXPECT_THAT(Submit(successor, "b", 3), FailsWith(StatusCode::kResourceExhausted));
   EXPECT_THAT(Submit(successor, "c", 2), IsOk());
@@ -228,14 +230,14 @@
 
 TEST_F(TokenLimitTest, RejectsBatchesWithoutAQuotaOwner) {
   const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
-  world_.world.machine(Name(QuotaOwner())).Kill();
+  world_.world.machine(NodeName(QuotaOwner())).Kill();
   const auto refused = Submit(other, "a", 1);
   EXPECT_THAT(refused, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(refused.status().detail(), kQuotaOwnerUnavailableDetail);
   proto::GetBatchRequest request;
   request.set_partition_id(other);
   request.set_batch_id("a");
-  EXPECT_THAT(world_.Call<proto::GetBatchResponse>(Name(other), "queue.GetBatch", request),
+  EXPECT_THAT(world_.Call<proto::GetBatchResponse>(NodeName(other), "queue.GetBatch", request),
               FailsWith(StatusCode::kNotFound));
 }
 
@@ -243,17 +245,18 @@
   const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
   EXPECT_THAT(Submit(other, "counted", 1), IsOk());
   EXPECT_THAT(Submit(other, "a", 1), IsOk());
-  world_.world.machine(Name(QuotaOwner())).Kill();
+  world_.world.machine(NodeName(QuotaOwner())).Kill();
   EXPECT_THAT(Submit(other, "b", 1), IsOk());
   const auto beyond = Submit(other, "c", 1);
-  EXPECT_EQ(beyond.status().detail(), kQuotaOwnerUnavailableDetail) << "beyond the allowance";
+  EXPECT_EQ(beyond.status().detail(), kQuotaOwnerUnavailableDetail)
+      << "the batch exceeds the allowance";
 }
 
 TEST_F(TokenLimitTest, FinishedItemsRefillTheAllowance) {
   const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
   EXPECT_THAT(Submit(other, "a", 10), IsOk());
   EXPECT_THAT(Submit(other, "b", 5), FailsWith(StatusCode::kResourceExhausted));
-  world_.world.machine(Name(QuotaOwner())).Kill();
+  world_.world.machine(NodeName(QuotaOwner())).Kill();
   EXPECT_FALSE(Submit(other, "b", 5).ok());
   FinishAll(other);
   EXPECT_THAT(Submit(other, "b", 5), IsOk());
@@ -265,13 +268,13 @@
   const std::uint64_t successor = (QuotaOwner() + 2) % kPartitions;
   std::uint64_t accepted = Submit(other, "a", 1).ok() ? 1 : 0;
   accepted += Submit(successor, "b", 1).ok() ? 1 : 0;
-  world_.world.machine(Name(QuotaOwner())).Kill();
+  world_.world.machine(NodeName(QuotaOwner())).Kill();
   for (int batch = 0; batch < 12; ++batch) {
     accepted += Submit(other, "o" + std::to_string(batch), 1).ok() ? 1 : 0;
     accepted += Submit(successor, "h" + std::to_string(batch), 1).ok() ? 1 : 0;
   }
   EXPECT_GT(accepted, 2U);
-  world_.FailOver(Name(QuotaOwner()), Name(successor), QuotaOwner());
+  world_.FailOver(NodeName(QuotaOwner()), NodeName(successor), QuotaOwner());
   world_.world.RunFor(seconds(3));
   for (int batch = 0; batch < 12; ++batch) {
     accepted += Submit(successor, "n" + std::to_string(batch), 1).ok() ? 1 : 0;
@@ -281,7 +284,7 @@
 
 TEST_F(TokenLimitTest, UnlimitedRouteNeedsNoQuotaOwner) {
   const std::uint64_t other = (QuotaOwner() + 1) % kPartitions;
-  world_.world.machine(Name(QuotaOwner())).Kill();
+  world_.world.machine(NodeName(QuotaOwner())).Kill();
   EXPECT_THAT(Submit(other, "a", 50, 0), IsOk());
 }
 
