--- a/tests/queue/durability_simulation_test.cc
+++ b/tests/queue/durability_simulation_test.cc
@@ -77,13 +77,13 @@
   BatchWorkload workload_;
 };
 
-TEST_P(DurabilityTest, CalmFleetFinishesEverything) {
+TEST_P(DurabilityTest, FinishesAllBatchesWithoutFaults) {
   fleet_.world.RunFor(seconds(5));
   HealAndVerify(10);
   EXPECT_EQ(workload_.CountOutcome(proto::ITEM_OUTCOME_UNKNOWN), 0U);
 }
 
-TEST_P(DurabilityTest, TwoStoresLoseTheirDisksAtOnce) {
+TEST_P(DurabilityTest, SurvivesLossOfTwoDisksAtOnce) {
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
   fleet_.world.RunFor(RandomTime(1000));
@@ -102,7 +102,7 @@
   HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, DisksLostOneAfterTheOther) {
+TEST_P(DurabilityTest, SurvivesDisksLostOneAfterAnother) {
   for (int round = 0; round < 3; ++round) {
     ASSERT_TRUE(
         fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(60)));
@@ -114,7 +114,7 @@
   HealAndVerify(20);
 }
 
-TEST_P(DurabilityTest, IsolatedStoreThenBothOthersLost) {
+TEST_P(DurabilityTest, SurvivesLossOfBothOtherDisksAfterIsolation) {
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
   const std::string isolated = PickRandom(fleet_.store_machines);
@@ -132,7 +132,7 @@
   HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, AllMachinesLosePower) {
+TEST_P(DurabilityTest, ServesAgainAfterPowerLossOfAllMachines) {
   std::vector<std::string> machines = fleet_.store_machines;
   for (int round = 0; round < 2; ++round) {
     fleet_.world.RunFor(RandomTime(3000));
@@ -150,7 +150,7 @@
   HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, RetiredStoreIsDrainedThenLost) {
+TEST_P(DurabilityTest, SurvivesLossOfDrainedStoreAndAnotherDisk) {
   ASSERT_TRUE(
       fleet_.world.RunUntil([this] { return fleet_.AllLogsFullyReplicated(); }, seconds(20)));
   const std::string retired = PickRandom(fleet_.store_machines);
@@ -186,7 +186,7 @@
   HealAndVerify(10);
 }
 
-TEST_P(DurabilityTest, DisksFillUpAndAreFreed) {
+TEST_P(DurabilityTest, ServesAgainAfterDisksWereFull) {
   constexpr std::uint64_t kFull = 1;
   constexpr std::uint64_t kAmple = 1ULL << 40U;
   constexpr int kRounds = 4;
@@ -216,7 +216,7 @@
   HealAndVerify(20);
 }
 
-TEST_P(DurabilityTest, RandomKillsFreezesAndPartitions) {
+TEST_P(DurabilityTest, SurvivesRandomKillsFreezesAndIsolation) {
   fleet_.world.network().request_loss = 0.003;
   fleet_.world.network().reply_loss = 0.003;
   fleet_.world.network().request_duplication = 0.01;
@@ -255,7 +255,7 @@
   CleaningTest() : DurabilityTest(20) {}
 };
 
-TEST_P(CleaningTest, RemovedBatchesNeverComeBack) {
+TEST_P(CleaningTest, RemovedBatchesStayRemovedAfterRecovery) {
   for (int round = 0; round < 8; ++round) {
     fleet_.world.RunFor(seconds(10));
     const std::string store = PickRandom(fleet_.store_machines);
--- a/tests/queue/limited_batches_simulation_test.cc
+++ b/tests/queue/limited_batches_simulation_test.cc
@@ -216,13 +216,13 @@
       reports_;  ///< By lease; reports that are not accepted yet.
 };
 
-TEST_P(LimitedBatchesTest, CalmFleetStaysWithinTheLimit) {
+TEST_P(LimitedBatchesTest, StaysWithinLimitWithoutFaults) {
   Start();
   world_.RunFor(seconds(8));
   HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, QueueNodesKilledOneAfterTheOther) {
+TEST_P(LimitedBatchesTest, StaysWithinLimitWhenQueueNodesAreKilled) {
   Start();
   for (const std::string& store : fleet_.store_machines) {
     world_.RunFor(seconds(3));
@@ -234,7 +234,7 @@
   HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, AllMachinesLosePower) {
+TEST_P(LimitedBatchesTest, StaysWithinLimitAfterPowerLossOfAllMachines) {
   Start();
   world_.RunFor(seconds(4));
   for (const std::vector<std::string>* machines :
@@ -249,7 +249,7 @@
   HealAndVerify();
 }
 
-TEST_P(LimitedBatchesTest, QueueNodeFreezesAndResumes) {
+TEST_P(LimitedBatchesTest, StaysWithinLimitWhenAQueueNodeFreezes) {
   Start();
   world_.RunFor(seconds(3));
   const std::string& store = RandomStoreMachine();
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -32,7 +32,7 @@
   EXPECT_EQ(world_.BatchIds("q1").size(), 1U);
 }
 
-TEST_F(QueueServiceTest, RejectsReusedKeyOfAnotherBatch) {
+TEST_F(QueueServiceTest, RejectsKeyReusedForAnotherBatch) {
   world_.Accept("q1", "key", 20);
   const auto other = world_.Submit("q1", QueueWorld::MakeBatch("key", 21));
   EXPECT_THAT(other, FailsWith(StatusCode::kConflict));
@@ -153,7 +153,7 @@
   EXPECT_EQ(world_.Report("q1", {}, first)->ended_lease_ids_size(), 1);
 }
 
-TEST_F(QueueServiceTest, ExpiredLeaseOfOtherItemEndsAsUnknown) {
+TEST_F(QueueServiceTest, ExpiredLeaseOfNonIdempotentItemEndsAsUnknown) {
   const std::string id = world_.Accept("q1", "key", 1, "unlock");
   const auto grants = world_.Acquire("q1", 1);
   world_.world.RunFor(seconds(6));
@@ -203,7 +203,7 @@
   EXPECT_EQ(world_.Acquire("q1", 2).size(), 2U);
 }
 
-TEST_F(QueueServiceTest, RejectsRequestsWithoutItsLease) {
+TEST_F(QueueServiceTest, RejectsRequestsWithoutValidNodeLease) {
   const std::string id = world_.Accept("q1", "key", 1);
   world_.world.Cut("q1", "control");
   world_.world.RunFor(seconds(4));
@@ -261,7 +261,7 @@
   }
 };
 
-TEST_F(QueueRecoveryTest, KeepsListsAndResultsAtTheNextOwner) {
+TEST_F(QueueRecoveryTest, NextOwnerKeepsListsAndResults) {
   const std::vector<std::string> ids = AcceptMany(5, 10);
   for (const auto& grant : world_.Acquire("q1", 12)) {
     EXPECT_TRUE(world_.Finish("q1", grant, "before").ok());
@@ -297,7 +297,7 @@
             (std::vector<std::string>{"1:1:ran at the old owner", "2:1:done", "0:3:"}));
 }
 
-TEST_F(QueueRecoveryTest, AbandonedReplayLeavesNothing) {
+TEST_F(QueueRecoveryTest, AbandonedRecoveryLeavesNoBatches) {
   std::vector<std::string> ids = AcceptMany(4, 5);
   ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
   ids.push_back(world_.Accept("q3", "late", 5));
@@ -308,7 +308,7 @@
               FailsWith(StatusCode::kConflict));
 }
 
-TEST_F(QueueRecoveryTest, SecondReplayIntoTheSameLogIsExact) {
+TEST_F(QueueRecoveryTest, SecondRecoveryIntoSameLogVoidsTheFirst) {
   const std::string first = world_.Accept("q1", "first", 5);
   ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
   // At q3 the batch is finished and removed. The log of q2 still has the entries of its recovery.
@@ -331,7 +331,7 @@
   EXPECT_EQ(world_.Acquire("q1", 10).size(), 2U);
 }
 
-TEST_F(QueueRecoveryTest, FencedOwnerRegistersAgainAndEmpty) {
+TEST_F(QueueRecoveryTest, FencedOwnerRegistersAgainUnderNewId) {
   world_.Accept("q1", "key", 2);
   const std::uint64_t first = world_.QueueId("q1");
   world_.world.machine("q1").Freeze();
--- a/tests/queue/token_limit_test.cc
+++ b/tests/queue/token_limit_test.cc
@@ -179,7 +179,7 @@
   EXPECT_EQ(accepted, 5);
 }
 
-TEST_F(TokenLimitTest, RetriedBatchGoesBeforeNewcomers) {
+TEST_F(TokenLimitTest, RetriedBatchIsGrantedBeforeNewBatch) {
   EXPECT_THAT(Submit(1, "a", 5), IsOk());
   EXPECT_THAT(Submit(2, "b", 5), IsOk());
   const auto refused = Submit(0, "retried", 5);
@@ -206,7 +206,7 @@
   EXPECT_THAT(Submit(2, "newcomer", 5), IsOk());
 }
 
-TEST_F(TokenLimitTest, SmallNewcomersDoNotStarveALargeBatch) {
+TEST_F(TokenLimitTest, SmallNewBatchesDoNotStarveALargeBatch) {
   EXPECT_THAT(Submit(1, "a", 4), IsOk());
   EXPECT_THAT(Submit(2, "b", 6), IsOk());
   SubmitWaiting(0, "large", 9, milliseconds(900));
