--- a/src/queue/batch_request_handler.cc
+++ b/src/queue/batch_request_handler.cc
@@ -5,7 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// Answers with what `read` finds among the partition's batches, or why it must not be asked.
+/// Replies with the result of `read` on the partition's store, or with the error of
+/// `PartitionOwnership::Require` if this node may not answer for the partition.
 template <typename Response, typename Read>
 void AnswerFromStore(const PartitionOwnership& ownership, std::uint64_t partition_id,
                      const BatchRequestHandler::Reply<Response>& reply, const Read& read) {
@@ -39,7 +40,10 @@
                   [&](const BatchStore& store) -> Result<proto::GetBatchResponse> {
                     const StoredBatch* batch = store.Find(request.batch_id());
                     if (batch == nullptr) {
-                      return Status(StatusCode::kNotFound, "no batch " + request.batch_id());
+                      return Status(StatusCode::kNotFound,
+                                    "there is no batch \"" + request.batch_id() +
+                                        "\" in partition " +
+                                        std::to_string(request.partition_id()));
                     }
                     proto::GetBatchResponse response;
                     *response.mutable_status() = batch->ToStatus();
--- a/tests/queue/queue_service_test.cc
+++ b/tests/queue/queue_service_test.cc
@@ -17,7 +17,7 @@
  protected:
   QueueServiceTest() : world_(21) {
     world_.AddQueue("q1");
-    world_.Own("q1");
+    world_.AssignPartition("q1");
   }
   QueueWorld world_;
 };
@@ -32,7 +32,7 @@
   EXPECT_EQ(world_.BatchIds("q1").size(), 1U);
 }
 
-TEST_F(QueueServiceTest, RejectsReusedKeyOfAnotherBatch) {
+TEST_F(QueueServiceTest, RejectsKeyReusedForAnotherBatch) {
   world_.Accept("q1", "key", 20);
   const auto other = world_.Submit("q1", QueueWorld::MakeBatch("key", 21));
   EXPECT_THAT(other, FailsWith(StatusCode::kConflict));
@@ -61,15 +61,15 @@
 }
 
 TEST_F(QueueServiceTest, RejectsDuplicateCustomIds) {
-  auto twice = QueueWorld::MakeBatch("key", 2);
-  twice.mutable_batch()->mutable_items(1)->set_custom_id("item0");
-  EXPECT_THAT(world_.Submit("q1", twice), FailsWith(StatusCode::kInvalidArgument));
+  auto request = QueueWorld::MakeBatch("key", 2);
+  request.mutable_batch()->mutable_items(1)->set_custom_id("item0");
+  EXPECT_THAT(world_.Submit("q1", request), FailsWith(StatusCode::kInvalidArgument));
 }
 
 TEST_F(QueueServiceTest, RejectsPartitionsItDoesNotOwn) {
-  auto elsewhere = QueueWorld::MakeBatch("key", 2);
-  elsewhere.set_partition_id(5);
-  const auto refused = world_.Submit("q1", elsewhere);
+  auto request = QueueWorld::MakeBatch("key", 2);
+  request.set_partition_id(5);
+  const auto refused = world_.Submit("q1", request);
   EXPECT_THAT(refused, FailsWith(StatusCode::kConflict));
   EXPECT_EQ(refused.status().detail(), kNotOwnerDetail);
 }
@@ -116,7 +116,7 @@
   request.mutable_capacity(0)->set_slots(3);
   request.set_hold_ms(2000);
   std::optional<proto::AcquireWorkResponse> response;
-  const auto ask = [&] {
+  const auto send_acquire = [&] {
     response.reset();
     world_.world.CallPeer(world_.world.machine("q1").endpoint(), "queue.AcquireWork",
                           request.SerializeAsString(), seconds(4), [&](const PeerReply& reply) {
@@ -124,13 +124,14 @@
                             ASSERT_TRUE(response->ParseFromString(reply.body));
                           });
   };
-  ask();
+  send_acquire();
   world_.world.RunFor(milliseconds(1000));
   EXPECT_FALSE(response.has_value());
   world_.Accept("q1", "key", 5);
   ASSERT_TRUE(world_.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
-  EXPECT_EQ(response->grants_size(), 0) << "its gateway may have failed meanwhile";
-  ask();
+  EXPECT_EQ(response->grants_size(), 0)
+      << "a woken request gets no grants, because its gateway may have failed meanwhile";
+  send_acquire();
   ASSERT_TRUE(world_.world.RunUntil([&] { return response.has_value(); }, milliseconds(100)));
   ASSERT_EQ(response->grants_size(), 3);
   EXPECT_GE(response->grants(0).start_within_ms(), 2000U);
@@ -152,7 +153,7 @@
   EXPECT_EQ(world_.Report("q1", {}, first)->ended_lease_ids_size(), 1);
 }
 
-TEST_F(QueueServiceTest, ExpiredLeaseOfOtherItemEndsAsUnknown) {
+TEST_F(QueueServiceTest, ExpiredLeaseOfNonIdempotentItemEndsAsUnknown) {
   const std::string id = world_.Accept("q1", "key", 1, "unlock");
   const auto grants = world_.Acquire("q1", 1);
   world_.world.RunFor(seconds(6));
@@ -202,7 +203,7 @@
   EXPECT_EQ(world_.Acquire("q1", 2).size(), 2U);
 }
 
-TEST_F(QueueServiceTest, RejectsRequestsWithoutItsLease) {
+TEST_F(QueueServiceTest, RejectsRequestsWithoutValidNodeLease) {
   const std::string id = world_.Accept("q1", "key", 1);
   world_.world.Cut("q1", "control");
   world_.world.RunFor(seconds(4));
@@ -244,8 +245,9 @@
     }
     return ids;
   }
-  /// Kills q1. q2 replays its partition, but its report never arrives; q3 becomes the owner.
-  void FailOverToQ3WhileQ2ReplaysInVain() {
+  /// Kills q1. q2 recovers its partition, but its report never reaches the coordinator; then q3
+  /// recovers the partition and becomes its owner.
+  void FailOverToQ3AfterQ2Replayed() {
     const std::uint64_t dead = world_.QueueId("q1");
     world_.world.machine("q1").Kill();
     world_.coordinator.DeclareDead(dead);
@@ -253,13 +255,13 @@
     ASSERT_TRUE(world_.StartRecovery(dead, "q2").ok());
     world_.world.RunFor(milliseconds(500));
     ASSERT_TRUE(world_.StartRecovery(dead, "q3").ok());
-    ASSERT_TRUE(world_.world.RunUntil([&] { return world_.Owns("q3"); }, seconds(5)));
+    ASSERT_TRUE(world_.world.RunUntil([&] { return world_.IsOwner("q3"); }, seconds(5)));
     world_.world.HealAll();
     world_.world.RunFor(milliseconds(300));
   }
 };
 
-TEST_F(QueueRecoveryTest, KeepsListsAndResultsAtTheNextOwner) {
+TEST_F(QueueRecoveryTest, NextOwnerKeepsListsAndResults) {
   const std::vector<std::string> ids = AcceptMany(5, 10);
   for (const auto& grant : world_.Acquire("q1", 12)) {
     EXPECT_TRUE(world_.Finish("q1", grant, "before").ok());
@@ -268,12 +270,12 @@
   world_.FailOver("q1", "q2");
   EXPECT_EQ(world_.BatchIds("q2"), ids);
   EXPECT_EQ(world_.Results("q2", ids[0]), results);
-  std::size_t left = 0;
+  std::size_t remaining_items = 0;
   for (const auto& grant : world_.Acquire("q2", 100)) {
     EXPECT_TRUE(world_.Finish("q2", grant, "after").ok());
-    ++left;
+    ++remaining_items;
   }
-  EXPECT_EQ(left, 38U);
+  EXPECT_EQ(remaining_items, 38U);
   const auto later = world_.Results("q2", ids[0]);
   ASSERT_EQ(later.size(), 10U);
   EXPECT_TRUE(std::equal(results.begin(), results.end(), later.begin()));
@@ -295,9 +297,9 @@
             (std::vector<std::string>{"1:1:ran at the old owner", "2:1:done", "0:3:"}));
 }
 
-TEST_F(QueueRecoveryTest, AbandonedReplayLeavesNothing) {
+TEST_F(QueueRecoveryTest, AbandonedRecoveryLeavesNoBatches) {
   std::vector<std::string> ids = AcceptMany(4, 5);
-  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
   ids.push_back(world_.Accept("q3", "late", 5));
   EXPECT_EQ(world_.BatchIds("q3"), ids);
   proto::GetBatchRequest get;
@@ -306,10 +308,10 @@
               FailsWith(StatusCode::kConflict));
 }
 
-TEST_F(QueueRecoveryTest, SecondReplayIntoTheSameLogIsExact) {
+TEST_F(QueueRecoveryTest, SecondRecoveryIntoSameLogVoidsTheFirst) {
   const std::string first = world_.Accept("q1", "first", 5);
-  ASSERT_NO_FATAL_FAILURE(FailOverToQ3WhileQ2ReplaysInVain());
-  // At q3 the batch is finished and removed.
+  ASSERT_NO_FATAL_FAILURE(FailOverToQ3AfterQ2Replayed());
+  // At q3 the batch is finished and removed. The log of q2 still has the entries of its recovery.
   EXPECT_EQ(world_.BatchIds("q3"), std::vector<std::string>{first});
   for (const auto& grant : world_.Acquire("q3", 5)) {
     EXPECT_TRUE(world_.Finish("q3", grant).ok());
@@ -318,7 +320,8 @@
   world_.PublishConfiguration();
   ASSERT_TRUE(world_.world.RunUntil([&] { return world_.BatchIds("q3").empty(); }, seconds(60)));
   const std::string second = world_.Accept("q3", "second", 2);
-  // Then q2 becomes the owner after all, and its own log is replayed at the end.
+  // q2 recovers the partition again, into the same log, and becomes its owner. Then that log is
+  // replayed: the entries of the first recovery must not count.
   world_.FailOver("q3", "q2");
   EXPECT_EQ(world_.BatchIds("q2"), std::vector<std::string>{second});
   world_.world.machine("q1").Start();
@@ -328,13 +331,13 @@
   EXPECT_EQ(world_.Acquire("q1", 10).size(), 2U);
 }
 
-TEST_F(QueueRecoveryTest, FencedOwnerRegistersAgainAndEmpty) {
+TEST_F(QueueRecoveryTest, FencedOwnerRegistersAgainUnderNewId) {
   world_.Accept("q1", "key", 2);
   const std::uint64_t first = world_.QueueId("q1");
   world_.world.machine("q1").Freeze();
   world_.coordinator.DeclareDead(first);
   ASSERT_TRUE(world_.StartRecovery(first, "q2").ok());
-  ASSERT_TRUE(world_.world.RunUntil([&] { return world_.Owns("q2"); }, seconds(10)));
+  ASSERT_TRUE(world_.world.RunUntil([&] { return world_.IsOwner("q2"); }, seconds(10)));
   world_.world.machine("q1").Wake();
   EXPECT_FALSE(world_.Submit("q1", QueueWorld::MakeBatch("late", 1)).ok());
   world_.world.RunFor(seconds(2));
