--- a/src/log_format/segment_format.cc
+++ b/src/log_format/segment_format.cc
@@ -9,9 +9,9 @@
 }
 
 std::size_t AppendEntry(std::string* out, SegmentId segment, const proto::LogEntry& entry) {
-  const std::size_t before = out->size();
+  const std::size_t old_size = out->size();
   AppendRecord(*out, entry.SerializeAsString(), segment.value());
-  return out->size() - before;
+  return out->size() - old_size;
 }
 
 bool SegmentReader::NextBytes(std::string_view* serialized) {
--- a/src/log_writer/append_queue.cc
+++ b/src/log_writer/append_queue.cc
@@ -32,11 +32,11 @@
 }
 
 std::size_t AppendQueue::CountPartlyPlaced() const {
-  return waiting_.empty() || waiting_.front().next == 0 ? 0 : 1;
+  return waiting_.empty() || waiting_.front().next_entry == 0 ? 0 : 1;
 }
 
-bool AppendQueue::IsOverdue(std::size_t skipped, TimePoint limit) const {
-  return waiting_.size() > skipped && waiting_[skipped].since <= limit;
+bool AppendQueue::IsOverdue(std::size_t skipped, TimePoint cutoff) const {
+  return waiting_.size() > skipped && waiting_[skipped].added_at <= cutoff;
 }
 
 AppendQueue::Done AppendQueue::TakeWaiting(std::size_t position) {
--- a/src/log_writer/append_queue.h
+++ b/src/log_writer/append_queue.h
@@ -23,9 +23,9 @@
 
   struct WaitingAppend {
     std::vector<proto::LogEntry> entries;
-    std::size_t next = 0;     ///< First entry that is not in a segment yet.
-    std::uint64_t bytes = 0;  ///< Framed, of all entries.
-    TimePoint since;          ///< Time of `Add`.
+    std::size_t next_entry = 0;  ///< First entry that is not in a segment yet.
+    std::uint64_t bytes = 0;     ///< Framed, of all entries.
+    TimePoint added_at;          ///< Time of `Add`.
     Done done;
   };
 
@@ -50,7 +50,7 @@
   /// append can only be synced or end with the log.
   std::size_t CountPartlyPlaced() const;
   /// @return whether a waiting append behind the first `skipped` waits since `limit` or longer.
-  bool IsOverdue(std::size_t skipped, TimePoint limit) const;
+  bool IsOverdue(std::size_t skipped, TimePoint cutoff) const;
   /// Requires `IsOverdue`. @return the callback of the append at `position`, which is removed.
   Done TakeWaiting(std::size_t position);
 
--- a/src/log_writer/backup_client.cc
+++ b/src/log_writer/backup_client.cc
@@ -14,7 +14,7 @@
 }
 
 template <typename Response>
-std::function<void(Result<Response>)> StatusOnly(BackupClient::Done done) {
+std::function<void(Result<Response>)> ForwardStatus(BackupClient::Done done) {
   return [done = std::move(done)](Result<Response> result) { done(result.status()); };
 }
 
@@ -27,7 +27,7 @@
   request.set_capacity(capacity);
   CallPeer<proto::OpenSegmentResponse>(environment_, backup, "backup.OpenSegment", request,
                                        deadline_,
-                                       StatusOnly<proto::OpenSegmentResponse>(std::move(done)));
+                                       ForwardStatus<proto::OpenSegmentResponse>(std::move(done)));
 }
 
 void BackupClient::WriteSegment(const Endpoint& backup, SegmentId segment, HeadEpoch epoch,
@@ -38,9 +38,9 @@
   request.set_data(std::move(write.data));
   request.set_atomic_replace(write.atomic_replace);
   request.set_replace_complete(write.replace_complete);
-  CallPeer<proto::WriteSegmentResponse>(environment_, backup, "backup.WriteSegment", request,
-                                        deadline_,
-                                        StatusOnly<proto::WriteSegmentResponse>(std::move(done)));
+  CallPeer<proto::WriteSegmentResponse>(
+      environment_, backup, "backup.WriteSegment", request, deadline_,
+      ForwardStatus<proto::WriteSegmentResponse>(std::move(done)));
 }
 
 void BackupClient::SetSegmentEpoch(const Endpoint& backup, SegmentId segment, HeadEpoch epoch,
@@ -49,23 +49,23 @@
   request.set_epoch(epoch.value());
   CallPeer<proto::SetSegmentEpochResponse>(
       environment_, backup, "backup.SetSegmentEpoch", request, deadline_,
-      StatusOnly<proto::SetSegmentEpochResponse>(std::move(done)));
+      ForwardStatus<proto::SetSegmentEpochResponse>(std::move(done)));
 }
 
 void BackupClient::CloseSegment(const Endpoint& backup, SegmentId segment, std::uint64_t length,
                                 Done done) const {
   auto request = MakeRequest<proto::CloseSegmentRequest>(node_, segment);
   request.set_length(length);
-  CallPeer<proto::CloseSegmentResponse>(environment_, backup, "backup.CloseSegment", request,
-                                        deadline_,
-                                        StatusOnly<proto::CloseSegmentResponse>(std::move(done)));
+  CallPeer<proto::CloseSegmentResponse>(
+      environment_, backup, "backup.CloseSegment", request, deadline_,
+      ForwardStatus<proto::CloseSegmentResponse>(std::move(done)));
 }
 
 void BackupClient::FreeSegment(const Endpoint& backup, SegmentId segment, Done done) const {
   CallPeer<proto::FreeSegmentResponse>(environment_, backup, "backup.FreeSegment",
                                        MakeRequest<proto::FreeSegmentRequest>(node_, segment),
                                        deadline_,
-                                       StatusOnly<proto::FreeSegmentResponse>(std::move(done)));
+                                       ForwardStatus<proto::FreeSegmentResponse>(std::move(done)));
 }
 
 void BackupClient::ReadSegment(const Endpoint& backup, SegmentId segment,
--- a/src/log_writer/backup_directory.cc
+++ b/src/log_writer/backup_directory.cc
@@ -15,9 +15,9 @@
 
 const proto::Server* BackupDirectory::FindBackup(const ReplicaLocation& location) const {
   const auto& servers = agent_.fleet().servers;
-  const auto same = servers.find(location.node);
-  if (same != servers.end() && IsLiveBackup(same->second)) {
-    return &same->second;
+  const auto same_node = servers.find(location.node);
+  if (same_node != servers.end() && IsLiveBackup(same_node->second)) {
+    return &same_node->second;
   }
   if (location.disk_id.empty()) {
     return nullptr;
@@ -90,7 +90,7 @@
 std::set<NodeId> BackupDirectory::GetRecentlyFailed() {
   const TimePoint now = environment_.Now();
   std::erase_if(failed_at_,
-                [&](const auto& failure) { return now - failure.second >= failure_memory_; });
+                [&](const auto& failure) { return now - failure.second >= failure_cooldown_; });
   std::set<NodeId> nodes;
   for (const auto& [node, time] : failed_at_) {
     nodes.insert(node);
--- a/src/log_writer/backup_directory.h
+++ b/src/log_writer/backup_directory.h
@@ -33,8 +33,8 @@
 
 class BackupDirectory {
  public:
-  BackupDirectory(Environment& environment, NodeAgent& agent, Duration failure_memory)
-      : environment_(environment), agent_(agent), failure_memory_(failure_memory) {}
+  BackupDirectory(Environment& environment, NodeAgent& agent, Duration failure_cooldown)
+      : environment_(environment), agent_(agent), failure_cooldown_(failure_cooldown) {}
 
   /// @return the live backup that has the disk of `location` now, or nullptr.
   const proto::Server* FindBackup(const ReplicaLocation& location) const;
@@ -67,7 +67,7 @@
 
   Environment& environment_;
   NodeAgent& agent_;
-  Duration failure_memory_;
+  Duration failure_cooldown_;
   std::map<NodeId, TimePoint> failed_at_;
 };
 
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -28,7 +28,7 @@
 }
 
 void HeadSegment::AdvanceOnce() {
-  EvaluateReplicaSet();
+  UpdateReplicaSet();
   AddCandidates();
   // By index: a call must not keep a reference into `replicas_`.
   for (std::size_t i = 0; i < replicas_.size(); ++i) {
@@ -68,13 +68,13 @@
   if (!IsSetCommitted()) {
     return;
   }
-  std::uint64_t least = content_.length();
+  std::uint64_t synced_by_all = content_.length();
   for (const Replica& replica : replicas_) {
     if (replica.member) {
-      least = std::min(least, replica.synced);
+      synced_by_all = std::min(synced_by_all, replica.synced);
     }
   }
-  durable_length_ = std::max(durable_length_, least);
+  durable_length_ = std::max(durable_length_, synced_by_all);
 }
 
 bool HeadSegment::IsOpen() const {
@@ -96,14 +96,14 @@
   if (!closing_) {
     return false;
   }
-  const std::size_t done = CountReplicas();
-  if (done >= context_.options.replicas) {
+  const std::size_t closed = CountReplicas();
+  if (closed >= context_.options.replicas) {
     return true;
   }
-  const bool waits =
+  const bool may_still_close =
       std::any_of(replicas_.begin(), replicas_.end(),
                   [this](const Replica& replica) { return !replica.closed && !IsLost(replica); });
-  return done >= context_.options.minimum_replicas && !waits;
+  return closed >= context_.options.minimum_replicas && !may_still_close;
 }
 
 std::vector<ReplicaLocation> HeadSegment::locations() const {
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -81,7 +81,7 @@
 
  private:
   struct Replica {
-    std::uint64_t serial = 0;  ///< Distinguishes late answers for a dropped replica.
+    std::uint64_t number = 0;  ///< Distinguishes late answers for a dropped replica.
     ReplicaLocation location;
     HeadEpoch epoch;           ///< Last one the backup confirmed; invalid: not opened.
     std::uint64_t synced = 0;  ///< Bytes the backup confirmed.
@@ -115,14 +115,14 @@
   ProposedReplicaSet ProposeReplicaSet() const;
   bool HasUnreadyCandidates() const;
   /// Changes to the proposed set once it is complete enough.
-  void EvaluateReplicaSet();
+  void UpdateReplicaSet();
   /// Makes the live members and the ready candidates the set of the next epoch.
-  void AdoptReadyReplicas();
+  void ApplyProposedReplicaSet();
   /// Frees the candidates for which `keep` is false.
   void DropCandidates(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
   /// @return the commit of the present set; the same bytes for every attempt under one epoch.
-  const proto::CommitHeadRequest& CommitRequest();
+  const proto::CommitHeadRequest& PrepareCommitRequest();
   void HandleCommit(HeadEpoch epoch, const Status& status);
   /// Whether a candidate lacks at most one write of the content.
   bool IsReady(const Replica& replica) const;
@@ -138,24 +138,24 @@
   /// Marks `replica` busy. @return the handler of the answer; it runs `on_ok` if the call succeeded
   /// and the replica was not dropped meanwhile.
   BackupClient::Done MakeAnswerHandler(Replica& replica, std::function<void(Replica&)> on_ok);
-  void HandleAnswer(std::uint64_t serial, const Status& status,
+  void HandleAnswer(std::uint64_t replica_number, const Status& status,
                     const std::function<void(Replica&)>& on_ok);
-  void HandleFailure(std::uint64_t serial, const Status& status);
-  Replica* FindReplica(std::uint64_t serial);
+  void HandleFailure(std::uint64_t replica_number, const Status& status);
+  Replica* FindReplica(std::uint64_t replica_number);
 
   LogContext& context_;
   SegmentId id_;
   SegmentContent content_;
   std::function<void()> on_progress_;
   std::vector<Replica> replicas_;
-  std::uint64_t last_serial_ = 0;
+  std::uint64_t last_replica_number_ = 0;
   HeadEpoch epoch_;            ///< Of the present set; 0 before the first.
   HeadEpoch open_epoch_{1};    ///< Of candidates and of the next set.
   HeadEpoch committed_epoch_;  ///< Last one the coordinators confirmed.
   proto::CommitHeadRequest commit_request_;
   std::uint64_t durable_length_ = 0;
   bool commit_allowed_ = false;
-  bool commit_under_way_ = false;
+  bool commit_in_progress_ = false;
   bool closing_ = false;
   RepeatedStep advance_;
   bool retry_scheduled_ = false;
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -55,7 +55,7 @@
 }
 
 void HeadSegment::WriteReplica(Replica& replica) {
-  const std::uint64_t end = content_.WriteEnd(replica.synced, context_.options.write_bytes);
+  const std::uint64_t end = content_.FindWriteEnd(replica.synced, context_.options.write_bytes);
   const HeadEpoch epoch = replica.member ? epoch_ : replica.epoch;
   SegmentWrite write;
   write.offset = replica.synced;
@@ -87,33 +87,34 @@
                                content_.length(), std::move(done));
 }
 
-HeadSegment::Replica* HeadSegment::FindReplica(std::uint64_t serial) {
-  const auto found = std::find_if(replicas_.begin(), replicas_.end(),
-                                  [&](const Replica& replica) { return replica.serial == serial; });
+HeadSegment::Replica* HeadSegment::FindReplica(std::uint64_t replica_number) {
+  const auto found = std::find_if(replicas_.begin(), replicas_.end(), [&](const Replica& replica) {
+    return replica.number == replica_number;
+  });
   return found == replicas_.end() ? nullptr : &*found;
 }
 
 BackupClient::Done HeadSegment::MakeAnswerHandler(Replica& replica,
                                                   std::function<void(Replica&)> on_ok) {
   replica.busy = true;
-  return [weak = weak_from_this(), serial = replica.serial,
+  return [weak = weak_from_this(), replica_number = replica.number,
           on_ok = std::move(on_ok)](const Status& status) {
     const auto self = weak.lock();
     if (self != nullptr && !self->context_.stopped) {
-      self->HandleAnswer(serial, status, on_ok);
+      self->HandleAnswer(replica_number, status, on_ok);
     }
   };
 }
 
-void HeadSegment::HandleAnswer(std::uint64_t serial, const Status& status,
+void HeadSegment::HandleAnswer(std::uint64_t replica_number, const Status& status,
                                const std::function<void(Replica&)>& on_ok) {
   if (status.code() == StatusCode::kFenced) {
     context_.on_fenced(FencedBy::kBackupOfHead, id_.ToString());
     return;
   }
   if (!status.ok()) {
-    HandleFailure(serial, status);
-  } else if (Replica* answered = FindReplica(serial)) {
+    HandleFailure(replica_number, status);
+  } else if (Replica* answered = FindReplica(replica_number)) {
     answered->busy = false;
     answered->failing = false;
     context_.directory.RecordSuccess(answered->location.node);
@@ -123,8 +124,8 @@
   on_progress_();
 }
 
-void HeadSegment::HandleFailure(std::uint64_t serial, const Status& status) {
-  Replica* replica = FindReplica(serial);
+void HeadSegment::HandleFailure(std::uint64_t replica_number, const Status& status) {
+  Replica* replica = FindReplica(replica_number);
   if (replica == nullptr) {
     return;
   }
@@ -137,7 +138,7 @@
                                            {{"reason", StatusCodeName(status.code())}});
   context_.directory.RecordFailure(context_.directory.GetCurrentNode(replica->location));
   if (!replica->member) {
-    std::erase_if(replicas_, [&](const Replica& other) { return other.serial == serial; });
+    std::erase_if(replicas_, [&](const Replica& other) { return other.number == replica_number; });
     return;
   }
   replica->busy = false;
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -38,7 +38,7 @@
       context_.directory.Select(wanted - locations.size(), wanted, locations, excluded);
   for (const NodeId node : chosen) {
     Replica replica;
-    replica.serial = ++last_serial_;
+    replica.number = ++last_replica_number_;
     replica.location = context_.directory.GetLocation(node);
     replicas_.push_back(std::move(replica));
   }
@@ -64,17 +64,17 @@
 }
 
 HeadSegment::ProposedReplicaSet HeadSegment::ProposeReplicaSet() const {
-  ProposedReplicaSet next;
+  ProposedReplicaSet proposed;
   for (const Replica& replica : replicas_) {
     const bool joins = !replica.member && IsReady(replica);
     const bool leaves = replica.member && IsLost(replica);
-    next.size += joins || (replica.member && !leaves) ? 1 : 0;
-    next.differs = next.differs || joins || leaves;
+    proposed.size += joins || (replica.member && !leaves) ? 1 : 0;
+    proposed.differs = proposed.differs || joins || leaves;
   }
-  return next;
+  return proposed;
 }
 
-void HeadSegment::EvaluateReplicaSet() {
+void HeadSegment::UpdateReplicaSet() {
   if (closing_) {
     return;  // The content is final: candidates become further closed replicas without a new set.
   }
@@ -82,24 +82,25 @@
     DropCandidates([](const Replica&) { return false; });
     return;
   }
-  const ProposedReplicaSet next = ProposeReplicaSet();
-  const bool enough = next.size >= context_.options.replicas ||
-                      (next.size >= context_.options.minimum_replicas && !HasUnreadyCandidates());
-  if (!next.differs || !enough) {
+  const ProposedReplicaSet proposed = ProposeReplicaSet();
+  const bool large_enough =
+      proposed.size >= context_.options.replicas ||
+      (proposed.size >= context_.options.minimum_replicas && !HasUnreadyCandidates());
+  if (!proposed.differs || !large_enough) {
     return;
   }
-  if (next.size < context_.options.replicas) {
+  if (proposed.size < context_.options.replicas) {
     // Before going on with fewer replicas, look once more for backups that can still be asked.
-    const std::size_t before = replicas_.size();
+    const std::size_t old_count = replicas_.size();
     AddCandidates();
-    if (replicas_.size() > before) {
+    if (replicas_.size() > old_count) {
       return;
     }
   }
-  AdoptReadyReplicas();
+  ApplyProposedReplicaSet();
 }
 
-void HeadSegment::AdoptReadyReplicas() {
+void HeadSegment::ApplyProposedReplicaSet() {
   DropCandidates([this](const Replica& replica) { return IsReady(replica); });
   std::erase_if(replicas_,
                 [this](const Replica& replica) { return replica.member && IsLost(replica); });
@@ -117,13 +118,13 @@
 }
 
 void HeadSegment::CommitIfReady() {
-  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() || IsSetCommitted() ||
+  if (!commit_allowed_ || commit_in_progress_ || closing_ || !epoch_.valid() || IsSetCommitted() ||
       !AreMembersUpToDate()) {
     return;
   }
-  commit_under_way_ = true;
+  commit_in_progress_ = true;
   context_.agent.CallLeader<proto::CommitHeadResponse>(
-      "coordinator.CommitHead", CommitRequest(), context_.options.commit_deadline,
+      "coordinator.CommitHead", PrepareCommitRequest(), context_.options.commit_deadline,
       [weak = weak_from_this(), epoch = epoch_](const Result<proto::CommitHeadResponse>& result) {
         if (const auto self = weak.lock()) {
           self->HandleCommit(epoch, result.status());
@@ -131,7 +132,7 @@
       });
 }
 
-const proto::CommitHeadRequest& HeadSegment::CommitRequest() {
+const proto::CommitHeadRequest& HeadSegment::PrepareCommitRequest() {
   proto::LogHead& head = *commit_request_.mutable_head();
   if (head.epoch() == epoch_.value()) {
     // An earlier try may have been committed: a backup that has restarted since keeps its old id in
@@ -151,7 +152,7 @@
 }
 
 void HeadSegment::HandleCommit(HeadEpoch epoch, const Status& status) {
-  commit_under_way_ = false;
+  commit_in_progress_ = false;
   if (context_.stopped) {
     return;
   }
--- a/src/log_writer/log_context.h
+++ b/src/log_writer/log_context.h
@@ -25,13 +25,14 @@
   Duration bulk_deadline = seconds(5);            ///< Of a call that carries all of a segment.
   Duration commit_deadline = milliseconds(2000);  ///< Of CommitHead at the coordinators.
   Duration retry_delay = milliseconds(100);
-  Duration failure_memory = seconds(2);  ///< A backup whose call failed is not chosen for so long.
+  Duration failure_cooldown =
+      seconds(2);  ///< A backup whose call failed is not chosen for so long.
   /// Appends of which nothing was sent to a backup are refused after waiting for so long.
-  Duration refuse_after = seconds(2);
-  std::uint64_t waiting_bytes = 64ULL
-                                << 20U;  ///< Bound on entries that wait for a place in a segment.
+  Duration append_timeout = seconds(2);
+  std::uint64_t max_waiting_bytes =
+      64ULL << 20U;  ///< Bound on entries that wait for a place in a segment.
   std::uint64_t write_bytes = 1ULL << 20U;  ///< Largest WriteSegment, unless one entry is larger.
-  std::size_t parallel_repairs = 2;         ///< Closed segments under repair at a time.
+  std::size_t max_parallel_repairs = 2;     ///< Closed segments under repair at a time.
 };
 
 /// Who refused the log's node id as dead.
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -13,7 +13,7 @@
   const TimePoint now = context_.environment.Now();
   for (const auto& [id, server] : context_.agent.fleet().servers) {
     const ReplicaLocation location = context_.directory.GetLocation(id);
-    if (!repairer_->IsOn(location, id) || now < next_audit_[id]) {
+    if (!repairer_->IsLocationOnBackup(location, id) || now < next_audit_[id]) {
       continue;
     }
     next_audit_[id] = now + kAuditInterval;
@@ -66,7 +66,7 @@
   for (const SegmentId id : found) {
     if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
       context_.environment.metrics().Increment("queue_leftover_replicas_freed_total");
-      repairer_->FreeAt(context_.directory.GetLocation(backup), id);
+      repairer_->FreeReplica(context_.directory.GetLocation(backup), id);
     }
   }
 }
--- a/src/log_writer/segment_content.cc
+++ b/src/log_writer/segment_content.cc
@@ -19,14 +19,14 @@
   entry_ends_.push_back(static_cast<std::uint32_t>(bytes_.size()));
 }
 
-std::uint64_t SegmentContent::WriteEnd(std::uint64_t offset, std::uint64_t limit) const {
+std::uint64_t SegmentContent::FindWriteEnd(std::uint64_t offset, std::uint64_t limit) const {
   const std::uint64_t end = offset + limit;
   if (end >= bytes_.size()) {
     return bytes_.size();
   }
-  const auto beyond = std::upper_bound(entry_ends_.begin(), entry_ends_.end(), end);
-  const bool one_fits = beyond != entry_ends_.begin() && *std::prev(beyond) > offset;
-  return one_fits ? *std::prev(beyond) : *beyond;
+  const auto next_end = std::upper_bound(entry_ends_.begin(), entry_ends_.end(), end);
+  const bool one_fits = next_end != entry_ends_.begin() && *std::prev(next_end) > offset;
+  return one_fits ? *std::prev(next_end) : *next_end;
 }
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_content.h
+++ b/src/log_writer/segment_content.h
@@ -26,7 +26,7 @@
   const std::string& bytes() const { return bytes_; }
   /// @return where a write of at most `limit` bytes from `offset` ends: behind a complete entry, of
   /// which it has at least one, larger than `limit` or not.
-  std::uint64_t WriteEnd(std::uint64_t offset, std::uint64_t limit) const;
+  std::uint64_t FindWriteEnd(std::uint64_t offset, std::uint64_t limit) const;
 
  private:
   SegmentId id_;
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -6,7 +6,7 @@
 namespace {
 
 /// How often waiting appends, the lease and repairs are looked at without any other cause.
-constexpr Duration kTick = milliseconds(100);
+constexpr Duration kTickInterval = milliseconds(100);
 
 }  // namespace
 
@@ -18,7 +18,7 @@
                agent.node_id(),
                BackupClient(environment, agent.node_id(), options.call_deadline),
                BackupClient(environment, agent.node_id(), options.bulk_deadline),
-               BackupDirectory(environment, agent, options.failure_memory),
+               BackupDirectory(environment, agent, options.failure_cooldown),
                false,
                [this](FencedBy source, const std::string& detail) {
                  HandleFenced(source, detail);
@@ -51,7 +51,7 @@
   if (!head_->CanAppend()) {
     return {StatusCode::kUnavailable, "fewer backups answer than the minimum of copies"};
   }
-  if (appends_.waiting_bytes() > context_.options.waiting_bytes) {
+  if (appends_.waiting_bytes() > context_.options.max_waiting_bytes) {
     return {StatusCode::kResourceExhausted, "too much waits to be logged"};
   }
   return Status::Ok();
@@ -73,7 +73,7 @@
     append.bytes += bytes;
   }
   append.entries = std::move(entries);
-  append.since = context_.environment.Now();
+  append.added_at = context_.environment.Now();
   append.done = std::move(done);
   appends_.Add(std::move(append));
   Advance();
@@ -95,7 +95,7 @@
   AdvanceRollOver();
   if (!context_.stopped) {
     PlaceWaitingAppends();
-    Acknowledge();
+    AcknowledgeDurableAppends();
   }
 }
 
@@ -117,19 +117,19 @@
 }
 
 bool SegmentLog::PlaceEntries(AppendQueue::WaitingAppend& append) {
-  while (append.next < append.entries.size()) {
-    proto::LogEntry& entry = append.entries[append.next];
+  while (append.next_entry < append.entries.size()) {
+    proto::LogEntry& entry = append.entries[append.next_entry];
     if (!head_->Fits(FramedEntryBytes(entry))) {
       return false;
     }
     head_->Append(entry);
     usage_.AddEntry(head_->id(), entry);
-    ++append.next;
+    ++append.next_entry;
   }
   return true;
 }
 
-void SegmentLog::Acknowledge() {
+void SegmentLog::AcknowledgeDurableAppends() {
   while (!context_.stopped &&
          appends_.IsOldestPlacedDurable(head_->id(), head_->durable_length()) &&
          context_.agent.HasValidLease()) {
@@ -138,10 +138,10 @@
   }
 }
 
-void SegmentLog::RefuseOverdue() {
+void SegmentLog::RefuseOverdueAppends() {
   const std::size_t partly_placed = appends_.CountPartlyPlaced();
-  const TimePoint limit = context_.environment.Now() - context_.options.refuse_after;
-  while (!context_.stopped && appends_.IsOverdue(partly_placed, limit)) {
+  const TimePoint cutoff = context_.environment.Now() - context_.options.append_timeout;
+  while (!context_.stopped && appends_.IsOverdue(partly_placed, cutoff)) {
     const Done done = appends_.TakeWaiting(partly_placed);
     done(Status(StatusCode::kUnavailable, "the backups took too long; nothing was written"));
   }
@@ -168,12 +168,12 @@
 }
 
 void SegmentLog::Tick() {
-  timer_ = context_.environment.ScheduleAfter(kTick, [this] {
+  timer_ = context_.environment.ScheduleAfter(kTickInterval, [this] {
     timer_ = 0;
     if (context_.stopped) {
       return;
     }
-    RefuseOverdue();
+    RefuseOverdueAppends();
     OnFleet();
     if (!context_.stopped && head_ != nullptr) {
       audit_->Advance(head_->id());
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -76,8 +76,8 @@
   void PlaceWaitingAppends();
   /// @return whether all entries of `append` are in the head now; else the head is full.
   bool PlaceEntries(AppendQueue::WaitingAppend& append);
-  void Acknowledge();
-  void RefuseOverdue();
+  void AcknowledgeDurableAppends();
+  void RefuseOverdueAppends();
   void HandleFenced(FencedBy source, const std::string& detail);
   void CompleteLater(Done done, Status status);
   void Tick();
@@ -87,9 +87,9 @@
   bool ShouldOpenSuccessor() const;
   bool ShouldRollOverEarly() const;
   void OpenSuccessor();
-  void AdoptSuccessor();
+  void PromoteSuccessor();
   /// Hands the closed head to the repairer.
-  void RetireHead();
+  void AddHeadToRepairer();
   /// Frees the segments that the committed digest of the new head leaves out.
   void FreeDeadSegments();
   std::string BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest);
--- a/src/log_writer/segment_log_roll_over.cc
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -38,7 +38,7 @@
     successor_->AllowCommit();
   }
   if (head_->IsClosed() && successor_->IsCommitted()) {
-    AdoptSuccessor();
+    PromoteSuccessor();
   }
 }
 
@@ -67,8 +67,8 @@
   successor_->Advance();
 }
 
-void SegmentLog::AdoptSuccessor() {
-  RetireHead();
+void SegmentLog::PromoteSuccessor() {
+  AddHeadToRepairer();
   FreeDeadSegments();
   head_ = std::move(successor_);
   successor_ = nullptr;
@@ -83,7 +83,7 @@
   advance_.RequestRound();
 }
 
-void SegmentLog::RetireHead() {
+void SegmentLog::AddHeadToRepairer() {
   ClosedSegment closed;
   closed.id = head_->id();
   closed.epoch = head_->highest_epoch();
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -14,9 +14,8 @@
 }
 
 Status CheckContent(const ClosedSegment& segment, const std::string& content) {
-  const bool as_written = content.size() == segment.length && Checksum(content) == segment.checksum;
-  return as_written ? Status::Ok()
-                    : Status(StatusCode::kCorrupt, "replica differs from its segment");
+  const bool matches = content.size() == segment.length && Checksum(content) == segment.checksum;
+  return matches ? Status::Ok() : Status(StatusCode::kCorrupt, "replica differs from its segment");
 }
 
 }  // namespace
@@ -32,27 +31,27 @@
     return;
   }
   for (const ReplicaLocation& location : found->second.locations) {
-    FreeAt(location, segment);
+    FreeReplica(location, segment);
   }
   segments_.erase(found);
 }
 
-bool SegmentRepairer::IsOn(const ReplicaLocation& location, NodeId backup) const {
+bool SegmentRepairer::IsLocationOnBackup(const ReplicaLocation& location, NodeId backup) const {
   const proto::Server* server = context_.directory.FindBackup(location);
   return server != nullptr && NodeId(server->node_id()) == backup;
 }
 
 std::set<SegmentId> SegmentRepairer::FindSegmentsOn(NodeId backup) const {
-  std::set<SegmentId> counted;
+  std::set<SegmentId> segments_on_backup;
   for (const auto& [id, segment] : segments_) {
-    const bool holds =
-        std::any_of(segment.locations.begin(), segment.locations.end(),
-                    [&](const ReplicaLocation& location) { return IsOn(location, backup); });
-    if (holds) {
-      counted.insert(id);
+    const bool has_replica = std::any_of(
+        segment.locations.begin(), segment.locations.end(),
+        [&](const ReplicaLocation& location) { return IsLocationOnBackup(location, backup); });
+    if (has_replica) {
+      segments_on_backup.insert(id);
     }
   }
-  return counted;
+  return segments_on_backup;
 }
 
 bool SegmentRepairer::IsRepairing(SegmentId segment) const {
@@ -65,12 +64,13 @@
   if (found == segments_.end()) {
     return false;
   }
-  std::erase_if(found->second.locations,
-                [&](const ReplicaLocation& location) { return IsOn(location, backup); });
+  std::erase_if(found->second.locations, [&](const ReplicaLocation& location) {
+    return IsLocationOnBackup(location, backup);
+  });
   return true;
 }
 
-void SegmentRepairer::FreeAt(const ReplicaLocation& location, SegmentId segment) {
+void SegmentRepairer::FreeReplica(const ReplicaLocation& location, SegmentId segment) {
   if (context_.directory.FindBackup(location) == nullptr) {
     return;
   }
@@ -97,7 +97,7 @@
 
 void SegmentRepairer::Advance() {
   for (auto& [id, segment] : segments_) {
-    if (context_.stopped || repairs_under_way_ >= context_.options.parallel_repairs) {
+    if (context_.stopped || repairs_in_progress_ >= context_.options.max_parallel_repairs) {
       return;
     }
     if (!segment.repairing) {
@@ -111,7 +111,7 @@
   const ReplicaCount count = context_.directory.CountByKind(live);
   const std::size_t replicas = context_.options.replicas;
   if (count.regular + count.spare >= replicas) {
-    FreeUnneeded(segment, count.regular >= replicas);
+    FreeUnneededReplicas(segment, count.regular >= replicas);
   }
   if (count.regular >= replicas || live.empty()) {
     return;
@@ -134,17 +134,17 @@
   repair->source = source;
   repair->target = target;
   repair->epoch = segment.epoch;
-  ++repairs_under_way_;
+  ++repairs_in_progress_;
   Read(repair);
 }
 
-void SegmentRepairer::FreeUnneeded(ClosedSegment& segment, bool spares_too) {
+void SegmentRepairer::FreeUnneededReplicas(ClosedSegment& segment, bool spares_too) {
   std::erase_if(segment.locations, [&](const ReplicaLocation& location) {
     const proto::Server* server = context_.directory.FindBackup(location);
     const bool needed =
         server != nullptr && AcceptsNewSegments(*server) && !(server->spare() && spares_too);
     if (!needed) {
-      FreeAt(location, segment.id);
+      FreeReplica(location, segment.id);
     }
     return !needed;
   });
@@ -230,10 +230,10 @@
 }
 
 void SegmentRepairer::CompleteRepair(const RepairPtr& repair) {
-  --repairs_under_way_;
+  --repairs_in_progress_;
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
-    FreeAt(repair->target, repair->segment);  // Freed during the repair.
+    FreeReplica(repair->target, repair->segment);  // Freed during the repair.
   } else {
     segment->second.repairing = false;
     segment->second.locations.push_back(repair->target);
@@ -246,17 +246,17 @@
   Advance();
 }
 
-void SegmentRepairer::FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit,
+void SegmentRepairer::FailRepair(const RepairPtr& repair, const ReplicaLocation& failed_location,
                                  const Status& status) {
-  --repairs_under_way_;
+  --repairs_in_progress_;
   context_.environment.metrics().Increment("queue_segment_repair_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
   Log(LogLevel::kWarning, "segment_repair_failed",
       {{"node", context_.node.value()},
        {"segment", repair->segment.value()},
-       {"backup", culprit.node.value()},
+       {"backup", failed_location.node.value()},
        {"status", status.ToString()}});
-  context_.directory.RecordFailure(culprit.node);
+  context_.directory.RecordFailure(failed_location.node);
   const auto segment = segments_.find(repair->segment);
   if (segment != segments_.end()) {
     segment->second.repairing = false;
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -47,14 +47,14 @@
   /// Whether a repair of the segment is under way.
   bool IsRepairing(SegmentId segment) const;
   /// @return whether the live backup that has the disk of `location` is `backup`.
-  bool IsOn(const ReplicaLocation& location, NodeId backup) const;
+  bool IsLocationOnBackup(const ReplicaLocation& location, NodeId backup) const;
   /// @return the closed segments with a replica on `backup`.
   std::set<SegmentId> FindSegmentsOn(NodeId backup) const;
   /// No longer counts on the replica at `backup`. @return false if the segment was freed.
   bool RemoveLocation(SegmentId segment, NodeId backup);
   /// Frees the replica if the disk of `location` is live; never what another disk has at its
   /// endpoint.
-  void FreeAt(const ReplicaLocation& location, SegmentId segment);
+  void FreeReplica(const ReplicaLocation& location, SegmentId segment);
 
  private:
   /// The copy of one segment from `source` to `target`.
@@ -74,7 +74,7 @@
   void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
                    const ReplicaLocation& target);
   /// Frees the replicas on retiring backups, with `spares_too` also on spares; removes lost ones.
-  void FreeUnneeded(ClosedSegment& segment, bool spares_too);
+  void FreeUnneededReplicas(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
   void HandleRead(const RepairPtr& repair, Result<proto::ReadSegmentResponse> result);
@@ -82,14 +82,15 @@
   void Write(const RepairPtr& repair);
   void Close(const RepairPtr& repair);
   void CompleteRepair(const RepairPtr& repair);
-  void FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit, const Status& status);
+  void FailRepair(const RepairPtr& repair, const ReplicaLocation& failed_location,
+                  const Status& status);
   /// @return a handler that runs `next` on success, else ends the repair.
   BackupClient::Done ContinueWith(const RepairPtr& repair, Step next);
   void HandleStep(const RepairPtr& repair, Step next, const Status& status);
 
   LogContext& context_;
   std::map<SegmentId, ClosedSegment> segments_;
-  std::size_t repairs_under_way_ = 0;
+  std::size_t repairs_in_progress_ = 0;
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_usage.cc
+++ b/src/log_writer/segment_usage.cc
@@ -43,65 +43,66 @@
     return;
   }
   const BatchKey key{partition, generations_[partition], batch_id};
-  BatchUse& use = batches_[key];
+  BatchUsage& usage = batches_[key];
   if (entry.has_batch_removed()) {
-    MarkDead(key, use, segment);
+    MarkDead(key, usage, segment);
     return;
   }
-  if (use.tombstone.valid()) {
+  if (usage.tombstone.valid()) {
     return;  // A result that was logged after its batch was removed.
   }
-  ++use.entries[segment];
-  ++live_[segment];
-  batches_in_[segment].insert(key);
+  ++usage.entry_counts[segment];
+  ++live_entries_[segment];
+  batches_by_segment_[segment].insert(key);
 }
 
-void SegmentUsage::MarkDead(const BatchKey& key, BatchUse& use, SegmentId tombstone) {
-  if (use.tombstone.valid()) {
+void SegmentUsage::MarkDead(const BatchKey& key, BatchUsage& usage, SegmentId tombstone) {
+  if (usage.tombstone.valid()) {
     // A later tombstone takes over from the earlier one.
-    --live_[use.tombstone];
+    --live_entries_[usage.tombstone];
   } else {
-    for (const auto& [segment, count] : use.entries) {
-      live_[segment] -= count;
+    for (const auto& [segment, count] : usage.entry_counts) {
+      live_entries_[segment] -= count;
     }
   }
-  use.tombstone = tombstone;
-  ++live_[tombstone];
-  if (DropUnreferenced(use)) {
+  usage.tombstone = tombstone;
+  ++live_entries_[tombstone];
+  if (DropUnneededTombstone(usage)) {
     batches_.erase(key);
   }
 }
 
-bool SegmentUsage::DropUnreferenced(BatchUse& use) {
-  const bool only_beside_tombstone =
-      use.entries.empty() || (use.entries.size() == 1 && use.entries.contains(use.tombstone));
-  if (only_beside_tombstone) {
-    --live_[use.tombstone];
+bool SegmentUsage::DropUnneededTombstone(BatchUsage& usage) {
+  const bool only_in_tombstone_segment =
+      usage.entry_counts.empty() ||
+      (usage.entry_counts.size() == 1 && usage.entry_counts.contains(usage.tombstone));
+  if (only_in_tombstone_segment) {
+    --live_entries_[usage.tombstone];
   }
-  return only_beside_tombstone;
+  return only_in_tombstone_segment;
 }
 
 bool SegmentUsage::IsDead(SegmentId segment) const {
-  const auto found = live_.find(segment);
-  return found == live_.end() || found->second == 0;
+  const auto found = live_entries_.find(segment);
+  return found == live_entries_.end() || found->second == 0;
 }
 
 void SegmentUsage::Forget(SegmentId segment) {
-  const auto found = batches_in_.find(segment);
-  if (found != batches_in_.end()) {
+  const auto found = batches_by_segment_.find(segment);
+  if (found != batches_by_segment_.end()) {
     for (const BatchKey& key : found->second) {
       const auto batch = batches_.find(key);
       if (batch == batches_.end()) {
         continue;
       }
-      batch->second.entries.erase(segment);
-      if (batch->second.tombstone.valid() && DropUnreferenced(batch->second)) {
+      batch->second.entry_counts.erase(segment);
+      if (batch->second.tombstone.valid() && DropUnneededTombstone(batch->second)) {
         batches_.erase(batch);
       }
     }
-    batches_in_.erase(found);
+    batches_by_segment_.erase(found);
   }
-  live_.erase(segment);
+  live_entries_.erase(segment);
 }
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_usage.h
+++ b/src/log_writer/segment_usage.h
@@ -36,21 +36,21 @@
     // NOLINTNEXTLINE(modernize-use-nullptr): the check misreads the defaulted comparison.
     auto operator<=>(const BatchKey&) const = default;
   };
-  struct BatchUse {
-    std::map<SegmentId, std::uint64_t> entries;  ///< Entries by segment.
-    SegmentId tombstone;                         ///< Invalid while the batch lives.
+  struct BatchUsage {
+    std::map<SegmentId, std::uint64_t> entry_counts;  ///< Entries by segment.
+    SegmentId tombstone;                              ///< Invalid while the batch lives.
   };
 
-  void MarkDead(const BatchKey& key, BatchUse& use, SegmentId tombstone);
+  void MarkDead(const BatchKey& key, BatchUsage& usage, SegmentId tombstone);
   /// Ends the tombstone of a dead batch once no earlier segment has an entry of it.
   /// @return whether the batch can be forgotten.
-  bool DropUnreferenced(BatchUse& use);
+  bool DropUnneededTombstone(BatchUsage& usage);
 
-  std::map<BatchKey, BatchUse> batches_;
+  std::map<BatchKey, BatchUsage> batches_;
   std::map<std::uint64_t, std::uint64_t>
       generations_;  ///< Discarding watermarks, by partition tag.
-  std::map<SegmentId, std::set<BatchKey>> batches_in_;
-  std::map<SegmentId, std::uint64_t> live_;
+  std::map<SegmentId, std::set<BatchKey>> batches_by_segment_;
+  std::map<SegmentId, std::uint64_t> live_entries_;
 };
 
 /// @return the id of the batch that the entry is about; empty if there is none.
--- a/tests/log_format/segment_format_test.cc
+++ b/tests/log_format/segment_format_test.cc
@@ -7,32 +7,32 @@
 
 constexpr SegmentId kSegment(7);
 
-proto::LogEntry Entry(std::uint64_t partition_tag, std::uint64_t sequence) {
+proto::LogEntry MakeEntry(std::uint64_t partition_tag, std::uint64_t sequence) {
   proto::LogEntry entry;
   entry.set_partition_tag(partition_tag);
   entry.set_sequence(sequence);
   return entry;
 }
 
-std::string ThreeEntries() {
+std::string EncodeThreeEntries() {
   std::string bytes;
   for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
-    EXPECT_EQ(FramedEntryBytes(Entry(1, sequence)),
-              AppendEntry(&bytes, kSegment, Entry(1, sequence)));
+    EXPECT_EQ(FramedEntryBytes(MakeEntry(1, sequence)),
+              AppendEntry(&bytes, kSegment, MakeEntry(1, sequence)));
   }
   return bytes;
 }
 
 TEST(SegmentFormatTest, FramesEntryAsDocumented) {
   std::string bytes;
-  ASSERT_EQ(AppendEntry(&bytes, kSegment, Entry(1, 2)), 16U);
+  ASSERT_EQ(AppendEntry(&bytes, kSegment, MakeEntry(1, 2)), 16U);
   // Length 4, XXH3 with seed 7, then partition_tag = 1 and sequence = 2 as protobuf varints.
   EXPECT_EQ(bytes.substr(0, 4), std::string("\x04\x00\x00\x00", 4));
   EXPECT_EQ(bytes.substr(12), std::string("\x08\x01\x10\x02", 4));
 }
 
 TEST(SegmentFormatTest, ReadsBackAppendedEntries) {
-  const std::string bytes = ThreeEntries();
+  const std::string bytes = EncodeThreeEntries();
   SegmentReader reader(kSegment, bytes);
   proto::LogEntry entry;
   for (std::uint64_t sequence = 1; sequence <= 3; ++sequence) {
@@ -45,7 +45,7 @@
 }
 
 TEST(SegmentFormatTest, StopsAtReservedSpace) {
-  const std::string bytes = ThreeEntries();
+  const std::string bytes = EncodeThreeEntries();
   const SegmentScan scan = ScanSegment(kSegment, bytes + std::string(100, '\0'));
   EXPECT_EQ(scan.tail, RecordTail::kReserved);
   EXPECT_EQ(scan.valid_length, bytes.size());
@@ -53,7 +53,7 @@
 }
 
 TEST(SegmentFormatTest, DetectsTruncationAtEveryByte) {
-  const std::string bytes = ThreeEntries();
+  const std::string bytes = EncodeThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t length = 0; length < bytes.size(); ++length) {
     const SegmentScan scan = ScanSegment(kSegment, bytes.substr(0, length));
@@ -63,7 +63,7 @@
 }
 
 TEST(SegmentFormatTest, DetectsEveryFlippedBit) {
-  const std::string bytes = ThreeEntries();
+  const std::string bytes = EncodeThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
     std::string damaged = bytes;
@@ -74,7 +74,7 @@
 }
 
 TEST(SegmentFormatTest, RejectsEntriesOfAnotherSegment) {
-  EXPECT_EQ(ScanSegment(SegmentId(8), ThreeEntries()).valid_length, 0U);
+  EXPECT_EQ(ScanSegment(SegmentId(8), EncodeThreeEntries()).valid_length, 0U);
 }
 
 TEST(SegmentFormatTest, ReportsUndecodableEntryAsCorrupt) {
@@ -101,7 +101,7 @@
 }
 
 TEST(SegmentFormatTest, FindsNoDigestWithoutOne) {
-  EXPECT_TRUE(FindLogDigest(kSegment, ThreeEntries()).empty());
+  EXPECT_TRUE(FindLogDigest(kSegment, EncodeThreeEntries()).empty());
 }
 
 }  // namespace
--- a/tests/log_writer/append_queue_test.cc
+++ b/tests/log_writer/append_queue_test.cc
@@ -13,11 +13,11 @@
 
 class AppendQueueTest : public testing::Test {
  protected:
-  void Add(const std::string& name, std::uint64_t bytes, Duration since = Duration::zero()) {
+  void Add(const std::string& name, std::uint64_t bytes, Duration added_at = Duration::zero()) {
     AppendQueue::WaitingAppend append;
     append.entries.resize(2);
     append.bytes = bytes;
-    append.since = TimePoint() + since;
+    append.added_at = TimePoint() + added_at;
     append.done = [this, name](const Status&) { completed_.push_back(name); };
     queue_.Add(std::move(append));
   }
@@ -70,7 +70,7 @@
   Add("a", 10);
   Add("b", 20);
   EXPECT_EQ(queue_.CountPartlyPlaced(), 0U);
-  queue_.first_waiting().next = 1;
+  queue_.first_waiting().next_entry = 1;
   ASSERT_EQ(queue_.CountPartlyPlaced(), 1U);
   ASSERT_TRUE(queue_.IsOverdue(1, TimePoint() + seconds(1)));
   queue_.TakeWaiting(1)(Status::Ok());
--- a/tests/log_writer/segment_content_test.cc
+++ b/tests/log_writer/segment_content_test.cc
@@ -40,15 +40,15 @@
   for (int i = 0; i < 3; ++i) {
     content_.Append(entry_);
   }
-  EXPECT_EQ(content_.WriteEnd(0, entry_bytes_ * 2 + 1), entry_bytes_ * 2);
-  EXPECT_EQ(content_.WriteEnd(entry_bytes_, entry_bytes_), entry_bytes_ * 2);
-  EXPECT_EQ(content_.WriteEnd(0, kCapacity), content_.length());
+  EXPECT_EQ(content_.FindWriteEnd(0, entry_bytes_ * 2 + 1), entry_bytes_ * 2);
+  EXPECT_EQ(content_.FindWriteEnd(entry_bytes_, entry_bytes_), entry_bytes_ * 2);
+  EXPECT_EQ(content_.FindWriteEnd(0, kCapacity), content_.length());
 }
 
 TEST_F(SegmentContentTest, WriteHasOneEntryLargerThanTheLimit) {
   content_.Append(entry_);
   content_.Append(entry_);
-  EXPECT_EQ(content_.WriteEnd(0, 1), entry_bytes_);
+  EXPECT_EQ(content_.FindWriteEnd(0, 1), entry_bytes_);
 }
 
 }  // namespace
--- a/tests/log_writer/segment_log_fixture.h
+++ b/tests/log_writer/segment_log_fixture.h
@@ -30,15 +30,16 @@
           auto started = std::make_shared<LogProcess>();
           started->agent = std::make_unique<NodeAgent>(
               environment, log_world.AgentOptions("q", "zone-b1", proto::ROLE_QUEUE));
-          LogProcess* raw = started.get();
-          started->agent->OnRegistered([this, raw, &environment] { OpenLog(*raw, environment); });
-          started->agent->OnFleet([raw] {
-            if (raw->log != nullptr) {
-              raw->log->OnFleet();
+          LogProcess* queue_process = started.get();
+          started->agent->OnRegistered(
+              [this, queue_process, &environment] { OpenLog(*queue_process, environment); });
+          started->agent->OnFleet([queue_process] {
+            if (queue_process->log != nullptr) {
+              queue_process->log->OnFleet();
             }
           });
           started->agent->Start();
-          process = raw;
+          process = queue_process;
           return started;
         });
   }
@@ -53,7 +54,7 @@
     node = opened.agent->node_id().value();
     opened.log = std::make_unique<SegmentLog>(
         environment, *opened.agent, options, [] { return std::vector<proto::LogEntry>(); },
-        [this](const std::string&) { ++fences; });
+        [this](const std::string&) { ++fenced_count; });
     opened.log->Start();
   }
 
@@ -64,8 +65,8 @@
         [this] { return process->log != nullptr && process->log->ready(); }, seconds(5)));
   }
 
-  proto::LogEntry Entry(std::uint64_t sequence, std::size_t bytes = 300,
-                        const std::string& batch = "b") {
+  proto::LogEntry MakeEntry(std::uint64_t sequence, std::size_t bytes = 300,
+                            const std::string& batch = "b") {
     proto::LogEntry entry;
     entry.set_partition_tag(kPartition + 1);
     entry.set_sequence(sequence);
@@ -77,10 +78,11 @@
   /// Appends one entry with the next sequence. Its outcome goes to `outcomes`.
   std::uint64_t Append(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = ++last_sequence;
-    process->log->Append({Entry(sequence, bytes, batch)}, [this, sequence](const Status& status) {
-      EXPECT_FALSE(outcomes.contains(sequence));
-      outcomes[sequence] = status.code();
-    });
+    process->log->Append({MakeEntry(sequence, bytes, batch)},
+                         [this, sequence](const Status& status) {
+                           EXPECT_FALSE(outcomes.contains(sequence));
+                           outcomes[sequence] = status.code();
+                         });
     return sequence;
   }
   bool AppendAndWait(std::size_t bytes = 300, const std::string& batch = "b") {
@@ -116,7 +118,7 @@
   std::uint64_t node = 0;
   std::uint64_t last_sequence = 0;
   std::map<std::uint64_t, StatusCode> outcomes;
-  int fences = 0;
+  int fenced_count = 0;
 };
 
 }  // namespace cloverbank
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -84,15 +84,15 @@
   ASSERT_TRUE(AppendAndWait());
   log_world.world.machine("b1").Kill();
   log_world.world.machine("b2").Kill();
-  const std::uint64_t under_way = Append();
+  const std::uint64_t pending = Append();
   log_world.world.RunFor(seconds(5));
-  EXPECT_FALSE(outcomes.contains(under_way));
+  EXPECT_FALSE(outcomes.contains(pending));
   const std::uint64_t refused = Append();
   log_world.world.RunFor(seconds(1));
   EXPECT_EQ(outcomes[refused], StatusCode::kUnavailable);
   log_world.world.machine("b1").Start();
-  ASSERT_TRUE(WaitFor([&] { return outcomes.contains(under_way); }));
-  EXPECT_EQ(outcomes[under_way], StatusCode::kOk);
+  ASSERT_TRUE(WaitFor([&] { return outcomes.contains(pending); }));
+  EXPECT_EQ(outcomes[pending], StatusCode::kOk);
   ASSERT_TRUE(AppendAndWait());
   ExpectAcknowledgedRecoverable();
 }
@@ -101,12 +101,12 @@
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   log_world.world.Isolate("q");
-  const std::uint64_t under_way = Append();
+  const std::uint64_t pending = Append();
   log_world.world.RunFor(milliseconds(2000));
-  EXPECT_FALSE(outcomes.contains(under_way));
+  EXPECT_FALSE(outcomes.contains(pending));
   log_world.world.HealAll();
-  ASSERT_TRUE(WaitFor([&] { return outcomes.contains(under_way); }));
-  EXPECT_EQ(outcomes[under_way], StatusCode::kOk);
+  ASSERT_TRUE(WaitFor([&] { return outcomes.contains(pending); }));
+  EXPECT_EQ(outcomes[pending], StatusCode::kOk);
   ASSERT_TRUE(WaitFor([this] { return !process->log->degraded(); }));
   ExpectAcknowledgedRecoverable();
 }
@@ -121,7 +121,7 @@
   const std::uint64_t late = Append();
   ASSERT_TRUE(WaitFor([&] { return outcomes.contains(late); }));
   EXPECT_NE(outcomes[late], StatusCode::kOk);
-  EXPECT_EQ(fences, 1);
+  EXPECT_EQ(fenced_count, 1);
 }
 
 TEST_F(SegmentLogTest, AcknowledgesNothingWithoutLease) {
@@ -184,16 +184,16 @@
   log_world.AddBackup("spare", "zone-b1", true);
   StartQueue();
   const auto spare = log_world.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
-  const auto on_spare = [&] {
+  const auto replicas_on_spare = [&] {
     const auto head = Head();
     return std::count(head.backups().begin(), head.backups().end(), spare);
   };
-  EXPECT_EQ(on_spare(), 0);
+  EXPECT_EQ(replicas_on_spare(), 0);
   log_world.world.machine("b2").Kill();
   ASSERT_TRUE(AppendAndWait());
-  EXPECT_EQ(on_spare(), 1);
+  EXPECT_EQ(replicas_on_spare(), 1);
   log_world.world.machine("b2").Start();
-  ASSERT_TRUE(WaitFor([&] { return on_spare() == 0; }));
+  ASSERT_TRUE(WaitFor([&] { return replicas_on_spare() == 0; }));
   ASSERT_TRUE(WaitFor([&] {
     const auto listed = log_world.Call<proto::ListSegmentsResponse>("spare", "backup.ListSegments",
                                                                     proto::ListSegmentsRequest());
@@ -241,7 +241,7 @@
     if (!machine.running()) {
       return;
     }
-    const Duration away = milliseconds(log_world.world.RandomBelow(3000));
+    const Duration outage = milliseconds(log_world.world.RandomBelow(3000));
     switch (log_world.world.RandomBelow(4)) {
       case 0:
         machine.Kill();
@@ -251,14 +251,14 @@
         break;
       case 2:
         machine.Freeze();
-        log_world.world.ScheduleAfter(away, [&machine] { machine.Wake(); });
+        log_world.world.ScheduleAfter(outage, [&machine] { machine.Wake(); });
         return;
       default:
         log_world.world.Isolate(name);
-        log_world.world.ScheduleAfter(away, [this, name] { log_world.world.Heal(name); });
+        log_world.world.ScheduleAfter(outage, [this, name] { log_world.world.Heal(name); });
         return;
     }
-    log_world.world.ScheduleAfter(away, [&machine] {
+    log_world.world.ScheduleAfter(outage, [&machine] {
       if (!machine.running()) {
         machine.Start();
       }
@@ -288,7 +288,7 @@
                     [](const auto& outcome) { return outcome.second == StatusCode::kOk; });
   EXPECT_GT(acknowledged, 200);
   log_world.world.network() = NetworkBehaviour();
-  EXPECT_EQ(fences, 0);
+  EXPECT_EQ(fenced_count, 0);
   ExpectAcknowledgedRecoverable();
 }
 
