--- a/src/log_format/segment_format.cc
+++ b/src/log_format/segment_format.cc
@@ -54,7 +54,7 @@
 }
 
 std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes) {
-  constexpr int kDigestPosition = 2;  // Behind the segment header.
+  constexpr int kDigestPosition = 2;  // Counted from 1: right after the segment header.
   SegmentReader reader(segment, bytes);
   proto::LogEntry entry;
   for (int i = 0; i < kDigestPosition && reader.Next(&entry); ++i) {
--- a/src/log_format/segment_format.h
+++ b/src/log_format/segment_format.h
@@ -3,8 +3,8 @@
 /// Encoding of log entries in a segment, shared by the queue nodes that write them and the backups
 /// that store them. Each entry is framed as 4 bytes little-endian length of the serialized
 /// `proto::LogEntry`, 8 bytes little-endian XXH3 of those bytes seeded with the segment id, then
-/// the bytes. A length of zero ends the segment, because reserved, unwritten space reads as zero;
-/// so no entry is empty.
+/// the bytes. A length of zero marks the end of the segment, because reserved space that was never
+/// written reads as zero; therefore no entry may be empty.
 ///
 /// Source: RAMCloud page "Backup", log entries and their checksums. Pure functions; any thread.
 
@@ -20,14 +20,14 @@
 
 namespace cloverbank {
 
-/// @return the bytes that `entry` takes in a segment.
+/// @return the size in bytes of `entry` in a segment, framing included.
 std::size_t FramedEntryBytes(const proto::LogEntry& entry);
 
-/// Appends the framed `entry` to `out`. @return the bytes added.
+/// Appends the framed `entry` to `out`. @return the number of bytes added.
 std::size_t AppendEntry(std::string* out, SegmentId segment, const proto::LogEntry& entry);
 
-/// @return the framed entries that begin a segment: its header, then the digest of the log's live
-/// segments.
+/// @return the framed entries at the start of a segment: its header, then the digest, which lists
+/// the live segments of the log.
 std::string EncodeSegmentStart(NodeId owner, SegmentId segment,
                                const std::vector<SegmentId>& digest);
 
@@ -40,25 +40,27 @@
  public:
   SegmentReader(SegmentId segment, std::string_view bytes) : records_(bytes, segment.value()) {}
 
-  /// Reads the next entry into `entry`. @return false at the end; `tail()` then says why.
+  /// Reads the next entry into `entry`. @return false if there is none; `tail()` then says why.
   bool Next(proto::LogEntry* entry);
-  /// Like `Next`, but only checks the entry's checksum and gives its serialized bytes.
+  /// Like `Next`, but only checks the entry's checksum and sets `serialized` to its undecoded
+  /// bytes, which belong to the segment's bytes.
   bool NextBytes(std::string_view* serialized);
 
-  /// @return the bytes of the complete, checked entries read so far.
+  /// @return the length in bytes of the complete, checked entries read so far.
   std::size_t valid_length() const { return valid_length_; }
-  /// @return what follows at `valid_length()`; call it after the end.
+  /// @return what follows at `valid_length()`. Requires that `Next` or `NextBytes` returned false.
   RecordTail tail() const { return undecodable_ ? RecordTail::kCorrupt : records_.tail(); }
 
  private:
   RecordReader records_;
   std::size_t valid_length_ = 0;
-  bool undecodable_ = false;  ///< An entry has the right checksum but is no `proto::LogEntry`.
+  bool undecodable_ =
+      false;  ///< The checksum of an entry is right, but it is no `proto::LogEntry`.
 };
 
 /// The result of `ScanSegment`.
 struct SegmentScan {
-  std::size_t valid_length = 0;  ///< Bytes of complete, checked entries.
+  std::size_t valid_length = 0;  ///< Of the complete, checked entries, in bytes.
   std::size_t entry_count = 0;
   RecordTail tail = RecordTail::kClean;
 };
--- a/src/log_writer/append_queue.cc
+++ b/src/log_writer/append_queue.cc
@@ -21,7 +21,7 @@
     return false;
   }
   const PlacedAppend& append = placed_.front();
-  // A segment before the head was drained before it was closed.
+  // All content of a segment before the head was durable before the segment was closed.
   return append.segment < head || append.end <= durable_length;
 }
 
--- a/src/log_writer/append_queue.h
+++ b/src/log_writer/append_queue.h
@@ -1,9 +1,10 @@
 #pragma once
 /// @file
-/// The appends on their way into the log, in order: first those that wait for a place in a segment,
-/// then those that are placed and wait until the backups have synced them.
+/// Queue of the appends that are not acknowledged yet, in order of `Add`. An append first waits for
+/// space in a segment. Once all its entries are in segments it is *placed*, and waits until the
+/// backups have synced them.
 ///
-/// Pure. Threads: none of its own.
+/// Does no I/O and starts no thread; not thread-safe.
 
 #include <cstdint>
 #include <deque>
@@ -21,15 +22,16 @@
  public:
   using Done = std::function<void(Status)>;
 
+  /// An append with entries that are not in a segment yet.
   struct WaitingAppend {
     std::vector<proto::LogEntry> entries;
-    std::size_t next_entry = 0;  ///< First entry that is not in a segment yet.
-    std::uint64_t bytes = 0;     ///< Framed, of all entries.
+    std::size_t next_entry = 0;  ///< Index of the first entry that is not in a segment yet.
+    std::uint64_t bytes = 0;     ///< Framed size of all entries.
     TimePoint added_at;          ///< Time of `Add`.
-    Done done;
+    Done done;                   ///< The queue returns it, but never runs it.
   };
 
-  /// Queues an append behind all others.
+  /// Adds an append at the end of the queue.
   void Add(WaitingAppend append);
   bool HasWaiting() const { return !waiting_.empty(); }
   /// Requires `HasWaiting()`.
@@ -37,30 +39,32 @@
   /// @return the framed bytes of all waiting appends.
   std::uint64_t waiting_bytes() const { return waiting_bytes_; }
 
-  /// Records that all entries of the first waiting append are placed, the last one up to `end` of
-  /// `segment`.
+  /// Records that all entries of the first waiting append are in segments; the last one ends at
+  /// byte `end` of `segment`. Requires `HasWaiting()`.
   void RecordPlaced(SegmentId segment, std::uint64_t end);
-  /// @return whether the oldest placed append is in a segment before `head`, or in `head` within
-  /// its first `durable_length` bytes.
+  /// @return whether the oldest placed append ends in a segment before `head`, or in `head` within
+  /// its first `durable_length` bytes; false if no append is placed.
   bool IsOldestPlacedDurable(SegmentId head, std::uint64_t durable_length) const;
-  /// Requires a placed append. @return the callback of the oldest one, which is removed.
+  /// Removes the oldest placed append; there must be one. @return its callback.
   Done TakePlaced();
 
-  /// @return how many waiting appends, at the front, have a part in a segment already. Such an
-  /// append can only be synced or end with the log.
+  /// @return how many waiting appends, at the front of the queue, have some of their entries in a
+  /// segment already. Such an append can no longer be refused: it completes when the backups have
+  /// synced it, or when the log ends.
   std::size_t CountPartlyPlaced() const;
-  /// @return whether a waiting append behind the first `skipped` waits since `limit` or longer.
+  /// @return whether the first waiting append after `skipped` others was added at `cutoff` or
+  /// earlier.
   bool IsOverdue(std::size_t skipped, TimePoint cutoff) const;
-  /// Requires `IsOverdue`. @return the callback of the append at `position`, which is removed.
+  /// Removes the waiting append at `position`, which must exist. @return its callback.
   Done TakeWaiting(std::size_t position);
 
-  /// Removes everything. @return the callbacks in order of `Add`.
+  /// Removes all appends. @return their callbacks in order of `Add`.
   std::vector<Done> TakeAll();
 
  private:
   struct PlacedAppend {
-    SegmentId segment;
-    std::uint64_t end = 0;
+    SegmentId segment;      ///< Has the last entry.
+    std::uint64_t end = 0;  ///< Offset in `segment`, in bytes, at which the last entry ends.
     Done done;
   };
 
--- a/src/log_writer/backup_client.h
+++ b/src/log_writer/backup_client.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// Stubs of the segment calls on backups, for one node id (RAMCloud page, BackupClient). log.proto
-/// says what each call does and which refusals there are.
+/// Client for the segment calls of the backups, on behalf of one queue node id (RAMCloud page,
+/// BackupClient). log.proto documents what each call does and with which errors a backup refuses
+/// it.
 ///
 /// Threads: the owner's event loop only.
 
@@ -14,20 +15,21 @@
 
 namespace cloverbank {
 
-/// The content of one WriteSegment.
+/// Parameters of one WriteSegment call.
 struct SegmentWrite {
   std::uint64_t offset = 0;  ///< Bytes from the segment's start.
   std::string data;
-  bool atomic_replace = false;    ///< Part of a replacement, hidden from recoveries.
-  bool replace_complete = false;  ///< Its last part: makes it visible.
+  bool atomic_replace = false;    ///< Part of a replacement that is hidden from recoveries.
+  bool replace_complete = false;  ///< Last part of the replacement, which makes it visible.
 };
 
 class BackupClient {
  public:
-  /// Runs once, later, also when no answer comes within the deadline.
+  /// Runs exactly once, on the event loop and after the call has returned; with an error if no
+  /// response comes within the deadline.
   using Done = std::function<void(Status)>;
 
-  /// @param deadline of each call.
+  /// @param node owner of the segments. @param deadline of each call.
   BackupClient(Environment& environment, NodeId node, Duration deadline)
       : environment_(environment), node_(node), deadline_(deadline) {}
 
--- a/src/log_writer/backup_selector.h
+++ b/src/log_writer/backup_selector.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Choice of the backups for a segment: at random (RAMCloud page, "Normal Operation Walkthrough"
-/// step 6.2) among the backups that are up, one a zone as far as there are zones. Spare backups, on
-/// front machines, are chosen only for replicas that regular backups can not take.
+/// Chooses the backups for a segment: at random (RAMCloud page, "Normal Operation Walkthrough" step
+/// 6.2) among the backups that are up, in as many different zones as possible. Spare backups, which
+/// run on front machines, are chosen only for replicas that regular backups cannot take.
 ///
-/// Pure: random numbers come from the caller. Threads: none of its own.
+/// Pure functions, any thread: random numbers come from the caller.
 
 #include <cstdint>
 #include <functional>
@@ -17,14 +17,15 @@
 namespace cloverbank {
 
 struct BackupRequest {
-  std::size_t count = 0;     ///< How many to choose.
-  std::size_t replicas = 0;  ///< Wanted in all; spares are chosen only below this.
+  std::size_t count = 0;     ///< Number of backups to choose.
+  std::size_t replicas = 0;  ///< Number wanted in all; spares are chosen only up to it.
   std::set<NodeId> locations =
       {};                       ///< Have a replica already: not chosen, their zones count as used.
   std::set<NodeId> avoid = {};  ///< Failed or refused recently, or out of disk: not chosen.
 };
 
-/// @return up to `count` different backups; fewer when there are no more.
+/// @return `request.count` different backups, or fewer if there are no more.
+/// @param random returns uniformly distributed numbers.
 std::vector<NodeId> SelectBackups(const FleetView& fleet, const BackupRequest& request,
                                   const std::function<std::uint64_t()>& random);
 
--- a/src/log_writer/head_segment.cc
+++ b/src/log_writer/head_segment.cc
@@ -30,7 +30,7 @@
 void HeadSegment::AdvanceOnce() {
   UpdateReplicaSet();
   AddCandidates();
-  // By index: a call must not keep a reference into `replicas_`.
+  // Iterates by index: no reference into `replicas_` may be kept across a call.
   for (std::size_t i = 0; i < replicas_.size(); ++i) {
     StartNextCall(replicas_[i]);
   }
--- a/src/log_writer/head_segment.h
+++ b/src/log_writer/head_segment.h
@@ -1,22 +1,23 @@
 #pragma once
 /// @file
-/// The open segment at the head of the log and its set of backups: choice of the backups, writes,
-/// changes of the set, close (RAMCloud page, "Segment Durability" and "Normal Operation
-/// Walkthrough" steps 6 to 11).
+/// The open segment at the head of the log and its set of backups: chooses the backups, writes to
+/// them, changes the set and closes the segment (RAMCloud page, "Segment Durability" and "Normal
+/// Operation Walkthrough" steps 6 to 11).
 ///
-/// The set of backups changes under a rising *epoch*:
+/// Each change of the set of backups raises the *epoch* of the segment:
 /// 1. Candidates are opened under a later epoch and receive the content, hidden from recoveries
 ///    (atomic_replace).
-/// 2. The new set is fixed and the epoch raised; from here on nothing counts as durable.
-/// 3. Candidates receive the rest and become visible; the other members receive the new epoch.
-/// 4. The set is committed at the coordinators.
-/// 5. What all members have synced counts as durable again.
+/// 2. The new set is fixed and the epoch raised; until step 5 no further content becomes durable.
+/// 3. The new members receive the rest of the content and become visible to recoveries; the other
+///    members receive the new epoch.
+/// 4. The coordinators commit the set.
+/// 5. Content that all members have synced counts as durable again.
 ///
 /// Invariant: no replica outside the committed set can be offered to a recovery under the committed
 /// epoch, and every acknowledged entry is in every replica of that set.
 ///
 /// A member whose call failed is retried (writes are idempotent) until another backup has replaced
-/// it or the set goes on without it, so a short outage of all backups changes nothing.
+/// it or the set was changed to one without it, so a short outage of all backups changes nothing.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -37,15 +38,17 @@
 class HeadSegment : public std::enable_shared_from_this<HeadSegment> {
  public:
   /// @param content the framed entries at its start: header, digest, watermarks.
-  /// @param on_progress runs after anything below may have changed.
+  /// @param on_progress runs on the event loop after a response or a retry that may have changed
+  /// the state that the functions below return.
   HeadSegment(LogContext& context, SegmentId id, std::string content,
               std::function<void()> on_progress);
 
   /// Starts the calls that are due. Call it after `Append`, on fleet changes and on a timer.
   void Advance();
 
-  /// Appends a framed entry; requires `Fits`.
+  /// Frames and appends an entry. Requires `Fits`.
   void Append(const proto::LogEntry& entry) { content_.Append(entry); }
+  /// Whether an entry of `framed_bytes` bytes, framing included, fits into the segment.
   bool Fits(std::uint64_t framed_bytes) const { return content_.Fits(framed_bytes); }
 
   /// Allows the commit at the coordinators. Until then a successor only opens its replicas.
@@ -61,37 +64,39 @@
   const std::string& content() const { return content_.bytes(); }
   /// Bytes that every member of the committed set has synced. Never falls.
   std::uint64_t durable_length() const { return durable_length_; }
-  /// Whether a set of backups with at least the minimum of replicas has the content at the start.
+  /// Whether a set with at least `SegmentLogOptions::minimum_replicas` live members has opened the
+  /// segment with its initial content.
   bool IsOpen() const;
   /// Whether some set of backups was committed.
   bool IsCommitted() const { return committed_epoch_.valid(); }
   /// Whether the present set is committed and all content is durable.
   bool IsDrained() const;
   bool IsClosing() const { return closing_; }
-  /// Whether enough backups have closed their replica.
+  /// Whether enough backups have closed their replica: as many as wanted, or the minimum if no
+  /// other replica can still be closed.
   bool IsClosed() const;
-  /// Whether enough members answer to take new entries.
+  /// Whether a set was committed and enough members are live to take new entries.
   bool CanAppend() const;
   /// Whether the committed set has as many live members as wanted.
   bool IsFullyReplicated() const;
-  /// @return the number of live members (open) or of closed replicas.
+  /// @return the number of live members or, after `Close`, of closed replicas.
   std::size_t CountReplicas() const;
-  /// @return the locations of the members (open) or of the closed replicas.
+  /// @return the locations of the members or, after `Close`, of the closed replicas.
   std::vector<ReplicaLocation> locations() const;
 
  private:
   struct Replica {
-    std::uint64_t number = 0;  ///< Distinguishes late answers for a dropped replica.
+    std::uint64_t number = 0;  ///< Identifies it; late responses for a dropped one are ignored.
     ReplicaLocation location;
-    HeadEpoch epoch;           ///< Last one the backup confirmed; invalid: not opened.
-    std::uint64_t synced = 0;  ///< Bytes the backup confirmed.
-    bool member = false;       ///< Of the set of `epoch_`; else a candidate.
+    HeadEpoch epoch;           ///< Last one the backup confirmed; invalid until it is opened.
+    std::uint64_t synced = 0;  ///< Bytes that the backup confirmed as synced.
+    bool member = false;       ///< Of the set of `epoch_`; otherwise a candidate.
     bool hidden = true;        ///< From recoveries, until replace_complete.
     bool busy = false;         ///< A call is under way.
     bool failing = false;      ///< Its last call failed.
-    bool refused = false;      ///< Permanently: not retried.
+    bool refused = false;      ///< The backup refused permanently: no retry.
     bool closed = false;
-    TimePoint retry_at;
+    TimePoint retry_at;  ///< While `failing`: earliest time of the next call.
   };
 
   /// The set that the live members and the ready candidates would form.
@@ -105,26 +110,31 @@
   /// Whether the coordinators confirmed the present set.
   bool IsSetCommitted() const;
   bool HasAllReplicas() const;
+  /// Whether the last call to its backup failed, or no live backup has its disk.
   bool IsLost(const Replica& replica) const;
-  /// Whether every member's replica is complete and under the present epoch.
+  /// Whether every member's replica is under the present epoch and visible to recoveries.
   bool AreMembersUpToDate() const;
+  /// Calls `Advance` after the retry delay.
   void ScheduleAdvance();
 
   // head_segment_replica_set.cc
+  /// Adds candidates on further backups, up to the number of replicas wanted.
   void AddCandidates();
   ProposedReplicaSet ProposeReplicaSet() const;
   bool HasUnreadyCandidates() const;
-  /// Changes to the proposed set once it is complete enough.
+  /// Changes to the proposed set if that differs and is large enough; drops the candidates if the
+  /// present set is complete.
   void UpdateReplicaSet();
   /// Makes the live members and the ready candidates the set of the next epoch.
   void ApplyProposedReplicaSet();
-  /// Frees the candidates for which `keep` is false.
+  /// Removes the candidates for which `keep` returns false and frees their replicas.
   void DropCandidates(const std::function<bool(const Replica&)>& keep);
   void CommitIfReady();
-  /// @return the commit of the present set; the same bytes for every attempt under one epoch.
+  /// @return the CommitHead request for the present set: the same bytes for every attempt under one
+  /// epoch.
   const proto::CommitHeadRequest& PrepareCommitRequest();
   void HandleCommit(HeadEpoch epoch, const Status& status);
-  /// Whether a candidate lacks at most one write of the content.
+  /// Whether the replica is open and lacks at most `write_bytes` of the content.
   bool IsReady(const Replica& replica) const;
 
   // head_segment_calls.cc
@@ -135,8 +145,8 @@
   void SetReplicaEpoch(Replica& replica);
   void CloseReplica(Replica& replica);
 
-  /// Marks `replica` busy. @return the handler of the answer; it runs `on_ok` if the call succeeded
-  /// and the replica was not dropped meanwhile.
+  /// Marks `replica` busy. @return the handler of the response, which runs `on_ok` if the call
+  /// succeeded and the replica was not dropped meanwhile.
   BackupClient::Done MakeAnswerHandler(Replica& replica, std::function<void(Replica&)> on_ok);
   void HandleAnswer(std::uint64_t replica_number, const Status& status,
                     const std::function<void(Replica&)>& on_ok);
@@ -149,7 +159,7 @@
   std::function<void()> on_progress_;
   std::vector<Replica> replicas_;
   std::uint64_t last_replica_number_ = 0;
-  HeadEpoch epoch_;            ///< Of the present set; 0 before the first.
+  HeadEpoch epoch_;            ///< Of the present set; 0 before the first one.
   HeadEpoch open_epoch_{1};    ///< Of candidates and of the next set.
   HeadEpoch committed_epoch_;  ///< Last one the coordinators confirmed.
   proto::CommitHeadRequest commit_request_;
--- a/src/log_writer/head_segment_calls.cc
+++ b/src/log_writer/head_segment_calls.cc
@@ -1,4 +1,4 @@
-// The calls a head segment makes on its backups, and what their answers mean.
+// The calls that a head segment makes to its backups, and the handling of their responses.
 
 #include <algorithm>
 
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// Whether repeating the call can not succeed.
+/// Whether a retry of a call that a backup refused with `code` cannot succeed.
 bool IsPermanentRefusal(StatusCode code) {
   switch (code) {
     case StatusCode::kInvalidArgument:
@@ -61,7 +61,8 @@
   write.offset = replica.synced;
   write.data = content_.bytes().substr(replica.synced, end - replica.synced);
   write.atomic_replace = replica.hidden;
-  // A complete replica is offered to recoveries: only a member, or one of final content, may be.
+  // Backups offer a complete replica to recoveries. Therefore only a member, or a replica that gets
+  // the final content, may become complete.
   write.replace_complete =
       replica.hidden && end == content_.length() && (replica.member || closing_);
   auto done =
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -1,4 +1,4 @@
-// The set of backups of a head segment: the choice of further ones, the change to a new set under
+// The set of backups of a head segment: choice of further backups, change to a new set under
 // the next epoch, and its commit at the coordinators.
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 namespace cloverbank {
 
 bool HeadSegment::IsReady(const Replica& replica) const {
-  // Under steady appends a candidate never has everything: the rest is written after the change of
-  // the set, while nothing is acknowledged.
+  // While appends go on, a candidate never has all of the content. It receives the rest after the
+  // change of the set, while no append is acknowledged.
   return replica.epoch.valid() &&
          replica.synced + context_.options.write_bytes >= content_.length();
 }
@@ -52,10 +52,10 @@
     if (replica.member || keep(replica)) {
       return false;
     }
-    // Backups refuse to open again under the epoch that was freed.
+    // A backup refuses to open the segment again under the epoch of the replica that was freed.
     open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
     if (context_.directory.FindBackup(replica.location) == nullptr) {
-      return true;  // Another disk may be at its endpoint by now.
+      return true;  // A backup with another disk may have its endpoint by now.
     }
     context_.client.FreeSegment(context_.directory.GetEndpoint(replica.location), id_,
                                 [](const Status&) {});
@@ -76,7 +76,8 @@
 
 void HeadSegment::UpdateReplicaSet() {
   if (closing_) {
-    return;  // The content is final: candidates become further closed replicas without a new set.
+    // The content is final: candidates become additional closed replicas without a new set.
+    return;
   }
   if (IsFullyReplicated()) {
     DropCandidates([](const Replica&) { return false; });
@@ -90,7 +91,7 @@
     return;
   }
   if (proposed.size < context_.options.replicas) {
-    // Before going on with fewer replicas, look once more for backups that can still be asked.
+    // Before the change to a set with too few replicas, try once more to find further backups.
     const std::size_t old_count = replicas_.size();
     AddCandidates();
     if (replicas_.size() > old_count) {
@@ -135,8 +136,8 @@
 const proto::CommitHeadRequest& HeadSegment::PrepareCommitRequest() {
   proto::LogHead& head = *commit_request_.mutable_head();
   if (head.epoch() == epoch_.value()) {
-    // An earlier try may have been committed: a backup that has restarted since keeps its old id in
-    // it.
+    // The coordinators may have committed an earlier attempt: a backup that has restarted since
+    // then keeps its old node id in the request.
     return commit_request_;
   }
   head.Clear();
--- a/src/log_writer/repeated_step.h
+++ b/src/log_writer/repeated_step.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs a step of a state machine again for as long as something asks for another round. A request
-/// from within the step becomes a further round instead of a nested call.
+/// Runs a step of a state machine in rounds for as long as another round is requested. A request
+/// from within the step causes a further round instead of a nested call.
 ///
 /// Threads: the owner's event loop only.
 
@@ -9,11 +9,11 @@
 
 class RepeatedStep {
  public:
-  /// Asks for another round after the one that is running.
+  /// Requests another round after the one that is running.
   void RequestRound() { round_requested_ = true; }
 
-  /// Runs `step` at least once, until no round is requested or `stopped`. Inside a running step
-  /// this only requests a round.
+  /// Runs `step` until no round is requested, at least once, or until `stopped`, which it reads
+  /// before each round. Called from within a running step, it only requests a round.
   template <typename Step>
   void Run(const bool& stopped, Step step) {
     round_requested_ = true;
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -5,6 +5,7 @@
 namespace cloverbank {
 namespace {
 
+/// Time between two ListSegments calls to one backup.
 constexpr Duration kAuditInterval = seconds(5);
 
 }  // namespace
@@ -35,7 +36,7 @@
 void SegmentAudit::HandleAnswer(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
                                 const proto::ListSegmentsResponse& listed) {
   if (!context_.agent.fleet().servers.contains(backup)) {
-    return;  // Lost meanwhile.
+    return;  // It left the fleet since the request.
   }
   std::set<SegmentId> found;
   for (const proto::SegmentReplicaKey& key : listed.replicas()) {
@@ -61,7 +62,8 @@
 
 void SegmentAudit::FreeLeftoverReplicas(NodeId backup, SegmentId head,
                                         const std::set<SegmentId>& found) {
-  // Segments before `head` were closed before the request: only repairs can be under way.
+  // Segments before `head` were closed before the request, so that only a repair can be writing an
+  // uncounted replica of them.
   const std::set<SegmentId> counted = repairer_->FindSegmentsOn(backup);
   for (const SegmentId id : found) {
     if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
--- a/src/log_writer/segment_audit.h
+++ b/src/log_writer/segment_audit.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Compares the replicas that backups list with those that the log counts on, each backup once an
-/// interval: lost replicas no longer count, leftover ones are freed.
+/// Compares, at an interval for each backup, the replicas that the backup lists with those that the
+/// log counts on it. Lost replicas no longer count; leftover ones are freed.
 ///
 /// Threads: the owner's event loop only. Made by `std::make_shared`.
 
@@ -20,20 +20,22 @@
   SegmentAudit(LogContext& context, std::shared_ptr<SegmentRepairer> repairer)
       : context_(context), repairer_(std::move(repairer)) {}
 
-  /// Sends ListSegments to the backups that are due. @param head the first segment that may be
-  /// open.
+  /// Sends ListSegments to the backups whose interval has passed.
+  /// @param head the first segment that may be open.
   void Advance(SegmentId head);
 
  private:
+  /// @param head, expected the head, and the closed segments counted on `backup`, at the request.
   void HandleAnswer(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
                     const proto::ListSegmentsResponse& listed);
+  /// @param found the segments of this log that `backup` listed.
   void RecordLostReplicas(NodeId backup, const std::set<SegmentId>& expected,
                           const std::set<SegmentId>& found);
   void FreeLeftoverReplicas(NodeId backup, SegmentId head, const std::set<SegmentId>& found);
 
   LogContext& context_;
   std::shared_ptr<SegmentRepairer> repairer_;
-  std::map<NodeId, TimePoint> next_audit_;  ///< By backup.
+  std::map<NodeId, TimePoint> next_audit_;  ///< Earliest time, by backup.
 };
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -5,7 +5,7 @@
 namespace cloverbank {
 namespace {
 
-/// How often waiting appends, the lease and repairs are looked at without any other cause.
+/// Interval of the checks of waiting appends, the lease, repairs and audits that no event triggers.
 constexpr Duration kTickInterval = milliseconds(100);
 
 }  // namespace
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -29,10 +29,11 @@
 class SegmentLog {
  public:
   using Done = AppendQueue::Done;
-  /// @return entries without a sequence (PartitionWatermark) for the start of a new segment.
+  /// Returns the entries that follow the header and digest of a new segment; they have no sequence
+  /// (PartitionWatermark).
   using Preamble = std::function<std::vector<proto::LogEntry>()>;
 
-  /// Creates the log of the agent's present node id, without a segment.
+  /// Creates the log of the agent's present node id, which has no segment until `Start`.
   /// @param on_fenced runs once, after `Stop`, when a backup or coordinator refuses the node id as
   /// dead; `reason` is for logs.
   SegmentLog(Environment& environment, NodeAgent& agent, SegmentLogOptions options,
@@ -44,21 +45,22 @@
   /// Opens the first segment (RAMCloud page, "Normal Operation Walkthrough" step 4).
   void Start();
 
-  /// Appends the entries in order, with no other entry between them. `done` runs once, later:
-  /// - OK: every backup of the committed set has synced them, and the lease was valid at that
-  /// moment;
+  /// Appends the entries in order, with no other entry between them. `done` runs once, on the event
+  /// loop and after this call has returned, with:
+  /// - OK: every backup of the committed set has synced them, and the lease was valid when `done`
+  ///   ran;
   /// - kUnavailable, kResourceExhausted, kInvalidArgument: not written;
   /// - kUnknownOutcome: the log ended first; the entries may or may not survive.
   void Append(std::vector<proto::LogEntry> entries, Done done);
 
-  /// @return OK, or why `Append` would refuse now.
+  /// @return OK, or the error with which `Append` would refuse an append now.
   Status Accepting() const;
 
-  /// Ends the log: pending appends complete as kUnknownOutcome (later), and no further call is
-  /// made.
+  /// Ends the log: pending appends complete with kUnknownOutcome, after this call has returned, and
+  /// the log makes no further calls.
   void Stop();
 
-  /// Reacts to a change of the fleet view.
+  /// Adapts the replicas to a changed fleet view. Call it on each change.
   void OnFleet();
 
   /// Whether the coordinators have committed the first head.
@@ -67,14 +69,15 @@
   bool degraded() const;
   /// @return the number of segments that are not freed, the head included.
   std::size_t live_segments() const;
-  /// @return the largest framed size of one entry, in bytes.
+  /// @return the largest framed size that one entry may have, in bytes.
   std::uint64_t largest_entry() const { return context_.options.segment_bytes / 4; }
 
  private:
   void Advance();
   void AdvanceOnce();
   void PlaceWaitingAppends();
-  /// @return whether all entries of `append` are in the head now; else the head is full.
+  /// Adds the remaining entries of `append` to the head. @return false if the head is full before
+  /// all of them are added.
   bool PlaceEntries(AppendQueue::WaitingAppend& append);
   void AcknowledgeDurableAppends();
   void RefuseOverdueAppends();
@@ -88,10 +91,11 @@
   bool ShouldRollOverEarly() const;
   void OpenSuccessor();
   void PromoteSuccessor();
-  /// Hands the closed head to the repairer.
+  /// Adds the closed head to the segments that the repairer looks after.
   void AddHeadToRepairer();
   /// Frees the segments that the committed digest of the new head leaves out.
   void FreeDeadSegments();
+  /// @return the framed entries at the start of a segment: header, digest, preamble.
   std::string BuildSegmentStart(SegmentId segment, const std::vector<SegmentId>& digest);
 
   LogContext context_;
@@ -102,7 +106,7 @@
   std::shared_ptr<SegmentRepairer> repairer_;
   std::shared_ptr<SegmentAudit> audit_;
   SegmentUsage usage_;
-  /// Left out of the successor's digest; freed once the successor is committed.
+  /// Segments left out of the successor's digest; freed once the successor is committed.
   std::vector<SegmentId> dead_segments_;
   AppendQueue appends_;
   bool rolling_over_ = false;     ///< The head takes no more entries.
--- a/src/log_writer/segment_log_roll_over.cc
+++ b/src/log_writer/segment_log_roll_over.cc
@@ -9,9 +9,9 @@
 namespace cloverbank {
 namespace {
 
-/// Least time between roll-overs that are made only to move the head to better backups.
+/// Shortest time between a roll-over and one made only to move the head to better backups.
 constexpr Duration kEarlyRollOverInterval = seconds(2);
-/// Share of a segment that is used when its successor is opened, in percent.
+/// Fill level of the head, in percent, at which its successor is opened.
 constexpr std::uint64_t kOpenSuccessorPercent = 75;
 
 }  // namespace
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -8,7 +8,8 @@
 namespace cloverbank {
 namespace {
 
-/// Whether a backup refused because it has the closed segment already; `detail` is the length then.
+/// Whether a backup refused a call because it has the closed segment already. The detail of its
+/// status is the length of the segment then.
 bool HasReplicaAlready(const Status& status, std::uint64_t length) {
   return status.code() == StatusCode::kConflict && status.detail() == std::to_string(length);
 }
@@ -116,7 +117,8 @@
   if (count.regular >= replicas || live.empty()) {
     return;
   }
-  // Replicas on retiring backups do not count, so that others, spares included, replace them.
+  // Replicas on retiring backups do not count, so that other backups, spares included, replace
+  // them.
   const auto chosen = context_.directory.Select(1, replicas + count.retiring, live, {});
   if (chosen.empty()) {
     return;
@@ -199,7 +201,7 @@
     return;
   }
   if (status.code() == StatusCode::kCorrupt || status.code() == StatusCode::kNotFound) {
-    // This backup does not have what was written: its replica no longer counts.
+    // The backup does not have the content that was written: its replica no longer counts.
     std::erase_if(segment->second.locations, [&](const ReplicaLocation& location) {
       return location.node == repair->source.node;
     });
--- a/src/log_writer/segment_repairer.h
+++ b/src/log_writer/segment_repairer.h
@@ -19,13 +19,14 @@
 
 namespace cloverbank {
 
+/// A closed segment of the log that is not freed.
 struct ClosedSegment {
   SegmentId id;
-  HeadEpoch epoch;  ///< Highest under which a replica was opened.
+  HeadEpoch epoch;  ///< Highest epoch under which a replica was opened.
   std::uint64_t length = 0;
   std::uint64_t checksum = 0;              ///< Of the content.
   std::vector<ReplicaLocation> locations;  ///< Of the replicas that count.
-  bool repairing = false;
+  bool repairing = false;                  ///< A repair is in progress.
 };
 
 class SegmentRepairer : public std::enable_shared_from_this<SegmentRepairer> {
@@ -37,33 +38,35 @@
   /// Frees all replicas of the segment (RAMCloud page, "Log Cleaning"). Requires that a head whose
   /// digest leaves it out is committed.
   void Free(SegmentId segment);
-  /// Starts the repairs that are due. Call it on fleet changes and on a timer.
+  /// Starts the repairs that are needed, up to `SegmentLogOptions::max_parallel_repairs` at a time.
+  /// Call it on fleet changes and on a timer.
   void Advance();
 
   const std::map<SegmentId, ClosedSegment>& segments() const { return segments_; }
   /// Whether some segment has fewer live replicas than `SegmentLogOptions::replicas`.
   bool IsDegraded() const;
 
-  /// Whether a repair of the segment is under way.
+  /// Whether a repair of the segment is in progress.
   bool IsRepairing(SegmentId segment) const;
   /// @return whether the live backup that has the disk of `location` is `backup`.
   bool IsLocationOnBackup(const ReplicaLocation& location, NodeId backup) const;
   /// @return the closed segments with a replica on `backup`.
   std::set<SegmentId> FindSegmentsOn(NodeId backup) const;
-  /// No longer counts on the replica at `backup`. @return false if the segment was freed.
+  /// Stops counting the replica on `backup`. @return false if the segment was freed.
   bool RemoveLocation(SegmentId segment, NodeId backup);
-  /// Frees the replica if the disk of `location` is live; never what another disk has at its
-  /// endpoint.
+  /// Frees the replica if a live backup has the disk of `location`. Otherwise sends nothing,
+  /// because a backup with another disk may have the endpoint by now, and its replica must never be
+  /// freed.
   void FreeReplica(const ReplicaLocation& location, SegmentId segment);
 
  private:
-  /// The copy of one segment from `source` to `target`.
+  /// A repair in progress: copies one segment from `source` to `target`.
   struct Repair {
     SegmentId segment;
     ReplicaLocation source;
     ReplicaLocation target;
     HeadEpoch epoch;
-    std::string data;
+    std::string data;  ///< Content of the segment, once read.
   };
   using RepairPtr = std::shared_ptr<Repair>;
   using Step = void (SegmentRepairer::*)(const RepairPtr&);
@@ -73,7 +76,8 @@
   void RepairIfNeeded(ClosedSegment& segment);
   void StartRepair(ClosedSegment& segment, const ReplicaLocation& source,
                    const ReplicaLocation& target);
-  /// Frees the replicas on retiring backups, with `spares_too` also on spares; removes lost ones.
+  /// Frees the replicas on retiring backups and, with `spares_too`, on spares; removes the
+  /// locations on lost backups.
   void FreeUnneededReplicas(ClosedSegment& segment, bool spares_too);
 
   void Read(const RepairPtr& repair);
@@ -82,9 +86,12 @@
   void Write(const RepairPtr& repair);
   void Close(const RepairPtr& repair);
   void CompleteRepair(const RepairPtr& repair);
+  /// Ends the repair. @param failed_location the backup whose call failed or whose content is
+  /// wrong.
   void FailRepair(const RepairPtr& repair, const ReplicaLocation& failed_location,
                   const Status& status);
-  /// @return a handler that runs `next` on success, else ends the repair.
+  /// @return the handler of a response from `target`: runs `next` on success, otherwise ends the
+  /// repair.
   BackupClient::Done ContinueWith(const RepairPtr& repair, Step next);
   void HandleStep(const RepairPtr& repair, Step next, const Status& status);
 
--- a/src/log_writer/segment_usage.cc
+++ b/src/log_writer/segment_usage.cc
@@ -49,7 +49,7 @@
     return;
   }
   if (usage.tombstone.valid()) {
-    return;  // A result that was logged after its batch was removed.
+    return;  // A result that was logged after the removal of its batch.
   }
   ++usage.entry_counts[segment];
   ++live_entries_[segment];
@@ -58,7 +58,7 @@
 
 void SegmentUsage::MarkDead(const BatchKey& key, BatchUsage& usage, SegmentId tombstone) {
   if (usage.tombstone.valid()) {
-    // A later tombstone takes over from the earlier one.
+    // The later tombstone replaces the earlier one.
     --live_entries_[usage.tombstone];
   } else {
     for (const auto& [segment, count] : usage.entry_counts) {
