--- a/src/log_format/segment_format.h
+++ b/src/log_format/segment_format.h
@@ -54,8 +54,7 @@
  private:
   RecordReader records_;
   std::size_t valid_length_ = 0;
-  bool undecodable_ =
-      false;  ///< The checksum of an entry is right, but it is no `proto::LogEntry`.
+  bool undecodable_ = false;  ///< An entry with a valid checksum is not a `proto::LogEntry`.
 };
 
 /// The result of `ScanSegment`.
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -55,7 +55,7 @@
     // A backup refuses to open the segment again under the epoch of the replica that was freed.
     open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
     if (context_.directory.FindBackup(replica.location) == nullptr) {
-      return true;  // A backup with another disk may have its endpoint by now.
+      return true;  // A backup with another disk may be at this endpoint now.
     }
     context_.client.FreeSegment(context_.directory.GetEndpoint(replica.location), id_,
                                 [](const Status&) {});
--- a/src/log_writer/segment_log.h
+++ b/src/log_writer/segment_log.h
@@ -91,7 +91,7 @@
   bool ShouldRollOverEarly() const;
   void OpenSuccessor();
   void PromoteSuccessor();
-  /// Adds the closed head to the segments that the repairer looks after.
+  /// Adds the closed head to the segments that the repairer maintains.
   void AddHeadToRepairer();
   /// Frees the segments that the committed digest of the new head leaves out.
   void FreeDeadSegments();
