--- a/tests/log_format/segment_format_test.cc
+++ b/tests/log_format/segment_format_test.cc
@@ -23,7 +23,7 @@
   return bytes;
 }
 
-TEST(SegmentFormatTest, FramesEntryAsDocumented) {
+TEST(SegmentFormatTest, EntryIsFramedWithLengthAndChecksum) {
   std::string bytes;
   ASSERT_EQ(AppendEntry(&bytes, kSegment, MakeEntry(1, 2)), 16U);
   // Length 4, XXH3 with seed 7, then partition_tag = 1 and sequence = 2 as protobuf varints.
@@ -44,7 +44,7 @@
   EXPECT_EQ(reader.valid_length(), bytes.size());
 }
 
-TEST(SegmentFormatTest, StopsAtReservedSpace) {
+TEST(SegmentFormatTest, ScanStopsAtReservedSpace) {
   const std::string bytes = EncodeThreeEntries();
   const SegmentScan scan = ScanSegment(kSegment, bytes + std::string(100, '\0'));
   EXPECT_EQ(scan.tail, RecordTail::kReserved);
@@ -52,7 +52,7 @@
   EXPECT_EQ(scan.entry_count, 3U);
 }
 
-TEST(SegmentFormatTest, DetectsTruncationAtEveryByte) {
+TEST(SegmentFormatTest, ScanDetectsTruncationAtEveryByte) {
   const std::string bytes = EncodeThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t length = 0; length < bytes.size(); ++length) {
@@ -62,7 +62,7 @@
   }
 }
 
-TEST(SegmentFormatTest, DetectsEveryFlippedBit) {
+TEST(SegmentFormatTest, ScanDetectsEveryFlippedBit) {
   const std::string bytes = EncodeThreeEntries();
   const std::size_t entry_bytes = bytes.size() / 3;
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
@@ -73,7 +73,7 @@
   }
 }
 
-TEST(SegmentFormatTest, RejectsEntriesOfAnotherSegment) {
+TEST(SegmentFormatTest, ScanRejectsEntriesOfAnotherSegment) {
   EXPECT_EQ(ScanSegment(SegmentId(8), EncodeThreeEntries()).valid_length, 0U);
 }
 
@@ -100,7 +100,7 @@
   EXPECT_EQ(FindLogDigest(kSegment, start), (std::vector<std::uint64_t>{5, 7}));
 }
 
-TEST(SegmentFormatTest, FindsNoDigestWithoutOne) {
+TEST(SegmentFormatTest, FindLogDigestIsEmptyWithoutDigest) {
   EXPECT_TRUE(FindLogDigest(kSegment, EncodeThreeEntries()).empty());
 }
 
--- a/tests/log_writer/append_queue_test.cc
+++ b/tests/log_writer/append_queue_test.cc
@@ -26,7 +26,7 @@
   std::vector<std::string> completed_;
 };
 
-TEST_F(AppendQueueTest, CountsBytesUntilPlaced) {
+TEST_F(AppendQueueTest, WaitingBytesExcludePlacedAppends) {
   Add("a", 10);
   Add("b", 20);
   EXPECT_EQ(queue_.waiting_bytes(), 30U);
@@ -35,7 +35,7 @@
   EXPECT_TRUE(queue_.HasWaiting());
 }
 
-TEST_F(AppendQueueTest, HeadEntryIsDurableUpToDurableLength) {
+TEST_F(AppendQueueTest, AppendInHeadIsDurableWithinDurableLength) {
   EXPECT_FALSE(queue_.IsOldestPlacedDurable(kFirst, 100));
   Add("a", 10);
   queue_.RecordPlaced(kFirst, 10);
@@ -43,7 +43,7 @@
   EXPECT_TRUE(queue_.IsOldestPlacedDurable(kFirst, 10));
 }
 
-TEST_F(AppendQueueTest, EntryBeforeTheHeadIsDurable) {
+TEST_F(AppendQueueTest, AppendBeforeTheHeadIsDurable) {
   Add("a", 10);
   queue_.RecordPlaced(kFirst, 10);
   EXPECT_TRUE(queue_.IsOldestPlacedDurable(kSecond, 0));
@@ -60,13 +60,13 @@
   EXPECT_FALSE(queue_.HasWaiting());
 }
 
-TEST_F(AppendQueueTest, AppendIsOverdueAtItsLimit) {
+TEST_F(AppendQueueTest, AppendAddedAtTheCutoffIsOverdue) {
   Add("a", 10, seconds(2));
   EXPECT_FALSE(queue_.IsOverdue(0, TimePoint() + seconds(1)));
   EXPECT_TRUE(queue_.IsOverdue(0, TimePoint() + seconds(2)));
 }
 
-TEST_F(AppendQueueTest, SkipsPartlyPlacedAppendWhenOverdue) {
+TEST_F(AppendQueueTest, PartlyPlacedAppendIsSkippedWhenOverdue) {
   Add("a", 10);
   Add("b", 20);
   EXPECT_EQ(queue_.CountPartlyPlaced(), 0U);
--- a/tests/log_writer/backup_selector_test.cc
+++ b/tests/log_writer/backup_selector_test.cc
@@ -29,7 +29,7 @@
   std::mt19937_64 random_{5};
 };
 
-TEST_F(BackupSelectorTest, ChoosesOnePerZone) {
+TEST_F(BackupSelectorTest, ChoosesOneBackupPerZone) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
@@ -42,7 +42,7 @@
   }
 }
 
-TEST_F(BackupSelectorTest, ChoosesEveryBackupAtSomeTime) {
+TEST_F(BackupSelectorTest, ChoosesEveryBackupOverManySelections) {
   for (std::uint64_t id = 1; id <= 9; ++id) {
     Add(id, "zone" + std::to_string(id % 3));
   }
--- a/tests/log_writer/log_world.h
+++ b/tests/log_writer/log_world.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Real backups, real node agents and a scripted coordinator in a simulated world, and a reader
-/// that recovers a queue node's log the way the coordinators do.
+/// A simulated world with real backups, real node agents and a fake coordinator, and a reader that
+/// recovers a queue node's log as the coordinators do.
 
 #include <map>
 #include <memory>
@@ -63,7 +63,8 @@
     return options;
   }
 
-  /// Sends and runs the world until the answer is there.
+  /// Calls `method` of `machine` and runs the world until the response has arrived, or for 1 s more
+  /// than `deadline` at most.
   template <typename Response, typename Request>
   Result<Response> Call(const std::string& machine, std::string_view method, const Request& request,
                         Duration deadline = seconds(10)) {
@@ -78,11 +79,13 @@
                      }
                    });
     world.RunUntil([&] { return answer->has_value(); }, deadline + seconds(1));
-    return answer->value_or(Status(StatusCode::kInternal, "never answered"));
+    return answer->value_or(
+        Status(StatusCode::kInternal, std::string(method) + " was never answered"));
   }
 
   /// Fences `node` at every running backup and assembles its log from the longest current replicas.
-  /// @return the segments and where they are, or which one is missing.
+  /// @return the segments with the endpoints of their replicas, or an error that names the missing
+  /// segment.
   Result<std::vector<proto::RecoverySegment>> Collect(std::uint64_t node) {
     const std::map<std::uint64_t, std::vector<FoundReplica>> found = StartReading(node);
     const proto::LogHead& head = coordinator.heads[node];
@@ -113,7 +116,8 @@
       request.set_dead_node_id(node);
       request.set_segment_id(segment.segment_id());
       request.add_partition_ids(partition);
-      Result<proto::GetRecoveryDataResponse> data(Status(StatusCode::kNotFound, "no copy"));
+      Result<proto::GetRecoveryDataResponse> data(
+          Status(StatusCode::kNotFound, "segment has no replica"));
       for (int i = 0; i < segment.backups_size() && !data.ok(); ++i) {
         data = Call<proto::GetRecoveryDataResponse>(BackupAt(segment.backups(i).host()),
                                                     "backup.GetRecoveryData", request);
@@ -126,6 +130,7 @@
     return entries;
   }
 
+  /// @return the name of the backup with `host`; empty if there is none.
   std::string BackupAt(const std::string& host) {
     for (const std::string& backup : backups) {
       if (world.machine(backup).endpoint().host == host) {
@@ -149,6 +154,7 @@
     return {StatusCode::kUnavailable, "segment " + std::to_string(id) + " is missing"};
   }
 
+  /// Sends StartReadingData, which fences `node`, to all backups.
   /// @return the replicas that running backups offer, by segment id.
   std::map<std::uint64_t, std::vector<FoundReplica>> StartReading(std::uint64_t node) {
     std::map<std::uint64_t, std::vector<FoundReplica>> replicas;
@@ -167,8 +173,8 @@
     return replicas;
   }
 
-  /// @return the longest of the replicas that count: of the head those of its epoch or later, of
-  /// other segments the closed ones.
+  /// @return the longest valid replicas of segment `id`. A replica of the head is valid if it has
+  /// the epoch of `head` or a later one, a replica of another segment if it is closed.
   static std::vector<FoundReplica> LongestReplicas(
       const std::map<std::uint64_t, std::vector<FoundReplica>>& found, const proto::LogHead& head,
       std::uint64_t id) {
--- a/tests/log_writer/repeated_step_test.cc
+++ b/tests/log_writer/repeated_step_test.cc
@@ -14,7 +14,7 @@
   EXPECT_EQ(rounds, 1);
 }
 
-TEST(RepeatedStepTest, RequestFromWithinRunsAnotherRound) {
+TEST(RepeatedStepTest, RequestDuringStepRunsAnotherRound) {
   RepeatedStep step;
   int rounds = 0;
   step.Run(false, [&] {
--- a/tests/log_writer/segment_content_test.cc
+++ b/tests/log_writer/segment_content_test.cc
@@ -36,7 +36,7 @@
   EXPECT_EQ(ScanSegment(kSegment, content_.bytes()).entry_count, 2U);
 }
 
-TEST_F(SegmentContentTest, WriteEndsBehindLastEntryThatFits) {
+TEST_F(SegmentContentTest, WriteEndsAfterLastEntryThatFits) {
   for (int i = 0; i < 3; ++i) {
     content_.Append(entry_);
   }
@@ -45,7 +45,7 @@
   EXPECT_EQ(content_.FindWriteEnd(0, kCapacity), content_.length());
 }
 
-TEST_F(SegmentContentTest, WriteHasOneEntryLargerThanTheLimit) {
+TEST_F(SegmentContentTest, WriteHasOneEntryEvenAboveTheLimit) {
   content_.Append(entry_);
   content_.Append(entry_);
   EXPECT_EQ(content_.FindWriteEnd(0, 1), entry_bytes_);
--- a/tests/log_writer/segment_log_fixture.h
+++ b/tests/log_writer/segment_log_fixture.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A segment log over simulated backups that tests can lose, cut off and empty.
+/// Fixture with a segment log over simulated backups, which tests can stop, isolate or take the
+/// disk of.
 
 #include <gtest/gtest.h>
 
@@ -13,7 +14,7 @@
 constexpr std::uint64_t kPartition = 0;
 constexpr std::uint64_t kSegmentBytes = 16 << 10;
 
-/// A queue process that has only its log.
+/// A queue process that consists of its agent and its log only.
 struct LogProcess {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<SegmentLog> log;
@@ -75,7 +76,8 @@
     return entry;
   }
 
-  /// Appends one entry with the next sequence. Its outcome goes to `outcomes`.
+  /// Appends one entry with the next sequence and `bytes` bytes of output. Its outcome is written
+  /// to `outcomes`. @return the sequence.
   std::uint64_t Append(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = ++last_sequence;
     process->log->Append({MakeEntry(sequence, bytes, batch)},
@@ -85,6 +87,8 @@
                          });
     return sequence;
   }
+  /// Like `Append`, and runs the world until the outcome is known, for 10 s at most.
+  /// @return whether the append was acknowledged.
   bool AppendAndWait(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = Append(bytes, batch);
     return log_world.world.RunUntil([&] { return outcomes.contains(sequence); }, seconds(10)) &&
@@ -95,7 +99,7 @@
   }
   proto::LogHead Head() { return log_world.coordinator.heads[node]; }
 
-  /// Recovers the log and checks that everything acknowledged is in it, in order.
+  /// Recovers the log and checks that it has every acknowledged entry, in order.
   void ExpectAcknowledgedRecoverable() {
     const auto entries = log_world.Recover(node, kPartition);
     ASSERT_TRUE(entries.ok()) << entries.status().ToString();
@@ -108,7 +112,7 @@
     }
     for (const auto& [sequence, outcome] : outcomes) {
       if (outcome == StatusCode::kOk) {
-        EXPECT_TRUE(found.contains(sequence)) << "lost " << sequence;
+        EXPECT_TRUE(found.contains(sequence)) << "acknowledged entry " << sequence << " is lost";
       }
     }
   }
--- a/tests/log_writer/segment_log_test.cc
+++ b/tests/log_writer/segment_log_test.cc
@@ -97,7 +97,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, ShortIsolationLosesNothing) {
+TEST_F(SegmentLogTest, AppendDuringShortIsolationSucceeds) {
   StartQueue();
   ASSERT_TRUE(AppendAndWait());
   log_world.world.Isolate("q");
@@ -167,7 +167,7 @@
     const std::string file = "segments/" + (*files)[index];
     ASSERT_TRUE(log_world.world.machine("b1").FlipBit(file, kDamagedByte).ok());
   }
-  // While b3 is down only the damaged replicas can be read.
+  // While b3 is down, only the damaged replicas on b1 can be read.
   log_world.coordinator.DeclareDead(log_world.coordinator.NodeOf("b2", proto::ROLE_BACKUP));
   log_world.world.machine("b2").LoseDisk();
   log_world.world.machine("b3").Kill();
@@ -180,7 +180,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-TEST_F(SegmentLogTest, SpareServesOnlyWhileBackupIsMissing) {
+TEST_F(SegmentLogTest, SpareHasReplicaOnlyWhileBackupIsMissing) {
   log_world.AddBackup("spare", "zone-b1", true);
   StartQueue();
   const auto spare = log_world.coordinator.NodeOf("spare", proto::ROLE_BACKUP);
@@ -228,7 +228,7 @@
   ExpectAcknowledgedRecoverable();
 }
 
-/// Random faults at random moments; whatever was acknowledged must be recoverable at the end.
+/// Injects random faults at random times; every acknowledged entry must be recoverable at the end.
 class SegmentLogFaultTest : public SegmentLogTest, public testing::WithParamInterface<int> {
  protected:
   SegmentLogFaultTest() : SegmentLogTest(static_cast<std::uint64_t>(GetParam())) {}
