--- a/src/log_writer/log_context.cc
+++ b/src/log_writer/log_context.cc
@@ -5,13 +5,13 @@
 std::string FencingReason(FencedBy source, const std::string& detail) {
   switch (source) {
     case FencedBy::kCoordinators:
-      return "coordinators refused the head: " + detail;
+      return "the coordinators refused to commit the head segment: " + detail;
     case FencedBy::kBackupOfHead:
-      return "a backup refused segment " + detail;
+      return "a backup refused a call for head segment " + detail + ": the node id is fenced";
     case FencedBy::kBackupOfRepair:
-      return "a backup refused a repair";
+      return "a backup refused a call of a segment repair: the node id is fenced";
   }
-  return "unknown";
+  return "unknown source";
 }
 
 }  // namespace cloverbank
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -43,16 +43,23 @@
 
 Status SegmentLog::Accepting() const {
   if (context_.stopped) {
-    return {StatusCode::kUnavailable, "this queue node's life has ended"};
+    return {StatusCode::kUnavailable, "the log of this queue node id has ended"};
   }
   if (!ready()) {
-    return {StatusCode::kUnavailable, "the log is not open yet"};
+    return {StatusCode::kUnavailable,
+            "the log is not open yet: the coordinators have not committed its first segment"};
   }
   if (!head_->CanAppend()) {
-    return {StatusCode::kUnavailable, "fewer backups answer than the minimum of copies"};
+    return {StatusCode::kUnavailable, "the head segment has " +
+                                          std::to_string(head_->CountReplicas()) +
+                                          " live copies; the minimum is " +
+                                          std::to_string(context_.options.minimum_replicas)};
   }
   if (appends_.waiting_bytes() > context_.options.max_waiting_bytes) {
-    return {StatusCode::kResourceExhausted, "too much waits to be logged"};
+    return {StatusCode::kResourceExhausted,
+            std::to_string(appends_.waiting_bytes()) +
+                " bytes wait to be written to the log; the limit is " +
+                std::to_string(context_.options.max_waiting_bytes)};
   }
   return Status::Ok();
 }
@@ -67,7 +74,9 @@
     const std::uint64_t bytes = FramedEntryBytes(entry);
     if (bytes > largest_entry()) {
       CompleteLater(std::move(done),
-                    {StatusCode::kInvalidArgument, "entry is too large for the log"});
+                    {StatusCode::kInvalidArgument, "log entry has " + std::to_string(bytes) +
+                                                       " bytes; the limit is " +
+                                                       std::to_string(largest_entry())});
       return;
     }
     append.bytes += bytes;
@@ -143,7 +152,8 @@
   const TimePoint cutoff = context_.environment.Now() - context_.options.append_timeout;
   while (!context_.stopped && appends_.IsOverdue(partly_placed, cutoff)) {
     const Done done = appends_.TakeWaiting(partly_placed);
-    done(Status(StatusCode::kUnavailable, "the backups took too long; nothing was written"));
+    done(Status(StatusCode::kUnavailable,
+                "the append waited too long for the backups; nothing was written"));
   }
 }
 
@@ -196,8 +206,9 @@
   context_.stopped = true;
   context_.environment.CancelTimer(timer_);
   timer_ = 0;
-  const Status unknown(StatusCode::kUnknownOutcome,
-                       "this queue node's life ended before the entry was held");
+  const Status unknown(
+      StatusCode::kUnknownOutcome,
+      "the log of this queue node id ended before its backups confirmed the append");
   for (Done& done : appends_.TakeAll()) {
     CompleteLater(std::move(done), unknown);
   }
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -16,7 +16,12 @@
 
 Status CheckContent(const ClosedSegment& segment, const std::string& content) {
   const bool matches = content.size() == segment.length && Checksum(content) == segment.checksum;
-  return matches ? Status::Ok() : Status(StatusCode::kCorrupt, "replica differs from its segment");
+  return matches ? Status::Ok()
+                 : Status(StatusCode::kCorrupt,
+                          "replica has " + std::to_string(content.size()) +
+                              " bytes that do not match its segment: expected " +
+                              std::to_string(segment.length) + " bytes with checksum " +
+                              std::to_string(segment.checksum));
 }
 
 }  // namespace
