--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -43,7 +43,7 @@
 
 Status SegmentLog::Accepting() const {
   if (context_.stopped) {
-    return {StatusCode::kUnavailable, "the log of this queue node id has ended"};
+    return {StatusCode::kUnavailable, "this queue node's incarnation has ended"};
   }
   if (!ready()) {
     return {StatusCode::kUnavailable,
@@ -206,9 +206,8 @@
   context_.stopped = true;
   context_.environment.CancelTimer(timer_);
   timer_ = 0;
-  const Status unknown(
-      StatusCode::kUnknownOutcome,
-      "the log of this queue node id ended before its backups confirmed the append");
+  const Status unknown(StatusCode::kUnknownOutcome,
+                       "this queue node's incarnation ended before the entry was stored");
   for (Done& done : appends_.TakeAll()) {
     CompleteLater(std::move(done), unknown);
   }
