--- a/src/log_format/segment_format.cc
+++ b/src/log_format/segment_format.cc
@@ -9,9 +9,9 @@
 }
 
 std::size_t AppendEntry(std::string* out, SegmentId segment, const proto::LogEntry& entry) {
-  const std::size_t before = out->size();
+  const std::size_t old_size = out->size();
   AppendRecord(*out, entry.SerializeAsString(), segment.value());
-  return out->size() - before;
+  return out->size() - old_size;
 }
 
 bool SegmentReader::NextBytes(std::string_view* serialized) {
@@ -54,7 +54,7 @@
 }
 
 std::vector<std::uint64_t> FindLogDigest(SegmentId segment, std::string_view bytes) {
-  constexpr int kDigestPosition = 2;  // Behind the segment header.
+  constexpr int kDigestPosition = 2;  // Counted from 1: right after the segment header.
   SegmentReader reader(segment, bytes);
   proto::LogEntry entry;
   for (int i = 0; i < kDigestPosition && reader.Next(&entry); ++i) {
--- a/src/log_writer/head_segment_replica_set.cc
+++ b/src/log_writer/head_segment_replica_set.cc
@@ -1,4 +1,4 @@
-// The set of backups of a head segment: the choice of further ones, the change to a new set under
+// The set of backups of a head segment: choice of further backups, change to a new set under
 // the next epoch, and its commit at the coordinators.
 
 #include <algorithm>
@@ -9,8 +9,8 @@
 namespace cloverbank {
 
 bool HeadSegment::IsReady(const Replica& replica) const {
-  // Under steady appends a candidate never has everything: the rest is written after the change of
-  // the set, while nothing is acknowledged.
+  // While appends go on, a candidate never has all of the content. It receives the rest after the
+  // change of the set, while no append is acknowledged.
   return replica.epoch.valid() &&
          replica.synced + context_.options.write_bytes >= content_.length();
 }
@@ -38,7 +38,7 @@
       context_.directory.Select(wanted - locations.size(), wanted, locations, excluded);
   for (const NodeId node : chosen) {
     Replica replica;
-    replica.serial = ++last_serial_;
+    replica.number = ++last_replica_number_;
     replica.location = context_.directory.GetLocation(node);
     replicas_.push_back(std::move(replica));
   }
@@ -52,10 +52,10 @@
     if (replica.member || keep(replica)) {
       return false;
     }
-    // Backups refuse to open again under the epoch that was freed.
+    // A backup refuses to open the segment again under the epoch of the replica that was freed.
     open_epoch_ = std::max(open_epoch_, replica.epoch.Next());
     if (context_.directory.FindBackup(replica.location) == nullptr) {
-      return true;  // Another disk may be at its endpoint by now.
+      return true;  // A backup with another disk may be at this endpoint now.
     }
     context_.client.FreeSegment(context_.directory.GetEndpoint(replica.location), id_,
                                 [](const Status&) {});
@@ -64,42 +64,44 @@
 }
 
 HeadSegment::ProposedReplicaSet HeadSegment::ProposeReplicaSet() const {
-  ProposedReplicaSet next;
+  ProposedReplicaSet proposed;
   for (const Replica& replica : replicas_) {
     const bool joins = !replica.member && IsReady(replica);
     const bool leaves = replica.member && IsLost(replica);
-    next.size += joins || (replica.member && !leaves) ? 1 : 0;
-    next.differs = next.differs || joins || leaves;
+    proposed.size += joins || (replica.member && !leaves) ? 1 : 0;
+    proposed.differs = proposed.differs || joins || leaves;
   }
-  return next;
+  return proposed;
 }
 
-void HeadSegment::EvaluateReplicaSet() {
+void HeadSegment::UpdateReplicaSet() {
   if (closing_) {
-    return;  // The content is final: candidates become further closed replicas without a new set.
+    // The content is final: candidates become additional closed replicas without a new set.
+    return;
   }
   if (IsFullyReplicated()) {
     DropCandidates([](const Replica&) { return false; });
     return;
   }
-  const ProposedReplicaSet next = ProposeReplicaSet();
-  const bool enough = next.size >= context_.options.replicas ||
-                      (next.size >= context_.options.minimum_replicas && !HasUnreadyCandidates());
-  if (!next.differs || !enough) {
+  const ProposedReplicaSet proposed = ProposeReplicaSet();
+  const bool large_enough =
+      proposed.size >= context_.options.replicas ||
+      (proposed.size >= context_.options.minimum_replicas && !HasUnreadyCandidates());
+  if (!proposed.differs || !large_enough) {
     return;
   }
-  if (next.size < context_.options.replicas) {
-    // Before going on with fewer replicas, look once more for backups that can still be asked.
-    const std::size_t before = replicas_.size();
+  if (proposed.size < context_.options.replicas) {
+    // Before the change to a set with too few replicas, try once more to find further backups.
+    const std::size_t old_count = replicas_.size();
     AddCandidates();
-    if (replicas_.size() > before) {
+    if (replicas_.size() > old_count) {
       return;
     }
   }
-  AdoptReadyReplicas();
+  ApplyProposedReplicaSet();
 }
 
-void HeadSegment::AdoptReadyReplicas() {
+void HeadSegment::ApplyProposedReplicaSet() {
   DropCandidates([this](const Replica& replica) { return IsReady(replica); });
   std::erase_if(replicas_,
                 [this](const Replica& replica) { return replica.member && IsLost(replica); });
@@ -117,13 +119,13 @@
 }
 
 void HeadSegment::CommitIfReady() {
-  if (!commit_allowed_ || commit_under_way_ || closing_ || !epoch_.valid() || IsSetCommitted() ||
+  if (!commit_allowed_ || commit_in_progress_ || closing_ || !epoch_.valid() || IsSetCommitted() ||
       !AreMembersUpToDate()) {
     return;
   }
-  commit_under_way_ = true;
+  commit_in_progress_ = true;
   context_.agent.CallLeader<proto::CommitHeadResponse>(
-      "coordinator.CommitHead", CommitRequest(), context_.options.commit_deadline,
+      "coordinator.CommitHead", PrepareCommitRequest(), context_.options.commit_deadline,
       [weak = weak_from_this(), epoch = epoch_](const Result<proto::CommitHeadResponse>& result) {
         if (const auto self = weak.lock()) {
           self->HandleCommit(epoch, result.status());
@@ -131,11 +133,11 @@
       });
 }
 
-const proto::CommitHeadRequest& HeadSegment::CommitRequest() {
+const proto::CommitHeadRequest& HeadSegment::PrepareCommitRequest() {
   proto::LogHead& head = *commit_request_.mutable_head();
   if (head.epoch() == epoch_.value()) {
-    // An earlier try may have been committed: a backup that has restarted since keeps its old id in
-    // it.
+    // The coordinators may have committed an earlier attempt: a backup that has restarted since
+    // then keeps its old node id in the request.
     return commit_request_;
   }
   head.Clear();
@@ -151,7 +153,7 @@
 }
 
 void HeadSegment::HandleCommit(HeadEpoch epoch, const Status& status) {
-  commit_under_way_ = false;
+  commit_in_progress_ = false;
   if (context_.stopped) {
     return;
   }
--- a/src/log_writer/segment_audit.cc
+++ b/src/log_writer/segment_audit.cc
@@ -5,6 +5,7 @@
 namespace cloverbank {
 namespace {
 
+/// Time between two ListSegments calls to one backup.
 constexpr Duration kAuditInterval = seconds(5);
 
 }  // namespace
@@ -13,7 +14,7 @@
   const TimePoint now = context_.environment.Now();
   for (const auto& [id, server] : context_.agent.fleet().servers) {
     const ReplicaLocation location = context_.directory.GetLocation(id);
-    if (!repairer_->IsOn(location, id) || now < next_audit_[id]) {
+    if (!repairer_->IsLocationOnBackup(location, id) || now < next_audit_[id]) {
       continue;
     }
     next_audit_[id] = now + kAuditInterval;
@@ -35,7 +36,7 @@
 void SegmentAudit::HandleAnswer(NodeId backup, SegmentId head, const std::set<SegmentId>& expected,
                                 const proto::ListSegmentsResponse& listed) {
   if (!context_.agent.fleet().servers.contains(backup)) {
-    return;  // Lost meanwhile.
+    return;  // It left the fleet since the request.
   }
   std::set<SegmentId> found;
   for (const proto::SegmentReplicaKey& key : listed.replicas()) {
@@ -61,12 +62,13 @@
 
 void SegmentAudit::FreeLeftoverReplicas(NodeId backup, SegmentId head,
                                         const std::set<SegmentId>& found) {
-  // Segments before `head` were closed before the request: only repairs can be under way.
+  // Segments before `head` were closed before the request, so that only a repair can be writing an
+  // uncounted replica of them.
   const std::set<SegmentId> counted = repairer_->FindSegmentsOn(backup);
   for (const SegmentId id : found) {
     if (id < head && !counted.contains(id) && !repairer_->IsRepairing(id)) {
       context_.environment.metrics().Increment("queue_leftover_replicas_freed_total");
-      repairer_->FreeAt(context_.directory.GetLocation(backup), id);
+      repairer_->FreeReplica(context_.directory.GetLocation(backup), id);
     }
   }
 }
--- a/src/log_writer/segment_log.cc
+++ b/src/log_writer/segment_log.cc
@@ -5,8 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// How often waiting appends, the lease and repairs are looked at without any other cause.
-constexpr Duration kTick = milliseconds(100);
+/// Interval of the checks of waiting appends, the lease, repairs and audits that no event triggers.
+constexpr Duration kTickInterval = milliseconds(100);
 
 }  // namespace
 
@@ -18,7 +18,7 @@
                agent.node_id(),
                BackupClient(environment, agent.node_id(), options.call_deadline),
                BackupClient(environment, agent.node_id(), options.bulk_deadline),
-               BackupDirectory(environment, agent, options.failure_memory),
+               BackupDirectory(environment, agent, options.failure_cooldown),
                false,
                [this](FencedBy source, const std::string& detail) {
                  HandleFenced(source, detail);
@@ -43,16 +43,23 @@
 
 Status SegmentLog::Accepting() const {
   if (context_.stopped) {
-    return {StatusCode::kUnavailable, "this queue node's life has ended"};
+    return {StatusCode::kUnavailable, "this queue node's incarnation has ended"};
   }
   if (!ready()) {
-    return {StatusCode::kUnavailable, "the log is not open yet"};
+    return {StatusCode::kUnavailable,
+            "the log is not open yet: the coordinators have not committed its first segment"};
   }
   if (!head_->CanAppend()) {
-    return {StatusCode::kUnavailable, "fewer backups answer than the minimum of copies"};
+    return {StatusCode::kUnavailable, "the head segment has " +
+                                          std::to_string(head_->CountReplicas()) +
+                                          " live copies; the minimum is " +
+                                          std::to_string(context_.options.minimum_replicas)};
   }
-  if (appends_.waiting_bytes() > context_.options.waiting_bytes) {
-    return {StatusCode::kResourceExhausted, "too much waits to be logged"};
+  if (appends_.waiting_bytes() > context_.options.max_waiting_bytes) {
+    return {StatusCode::kResourceExhausted,
+            std::to_string(appends_.waiting_bytes()) +
+                " bytes wait to be written to the log; the limit is " +
+                std::to_string(context_.options.max_waiting_bytes)};
   }
   return Status::Ok();
 }
@@ -67,13 +74,15 @@
     const std::uint64_t bytes = FramedEntryBytes(entry);
     if (bytes > largest_entry()) {
       CompleteLater(std::move(done),
-                    {StatusCode::kInvalidArgument, "entry is too large for the log"});
+                    {StatusCode::kInvalidArgument, "log entry has " + std::to_string(bytes) +
+                                                       " bytes; the limit is " +
+                                                       std::to_string(largest_entry())});
       return;
     }
     append.bytes += bytes;
   }
   append.entries = std::move(entries);
-  append.since = context_.environment.Now();
+  append.added_at = context_.environment.Now();
   append.done = std::move(done);
   appends_.Add(std::move(append));
   Advance();
@@ -95,7 +104,7 @@
   AdvanceRollOver();
   if (!context_.stopped) {
     PlaceWaitingAppends();
-    Acknowledge();
+    AcknowledgeDurableAppends();
   }
 }
 
@@ -117,19 +126,19 @@
 }
 
 bool SegmentLog::PlaceEntries(AppendQueue::WaitingAppend& append) {
-  while (append.next < append.entries.size()) {
-    proto::LogEntry& entry = append.entries[append.next];
+  while (append.next_entry < append.entries.size()) {
+    proto::LogEntry& entry = append.entries[append.next_entry];
     if (!head_->Fits(FramedEntryBytes(entry))) {
       return false;
     }
     head_->Append(entry);
     usage_.AddEntry(head_->id(), entry);
-    ++append.next;
+    ++append.next_entry;
   }
   return true;
 }
 
-void SegmentLog::Acknowledge() {
+void SegmentLog::AcknowledgeDurableAppends() {
   while (!context_.stopped &&
          appends_.IsOldestPlacedDurable(head_->id(), head_->durable_length()) &&
          context_.agent.HasValidLease()) {
@@ -138,12 +147,13 @@
   }
 }
 
-void SegmentLog::RefuseOverdue() {
+void SegmentLog::RefuseOverdueAppends() {
   const std::size_t partly_placed = appends_.CountPartlyPlaced();
-  const TimePoint limit = context_.environment.Now() - context_.options.refuse_after;
-  while (!context_.stopped && appends_.IsOverdue(partly_placed, limit)) {
+  const TimePoint cutoff = context_.environment.Now() - context_.options.append_timeout;
+  while (!context_.stopped && appends_.IsOverdue(partly_placed, cutoff)) {
     const Done done = appends_.TakeWaiting(partly_placed);
-    done(Status(StatusCode::kUnavailable, "the backups took too long; nothing was written"));
+    done(Status(StatusCode::kUnavailable,
+                "the append waited too long for the backups; nothing was written"));
   }
 }
 
@@ -168,12 +178,12 @@
 }
 
 void SegmentLog::Tick() {
-  timer_ = context_.environment.ScheduleAfter(kTick, [this] {
+  timer_ = context_.environment.ScheduleAfter(kTickInterval, [this] {
     timer_ = 0;
     if (context_.stopped) {
       return;
     }
-    RefuseOverdue();
+    RefuseOverdueAppends();
     OnFleet();
     if (!context_.stopped && head_ != nullptr) {
       audit_->Advance(head_->id());
@@ -197,7 +207,7 @@
   context_.environment.CancelTimer(timer_);
   timer_ = 0;
   const Status unknown(StatusCode::kUnknownOutcome,
-                       "this queue node's life ended before the entry was held");
+                       "this queue node's incarnation ended before the entry was stored");
   for (Done& done : appends_.TakeAll()) {
     CompleteLater(std::move(done), unknown);
   }
--- a/src/log_writer/segment_repairer.cc
+++ b/src/log_writer/segment_repairer.cc
@@ -8,15 +8,20 @@
 namespace cloverbank {
 namespace {
 
-/// Whether a backup refused because it has the closed segment already; `detail` is the length then.
+/// Whether a backup refused a call because it has the closed segment already. The detail of its
+/// status is the length of the segment then.
 bool HasReplicaAlready(const Status& status, std::uint64_t length) {
   return status.code() == StatusCode::kConflict && status.detail() == std::to_string(length);
 }
 
 Status CheckContent(const ClosedSegment& segment, const std::string& content) {
-  const bool as_written = content.size() == segment.length && Checksum(content) == segment.checksum;
-  return as_written ? Status::Ok()
-                    : Status(StatusCode::kCorrupt, "replica differs from its segment");
+  const bool matches = content.size() == segment.length && Checksum(content) == segment.checksum;
+  return matches ? Status::Ok()
+                 : Status(StatusCode::kCorrupt,
+                          "replica has " + std::to_string(content.size()) +
+                              " bytes that do not match its segment: expected " +
+                              std::to_string(segment.length) + " bytes with checksum " +
+                              std::to_string(segment.checksum));
 }
 
 }  // namespace
@@ -32,27 +37,27 @@
     return;
   }
   for (const ReplicaLocation& location : found->second.locations) {
-    FreeAt(location, segment);
+    FreeReplica(location, segment);
   }
   segments_.erase(found);
 }
 
-bool SegmentRepairer::IsOn(const ReplicaLocation& location, NodeId backup) const {
+bool SegmentRepairer::IsLocationOnBackup(const ReplicaLocation& location, NodeId backup) const {
   const proto::Server* server = context_.directory.FindBackup(location);
   return server != nullptr && NodeId(server->node_id()) == backup;
 }
 
 std::set<SegmentId> SegmentRepairer::FindSegmentsOn(NodeId backup) const {
-  std::set<SegmentId> counted;
+  std::set<SegmentId> segments_on_backup;
   for (const auto& [id, segment] : segments_) {
-    const bool holds =
-        std::any_of(segment.locations.begin(), segment.locations.end(),
-                    [&](const ReplicaLocation& location) { return IsOn(location, backup); });
-    if (holds) {
-      counted.insert(id);
+    const bool has_replica = std::any_of(
+        segment.locations.begin(), segment.locations.end(),
+        [&](const ReplicaLocation& location) { return IsLocationOnBackup(location, backup); });
+    if (has_replica) {
+      segments_on_backup.insert(id);
     }
   }
-  return counted;
+  return segments_on_backup;
 }
 
 bool SegmentRepairer::IsRepairing(SegmentId segment) const {
@@ -65,12 +70,13 @@
   if (found == segments_.end()) {
     return false;
   }
-  std::erase_if(found->second.locations,
-                [&](const ReplicaLocation& location) { return IsOn(location, backup); });
+  std::erase_if(found->second.locations, [&](const ReplicaLocation& location) {
+    return IsLocationOnBackup(location, backup);
+  });
   return true;
 }
 
-void SegmentRepairer::FreeAt(const ReplicaLocation& location, SegmentId segment) {
+void SegmentRepairer::FreeReplica(const ReplicaLocation& location, SegmentId segment) {
   if (context_.directory.FindBackup(location) == nullptr) {
     return;
   }
@@ -97,7 +103,7 @@
 
 void SegmentRepairer::Advance() {
   for (auto& [id, segment] : segments_) {
-    if (context_.stopped || repairs_under_way_ >= context_.options.parallel_repairs) {
+    if (context_.stopped || repairs_in_progress_ >= context_.options.max_parallel_repairs) {
       return;
     }
     if (!segment.repairing) {
@@ -111,12 +117,13 @@
   const ReplicaCount count = context_.directory.CountByKind(live);
   const std::size_t replicas = context_.options.replicas;
   if (count.regular + count.spare >= replicas) {
-    FreeUnneeded(segment, count.regular >= replicas);
+    FreeUnneededReplicas(segment, count.regular >= replicas);
   }
   if (count.regular >= replicas || live.empty()) {
     return;
   }
-  // Replicas on retiring backups do not count, so that others, spares included, replace them.
+  // Replicas on retiring backups do not count, so that other backups, spares included, replace
+  // them.
   const auto chosen = context_.directory.Select(1, replicas + count.retiring, live, {});
   if (chosen.empty()) {
     return;
@@ -134,17 +141,17 @@
   repair->source = source;
   repair->target = target;
   repair->epoch = segment.epoch;
-  ++repairs_under_way_;
+  ++repairs_in_progress_;
   Read(repair);
 }
 
-void SegmentRepairer::FreeUnneeded(ClosedSegment& segment, bool spares_too) {
+void SegmentRepairer::FreeUnneededReplicas(ClosedSegment& segment, bool spares_too) {
   std::erase_if(segment.locations, [&](const ReplicaLocation& location) {
     const proto::Server* server = context_.directory.FindBackup(location);
     const bool needed =
         server != nullptr && AcceptsNewSegments(*server) && !(server->spare() && spares_too);
     if (!needed) {
-      FreeAt(location, segment.id);
+      FreeReplica(location, segment.id);
     }
     return !needed;
   });
@@ -199,7 +206,7 @@
     return;
   }
   if (status.code() == StatusCode::kCorrupt || status.code() == StatusCode::kNotFound) {
-    // This backup does not have what was written: its replica no longer counts.
+    // The backup does not have the content that was written: its replica no longer counts.
     std::erase_if(segment->second.locations, [&](const ReplicaLocation& location) {
       return location.node == repair->source.node;
     });
@@ -230,10 +237,10 @@
 }
 
 void SegmentRepairer::CompleteRepair(const RepairPtr& repair) {
-  --repairs_under_way_;
+  --repairs_in_progress_;
   const auto segment = segments_.find(repair->segment);
   if (segment == segments_.end()) {
-    FreeAt(repair->target, repair->segment);  // Freed during the repair.
+    FreeReplica(repair->target, repair->segment);  // Freed during the repair.
   } else {
     segment->second.repairing = false;
     segment->second.locations.push_back(repair->target);
@@ -246,17 +253,17 @@
   Advance();
 }
 
-void SegmentRepairer::FailRepair(const RepairPtr& repair, const ReplicaLocation& culprit,
+void SegmentRepairer::FailRepair(const RepairPtr& repair, const ReplicaLocation& failed_location,
                                  const Status& status) {
-  --repairs_under_way_;
+  --repairs_in_progress_;
   context_.environment.metrics().Increment("queue_segment_repair_failures_total",
                                            {{"reason", StatusCodeName(status.code())}});
   Log(LogLevel::kWarning, "segment_repair_failed",
       {{"node", context_.node.value()},
        {"segment", repair->segment.value()},
-       {"backup", culprit.node.value()},
+       {"backup", failed_location.node.value()},
        {"status", status.ToString()}});
-  context_.directory.RecordFailure(culprit.node);
+  context_.directory.RecordFailure(failed_location.node);
   const auto segment = segments_.find(repair->segment);
   if (segment != segments_.end()) {
     segment->second.repairing = false;
--- a/tests/log_writer/segment_content_test.cc
+++ b/tests/log_writer/segment_content_test.cc
@@ -36,19 +36,19 @@
   EXPECT_EQ(ScanSegment(kSegment, content_.bytes()).entry_count, 2U);
 }
 
-TEST_F(SegmentContentTest, WriteEndsBehindLastEntryThatFits) {
+TEST_F(SegmentContentTest, WriteEndsAfterLastEntryThatFits) {
   for (int i = 0; i < 3; ++i) {
     content_.Append(entry_);
   }
-  EXPECT_EQ(content_.WriteEnd(0, entry_bytes_ * 2 + 1), entry_bytes_ * 2);
-  EXPECT_EQ(content_.WriteEnd(entry_bytes_, entry_bytes_), entry_bytes_ * 2);
-  EXPECT_EQ(content_.WriteEnd(0, kCapacity), content_.length());
+  EXPECT_EQ(content_.FindWriteEnd(0, entry_bytes_ * 2 + 1), entry_bytes_ * 2);
+  EXPECT_EQ(content_.FindWriteEnd(entry_bytes_, entry_bytes_), entry_bytes_ * 2);
+  EXPECT_EQ(content_.FindWriteEnd(0, kCapacity), content_.length());
 }
 
-TEST_F(SegmentContentTest, WriteHasOneEntryLargerThanTheLimit) {
+TEST_F(SegmentContentTest, WriteHasOneEntryEvenAboveTheLimit) {
   content_.Append(entry_);
   content_.Append(entry_);
-  EXPECT_EQ(content_.WriteEnd(0, 1), entry_bytes_);
+  EXPECT_EQ(content_.FindWriteEnd(0, 1), entry_bytes_);
 }
 
 }  // namespace
