--- a/src/calls/attempt_session.cc
+++ b/src/calls/attempt_session.cc
@@ -10,11 +10,11 @@
 
 bool AttemptSession::CanSend() {
   send_checked_ = true;
-  send_denied_ = done_ || !request_.may_send();
+  send_denied_ = done_ || !request_.can_send();
   return !send_denied_;
 }
 
-void AttemptSession::Release(CallEnd health) {
+void AttemptSession::Release(CallOutcome health) {
   if (!released_ && !pool_lifetime_.expired()) {
     released_ = true;
     context_.pool.OnCallEnded(request_.use, health);
--- a/src/calls/attempt_session.h
+++ b/src/calls/attempt_session.h
@@ -26,7 +26,7 @@
   /// Reports to the pool that the call no longer occupies the replica. Later calls, and calls after
   /// the pool was destroyed, have no effect.
   /// @param health what the end of the call says about the replica's health.
-  void Release(CallEnd health);
+  void Release(CallOutcome health);
 
   /// The attempt has its result, or was cancelled: nothing is sent or reported from now on.
   void MarkDone() { done_ = true; }
--- a/src/calls/call_attempt.cc
+++ b/src/calls/call_attempt.cc
@@ -31,18 +31,18 @@
   const bool ran = reported == proto::EXECUTED_YES || reported == proto::EXECUTED_UNKNOWN;
   FailureClassification classification;
   if (status == kHttpTooManyRequests || status == kHttpUnavailable) {
-    classification.health = CallEnd::kRefused;
+    classification.health = CallOutcome::kRefused;
     classification.result.end = ran ? AttemptEnd::kUnknown : AttemptEnd::kNotRun;
     classification.result.error = MakeError("replica_refused", message);
     return classification;
   }
   if (status >= kFirstClientError && status < kFirstServerError && !ran) {
-    classification.health = CallEnd::kSuccess;
+    classification.health = CallOutcome::kSuccess;
     classification.result.end = AttemptEnd::kRejected;
     classification.result.error = MakeError("replica_rejected", message);
     return classification;
   }
-  classification.health = CallEnd::kFailed;
+  classification.health = CallOutcome::kFailed;
   classification.result.end = AttemptEnd::kUnknown;
   if (reported == proto::EXECUTED_NO) {
     classification.result.end = AttemptEnd::kNotRun;
@@ -60,8 +60,8 @@
   if (outcome.kind == HttpOutcomeKind::kNotSent) {
     const bool deadline_too_short =
         context.deadline_reached && context.time_allowed < options.minimum_response_time;
-    classification.health =
-        context.send_denied || deadline_too_short ? CallEnd::kWithdrawn : CallEnd::kNotConnected;
+    classification.health = context.send_denied || deadline_too_short ? CallOutcome::kCancelled
+                                                                      : CallOutcome::kNotConnected;
     classification.result.end = AttemptEnd::kNotRun;
     const std::string code = context.send_denied ? "right_ended" : "replica_unreachable";
     classification.result.error = MakeError(code, "the request was not sent: " + outcome.reason);
@@ -72,7 +72,7 @@
   const bool deadline_too_short =
       context.head_received || context.time_allowed < options.minimum_response_time;
   const bool not_replica_fault = context.deadline_reached && deadline_too_short;
-  classification.health = not_replica_fault ? CallEnd::kWithdrawn : CallEnd::kNoResponse;
+  classification.health = not_replica_fault ? CallOutcome::kCancelled : CallOutcome::kNoResponse;
   classification.result.end = AttemptEnd::kUnknown;
   classification.result.error =
       MakeError("replica_silent", "the replica sent no complete response: " + outcome.reason);
--- a/src/calls/call_attempt.h
+++ b/src/calls/call_attempt.h
@@ -30,7 +30,7 @@
   std::function<bool()> can_retry_elsewhere;
   /// Evaluated immediately before the first byte is sent. If it returns false, nothing is sent, so
   /// the call certainly did not run.
-  std::function<bool()> may_send;
+  std::function<bool()> can_send;
 };
 
 struct AttemptResult {
@@ -89,7 +89,7 @@
 /// What the end of an attempt says about the call and about the replica's health.
 struct FailureClassification {
   JsonAttemptResult result;
-  CallEnd health = CallEnd::kFailed;
+  CallOutcome health = CallOutcome::kFailed;
 };
 
 /// Classifies a complete response whose status is not 200. The status, and `executed` of the error
@@ -97,7 +97,7 @@
 FailureClassification ClassifyErrorResponse(int status, const std::string& body);
 /// What is known of a call that ended without a complete response.
 struct IncompleteResponseContext {
-  bool send_denied = false;    ///< `may_send` returned false: nothing was sent.
+  bool send_denied = false;    ///< `can_send` returned false: nothing was sent.
   bool head_received = false;  ///< The head of the response was received.
   bool deadline_reached = false;
   Duration time_allowed{};  ///< Time from the start of the attempt to the call's deadline.
--- a/src/calls/call_runner.cc
+++ b/src/calls/call_runner.cc
@@ -16,9 +16,9 @@
 /// @return `options`, adjusted to the number of attempts that the call brings, if any. Refusals do
 /// not count towards that number, since nothing ran there. Retries of batch items use no budget.
 RetryOptions OptionsFor(const CallSpec& spec, RetryOptions options) {
-  if (spec.attempts > 0) {
+  if (spec.maximum_attempts > 0) {
     options.maximum_refusals = std::max(options.maximum_attempts, options.maximum_refusals);
-    options.maximum_attempts = spec.attempts;
+    options.maximum_attempts = spec.maximum_attempts;
     options.budgeted = spec.work == WorkKind::kLive;
   }
   return options;
@@ -162,7 +162,7 @@
     const auto self = weak.lock();
     return self != nullptr && self->IsRepeatableNow() && self->retry_.CanRetry();
   };
-  request.may_send = [weak, use = request.use] {
+  request.can_send = [weak, use = request.use] {
     const auto self = weak.lock();
     return self != nullptr && self->CanSendNow(use);
   };
--- a/src/calls/call_runner.h
+++ b/src/calls/call_runner.h
@@ -27,7 +27,7 @@
   proto::Priority priority = proto::PRIORITY_STANDARD;
   bool idempotent = false;  ///< Whether the route was idempotent when the call was admitted.
   /// Maximum number of replicas that may run the call; 0: the gateway's default.
-  std::uint32_t attempts = 0;
+  std::uint32_t maximum_attempts = 0;
   std::shared_ptr<CallExchange> exchange;
   TimePoint deadline;    ///< End of the whole call.
   TimePoint wait_until;  ///< End of the wait for capacity, if that is before the deadline.
@@ -118,7 +118,7 @@
   CallContext context_;
   CallSpec spec_;
   CallDone on_done_;
-  const RetryOptions retry_options_;  ///< The gateway's, adjusted to `CallSpec::attempts`.
+  const RetryOptions retry_options_;  ///< The gateway's, adjusted to `CallSpec::maximum_attempts`.
   RetryState retry_;
   /// Random number that assigns the call to a back end of a split route.
   const std::uint64_t split_random_;
--- a/src/calls/capacity_allowances.cc
+++ b/src/calls/capacity_allowances.cc
@@ -9,8 +9,8 @@
     : environment_(environment),
       router_(router),
       health_(health),
-      slow_start_pacer_(options.initial_slow_start_quota, options.slow_start_quota_growth),
-      batch_pacer_(options.initial_batch_quota, options.batch_quota_growth) {}
+      slow_start_ratio_(options.initial_slow_start_quota, options.slow_start_quota_growth),
+      batch_ratio_(options.initial_batch_quota, options.batch_quota_growth) {}
 
 void CapacityAllowances::OnLoadReport(const ReplicaRecord& replica,
                                       const proto::RoutingConfiguration& configuration,
@@ -25,31 +25,31 @@
 void CapacityAllowances::UpdateBatchAllowance(const ReplicaRecord& replica,
                                               const proto::RoutingConfiguration& configuration,
                                               ReplicaLoad& load, TimePoint now) {
-  const Router::BatchCapacityReserve capacity =
-      router_.CapacityReserveFor(replica, configuration, now);
+  const Router::BatchCapacityLimit capacity =
+      router_.BatchCapacityLimitFor(replica, configuration, now);
   if (load.own_batch() > 0 && load.total() > capacity.bound) {
-    batch_pacer_.OnCollision(now);
+    batch_ratio_.OnOverload(now);
   } else if (load.own_batch() > 0) {
-    batch_pacer_.OnSmoothReport();
+    batch_ratio_.OnReportWithinBound();
   }
-  load.SetBatchAllowance(batch_pacer_.Allowance(capacity.free, environment_.Random()), now);
+  load.SetBatchAllowance(batch_ratio_.Allowance(capacity.free, environment_.Random()), now);
 }
 
 void CapacityAllowances::UpdateSlowStartAllowance(const ReplicaRecord& replica, ReplicaLoad& load,
                                                   TimePoint now) {
   const std::uint32_t limit = health_.GetLimit(replica.id, load.Capacity(replica.capacity), now);
   if (load.own() > 0 && load.total() > limit) {
-    slow_start_pacer_.OnCollision(now);
+    slow_start_ratio_.OnOverload(now);
   } else if (load.own() > 0) {
-    slow_start_pacer_.OnSmoothReport();
+    slow_start_ratio_.OnReportWithinBound();
   }
   const std::uint32_t free = limit - std::min(limit, load.total());
-  load.SetSlowStartAllowance(slow_start_pacer_.Allowance(free, environment_.Random()), now);
+  load.SetSlowStartAllowance(slow_start_ratio_.Allowance(free, environment_.Random()), now);
 }
 
 void CapacityAllowances::PublishMetrics() {
-  environment_.metrics().SetGauge("gateway_batch_quota_ratio", batch_pacer_.ratio());
-  environment_.metrics().SetGauge("gateway_slow_start_quota_ratio", slow_start_pacer_.ratio());
+  environment_.metrics().SetGauge("gateway_batch_quota_ratio", batch_ratio_.ratio());
+  environment_.metrics().SetGauge("gateway_slow_start_quota_ratio", slow_start_ratio_.ratio());
 }
 
 }  // namespace cloverbank
--- a/src/calls/capacity_allowances.h
+++ b/src/calls/capacity_allowances.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
 /// Sets how much of a replica's free capacity this gateway may use until the replica's next load
-/// report: for batch work, and for live calls while the replica is in slow start. `RatePacer`
-/// increases and decreases the fraction that is used. Pure except for the clock, the random source
-/// and the metrics of the environment.
+/// report: for batch work, and for live calls while the replica is in slow start.
+/// `AdaptiveCapacityRatio` increases and decreases the fraction that is used. Pure except for the
+/// clock, the random source and the metrics of the environment.
 
 #include "calls/gateway_options.h"
-#include "replicas/rate_pacer.h"
+#include "replicas/adaptive_capacity_ratio.h"
 #include "replicas/replica_health.h"
 #include "replicas/replica_load.h"
 #include "routing/router.h"
@@ -25,7 +25,7 @@
   void OnLoadReport(const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
                     ReplicaLoad& load);
   /// A replica refused batch work for lack of capacity.
-  void OnBatchRefused() { batch_pacer_.OnCollision(environment_.Now()); }
+  void OnBatchRefused() { batch_ratio_.OnOverload(environment_.Now()); }
   void PublishMetrics();
 
  private:
@@ -37,8 +37,8 @@
   Environment& environment_;
   const Router& router_;
   const ReplicaHealth& health_;
-  RatePacer slow_start_pacer_;
-  RatePacer batch_pacer_;
+  AdaptiveCapacityRatio slow_start_ratio_;
+  AdaptiveCapacityRatio batch_ratio_;
 };
 
 }  // namespace cloverbank
--- a/src/calls/forward_attempt.cc
+++ b/src/calls/forward_attempt.cc
@@ -104,7 +104,7 @@
   const Duration remaining = session_.Begin();
   HttpRequest http = MakeRequest(remaining);
   const std::weak_ptr<ForwardAttempt> weak = weak_from_this();
-  http.may_send = [weak] {
+  http.can_send = [weak] {
     const auto self = weak.lock();
     return self != nullptr && self->session_.CanSend();
   };
@@ -135,7 +135,7 @@
 
 void ForwardAttempt::ArmResponseTimer() {
   const Duration timeout =
-      std::max(context_.options.response_timeout, 2 * exchange_->call().target);
+      std::max(context_.options.response_timeout, 2 * exchange_->call().first_byte_target);
   response_timer_ = context_.environment.ScheduleAfter(timeout, [weak = weak_from_this()] {
     if (const auto self = weak.lock()) {
       self->response_timer_ = 0;
@@ -167,7 +167,7 @@
   if (call_ != nullptr) {
     call_->Cancel();
   }
-  Release(CallEnd::kWithdrawn);
+  Release(CallOutcome::kCancelled);
   return session_.cancel_result();
 }
 
@@ -218,7 +218,7 @@
 void ForwardAttempt::OnEnd(HttpOutcome outcome) {
   outcome_ = std::move(outcome);
   if (session_.done()) {
-    Release(CallEnd::kSuccess);
+    Release(CallOutcome::kSuccess);
     return;
   }
   if (body_mode_ == BodyMode::kEvents) {
@@ -294,7 +294,7 @@
     CompleteWithoutResponse();
   } else if (not_run_) {
     FinishWith(AttemptEnd::kNotRun, "replica_refused",
-               DescribeStatus(status_) + " and did not run the request", CallEnd::kRefused);
+               DescribeStatus(status_) + " and did not run the request", CallOutcome::kRefused);
   } else if (body_mode_ == BodyMode::kComplete) {
     CompleteResponse();
   } else {
@@ -330,7 +330,7 @@
   }
   if (!IsSuccess(status_) && exchange_->call().classify_failures) {
     FinishWith(AttemptEnd::kRejected, std::string(kReplicaRejectedCode), DescribeStatus(status_),
-               CallEnd::kSuccess);
+               CallOutcome::kSuccess);
     return;
   }
   if (exchange_->started()) {
@@ -349,13 +349,13 @@
   result.error.set_code("replica_failed");
   result.error.set_message(DescribeStatus(status_));
   result.permanent = exchange_->IsFailureLimitReached();
-  Finish(std::move(result), CallEnd::kFailed);
+  Finish(std::move(result), CallOutcome::kFailed);
 }
 
 void ForwardAttempt::FinishSuccessfully() {
   AttemptResult complete;
   complete.end = AttemptEnd::kComplete;
-  Finish(std::move(complete), CallEnd::kSuccess);
+  Finish(std::move(complete), CallOutcome::kSuccess);
 }
 
 void ForwardAttempt::AbortResponse(ResponseFault fault) {
@@ -365,11 +365,11 @@
       {{"call_id", exchange_->call_id()}, {"replica", request_.use.id}, {"fault", name}});
   FinishWith(AttemptEnd::kUnknown, "response_broken",
              "the replica's response is not a complete response to this call: " + std::string(name),
-             CallEnd::kFailed);
+             CallOutcome::kFailed);
 }
 
 void ForwardAttempt::FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
-                                CallEnd health) {
+                                CallOutcome health) {
   AttemptResult result;
   result.end = end;
   result.error.set_code(code);
@@ -377,7 +377,7 @@
   Finish(std::move(result), health);
 }
 
-void ForwardAttempt::Finish(AttemptResult result, CallEnd health) {
+void ForwardAttempt::Finish(AttemptResult result, CallOutcome health) {
   session_.MarkDone();
   if (!outcome_ && call_ != nullptr) {
     call_->Cancel();
@@ -386,7 +386,7 @@
   events_.on_done(std::move(result));
 }
 
-void ForwardAttempt::Release(CallEnd health) {
+void ForwardAttempt::Release(CallOutcome health) {
   context_.environment.CancelTimer(std::exchange(response_timer_, 0));
   session_.Release(health);
 }
--- a/src/calls/forward_attempt.h
+++ b/src/calls/forward_attempt.h
@@ -72,9 +72,9 @@
   void FinishSuccessfully();
   void AbortResponse(ResponseFault fault);
   void FinishWith(AttemptEnd end, const std::string& code, const std::string& message,
-                  CallEnd health);
-  void Finish(AttemptResult result, CallEnd health);
-  void Release(CallEnd health);
+                  CallOutcome health);
+  void Finish(AttemptResult result, CallOutcome health);
+  void Release(CallOutcome health);
 
   AttemptContext context_;
   AttemptRequest request_;
--- a/src/calls/forward_exchange.h
+++ b/src/calls/forward_exchange.h
@@ -41,10 +41,10 @@
   std::string prefix_key;  ///< See `CallExchange::prefix_key`.
   PromptShape prompt;
   proto::ForwardedRequest request;
-  bool streamed = false;     ///< A successful response is a stream of events.
-  Duration target{};         ///< The route's target until the first byte of the response.
-  Duration longest_pause{};  ///< The route's target for the pause between two events of a stream.
-  bool resumable = false;    ///< A broken stream may be resumed at another replica.
+  bool streamed = false;         ///< A successful response is a stream of events.
+  Duration first_byte_target{};  ///< The route's target until the first byte of the response.
+  Duration pause_target{};  ///< The route's target for the pause between two events of a stream.
+  bool resumable = false;   ///< A broken stream may be resumed at another replica.
   /// Of batch items: a replica's error response ends the attempt instead of being forwarded.
   bool classify_failures = false;
   /// Number of failures reported by replicas after which the call is not retried; 0: no limit.
--- a/src/calls/gateway_options.h
+++ b/src/calls/gateway_options.h
@@ -32,7 +32,7 @@
 };
 
 /// How this gateway shares replicas in slow start and batch capacity with other gateways. The
-/// quotas are the initial fractions and growths of `RatePacer`.
+/// quotas are the initial fractions and growths of `AdaptiveCapacityRatio`.
 struct SharingOptions {
   /// Upper bound of the random time between the first successful health check of a replica in slow
   /// start and this gateway's first call to it.
@@ -40,9 +40,9 @@
   /// Fraction of the free capacity of a replica in slow start that this gateway uses until the
   /// replica's next load report.
   double initial_slow_start_quota = 0.1;
-  double slow_start_quota_growth = 0.02;  ///< Added with each report without a collision.
+  double slow_start_quota_growth = 0.02;  ///< Added with each report without an overload.
   double initial_batch_quota = 0.25;      ///< The same fraction of the capacity for batch work.
-  double batch_quota_growth = 0.003;      ///< Added with each report without a collision.
+  double batch_quota_growth = 0.003;      ///< Added with each report without an overload.
 };
 
 /// Time and size limits of calls.
@@ -61,8 +61,8 @@
   Duration response_timeout = milliseconds(500);
   /// How long a call that is to be forwarded waits until the gateway has a configuration and a
   /// valid lease, which it lacks when it has just started; at most half of the client's timeout.
-  Duration control_wait = milliseconds(2500);
-  std::size_t maximum_waiting_for_control = 256;  ///< Calls that wait so at the same time.
+  Duration configuration_wait = milliseconds(2500);
+  std::size_t maximum_waiting_for_configuration = 256;  ///< Calls that wait so at the same time.
   /// Longest time without data for a forwarded batch item, before it is retried elsewhere.
   Duration batch_idle_limit = milliseconds(2500);
   /// A timeout after less than this does not count against the replica's health.
@@ -83,7 +83,7 @@
   PrefillOptions prefill;
   CallOptions calls;
   IdempotencyOptions idempotency;
-  ReplicaHeaderNames forward_headers;
+  ReplicaHeaderNames replica_header_names;
   /// How long this gateway serves live calls by the last configuration after its node lease
   /// expired. Only zero guarantees that no gateway that is cut off from the coordinators serves by
   /// an older configuration than the acknowledged one.
--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -116,8 +116,8 @@
   use.instance_id = replica.instance_id;
   use.work = work;
   if (prompt.known()) {
-    use.prompt_tokens =
-        prefill_.TokensToRead(replica.id, prompt, router_.IsHome(replica, prefix_key));
+    use.prompt_tokens = prefill_.TokensToPrefill(replica.id, prompt,
+                                                 router_.IsPreferredReplica(replica, prefix_key));
     use.shared_key = prompt.shared_key;
     use.backlog = prefill_.Backlog(replica.id, environment_.Now());
   }
@@ -143,12 +143,12 @@
   health_.OnCallStarted(use.id, environment_.Now());
 }
 
-void ReplicaPool::OnCallEnded(const ReplicaUse& use, CallEnd end) {
+void ReplicaPool::OnCallEnded(const ReplicaUse& use, CallOutcome outcome) {
   const TimePoint now = environment_.Now();
   const auto load = loads_.find(use.id);
   if (load != loads_.end()) {
     load->second.OnEnd(use.work);
-    if (end == CallEnd::kRefused) {
+    if (outcome == CallOutcome::kRefused) {
       load->second.OnRefused(now);
       if (use.work == WorkKind::kBatch) {
         allowances_.OnBatchRefused();
@@ -160,7 +160,7 @@
   }
   // A call to an earlier incarnation says nothing about the health of the current one.
   const bool current = IsCurrent(use.id, use.instance_id);
-  health_.OnCallEnded(use.id, current ? end : CallEnd::kWithdrawn, now);
+  health_.OnCallEnded(use.id, current ? outcome : CallOutcome::kCancelled, now);
   NotifyCapacity();
 }
 
@@ -174,18 +174,18 @@
     prefill_.OnFirstByte(use.id, use.prompt_tokens, use.backlog, latency, environment_.Now());
   }
   health_.OnLatency(use.id, latency);
-  health_.OnHeard(use.id, environment_.Now());
-  health_.OnWorkSeen(use.id, environment_.Now());
+  health_.OnBytesReceived(use.id, environment_.Now());
+  health_.OnServingObserved(use.id, environment_.Now());
   UpdateAllowances(use.id);
 }
 
 bool ReplicaPool::IsStalled(const ReplicaUse& use) const {
-  return !IsCurrent(use.id, use.instance_id) || health_.Stalled(use.id, environment_.Now());
+  return !IsCurrent(use.id, use.instance_id) || health_.IsStalled(use.id, environment_.Now());
 }
 
 void ReplicaPool::OnBytesReceived(const ReplicaUse& use) {
   if (IsCurrent(use.id, use.instance_id)) {
-    health_.OnHeard(use.id, environment_.Now());
+    health_.OnBytesReceived(use.id, environment_.Now());
   }
 }
 
@@ -208,7 +208,7 @@
        {"stopped", change->stopped.size()},
        {"removed", change->removed.size()}});
   for (const auto& [id, record] : directory_.records()) {
-    prefill_.Watch(id, record.backend);
+    prefill_.AddReplica(id, record.backend);
   }
   slow_start_.OnList(environment_.Now());
   RefreshActive(change->warming_up);
@@ -274,7 +274,7 @@
   const bool preexisting = answered && active_.TakePreexisting(id);
   health_.OnProbe(id, answered, preexisting && other_calls > 0, now);
   if (other_calls > 0) {
-    health_.OnWorkSeen(id, now);
+    health_.OnServingObserved(id, now);
   }
   if (answered) {
     UpdateAllowances(id);
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -68,10 +68,10 @@
   /// prefill. `tokens` and `key` are as for `OnRemotePrompt`.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
-  void OnPrompt(PromptObserver observer) { on_prompt_ = std::move(observer); }
-  /// @param end what the end of the call says about the replica's health; it is no evidence if the
-  /// replica is another incarnation now.
-  void OnCallEnded(const ReplicaUse& use, CallEnd end);
+  void SetPromptObserver(PromptObserver observer) { on_prompt_ = std::move(observer); }
+  /// @param outcome what the end of the call says about the replica's health; it is no evidence if
+  /// the replica is another incarnation now.
+  void OnCallEnded(const ReplicaUse& use, CallOutcome outcome);
   /// The head of a response was received `latency` after the request was sent.
   void OnResponseHead(const ReplicaUse& use, const HttpHeaders& headers, Duration latency);
 
@@ -85,12 +85,12 @@
   void SetQuota(const GatewayQuota& quota);
 
   /// Sets the observer that runs whenever a replica may have free capacity again.
-  void OnCapacity(std::function<void()> observer) { on_capacity_ = std::move(observer); }
+  void SetCapacityObserver(std::function<void()> observer) { on_capacity_ = std::move(observer); }
   /// Expires when the pool is destroyed. Calls whose connection may outlive the pool check it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
   bool list_loaded() const { return poller_.loaded(); }
   /// Whether a list was read and is not stale.
-  bool list_usable() const { return poller_.loaded() && poller_.Fresh(); }
+  bool list_usable() const { return poller_.loaded() && poller_.IsFresh(); }
   const ReplicaDirectory& directory() const { return directory_; }
   const ReplicaHealth& health() const { return health_; }
   const LoadTable& loads() const { return loads_; }
--- a/src/calls/service_attempt.cc
+++ b/src/calls/service_attempt.cc
@@ -26,7 +26,7 @@
     const Duration remaining = session_.Begin();
     HttpRequest http = MakeReplicaRequest(kServePath, request_, remaining);
     const std::weak_ptr<ServiceAttempt> weak = weak_from_this();
-    http.may_send = [weak] {
+    http.can_send = [weak] {
       const auto self = weak.lock();
       return self != nullptr && self->session_.CanSend();
     };
@@ -43,7 +43,7 @@
     if (call_ != nullptr) {
       call_->Cancel();
     }
-    session_.Release(CallEnd::kWithdrawn);
+    session_.Release(CallOutcome::kCancelled);
     return session_.cancel_result();
   }
 
@@ -71,7 +71,7 @@
         FromJson(body, &classification.result.answer, UnknownFields::kIgnore).ok();
     if (readable && classification.result.answer.call_id() == request_.body.call_id()) {
       classification.result.end = AttemptEnd::kComplete;
-      classification.health = CallEnd::kSuccess;
+      classification.health = CallOutcome::kSuccess;
       return classification;
     }
     const std::string_view fault = readable ? "other_call" : "malformed";
@@ -83,7 +83,7 @@
     classification.result.error.set_code("response_broken");
     classification.result.error.set_message(
         "the replica's response is not a valid response to this call: " + std::string(fault));
-    classification.health = CallEnd::kFailed;
+    classification.health = CallOutcome::kFailed;
     return classification;
   }
 
--- a/src/calls/slow_start_quota.cc
+++ b/src/calls/slow_start_quota.cc
@@ -24,8 +24,8 @@
 
 void SlowStartQuota::OnList(TimePoint now) {
   for (const auto& [id, record] : directory_.records()) {
-    if (record.cold_left > Duration::zero()) {
-      slow_start_.SetWarmingUp(id, RateFor(record), now + record.cold_left, now);
+    if (record.slow_start_remaining > Duration::zero()) {
+      slow_start_.SetWarmingUp(id, RateFor(record), now + record.slow_start_remaining, now);
     }
   }
 }
--- a/src/calls/stream_attempt.cc
+++ b/src/calls/stream_attempt.cc
@@ -33,7 +33,7 @@
     request_.body.set_stream(true);
     HttpRequest http = MakeReplicaRequest(kGeneratePath, request_, remaining);
     const std::weak_ptr<StreamAttempt> weak = weak_from_this();
-    http.may_send = [weak] {
+    http.can_send = [weak] {
       const auto self = weak.lock();
       return self != nullptr && self->session_.CanSend();
     };
@@ -62,7 +62,7 @@
     }
     session_.MarkDone();
     CloseUpstream();
-    session_.Release(CallEnd::kWithdrawn);
+    session_.Release(CallOutcome::kCancelled);
     return session_.cancel_result();
   }
 
@@ -97,14 +97,14 @@
     context_.environment.metrics().Increment("gateway_stream_faults_total",
                                              {{"fault", StreamFaultName(StreamFault::kAfterEnd)}});
     CloseUpstream();
-    session_.Release(CallEnd::kSuccess);
+    session_.Release(CallOutcome::kSuccess);
   }
 
   void OnEnd(HttpOutcome outcome) {
     const bool complete = outcome.kind == HttpOutcomeKind::kAnswered;
     outcome_ = std::move(outcome);
     if (session_.done()) {
-      session_.Release(CallEnd::kSuccess);
+      session_.Release(CallOutcome::kSuccess);
     } else if (complete) {
       ProcessInput();
     } else {
@@ -214,7 +214,7 @@
     result.end = AttemptEnd::kUnknown;
     result.error.set_code("stream_broken");
     result.error.set_message("the replica's stream is not one unbroken run: " + std::string(fault));
-    Finish(std::move(result), CallEnd::kFailed);
+    Finish(std::move(result), CallOutcome::kFailed);
   }
 
   void FinishWithReplicaError(const proto::CallError& error) {
@@ -227,7 +227,7 @@
     }
     result.error.set_code("replica_failed");
     result.error.set_message("the replica ended the stream with an error: " + error.message());
-    Finish(std::move(result), CallEnd::kFailed);
+    Finish(std::move(result), CallOutcome::kFailed);
   }
 
   /// Finishes after the regular last chunk was forwarded. Reads the rest of the body, so that the
@@ -235,7 +235,7 @@
   void FinishSuccessfully() {
     session_.MarkDone();
     if (outcome_) {
-      session_.Release(CallEnd::kSuccess);
+      session_.Release(CallOutcome::kSuccess);
     }
     if (read_more_) {
       std::exchange(read_more_, nullptr)();
@@ -245,7 +245,7 @@
     callbacks_.on_done(std::move(result));
   }
 
-  void Finish(JsonAttemptResult result, CallEnd health) {
+  void Finish(JsonAttemptResult result, CallOutcome health) {
     session_.MarkDone();
     if (!outcome_) {
       CloseUpstream();
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -22,8 +22,8 @@
   forward.request = std::move(call.request);
   forward.streamed = route.streamed();
   forward.resumable = route.resumable();
-  forward.target = milliseconds(route.target_ms());
-  forward.longest_pause = milliseconds(route.pause_target_ms());
+  forward.first_byte_target = milliseconds(route.target_ms());
+  forward.pause_target = milliseconds(route.pause_target_ms());
   return forward;
 }
 
@@ -49,7 +49,7 @@
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
   if (CanServe()) {
     Admit(std::move(call), responder);
-  } else if (waiting_.size() < options_.calls.maximum_waiting_for_control) {
+  } else if (waiting_.size() < options_.calls.maximum_waiting_for_configuration) {
     WaitForControl(std::move(call), responder);
   } else {
     RefuseWithoutControl(*responder);
@@ -57,8 +57,8 @@
 }
 
 void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  const Duration timeout = call.patience.value_or(options_.calls.default_deadline);
-  const Duration wait = std::min(options_.calls.control_wait, timeout / 2);
+  const Duration timeout = call.timeout.value_or(options_.calls.default_deadline);
+  const Duration wait = std::min(options_.calls.configuration_wait, timeout / 2);
   waiting_.Add(std::move(call), responder, wait, timeout);
 }
 
@@ -67,7 +67,7 @@
     return;
   }
   for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
-    entry.call.patience = entry.deadline - context_.attempt.environment.Now();
+    entry.call.timeout = entry.deadline - context_.attempt.environment.Now();
     Admit(std::move(entry.call), entry.responder);
   }
 }
@@ -84,8 +84,8 @@
            Duration::zero());
     return;
   }
-  if (route->accepts_batches() && call.take_as_batch) {
-    call.take_as_batch(*route);
+  if (route->accepts_batches() && call.on_batch_route) {
+    call.on_batch_route(*route);
     return;
   }
   if (route->accepts_batches()) {
@@ -113,21 +113,22 @@
   auto live = std::make_shared<LiveForward>(
       context_, responder, [this, number, name = route.name()] { OnCallFinished(number, name); });
   calls_.emplace(number, live);
-  live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
+  live->Start(std::move(spec), MakeForwardCall(std::move(call), route),
+              options_.replica_header_names);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
   const TimePoint now = context_.attempt.environment.Now();
   Duration longest = milliseconds(route.deadline_ms());
-  if (call.patience) {
-    longest = std::min(longest, *call.patience);
+  if (call.timeout) {
+    longest = std::min(longest, *call.timeout);
   }
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
-  spec.attempts = route.attempts();
+  spec.maximum_attempts = route.attempts();
   spec.deadline = now + longest;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
   return spec;
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -37,7 +37,7 @@
   /// @return the route of `host` and `path`, or nullptr.
   const proto::Route* FindRouteFor(std::string_view host, std::string_view path) const;
 
-  std::size_t calls_under_way() const { return calls_.size(); }
+  std::size_t calls_in_flight() const { return calls_.size(); }
 
  private:
   using Responder = std::shared_ptr<HttpResponder>;
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -14,7 +14,7 @@
 #include "gateway/operator_api.h"
 #include "gateway/replica_backend_caller.h"
 #include "gateway/status_api.h"
-#include "replicas/prefill_gossip.h"
+#include "replicas/prefill_announcer.h"
 #include "replicas/shared_list_reader.h"
 
 namespace cloverbank {
@@ -53,7 +53,7 @@
   const ReplicaListOptions own = options.replica_list;
   options.replica_list.make_reader = [&environment, &agent, own](HttpClient& client) {
     return std::make_unique<SharedListReader>(
-        environment, [&agent] { return agent.list_sources(); }, MakeListReader(client, own));
+        environment, [&agent] { return agent.list_sources(); }, MakeReplicaListReader(client, own));
   };
   return options;
 }
@@ -77,10 +77,10 @@
                 options.retry},
         live(context, options),
         forwarding(context, options),
-        batch_caller(context, options.forward_headers),
+        batch_caller(context, options.replica_header_names),
         batch_worker(environment, agent, batch_caller),
         batch_service(environment, agent),
-        gossip(
+        prefill_announcer(
             environment, [this] { return agent.neighbours(); },
             [this](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
               pool.OnRemotePrompt(replica, tokens, key);
@@ -117,7 +117,7 @@
   ReplicaBackendCaller batch_caller;
   BatchWorker batch_worker;
   BatchService batch_service;
-  PrefillGossip gossip;
+  PrefillAnnouncer prefill_announcer;
   BatchApi batches;
   OperatorApi operators;
   StatusApi status;
@@ -132,11 +132,11 @@
     : state_(std::make_unique<State>(environment, client, router, agent, std::move(options))) {
   State* state = state_.get();
   const std::weak_ptr<bool> alive = state->alive;
-  state->pool.OnPrompt(
+  state->pool.SetPromptObserver(
       [state](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
-        state->gossip.Announce(replica, tokens, key);
+        state->prefill_announcer.Announce(replica, tokens, key);
       });
-  state->pool.OnCapacity([state] { state->queue.ScheduleDispatch(); });
+  state->pool.SetCapacityObserver([state] { state->queue.ScheduleDispatch(); });
   agent.OnGatewayRank([state, alive] {
     if (!alive.expired()) {
       state->UpdateRank();
@@ -168,7 +168,7 @@
 bool GatewayService::Drained() const {
   const bool batches_finished =
       state_->batch_worker.pending() == 0 && state_->batch_worker.unreported() == 0;
-  return state_->draining && batches_finished && calls_under_way() == 0;
+  return state_->draining && batches_finished && calls_in_flight() == 0;
 }
 
 bool GatewayService::Ready(std::string* why) const {
@@ -188,8 +188,8 @@
   return missing == nullptr;
 }
 
-std::size_t GatewayService::calls_under_way() const {
-  return state_->live.calls_under_way() + state_->forwarding.calls_under_way();
+std::size_t GatewayService::calls_in_flight() const {
+  return state_->live.calls_in_flight() + state_->forwarding.calls_in_flight();
 }
 
 BackendCaller& GatewayService::backend_caller() { return state_->batch_caller; }
--- a/src/gateway/gateway_service.h
+++ b/src/gateway/gateway_service.h
@@ -36,7 +36,7 @@
   /// @return whether live calls are served now; if not, `why` (may be null) says what is missing.
   bool Ready(std::string* why) const;
   /// Live calls that were admitted and have not ended.
-  std::size_t calls_under_way() const;
+  std::size_t calls_in_flight() const;
   BackendCaller& backend_caller();
   /// Live calls of the HTTP routes, for front interfaces.
   ForwardingService& forwarding();
--- a/src/gateway/incoming_call.h
+++ b/src/gateway/incoming_call.h
@@ -20,10 +20,10 @@
   std::string call_id;
   std::string prefix_key;
   PromptShape prompt;
-  std::optional<Duration> patience;  ///< The client's timeout; unset: unknown.
+  std::optional<Duration> timeout;  ///< The client's timeout; unset: unknown.
   proto::ForwardedRequest request;
   /// Runs instead of the call if its route accepts batches; unset: the call is refused.
-  std::function<void(const proto::Route&)> take_as_batch;
+  std::function<void(const proto::Route&)> on_batch_route;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -44,7 +44,7 @@
   void Register(HttpRouter& router);
   /// Refuses new calls from now on; running ones continue.
   void Drain() { draining_ = true; }
-  std::size_t calls_under_way() const { return calls_.size(); }
+  std::size_t calls_in_flight() const { return calls_.size(); }
 
  private:
   using Responder = std::shared_ptr<HttpResponder>;
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -54,7 +54,7 @@
 }
 
 void LiveForward::Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names) {
-  timing_.emplace(ResponseTargets{call.target, call.longest_pause}, started_at());
+  timing_.emplace(ResponseTargets{call.first_byte_target, call.pause_target}, started_at());
   exchange_ = std::make_shared<ForwardExchange>(std::move(call), names, *this);
   spec.exchange = exchange_;
   Run(std::move(spec));
@@ -117,7 +117,7 @@
       {{"route", route()},
        {"call_id", exchange_->call_id()},
        {"cause", cause},
-       {"target_ms", ToMilliseconds(exchange_->call().target)},
+       {"target_ms", ToMilliseconds(exchange_->call().first_byte_target)},
        {"first_ms", ToMilliseconds(timing_->first_after())},
        {"longest_pause_ms", ToMilliseconds(timing_->longest_pause())},
        {"pause_from_ms", ToMilliseconds(timing_->longest_pause_from())},
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -47,7 +47,7 @@
   spec.backend = route.backend();
   spec.priority = proto::PRIORITY_BATCH;
   spec.idempotent = route.idempotent();
-  spec.attempts = route.attempts();
+  spec.maximum_attempts = route.attempts();
   spec.deadline = context_.attempt.environment.Now() + deadline;
   spec.wait_until = spec.deadline;
   spec.work = WorkKind::kBatch;
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -79,7 +79,7 @@
     : shared_(std::move(shared)),
       to_(std::move(to)),
       limits_(limits),
-      may_send_(std::move(request.may_send)),
+      can_send_(std::move(request.can_send)),
       accept_unframed_(request.accept_unframed),
       connect_timeout_(request.connect_timeout > Duration::zero()
                            ? request.connect_timeout
@@ -108,7 +108,7 @@
     return;
   }
   shared_->active_calls.erase(this);
-  may_send_ = nullptr;
+  can_send_ = nullptr;
   EndTimers();
   CloseConnection();
 }
@@ -163,12 +163,12 @@
 }
 
 void ClientCall::Write() {
-  const auto ask = may_send_;  // Kept for the question: `Cancel` within it drops the member.
-  const bool may_send = !ask || ask();
+  const auto ask = can_send_;  // Kept for the question: `Cancel` within it drops the member.
+  const bool can_send = !ask || ask();
   if (!callbacks_) {
     return;  // Cancelled from within the question.
   }
-  if (!may_send) {
+  if (!can_send) {
     Finish(HttpOutcomeKind::kNotSent, "the right to send has ended");
     return;
   }
@@ -313,7 +313,7 @@
     return;
   }
   shared_->active_calls.erase(this);
-  may_send_ = nullptr;
+  can_send_ = nullptr;
   EndTimers();
   const bool reusable = kind == HttpOutcomeKind::kAnswered && parser_->keep_alive() &&
                         connection_->buffer.size() == 0;
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -29,7 +29,7 @@
   ClientCall(std::shared_ptr<HttpClientShared> shared, Endpoint to, HttpRequest request,
              ClientCallLimits limits, HttpStreamCallbacks callbacks);
 
-  /// Begins on the next turn of the loop. `may_send` of the request is asked right before writing.
+  /// Begins on the next turn of the loop. `can_send` of the request is asked right before writing.
   void Start();
   void Cancel() override;
 
@@ -58,7 +58,7 @@
   Endpoint to_;
   ClientCallLimits limits_;
   boost::beast::http::request<boost::beast::http::string_body> request_;
-  std::function<bool()> may_send_;
+  std::function<bool()> can_send_;
   bool accept_unframed_ = false;
   Duration connect_timeout_;
   /// Null once the call is over.
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -35,7 +35,7 @@
   /// Outgoing calls: asked once, immediately before the first byte leaves (the connection stands by
   /// then). False ends the call as kNotSent. Empty means always. It lets a right that ran out while
   /// the connection was being made, or while the process was frozen, stop the call.
-  std::function<bool()> may_send;
+  std::function<bool()> can_send;
   /// Outgoing calls: whether an answer may be ended by its connection (neither length nor chunks).
   /// A connection that is reset still makes it kUnknown.
   bool accept_unframed = false;
--- a/src/replicas/rate_pacer.cc
+++ b/src/replicas/adaptive_capacity_ratio.cc
@@ -1,4 +1,4 @@
-#include "replicas/rate_pacer.h"
+#include "replicas/adaptive_capacity_ratio.h"
 
 #include <algorithm>
 
@@ -6,22 +6,22 @@
 namespace {
 
 constexpr double kMinimumRatio = 1.0 / 256;
-constexpr Duration kCollisionPause = milliseconds(500);  // Closer collisions count as one.
+constexpr Duration kOverloadPause = milliseconds(500);   // Closer overloads count as one.
 constexpr double kRandomRange = 18446744073709551616.0;  // 2^64.
 
 }  // namespace
 
-void RatePacer::OnCollision(TimePoint now) {
-  if (now - last_collision_ < kCollisionPause && last_collision_ != TimePoint{}) {
+void AdaptiveCapacityRatio::OnOverload(TimePoint now) {
+  if (now - last_overload_ < kOverloadPause && last_overload_ != TimePoint{}) {
     return;
   }
-  last_collision_ = now;
+  last_overload_ = now;
   ratio_ = std::max(kMinimumRatio, ratio_ / 2);
 }
 
-void RatePacer::OnSmoothReport() { ratio_ = std::min(1.0, ratio_ + growth_); }
+void AdaptiveCapacityRatio::OnReportWithinBound() { ratio_ = std::min(1.0, ratio_ + growth_); }
 
-std::uint32_t RatePacer::Allowance(std::uint32_t free, std::uint64_t random) const {
+std::uint32_t AdaptiveCapacityRatio::Allowance(std::uint32_t free, std::uint64_t random) const {
   const double exact = ratio_ * free;
   const auto whole = static_cast<std::uint32_t>(exact);
   const double fraction = exact - whole;
--- a/src/replicas/rate_pacer.h
+++ b/src/replicas/adaptive_capacity_ratio.h
@@ -2,8 +2,8 @@
 /// @file
 /// The fraction of a replica's free capacity that one gateway uses at a time. All gateways see the
 /// same free capacity, and none knows how many others see it, so the fraction adapts like TCP's
-/// congestion window: additive increase without collisions, multiplicative decrease after one. A
-/// collision is when gateways together exceed the intended load. Pure.
+/// congestion window: additive increase without overloads, multiplicative decrease after one. An
+/// overload is when gateways together exceed the intended load. Pure.
 
 #include <cstdint>
 
@@ -11,16 +11,16 @@
 
 namespace cloverbank {
 
-class RatePacer {
+class AdaptiveCapacityRatio {
  public:
-  /// @param ratio initial fraction, from 0 to 1. @param growth added with each report without a
-  /// collision.
-  RatePacer(double ratio, double growth) : ratio_(ratio), growth_(growth) {}
+  /// @param ratio initial fraction, from 0 to 1. @param growth added with each report without an
+  /// overload.
+  AdaptiveCapacityRatio(double ratio, double growth) : ratio_(ratio), growth_(growth) {}
 
   /// A replica that runs calls of this gateway reported more load than intended.
-  void OnCollision(TimePoint now);
+  void OnOverload(TimePoint now);
   /// A replica that runs calls of this gateway reported a load within its bound.
-  void OnSmoothReport();
+  void OnReportWithinBound();
   /// @param free slots of the replica. @param random a random number.
   /// @return how many calls may start until the next report. Fractions are rounded up or down at
   /// random, so that a small ratio still allows an occasional call.
@@ -32,7 +32,7 @@
  private:
   double ratio_;
   double growth_;
-  TimePoint last_collision_{};
+  TimePoint last_overload_{};
 };
 
 }  // namespace cloverbank
--- a/src/replicas/json_list_reader.cc
+++ b/src/replicas/json_list_reader.cc
@@ -21,7 +21,7 @@
   JsonListReader(const JsonListReader&) = delete;
   JsonListReader& operator=(const JsonListReader&) = delete;
 
-  void Read(Duration deadline, std::function<void(ListReading)> done) override {
+  void Read(Duration deadline, std::function<void(ListReadResult)> done) override {
     HttpRequest request;
     request.method = "GET";
     request.path = options_.path;
@@ -32,7 +32,7 @@
                          [this, alive = std::weak_ptr<bool>(alive_),
                           done = std::move(done)](const HttpOutcome& outcome) {
                            if (!alive.expired()) {
-                             done(ToReading(outcome));
+                             done(ToReadResult(outcome));
                            }
                          });
   }
@@ -40,22 +40,22 @@
   void Accepted() override { accepted_tag_ = read_tag_; }
 
  private:
-  ListReading ToReading(const HttpOutcome& outcome) {
-    ListReading reading;
+  ListReadResult ToReadResult(const HttpOutcome& outcome) {
+    ListReadResult result;
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      reading.end = EndWithoutAnswer(outcome);
-      return reading;
+      result.end = OutcomeWithoutResponse(outcome);
+      return result;
     }
     if (outcome.response.status != kHttpOk) {
       const bool unchanged = outcome.response.status == kHttpNotModified;
-      reading.end = unchanged ? ListReadEnd::kUnchanged : ListReadEnd::kRefused;
-      return reading;
+      result.end = unchanged ? ListReadOutcome::kUnchanged : ListReadOutcome::kRefused;
+      return result;
     }
-    const Status status = FromJson(outcome.response.body, &reading.list, UnknownFields::kIgnore);
-    reading.end = status.ok() ? ListReadEnd::kRead : ListReadEnd::kMalformed;
-    reading.reason = status.message();
+    const Status status = FromJson(outcome.response.body, &result.list, UnknownFields::kIgnore);
+    result.end = status.ok() ? ListReadOutcome::kRead : ListReadOutcome::kMalformed;
+    result.reason = status.message();
     read_tag_ = std::string(FindHeader(outcome.response.headers, "etag"));
-    return reading;
+    return result;
   }
 
   HttpClient& client_;
@@ -68,9 +68,9 @@
 
 }  // namespace
 
-ListReadEnd EndWithoutAnswer(const HttpOutcome& outcome) {
-  return outcome.kind == HttpOutcomeKind::kNotSent ? ListReadEnd::kNotConnected
-                                                   : ListReadEnd::kNoResponse;
+ListReadOutcome OutcomeWithoutResponse(const HttpOutcome& outcome) {
+  return outcome.kind == HttpOutcomeKind::kNotSent ? ListReadOutcome::kNotConnected
+                                                   : ListReadOutcome::kNoResponse;
 }
 
 std::unique_ptr<ReplicaListReader> MakeJsonListReader(HttpClient& client,
@@ -78,8 +78,8 @@
   return std::make_unique<JsonListReader>(client, options);
 }
 
-std::unique_ptr<ReplicaListReader> MakeListReader(HttpClient& client,
-                                                  const ReplicaListOptions& options) {
+std::unique_ptr<ReplicaListReader> MakeReplicaListReader(HttpClient& client,
+                                                         const ReplicaListOptions& options) {
   return options.make_reader ? options.make_reader(client) : MakeJsonListReader(client, options);
 }
 
--- a/src/replicas/prefill_gossip.cc
+++ b/src/replicas/prefill_announcer.cc
@@ -1,4 +1,4 @@
-#include "replicas/prefill_gossip.h"
+#include "replicas/prefill_announcer.h"
 
 #include <utility>
 
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-PrefillGossip::PrefillGossip(Environment& environment, Neighbours neighbours,
-                             AnnouncementHandler on_announcement)
+PrefillAnnouncer::PrefillAnnouncer(Environment& environment, Neighbours neighbours,
+                                   AnnouncementHandler on_announcement)
     : environment_(environment),
       neighbours_(std::move(neighbours)),
       on_announcement_(std::move(on_announcement)) {
@@ -36,9 +36,10 @@
       });
 }
 
-PrefillGossip::~PrefillGossip() { environment_.CancelTimer(timer_); }
+PrefillAnnouncer::~PrefillAnnouncer() { environment_.CancelTimer(timer_); }
 
-void PrefillGossip::Announce(const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
+void PrefillAnnouncer::Announce(const std::string& replica, std::uint32_t tokens,
+                                std::uint64_t key) {
   if (tokens < kMinimumTokens) {
     return;
   }
@@ -54,7 +55,7 @@
   }
 }
 
-void PrefillGossip::Send() {
+void PrefillAnnouncer::Send() {
   const proto::ReportPrefillRequest request = std::exchange(pending_, {});
   for (const Endpoint& neighbour : neighbours_()) {
     CallPeer<proto::ReportPrefillResponse>(environment_, neighbour, kMethod, request, kDeadline,
--- a/src/replicas/prefill_gossip.h
+++ b/src/replicas/prefill_announcer.h
@@ -18,7 +18,7 @@
 
 namespace cloverbank {
 
-class PrefillGossip {
+class PrefillAnnouncer {
  public:
   /// Runs for each call that another gateway announced.
   /// @param tokens number of tokens to prefill. @param key of the shared prefix; 0: none.
@@ -28,11 +28,11 @@
   /// @return the endpoints to announce to, as they are at the time of each message.
   using Neighbours = std::function<std::vector<Endpoint>()>;
 
-  PrefillGossip(Environment& environment, Neighbours neighbours,
-                AnnouncementHandler on_announcement);
-  ~PrefillGossip();
-  PrefillGossip(const PrefillGossip&) = delete;
-  PrefillGossip& operator=(const PrefillGossip&) = delete;
+  PrefillAnnouncer(Environment& environment, Neighbours neighbours,
+                   AnnouncementHandler on_announcement);
+  ~PrefillAnnouncer();
+  PrefillAnnouncer(const PrefillAnnouncer&) = delete;
+  PrefillAnnouncer& operator=(const PrefillAnnouncer&) = delete;
 
   /// Announces a call of this gateway. Calls within a short time are sent in one message.
   /// @param tokens number of tokens to prefill. @param key of the shared prefix; 0: none.
--- a/src/replicas/prefill_load.cc
+++ b/src/replicas/prefill_load.cc
@@ -45,7 +45,7 @@
   return std::chrono::duration_cast<Duration>(replica.delay * std::exp2(-half_lives));
 }
 
-void PrefillLoad::Watch(const std::string& replica, const std::string& backend) {
+void PrefillLoad::AddReplica(const std::string& replica, const std::string& backend) {
   replicas_[replica].backend = backend;
 }
 
@@ -83,8 +83,8 @@
   return std::chrono::duration_cast<Duration>(fixed);
 }
 
-std::uint32_t PrefillLoad::TokensToRead(std::string_view replica, const PromptShape& shape,
-                                        bool preferred) const {
+std::uint32_t PrefillLoad::TokensToPrefill(std::string_view replica, const PromptShape& shape,
+                                           bool preferred) const {
   bool cached = preferred;
   const auto found = replicas_.find(replica);
   if (found != replicas_.end() && shape.shared_key != 0) {
--- a/src/replicas/prefill_load.h
+++ b/src/replicas/prefill_load.h
@@ -58,7 +58,7 @@
 
   /// Adds a replica, or sets the back end of a known one. Until its own throughput is learned, that
   /// of its back end's replicas together is assumed.
-  void Watch(const std::string& replica, const std::string& backend);
+  void AddReplica(const std::string& replica, const std::string& backend);
 
   /// @return how long the replica is still busy with earlier known prompts, plus the recent
   /// unexpected delay of its responses.
@@ -69,8 +69,8 @@
   /// @return the number of tokens that the replica would have to prefill.
   /// @param preferred whether it is the preferred replica for the prefix key, so that the shared
   /// prefix is probably cached there.
-  std::uint32_t TokensToRead(std::string_view replica, const PromptShape& shape,
-                             bool preferred) const;
+  std::uint32_t TokensToPrefill(std::string_view replica, const PromptShape& shape,
+                                bool preferred) const;
   /// @return the estimated time that the replica needs to prefill that many tokens.
   Duration PrefillTime(std::string_view replica, std::uint32_t tokens) const;
 
--- a/src/replicas/replica_directory.cc
+++ b/src/replicas/replica_directory.cc
@@ -30,7 +30,7 @@
   record.backend = replica.backend();
   record.capacity = std::max(1U, replica.capacity());
   record.instance_id = replica.instance_id();
-  record.cold_left = milliseconds(replica.cold_left_ms());
+  record.slow_start_remaining = milliseconds(replica.cold_left_ms());
   record.ready = replica.state() == proto::REPLICA_STATE_READY;
   return record;
 }
--- a/src/replicas/replica_directory.h
+++ b/src/replicas/replica_directory.h
@@ -31,7 +31,8 @@
   std::uint32_t capacity = 1;  ///< Calls that it runs concurrently; at least 1.
   std::string instance_id;     ///< Changes at each start of the replica.
   bool ready = false;          ///< False while draining.
-  Duration cold_left{};        ///< Remaining warm-up time as of the list; zero once it is warm.
+  /// Remaining warm-up time as of the list; zero once it is warm.
+  Duration slow_start_remaining{};
   bool operator==(const ReplicaRecord&) const = default;
 };
 
--- a/src/replicas/replica_health.cc
+++ b/src/replicas/replica_health.cc
@@ -77,17 +77,17 @@
   }
 }
 
-void ReplicaHealth::OnCallEnded(const std::string& id, CallEnd end, TimePoint now) {
+void ReplicaHealth::OnCallEnded(const std::string& id, CallOutcome outcome, TimePoint now) {
   ReplicaState* state = Find(id);
   if (state == nullptr) {
     return;
   }
   state->in_flight -= std::min(state->in_flight, 1U);
-  switch (end) {
-    case CallEnd::kSuccess:
+  switch (outcome) {
+    case CallOutcome::kSuccess:
       OnSuccess(*state, now);
       break;
-    case CallEnd::kFailed:
+    case CallOutcome::kFailed:
       ++state->failures;
       if (state->condition == ReplicaCondition::kTrial) {
         Eject(*state, now);
@@ -95,23 +95,23 @@
         EjectOnSoftEvidence(*state, now);
       }
       break;
-    case CallEnd::kNoResponse:
-    case CallEnd::kNotConnected:
+    case CallOutcome::kNoResponse:
+    case CallOutcome::kNotConnected:
       OnTimeout(*state, now);
       break;
-    case CallEnd::kRefused:
-    case CallEnd::kWithdrawn:
+    case CallOutcome::kRefused:
+    case CallOutcome::kCancelled:
       break;
   }
 }
 
-void ReplicaHealth::OnHeard(const std::string& id, TimePoint now) {
+void ReplicaHealth::OnBytesReceived(const std::string& id, TimePoint now) {
   if (ReplicaState* state = Find(id)) {
     state->last_activity = now;
   }
 }
 
-bool ReplicaHealth::Stalled(const std::string& id, TimePoint now) const {
+bool ReplicaHealth::IsStalled(const std::string& id, TimePoint now) const {
   const ReplicaState* state = Find(id);
   return state != nullptr && IsStalled(*state, now);
 }
@@ -237,7 +237,7 @@
   return state->condition == ReplicaCondition::kTrial || (healthy && !grown);
 }
 
-void ReplicaHealth::OnWorkSeen(const std::string& id, TimePoint now) {
+void ReplicaHealth::OnServingObserved(const std::string& id, TimePoint now) {
   ReplicaState* state = Find(id);
   if (state != nullptr && state->condition == ReplicaCondition::kTrial) {
     MarkHealthy(*state, now);  // A served call of any gateway completes the trial.
--- a/src/replicas/replica_health.h
+++ b/src/replicas/replica_health.h
@@ -50,13 +50,13 @@
 };
 
 /// The result of a call, as evidence of the replica's health.
-enum class CallEnd : std::uint8_t {
+enum class CallOutcome : std::uint8_t {
   kSuccess,
   kRefused,       ///< Status 429 or 503: full or stopping, but alive.
   kFailed,        ///< The response shows a fault (status 5xx, broken stream).
   kNoResponse,    ///< Bytes were sent and no response was received in time.
   kNotConnected,  ///< The connection was refused or could not be established.
-  kWithdrawn,     ///< Cancelled by this gateway; no evidence.
+  kCancelled,     ///< Cancelled by this gateway; no evidence.
 };
 
 /// State of a replica; see the transitions above.
@@ -83,19 +83,19 @@
   void OnProbe(const std::string& id, bool healthy, bool warm, TimePoint now);
   /// The replica was observed serving a call of any gateway: its slow start begins, and a trial
   /// ends successfully.
-  void OnWorkSeen(const std::string& id, TimePoint now);
+  void OnServingObserved(const std::string& id, TimePoint now);
   /// A call of this gateway was sent to the replica, or has ended.
   void OnCallStarted(const std::string& id, TimePoint now);
-  void OnCallEnded(const std::string& id, CallEnd end, TimePoint now);
+  void OnCallEnded(const std::string& id, CallOutcome outcome, TimePoint now);
   /// Bytes were received from the replica.
-  void OnHeard(const std::string& id, TimePoint now);
+  void OnBytesReceived(const std::string& id, TimePoint now);
   /// Adds a time to first byte to the replica's average latency.
   void OnLatency(const std::string& id, Duration latency);
   /// Ejects slow replicas and decays the count of past ejections; to be called about once a second.
   void Evaluate(TimePoint now);
 
   /// Whether the replica has calls in flight and has sent nothing for longer than the stall limit.
-  bool Stalled(const std::string& id, TimePoint now) const;
+  bool IsStalled(const std::string& id, TimePoint now) const;
   Usability GetUsability(const std::string& id, TimePoint now) const;
   ReplicaCondition GetCondition(const std::string& id) const;
   /// @param capacity calls that the replica runs concurrently.
--- a/src/replicas/replica_list_poller.cc
+++ b/src/replicas/replica_list_poller.cc
@@ -16,52 +16,52 @@
                                      ReplicaListOptions options, ListHandler on_list)
     : environment_(environment),
       options_(std::move(options)),
-      reader_(MakeListReader(client, options_)),
+      reader_(MakeReplicaListReader(client, options_)),
       on_list_(std::move(on_list)) {}
 
 ReplicaListPoller::~ReplicaListPoller() { environment_.CancelTimer(timer_); }
 
 void ReplicaListPoller::Start() { Poll(); }
 
-bool ReplicaListPoller::Fresh() const {
+bool ReplicaListPoller::IsFresh() const {
   return polled_ && environment_.Now() - last_queried_at_ <= options_.stale_after;
 }
 
 void ReplicaListPoller::Poll() {
   const TimePoint sent_at = environment_.Now();
-  reader_->Read(options_.deadline,
-                [this, alive = std::weak_ptr<bool>(alive_), sent_at](const ListReading& reading) {
-                  if (!alive.expired()) {
-                    OnReading(sent_at, reading);
-                  }
-                });
+  reader_->Read(options_.deadline, [this, alive = std::weak_ptr<bool>(alive_),
+                                    sent_at](const ListReadResult& read_result) {
+    if (!alive.expired()) {
+      OnReadResult(sent_at, read_result);
+    }
+  });
 }
 
-void ReplicaListPoller::OnReading(TimePoint sent_at, const ListReading& reading) {
-  const std::string result = Apply(reading);
+void ReplicaListPoller::OnReadResult(TimePoint sent_at, const ListReadResult& read_result) {
+  const std::string result = Apply(read_result);
   environment_.metrics().Increment("gateway_replica_list_polls_total", {{"result", result}});
   polled_ = true;
-  last_queried_at_ = reading.read_at.value_or(sent_at);
-  ScheduleNext(sent_at, reading.next_is_long_poll);
+  last_queried_at_ = read_result.read_at.value_or(sent_at);
+  ScheduleNext(sent_at, read_result.next_is_long_poll);
 }
 
-std::string ReplicaListPoller::Apply(const ListReading& reading) {
-  switch (reading.end) {
-    case ListReadEnd::kUnchanged:
+std::string ReplicaListPoller::Apply(const ListReadResult& read_result) {
+  switch (read_result.end) {
+    case ListReadOutcome::kUnchanged:
       return "unchanged";
-    case ListReadEnd::kRefused:
+    case ListReadOutcome::kRefused:
       return "refused";
-    case ListReadEnd::kNotConnected:
+    case ListReadOutcome::kNotConnected:
       return "not_connected";
-    case ListReadEnd::kNoResponse:
+    case ListReadOutcome::kNoResponse:
       return "silent";
-    case ListReadEnd::kMalformed:
-      Log(LogLevel::kWarning, "replica_list_unusable", {{"reason", reading.reason}});
+    case ListReadOutcome::kMalformed:
+      Log(LogLevel::kWarning, "replica_list_unusable", {{"reason", read_result.reason}});
       return "malformed";
-    case ListReadEnd::kRead:
+    case ListReadOutcome::kRead:
       break;
   }
-  const Status status = on_list_(reading.list);
+  const Status status = on_list_(read_result.list);
   if (!status.ok()) {
     Log(LogLevel::kWarning, "replica_list_unusable", {{"reason", status.message()}});
     return "malformed";
--- a/src/replicas/replica_list_poller.h
+++ b/src/replicas/replica_list_poller.h
@@ -33,16 +33,16 @@
   /// Whether the last completed poll, successful or not, is recent enough to act on the list (see
   /// `ReplicaListOptions::stale_after`). False after the process was frozen, until the next poll
   /// has completed.
-  bool Fresh() const;
+  bool IsFresh() const;
   /// Whether any list was read and could be used.
   bool loaded() const { return loaded_; }
 
  private:
   void Poll();
-  void OnReading(TimePoint sent_at, const ListReading& reading);
+  void OnReadResult(TimePoint sent_at, const ListReadResult& read_result);
   /// @return the value of the metric label "result": "unchanged", "changed", or why the list could
   /// not be read or used.
-  std::string Apply(const ListReading& reading);
+  std::string Apply(const ListReadResult& read_result);
   void ScheduleNext(TimePoint sent_at, bool next_is_long_poll);
 
   Environment& environment_;
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -16,7 +16,7 @@
 
 namespace cloverbank {
 
-enum class ListReadEnd : std::uint8_t {
+enum class ListReadOutcome : std::uint8_t {
   kRead,          ///< A complete list was received.
   kUnchanged,     ///< The list is the same as the last accepted one.
   kRefused,       ///< The platform responded without a list.
@@ -25,8 +25,8 @@
   kNoResponse,    ///< No response before the deadline.
 };
 
-struct ListReading {
-  ListReadEnd end = ListReadEnd::kNoResponse;
+struct ListReadResult {
+  ListReadOutcome end = ListReadOutcome::kNoResponse;
   proto::ReplicaList list;  ///< Set if `end` is kRead.
   std::string reason;       ///< Readable description of the error if `end` is kMalformed.
   /// When the platform was queried; not set if that was when `Read` was called.
@@ -40,17 +40,17 @@
   virtual ~ReplicaListReader() = default;
   /// Reads the list. `done` runs once, within `deadline`, unless the reader is destroyed before
   /// that.
-  virtual void Read(Duration deadline, std::function<void(ListReading)> done) = 0;
+  virtual void Read(Duration deadline, std::function<void(ListReadResult)> done) = 0;
   /// The last list read was applied, so the same list may be reported as unchanged from now on.
   virtual void Accepted() {}
 };
 
 /// @return how the read ended, for a call without a response.
-ListReadEnd EndWithoutAnswer(const HttpOutcome& outcome);
+ListReadOutcome OutcomeWithoutResponse(const HttpOutcome& outcome);
 
 /// Creates the reader that `options` specify.
-std::unique_ptr<ReplicaListReader> MakeListReader(HttpClient& client,
-                                                  const ReplicaListOptions& options);
+std::unique_ptr<ReplicaListReader> MakeReplicaListReader(HttpClient& client,
+                                                         const ReplicaListOptions& options);
 
 /// Creates a reader of `GET /replicas` (see `ReplicaListOptions::path`): one JSON document with an
 /// entity tag.
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -69,7 +69,7 @@
   }
 }
 
-void SharedListReader::Read(Duration deadline, std::function<void(ListReading)> done) {
+void SharedListReader::Read(Duration deadline, std::function<void(ListReadResult)> done) {
   done_ = std::move(done);
   deadline_ = deadline;
   if (sources_().has_value()) {
@@ -161,49 +161,49 @@
 
 void SharedListReader::HandleResponse(TimePoint sent,
                                       const proto::GetReplicaListResponse& response) {
-  ListReading reading;
-  reading.next_is_long_poll = true;
+  ListReadResult result;
+  result.next_is_long_poll = true;
   // A lower bound, even if this process was frozen before it handled the response.
-  reading.read_at =
+  result.read_at =
       sent + milliseconds(response.waited_ms()) - Duration(milliseconds(response.read_ms_ago()));
   if (response.has_list()) {
-    reading.end = ListReadEnd::kRead;
-    reading.list = response.list();
-    reading.list.set_version(++version_);
-    candidate_ = reading.list;
-    candidate_read_at_ = *reading.read_at;
+    result.end = ListReadOutcome::kRead;
+    result.list = response.list();
+    result.list.set_version(++version_);
+    candidate_ = result.list;
+    candidate_read_at_ = *result.read_at;
     candidate_from_platform_ = false;
   } else {
-    reading.end = ListReadEnd::kUnchanged;
-    Publish(*reading.read_at);
+    result.end = ListReadOutcome::kUnchanged;
+    Publish(*result.read_at);
   }
-  Finish(std::move(reading));
+  Finish(std::move(result));
 }
 
 void SharedListReader::ReadPlatform() {
-  platform_->Read(deadline_, [this, sent = environment_.Now()](ListReading reading) {
-    HandlePlatformReading(sent, std::move(reading));
+  platform_->Read(deadline_, [this, sent = environment_.Now()](ListReadResult result) {
+    HandlePlatformResult(sent, std::move(result));
   });
 }
 
-void SharedListReader::HandlePlatformReading(TimePoint sent, ListReading reading) {
-  reading.read_at = sent;
-  if (reading.end == ListReadEnd::kRead) {
-    reading.list.set_version(++version_);
-    candidate_ = reading.list;
+void SharedListReader::HandlePlatformResult(TimePoint sent, ListReadResult result) {
+  result.read_at = sent;
+  if (result.end == ListReadOutcome::kRead) {
+    result.list.set_version(++version_);
+    candidate_ = result.list;
     candidate_read_at_ = sent;
     candidate_from_platform_ = true;
-  } else if (reading.end == ListReadEnd::kUnchanged && list_id_ != 0) {
+  } else if (result.end == ListReadOutcome::kUnchanged && list_id_ != 0) {
     Publish(sent);
   } else {
     failing_ = true;
     RespondToPending();
   }
-  Finish(std::move(reading));
+  Finish(std::move(result));
 }
 
-void SharedListReader::Finish(ListReading reading) {
-  std::exchange(done_, nullptr)(std::move(reading));
+void SharedListReader::Finish(ListReadResult result) {
+  std::exchange(done_, nullptr)(std::move(result));
 }
 
 void SharedListReader::Accepted() {
--- a/src/replicas/shared_list_reader.h
+++ b/src/replicas/shared_list_reader.h
@@ -40,7 +40,7 @@
   SharedListReader& operator=(const SharedListReader&) = delete;
 
   /// @param deadline of a call to the platform; a long poll at a source may take longer.
-  void Read(Duration deadline, std::function<void(ListReading)> done) override;
+  void Read(Duration deadline, std::function<void(ListReadResult)> done) override;
   void Accepted() override;
 
  private:
@@ -65,8 +65,8 @@
   void OnResponse(TimePoint sent, const Result<proto::GetReplicaListResponse>& response);
   void HandleResponse(TimePoint sent, const proto::GetReplicaListResponse& response);
   void ReadPlatform();
-  void HandlePlatformReading(TimePoint sent, ListReading reading);
-  void Finish(ListReading reading);
+  void HandlePlatformResult(TimePoint sent, ListReadResult result);
+  void Finish(ListReadResult result);
 
   /// Serves the current list to other gateways; the platform showed it at `read_at` or later.
   void Publish(TimePoint read_at);
@@ -82,7 +82,7 @@
   Sources sources_;
   std::unique_ptr<ReplicaListReader> platform_;
 
-  std::function<void(ListReading)> done_;
+  std::function<void(ListReadResult)> done_;
   Duration deadline_{};
   std::optional<Endpoint> pending_source_;  ///< The source whose response is pending.
   bool long_polling_ = false;  ///< The request waits for a newer list than the current one.
--- a/src/routing/router.cc
+++ b/src/routing/router.cc
@@ -175,7 +175,7 @@
   return candidate;
 }
 
-bool Router::IsHome(const ReplicaRecord& replica, std::string_view prefix_key) const {
+bool Router::IsPreferredReplica(const ReplicaRecord& replica, std::string_view prefix_key) const {
   if (prefix_key.empty()) {
     return false;
   }
@@ -210,7 +210,7 @@
 Duration Router::PrefillCost(const Candidate& candidate, const RoutingQuery& query, bool preferred,
                              TimePoint now) const {
   const ReplicaRecord& replica = *candidate.replica;
-  const std::uint32_t tokens = prefill_->TokensToRead(replica.id, query.prompt, preferred);
+  const std::uint32_t tokens = prefill_->TokensToPrefill(replica.id, query.prompt, preferred);
   Duration cost = prefill_->Backlog(replica.id, now) + prefill_->PrefillTime(replica.id, tokens);
   cost += candidate.load * options_.running_call_cost;
   cost += std::chrono::duration_cast<Duration>(prefill_->RecentLoad(replica.id, now) *
@@ -298,7 +298,7 @@
   if (found == loads_.end() || found->second.IsRefusing(now)) {
     return 0;
   }
-  std::uint32_t slots = std::min(CapacityReserveFor(replica, configuration, now).free,
+  std::uint32_t slots = std::min(BatchCapacityLimitFor(replica, configuration, now).free,
                                  found->second.batch_allowance(now));
   if (health_.IsInSlowStart(replica.id, now)) {
     slots = std::min(slots, found->second.slow_start_allowance(now));
@@ -306,7 +306,7 @@
   return slots;
 }
 
-Router::BatchCapacityReserve Router::UnreportedBatchCapacity(
+Router::BatchCapacityLimit Router::UnreportedBatchCapacity(
     const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
     TimePoint now) const {
   const auto found = loads_.find(replica.id);
@@ -314,14 +314,14 @@
   const std::uint32_t all = replica.capacity *
                             BatchCapacityPercent(configuration, kUnreportedBatchCapacityPercent) /
                             kPercent;
-  BatchCapacityReserve reserve;
-  reserve.bound = std::min(quota_.SlotsFor(replica.id, replica.zone, all),
-                           health_.GetLimit(replica.id, replica.capacity, now));
-  reserve.free = reserve.bound - std::min(reserve.bound, own);
-  return reserve;
+  BatchCapacityLimit limit;
+  limit.bound = std::min(quota_.SlotsFor(replica.id, replica.zone, all),
+                         health_.GetLimit(replica.id, replica.capacity, now));
+  limit.free = limit.bound - std::min(limit.bound, own);
+  return limit;
 }
 
-Router::BatchCapacityReserve Router::CapacityReserveFor(
+Router::BatchCapacityLimit Router::BatchCapacityLimitFor(
     const ReplicaRecord& replica, const proto::RoutingConfiguration& configuration,
     TimePoint now) const {
   const auto found = loads_.find(replica.id);
@@ -333,10 +333,10 @@
   // At least 1, otherwise batches would never run on replicas that take one call at a time.
   const std::uint32_t bound = std::max(
       1U, capacity * BatchCapacityPercent(configuration, kDefaultBatchCapacityPercent) / kPercent);
-  BatchCapacityReserve reserve;
-  reserve.bound = std::min(bound, health_.GetLimit(replica.id, capacity, now));
-  reserve.free = reserve.bound - std::min(reserve.bound, load.total());
-  return reserve;
+  BatchCapacityLimit limit;
+  limit.bound = std::min(bound, health_.GetLimit(replica.id, capacity, now));
+  limit.free = limit.bound - std::min(limit.bound, load.total());
+  return limit;
 }
 
 std::uint32_t Router::RankOf(const Candidate& candidate,
--- a/src/routing/router.h
+++ b/src/routing/router.h
@@ -119,7 +119,7 @@
 
   /// Whether `replica` is the preferred replica of its zone for calls with that prefix key, by
   /// rendezvous hashing over the ready replicas. False for an empty key.
-  bool IsHome(const ReplicaRecord& replica, std::string_view prefix_key) const;
+  bool IsPreferredReplica(const ReplicaRecord& replica, std::string_view prefix_key) const;
 
   /// @return how many more batch items may start now on the healthy replicas of a back end in open
   /// zones.
@@ -128,14 +128,14 @@
 
   /// Capacity of one replica for batch work. The remainder of its capacity is kept free for live
   /// calls.
-  struct BatchCapacityReserve {
+  struct BatchCapacityLimit {
     std::uint32_t bound = 0;  ///< Batch work starts only while fewer calls are at the replica.
     std::uint32_t free = 0;   ///< The bound minus the calls at the replica; at least 0.
   };
   /// @return the capacity according to the replica's last load report; zero without a report.
-  BatchCapacityReserve CapacityReserveFor(const ReplicaRecord& replica,
-                                          const proto::RoutingConfiguration& configuration,
-                                          TimePoint now) const;
+  BatchCapacityLimit BatchCapacityLimitFor(const ReplicaRecord& replica,
+                                           const proto::RoutingConfiguration& configuration,
+                                           TimePoint now) const;
 
  private:
   struct Candidate {
@@ -162,10 +162,11 @@
                        const proto::RoutingConfiguration& configuration) const;
   /// Capacity if loads are not reported: this gateway's quota of the replica's capacity for batch
   /// work, minus the gateway's own calls.
-  BatchCapacityReserve UnreportedBatchCapacity(const ReplicaRecord& replica,
-                                               const proto::RoutingConfiguration& configuration,
-                                               TimePoint now) const;
-  /// @return the preferred replica of each zone for the query's prefix key; see `IsHome`.
+  BatchCapacityLimit UnreportedBatchCapacity(const ReplicaRecord& replica,
+                                             const proto::RoutingConfiguration& configuration,
+                                             TimePoint now) const;
+  /// @return the preferred replica of each zone for the query's prefix key; see
+  /// `IsPreferredReplica`.
   std::vector<const ReplicaRecord*> PreferredReplicas(const RoutingQuery& query) const;
   /// Estimated cost of sending the call to the candidate, as a duration.
   /// @param preferred whether the candidate is the preferred replica for the query's prefix key.
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -201,7 +201,7 @@
   CheckCallers();
   EXPECT_GT(served_, kSteps / 20);  // The run was not spent refusing.
   for (const auto& plane : h_.planes) {
-    EXPECT_EQ(plane->live->calls_under_way(), 0U);
+    EXPECT_EQ(plane->live->calls_in_flight(), 0U);
     for (const auto& [id, load] : plane->pool->loads()) {
       EXPECT_EQ(load.own(), 0U) << id;
     }
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -55,14 +55,14 @@
 
   std::shared_ptr<FakeResponder> Forward(
       const std::string& path, const std::string& id,
-      std::function<void(const proto::Route&)> take_as_batch = nullptr) {
+      std::function<void(const proto::Route&)> on_batch_route = nullptr) {
     auto responder = std::make_shared<FakeResponder>();
     IncomingCall call;
     call.host = "Shop.example";
     call.path = path;
     call.call_id = id;
-    call.patience = seconds(4);
-    call.take_as_batch = std::move(take_as_batch);
+    call.timeout = seconds(4);
+    call.on_batch_route = std::move(on_batch_route);
     call.request.set_method("POST");
     call.request.set_target(path + "?q=1%20");
     call.request.set_body("body");
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -132,7 +132,7 @@
   const auto client = h.Forward("/tale/x", "c1");
   client->disconnect();
   EXPECT_TRUE(h.arrived[0]->cancelled);
-  EXPECT_EQ(h.service->calls_under_way(), 0U);
+  EXPECT_EQ(h.service->calls_in_flight(), 0U);
 }
 
 TEST_F(ForwardingTest, RetriesOnlyIdempotentCallsWithoutAResponse) {
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -69,8 +69,8 @@
     const CallContext context{
         {environment, client, *pool, options.calls}, permission, *queue, budget, options.retry};
     live = std::make_unique<LiveCallHandler>(context, options);
-    batch = std::make_unique<ReplicaBackendCaller>(context, options.forward_headers);
-    pool->OnCapacity([this] { queue->ScheduleDispatch(); });
+    batch = std::make_unique<ReplicaBackendCaller>(context, options.replica_header_names);
+    pool->SetCapacityObserver([this] { queue->ScheduleDispatch(); });
     live->Register(router);
   }
 
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -43,7 +43,7 @@
   EXPECT_TRUE(stream->complete);
   ASSERT_TRUE(FromJson(served->body, &answer, UnknownFields::kIgnore).ok());
   EXPECT_EQ(answer.text(), "served");
-  EXPECT_EQ(h.live->calls_under_way(), 0U);
+  EXPECT_EQ(h.live->calls_in_flight(), 0U);
 }
 
 TEST_F(LiveCallTest, RefusesInvalidRequestsBeforeSending) {
@@ -295,7 +295,7 @@
   EXPECT_TRUE(model.exchanges.at(0)->cancelled);
   EXPECT_EQ(Received(), 1U);
   EXPECT_EQ(running->answers + waiting->answers, 0);
-  EXPECT_EQ(h.live->calls_under_way(), 0U);
+  EXPECT_EQ(h.live->calls_in_flight(), 0U);
   EXPECT_EQ(h.pool->loads().at("m1").own(), 0U);
 }
 
@@ -358,7 +358,7 @@
   EXPECT_EQ(h.ErrorIn(*third).code(), "route_limit_reached");
   h.world.RunFor(seconds(1));
   h.Call("ask");
-  EXPECT_EQ(h.live->calls_under_way(), 1U);
+  EXPECT_EQ(h.live->calls_in_flight(), 1U);
 }
 
 TEST_F(LiveCallTest, BoundsTheQueueUnderOverload) {
@@ -380,7 +380,7 @@
   }
   EXPECT_EQ(served, model.received.size());
   EXPECT_GE(served, 300U);  // Of 320 that the replica could serve in 4 seconds.
-  EXPECT_EQ(h.live->calls_under_way(), 0U);
+  EXPECT_EQ(h.live->calls_in_flight(), 0U);
 }
 
 }  // namespace
--- a/tests/net/http_call_test.cc
+++ b/tests/net/http_call_test.cc
@@ -92,7 +92,7 @@
 TEST_F(HttpCallTest, ExpiredPermissionSendsNothing) {
   HoldCalls();
   HttpRequest request = Get("/");
-  request.may_send = [] { return false; };
+  request.can_send = [] { return false; };
   EXPECT_EQ(CallAndWait(server_->endpoint(), request).kind, HttpOutcomeKind::kNotSent);
   EXPECT_EQ(held_, nullptr);
 }
@@ -101,14 +101,14 @@
   HoldCalls();
   std::shared_ptr<HttpCall> call;
   HttpRequest request = Get("/");
-  request.may_send = [this, &call, keep = std::make_shared<int>(0)] {
+  request.can_send = [this, &call, keep = std::make_shared<int>(0)] {
     call->Cancel();
     loop_.ScheduleAfter(milliseconds(20), [this] { loop_.Stop(); });
     return *keep == 0;
   };
   call = client_->Call(server_->endpoint(), request, seconds(20),
                        [](const HttpOutcome&) { ADD_FAILURE() << "a cancelled call ended"; });
-  request.may_send = nullptr;
+  request.can_send = nullptr;
   RunUntilStopped();
   EXPECT_EQ(held_, nullptr);
 }
--- a/tests/net/peer_test.cc
+++ b/tests/net/peer_test.cc
@@ -127,7 +127,7 @@
     served = true;
   });
   HttpRequest request = Get("/");
-  request.may_send = [this] {
+  request.can_send = [this] {
     faults_.SetBlocked({kServerHost});
     return true;
   };
--- a/tests/replicas/fake_http.h
+++ b/tests/replicas/fake_http.h
@@ -95,7 +95,7 @@
     over_ = true;
     callbacks = {};
     done = nullptr;
-    request.may_send = nullptr;
+    request.can_send = nullptr;
   }
 
   Environment& environment_;
@@ -143,7 +143,7 @@
         return;
       }
       const auto script = scripts.find(to.ToString());
-      const bool withheld = exchange->request.may_send && !exchange->request.may_send();
+      const bool withheld = exchange->request.can_send && !exchange->request.can_send();
       if (script == scripts.end() || withheld) {
         exchange->End(HttpOutcomeKind::kNotSent, withheld ? "withheld" : "connect refused");
         return;
--- a/tests/replicas/prefill_gossip_test.cc
+++ b/tests/replicas/prefill_announcer_test.cc
@@ -1,5 +1,5 @@
 // Gateways of one zone that announce to each other which prompts they send.
-#include "replicas/prefill_gossip.h"
+#include "replicas/prefill_announcer.h"
 
 #include <gtest/gtest.h>
 
@@ -25,20 +25,20 @@
   bool operator==(const ReceivedPrompt&) const = default;
 };
 
-class PrefillGossipTest : public testing::Test {
+class PrefillAnnouncerTest : public testing::Test {
  protected:
-  PrefillGossipTest() {
+  PrefillAnnouncerTest() {
     for (int number = 0; number < kGateways; ++number) {
       const std::string name = Name(number);
       SimulatedMachine& machine = world_.AddMachine(name, "10.0.1." + std::to_string(number + 1));
       machine.SetProgram([this, name](Environment& environment, DataFolder&) {
-        auto gossip = std::make_shared<PrefillGossip>(
+        auto announcer = std::make_shared<PrefillAnnouncer>(
             environment, [this, name] { return NeighboursOf(name); },
             [this, name](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
               received_[name].push_back({replica, tokens, key});
             });
-        gossips_[name] = gossip.get();
-        return gossip;
+        announcers_[name] = announcer.get();
+        return announcer;
       });
     }
     for (int number = 0; number < kGateways; ++number) {
@@ -59,12 +59,12 @@
   }
 
   SimulatedWorld world_{7};
-  std::map<std::string, PrefillGossip*> gossips_;
+  std::map<std::string, PrefillAnnouncer*> announcers_;
   std::map<std::string, std::vector<ReceivedPrompt>> received_;
 };
 
-TEST_F(PrefillGossipTest, AnnouncesAPromptOnceToEachNeighbour) {
-  gossips_["g0"]->Announce("r1", 1'200, 42);
+TEST_F(PrefillAnnouncerTest, AnnouncesAPromptOnceToEachNeighbour) {
+  announcers_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
   const std::vector<ReceivedPrompt> expected = {{"r1", 1'200, 42}};
   EXPECT_EQ(received_["g1"], expected);
@@ -72,23 +72,23 @@
   EXPECT_TRUE(received_["g0"].empty());
 }
 
-TEST_F(PrefillGossipTest, BatchedPromptsArriveInOrder) {
-  gossips_["g0"]->Announce("r1", 1'200, 1);
-  gossips_["g0"]->Announce("r2", 800, 2);
+TEST_F(PrefillAnnouncerTest, BatchedPromptsArriveInOrder) {
+  announcers_["g0"]->Announce("r1", 1'200, 1);
+  announcers_["g0"]->Announce("r2", 800, 2);
   world_.RunFor(kPropagationDelay);
   const std::vector<ReceivedPrompt> expected = {{"r1", 1'200, 1}, {"r2", 800, 2}};
   EXPECT_EQ(received_["g1"], expected);
 }
 
-TEST_F(PrefillGossipTest, DoesNotAnnounceTheShortestPrompts) {
-  gossips_["g0"]->Announce("r1", 100, 1);
+TEST_F(PrefillAnnouncerTest, DoesNotAnnounceTheShortestPrompts) {
+  announcers_["g0"]->Announce("r1", 100, 1);
   world_.RunFor(kPropagationDelay);
   EXPECT_TRUE(received_["g1"].empty());
 }
 
-TEST_F(PrefillGossipTest, ADeadNeighbourDoesNotDelayOthers) {
+TEST_F(PrefillAnnouncerTest, ADeadNeighbourDoesNotDelayOthers) {
   world_.machine("g1").Kill();
-  gossips_["g0"]->Announce("r1", 1'200, 42);
+  announcers_["g0"]->Announce("r1", 1'200, 42);
   world_.RunFor(kPropagationDelay);
   EXPECT_EQ(received_["g2"].size(), 1U);
 }
@@ -96,14 +96,14 @@
 // With announcements, a gateway's estimate of a replica's backlog is close to the actual backlog
 // although most prompts come from other gateways. This keeps gateways from sending prompts to the
 // same replica at the same time.
-TEST_F(PrefillGossipTest, BacklogIncludesPromptsOfOtherGateways) {
+TEST_F(PrefillAnnouncerTest, BacklogIncludesPromptsOfOtherGateways) {
   PrefillOptions options;
   options.initial_tokens_per_ms = 100;
   PrefillLoad load(options);
   const TimePoint now{seconds(1)};
   for (int prompt = 0; prompt < 5; ++prompt) {
-    gossips_["g0"]->Announce("r1", 1'000, 0);
-    gossips_["g1"]->Announce("r1", 1'000, 0);
+    announcers_["g0"]->Announce("r1", 1'000, 0);
+    announcers_["g1"]->Announce("r1", 1'000, 0);
   }
   world_.RunFor(kPropagationDelay);
   for (const ReceivedPrompt& prompt : received_["g2"]) {
--- a/tests/replicas/prefill_load_test.cc
+++ b/tests/replicas/prefill_load_test.cc
@@ -29,26 +29,26 @@
 
 TEST_F(PrefillLoadTest, DoesNotCountCachedPrefixes) {
   const PromptShape shape{1000, 600, 42};
-  EXPECT_EQ(load_.TokensToRead("r", shape, /*preferred=*/false), 1000U);
-  EXPECT_EQ(load_.TokensToRead("r", shape, /*preferred=*/true), 400U);
+  EXPECT_EQ(load_.TokensToPrefill("r", shape, /*preferred=*/false), 1000U);
+  EXPECT_EQ(load_.TokensToPrefill("r", shape, /*preferred=*/true), 400U);
   load_.OnStart("r", 1000, 42, now_);
-  EXPECT_EQ(load_.TokensToRead("r", shape, false), 400U);
-  EXPECT_EQ(load_.TokensToRead("other", shape, false), 1000U);
+  EXPECT_EQ(load_.TokensToPrefill("r", shape, false), 400U);
+  EXPECT_EQ(load_.TokensToPrefill("other", shape, false), 1000U);
 }
 
 TEST_F(PrefillLoadTest, DropsTheLeastRecentlyUsedKey) {
   for (const std::uint64_t key : {1U, 2U, 1U, 3U}) {
     load_.OnStart("r", 10, key, now_);
   }
-  EXPECT_EQ(load_.TokensToRead("r", {100, 50, 1}, false), 50U);
-  EXPECT_EQ(load_.TokensToRead("r", {100, 50, 2}, false), 100U);
-  EXPECT_EQ(load_.TokensToRead("r", {100, 50, 3}, false), 50U);
+  EXPECT_EQ(load_.TokensToPrefill("r", {100, 50, 1}, false), 50U);
+  EXPECT_EQ(load_.TokensToPrefill("r", {100, 50, 2}, false), 100U);
+  EXPECT_EQ(load_.TokensToPrefill("r", {100, 50, 3}, false), 50U);
 }
 
 TEST_F(PrefillLoadTest, LearnsThroughputFromUndelayedResponses) {
   const Duration fixed = Options().initial_fixed_latency;
-  load_.Watch("slow", "model");
-  load_.Watch("fast", "model");
+  load_.AddReplica("slow", "model");
+  load_.AddReplica("fast", "model");
   for (int sample = 0; sample < 40; ++sample) {
     load_.OnFirstByte("slow", 8'000, Duration::zero(), fixed + milliseconds(160), now_);
     load_.OnFirstByte("fast", 8'000, Duration::zero(), fixed + milliseconds(40), now_);
@@ -59,9 +59,9 @@
 
 TEST_F(PrefillLoadTest, AssumesThePeersThroughputAtFirst) {
   const Duration fixed = Options().initial_fixed_latency;
-  load_.Watch("known", "model");
-  load_.Watch("new", "model");
-  load_.Watch("foreign", "other-model");
+  load_.AddReplica("known", "model");
+  load_.AddReplica("new", "model");
+  load_.AddReplica("foreign", "other-model");
   for (int sample = 0; sample < 40; ++sample) {
     load_.OnFirstByte("known", 8'000, Duration::zero(), fixed + milliseconds(160), now_);
   }
@@ -101,9 +101,9 @@
 }
 
 TEST_F(PrefillLoadTest, ExpectsLongPromptsAfterARecentOne) {
-  load_.Watch("r", "model");
-  load_.Watch("peer", "model");
-  load_.Watch("foreign", "other-model");
+  load_.AddReplica("r", "model");
+  load_.AddReplica("peer", "model");
+  load_.AddReplica("foreign", "other-model");
   load_.OnStart("r", 1'000, 0, now_);
   EXPECT_FALSE(load_.ExpectsLongPrompts("r", now_));
   load_.OnStart("r", 30'000, 0, now_);
--- a/tests/replicas/replica_health_test.cc
+++ b/tests/replicas/replica_health_test.cc
@@ -13,9 +13,9 @@
     health_.Reset(id, "model", Duration::zero());
     health_.OnProbe(id, true, warm, now_);
   }
-  void RunCall(const std::string& id, CallEnd end) {
+  void RunCall(const std::string& id, CallOutcome outcome) {
     health_.OnCallStarted(id, now_);
-    health_.OnCallEnded(id, end, now_);
+    health_.OnCallEnded(id, outcome, now_);
   }
   Usability UsabilityOf(const std::string& id) { return health_.GetUsability(id, now_); }
 
@@ -37,12 +37,12 @@
 
 TEST_F(ReplicaHealthTest, TimeoutsEjectAndASuccessfulTrialRestores) {
   Add("x");
-  RunCall("x", CallEnd::kNoResponse);
+  RunCall("x", CallOutcome::kNoResponse);
   EXPECT_EQ(UsabilityOf("x"), Usability::kLastResort);
   health_.OnProbe("x", true, false, now_);
   EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
   health_.OnProbe("x", false, false, now_);
-  RunCall("x", CallEnd::kNotConnected);
+  RunCall("x", CallOutcome::kNotConnected);
   EXPECT_EQ(UsabilityOf("x"), Usability::kNo);
   health_.OnProbe("x", true, false, now_);  // Too early.
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
@@ -52,7 +52,7 @@
   EXPECT_EQ(UsabilityOf("x"), Usability::kYes);
   health_.OnCallStarted("x", now_);
   EXPECT_EQ(UsabilityOf("x"), Usability::kNo);  // One trial at a time.
-  health_.OnCallEnded("x", CallEnd::kSuccess, now_);
+  health_.OnCallEnded("x", CallOutcome::kSuccess, now_);
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kHealthy);
   EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // In slow start again.
 }
@@ -61,8 +61,8 @@
   Add("x");
   Duration expected = options_.base_ejection;
   for (int round = 0; round < 8; ++round) {
-    RunCall("x", CallEnd::kNoResponse);
-    RunCall("x", CallEnd::kNoResponse);
+    RunCall("x", CallOutcome::kNoResponse);
+    RunCall("x", CallOutcome::kNoResponse);
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
     health_.OnProbe("x", true, false, now_ + expected - milliseconds(1));
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kEjected);
@@ -71,13 +71,13 @@
     ASSERT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
     expected = std::min(expected * 2, options_.maximum_ejection);
   }
-  RunCall("x", CallEnd::kSuccess);
+  RunCall("x", CallOutcome::kSuccess);
   for (int round = 0; round < 10; ++round) {
     now_ += options_.ejection_decay_interval;
     health_.Evaluate(now_);
   }
-  RunCall("x", CallEnd::kNoResponse);
-  RunCall("x", CallEnd::kNoResponse);
+  RunCall("x", CallOutcome::kNoResponse);
+  RunCall("x", CallOutcome::kNoResponse);
   now_ += options_.base_ejection;
   health_.OnProbe("x", true, false, now_);
   EXPECT_EQ(health_.GetCondition("x"), ReplicaCondition::kTrial);
@@ -89,7 +89,7 @@
   }
   for (int round = 0; round < 20; ++round) {
     for (int index = 0; index < 9; ++index) {
-      RunCall(std::to_string(index), CallEnd::kFailed);
+      RunCall(std::to_string(index), CallOutcome::kFailed);
     }
   }
   int ejected = 0;
@@ -116,7 +116,7 @@
   Add("x", false);
   now_ += seconds(100);
   EXPECT_EQ(health_.GetLimit("x", 8, now_), 1U);  // Idle time does not raise it.
-  health_.OnWorkSeen("x", now_);
+  health_.OnServingObserved("x", now_);
   std::uint32_t last = 0;
   for (int step = 0; step <= 60; ++step) {
     const std::uint32_t limit = health_.GetLimit("x", 8, now_);
@@ -159,7 +159,7 @@
       ++in_flight[id];
     } else if (in_flight[id] > 0) {
       --in_flight[id];
-      health_.OnCallEnded(id, static_cast<CallEnd>(random() % 6), now_);
+      health_.OnCallEnded(id, static_cast<CallOutcome>(random() % 6), now_);
     } else if (random() % 50 == 0) {
       health_.Reset(id, "model", Duration::zero());
     }
--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -31,28 +31,28 @@
   FakePlatformReader(Environment& environment, std::string gateway, FakePlatform& platform)
       : environment_(environment), gateway_(std::move(gateway)), platform_(platform) {}
 
-  void Read(Duration deadline, std::function<void(ListReading)> done) override {
+  void Read(Duration deadline, std::function<void(ListReadResult)> done) override {
     ++platform_.reads[gateway_];
     const Duration delay = platform_.responds ? milliseconds(3) : deadline;
     environment_.ScheduleAfter(delay,
                                [this, alive = std::weak_ptr<bool>(alive_), done = std::move(done)] {
                                  if (!alive.expired()) {
-                                   done(MakeReading());
+                                   done(MakeReadResult());
                                  }
                                });
   }
 
  private:
-  ListReading MakeReading() const {
-    ListReading reading;
+  ListReadResult MakeReadResult() const {
+    ListReadResult result;
     if (!platform_.responds) {
-      return reading;
+      return result;
     }
-    reading.end = ListReadEnd::kRead;
+    result.end = ListReadOutcome::kRead;
     for (std::uint32_t number = 0; number < platform_.replicas; ++number) {
-      reading.list.add_replicas()->set_id("r" + std::to_string(number));
+      result.list.add_replicas()->set_id("r" + std::to_string(number));
     }
-    return reading;
+    return result;
   }
 
   Environment& environment_;
@@ -133,7 +133,7 @@
       world_.RunFor(kStep);
       for (const auto& [name, gateway] : gateways_) {
         const bool checked = world_.machine(name).running() && name != stopped_;
-        fresh = fresh && (!checked || (gateway.poller->loaded() && gateway.poller->Fresh()));
+        fresh = fresh && (!checked || (gateway.poller->loaded() && gateway.poller->IsFresh()));
       }
     }
     return fresh;
@@ -220,9 +220,9 @@
   world_.RunFor(seconds(5));
   world_.machine("g4").Wake();
   world_.RunFor(milliseconds(2));
-  EXPECT_FALSE(gateways_["g4"].poller->Fresh());
+  EXPECT_FALSE(gateways_["g4"].poller->IsFresh());
   world_.RunFor(seconds(2));
-  EXPECT_TRUE(gateways_["g4"].poller->Fresh());
+  EXPECT_TRUE(gateways_["g4"].poller->IsFresh());
 }
 
 TEST_F(SharedListReaderTest, ReadsThePlatformWithoutNamedSources) {
--- a/tests/routing/router_test.cc
+++ b/tests/routing/router_test.cc
@@ -5,7 +5,7 @@
 #include <random>
 #include <set>
 
-#include "replicas/rate_pacer.h"
+#include "replicas/adaptive_capacity_ratio.h"
 
 namespace cloverbank {
 namespace {
@@ -216,22 +216,22 @@
   }
 }
 
-TEST(RatePacerTest, HalvesAfterACollisionAndRoundsFairly) {
-  RatePacer pacer(0.25, 0.01);
+TEST(AdaptiveCapacityRatioTest, HalvesAfterAnOverloadAndRoundsFairly) {
+  AdaptiveCapacityRatio ratio(0.25, 0.01);
   TimePoint now(seconds(10));
-  pacer.OnCollision(now);
-  pacer.OnCollision(now + milliseconds(100));  // Counts as the same collision.
-  EXPECT_DOUBLE_EQ(pacer.ratio(), 0.125);
+  ratio.OnOverload(now);
+  ratio.OnOverload(now + milliseconds(100));  // Counts as the same overload.
+  EXPECT_DOUBLE_EQ(ratio.ratio(), 0.125);
   std::mt19937_64 random(3);
   std::uint32_t sum = 0;
   for (int draw = 0; draw < 8000; ++draw) {
-    sum += pacer.Allowance(4, random());
+    sum += ratio.Allowance(4, random());
   }
   EXPECT_NEAR(sum, 4000, 200);
   for (int report = 0; report < 100; ++report) {
-    pacer.OnSmoothReport();
+    ratio.OnReportWithinBound();
   }
-  EXPECT_EQ(pacer.Allowance(5, 0), 5U);
+  EXPECT_EQ(ratio.Allowance(5, 0), 5U);
 }
 
 TEST(ReplicaDirectoryTest, SelectsOneReplicaInThreeForLongPrompts) {
@@ -302,7 +302,7 @@
   PromptRoutingTest() {
     for (const char* id : {"r1", "r2", "r3"}) {
       Add(id, "a");
-      prefill_.Watch(id, "model");
+      prefill_.AddReplica(id, "model");
     }
     Load();
   }
