--- a/src/calls/replica_pool.cc
+++ b/src/calls/replica_pool.cc
@@ -134,8 +134,8 @@
 void ReplicaPool::OnCallStarted(const ReplicaUse& use) {
   if (use.prompt_tokens > 0) {
     prefill_.OnStart(use.id, use.prompt_tokens, use.shared_key, environment_.Now());
-    if (on_prompt_) {
-      on_prompt_(use.id, use.prompt_tokens, use.shared_key);
+    if (prompt_observer_) {
+      prompt_observer_(use.id, use.prompt_tokens, use.shared_key);
     }
   }
   loads_[use.id].OnStart(use.work);
--- a/src/calls/replica_pool.h
+++ b/src/calls/replica_pool.h
@@ -68,7 +68,7 @@
   /// prefill. `tokens` and `key` are as for `OnRemotePrompt`.
   using PromptObserver =
       std::function<void(const std::string& replica, std::uint32_t tokens, std::uint64_t key)>;
-  void SetPromptObserver(PromptObserver observer) { on_prompt_ = std::move(observer); }
+  void SetPromptObserver(PromptObserver observer) { prompt_observer_ = std::move(observer); }
   /// @param outcome what the end of the call says about the replica's health; it is no evidence if
   /// the replica is another incarnation now.
   void OnCallEnded(const ReplicaUse& use, CallOutcome outcome);
@@ -85,7 +85,9 @@
   void SetQuota(const GatewayQuota& quota);
 
   /// Sets the observer that runs whenever a replica may have free capacity again.
-  void SetCapacityObserver(std::function<void()> observer) { on_capacity_ = std::move(observer); }
+  void SetCapacityObserver(std::function<void()> observer) {
+    capacity_observer_ = std::move(observer);
+  }
   /// Expires when the pool is destroyed. Calls whose connection may outlive the pool check it.
   std::weak_ptr<const void> lifetime() const { return lifetime_; }
   bool list_loaded() const { return poller_.loaded(); }
@@ -119,8 +121,8 @@
   void EvaluateHealth();
   void PublishMetrics();
   void NotifyCapacity() {
-    if (on_capacity_) {
-      on_capacity_();
+    if (capacity_observer_) {
+      capacity_observer_();
     }
   }
 
@@ -138,8 +140,8 @@
   ReplicaProber prober_;
   CapacityAllowances allowances_;
   ActiveReplicas active_;
-  std::function<void()> on_capacity_;
-  PromptObserver on_prompt_;
+  std::function<void()> capacity_observer_;
+  PromptObserver prompt_observer_;
   TimerId evaluation_timer_ = 0;
   TimerId capacity_timer_ = 0;
   const bool probed_;  ///< Whether this gateway sends health checks.
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -33,7 +33,7 @@
     : context_(context),
       options_(options),
       waiting_(context.attempt.environment,
-               [this](HttpResponder& responder) { RefuseWithoutControl(responder); }) {}
+               [this](HttpResponder& responder) { RefuseWithoutConfiguration(responder); }) {}
 
 ForwardingService::~ForwardingService() = default;
 
@@ -50,13 +50,13 @@
   if (CanServe()) {
     Admit(std::move(call), responder);
   } else if (waiting_.size() < options_.calls.maximum_waiting_for_configuration) {
-    WaitForControl(std::move(call), responder);
+    WaitForConfiguration(std::move(call), responder);
   } else {
-    RefuseWithoutControl(*responder);
+    RefuseWithoutConfiguration(*responder);
   }
 }
 
-void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
+void ForwardingService::WaitForConfiguration(IncomingCall call, const Responder& responder) {
   const Duration timeout = call.timeout.value_or(options_.calls.default_deadline);
   const Duration wait = std::min(options_.calls.configuration_wait, timeout / 2);
   waiting_.Add(std::move(call), responder, wait, timeout);
@@ -72,7 +72,7 @@
   }
 }
 
-void ForwardingService::RefuseWithoutControl(HttpResponder& responder) {
+void ForwardingService::RefuseWithoutConfiguration(HttpResponder& responder) {
   Refuse(responder, kHttpUnavailable, "no_configuration",
          "this gateway has no configuration from control now; try another one", kRetryAfter);
 }
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -43,8 +43,8 @@
   using Responder = std::shared_ptr<HttpResponder>;
 
   bool CanServe() const;
-  void WaitForControl(IncomingCall call, const Responder& responder);
-  void RefuseWithoutControl(HttpResponder& responder);
+  void WaitForConfiguration(IncomingCall call, const Responder& responder);
+  void RefuseWithoutConfiguration(HttpResponder& responder);
   void Admit(IncomingCall call, const Responder& responder);
   void StartCall(IncomingCall call, const Responder& responder, const proto::Route& route);
   CallSpec MakeSpec(const proto::Route& route, const IncomingCall& call) const;
--- a/src/replicas/json_list_reader.cc
+++ b/src/replicas/json_list_reader.cc
@@ -43,16 +43,16 @@
   ListReadResult ToReadResult(const HttpOutcome& outcome) {
     ListReadResult result;
     if (outcome.kind != HttpOutcomeKind::kAnswered) {
-      result.end = OutcomeWithoutResponse(outcome);
+      result.outcome = OutcomeWithoutResponse(outcome);
       return result;
     }
     if (outcome.response.status != kHttpOk) {
       const bool unchanged = outcome.response.status == kHttpNotModified;
-      result.end = unchanged ? ListReadOutcome::kUnchanged : ListReadOutcome::kRefused;
+      result.outcome = unchanged ? ListReadOutcome::kUnchanged : ListReadOutcome::kRefused;
       return result;
     }
     const Status status = FromJson(outcome.response.body, &result.list, UnknownFields::kIgnore);
-    result.end = status.ok() ? ListReadOutcome::kRead : ListReadOutcome::kMalformed;
+    result.outcome = status.ok() ? ListReadOutcome::kRead : ListReadOutcome::kMalformed;
     result.reason = status.message();
     read_tag_ = std::string(FindHeader(outcome.response.headers, "etag"));
     return result;
--- a/src/replicas/replica_list_poller.cc
+++ b/src/replicas/replica_list_poller.cc
@@ -46,7 +46,7 @@
 }
 
 std::string ReplicaListPoller::Apply(const ListReadResult& read_result) {
-  switch (read_result.end) {
+  switch (read_result.outcome) {
     case ListReadOutcome::kUnchanged:
       return "unchanged";
     case ListReadOutcome::kRefused:
--- a/src/replicas/replica_list_reader.h
+++ b/src/replicas/replica_list_reader.h
@@ -26,9 +26,9 @@
 };
 
 struct ListReadResult {
-  ListReadOutcome end = ListReadOutcome::kNoResponse;
-  proto::ReplicaList list;  ///< Set if `end` is kRead.
-  std::string reason;       ///< Readable description of the error if `end` is kMalformed.
+  ListReadOutcome outcome = ListReadOutcome::kNoResponse;
+  proto::ReplicaList list;  ///< Set if `outcome` is kRead.
+  std::string reason;       ///< Readable description of the error if `outcome` is kMalformed.
   /// When the platform was queried; not set if that was when `Read` was called.
   std::optional<TimePoint> read_at;
   /// The next `Read` is a long poll, so it may be called immediately.
--- a/src/replicas/shared_list_reader.cc
+++ b/src/replicas/shared_list_reader.cc
@@ -167,14 +167,14 @@
   result.read_at =
       sent + milliseconds(response.waited_ms()) - Duration(milliseconds(response.read_ms_ago()));
   if (response.has_list()) {
-    result.end = ListReadOutcome::kRead;
+    result.outcome = ListReadOutcome::kRead;
     result.list = response.list();
     result.list.set_version(++version_);
     candidate_ = result.list;
     candidate_read_at_ = *result.read_at;
     candidate_from_platform_ = false;
   } else {
-    result.end = ListReadOutcome::kUnchanged;
+    result.outcome = ListReadOutcome::kUnchanged;
     Publish(*result.read_at);
   }
   Finish(std::move(result));
@@ -188,12 +188,12 @@
 
 void SharedListReader::HandlePlatformResult(TimePoint sent, ListReadResult result) {
   result.read_at = sent;
-  if (result.end == ListReadOutcome::kRead) {
+  if (result.outcome == ListReadOutcome::kRead) {
     result.list.set_version(++version_);
     candidate_ = result.list;
     candidate_read_at_ = sent;
     candidate_from_platform_ = true;
-  } else if (result.end == ListReadOutcome::kUnchanged && list_id_ != 0) {
+  } else if (result.outcome == ListReadOutcome::kUnchanged && list_id_ != 0) {
     Publish(sent);
   } else {
     failing_ = true;
--- a/tests/replicas/shared_list_reader_test.cc
+++ b/tests/replicas/shared_list_reader_test.cc
@@ -48,7 +48,7 @@
     if (!platform_.responds) {
       return result;
     }
-    result.end = ListReadOutcome::kRead;
+    result.outcome = ListReadOutcome::kRead;
     for (std::uint32_t number = 0; number < platform_.replicas; ++number) {
       result.list.add_replicas()->set_id("r" + std::to_string(number));
     }
