--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -22,8 +22,8 @@
   forward.request = std::move(call.request);
   forward.streamed = route.streamed();
   forward.resumable = route.resumable();
-  forward.target = milliseconds(route.target_ms());
-  forward.longest_pause = milliseconds(route.pause_target_ms());
+  forward.first_byte_target = milliseconds(route.target_ms());
+  forward.pause_target = milliseconds(route.pause_target_ms());
   return forward;
 }
 
@@ -33,7 +33,7 @@
     : context_(context),
       options_(options),
       waiting_(context.attempt.environment,
-               [this](HttpResponder& responder) { RefuseWithoutControl(responder); }) {}
+               [this](HttpResponder& responder) { RefuseWithoutConfiguration(responder); }) {}
 
 ForwardingService::~ForwardingService() = default;
 
@@ -49,16 +49,16 @@
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
   if (CanServe()) {
     Admit(std::move(call), responder);
-  } else if (waiting_.size() < options_.calls.maximum_waiting_for_control) {
-    WaitForControl(std::move(call), responder);
+  } else if (waiting_.size() < options_.calls.maximum_waiting_for_configuration) {
+    WaitForConfiguration(std::move(call), responder);
   } else {
-    RefuseWithoutControl(*responder);
+    RefuseWithoutConfiguration(*responder);
   }
 }
 
-void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  const Duration timeout = call.patience.value_or(options_.calls.default_deadline);
-  const Duration wait = std::min(options_.calls.control_wait, timeout / 2);
+void ForwardingService::WaitForConfiguration(IncomingCall call, const Responder& responder) {
+  const Duration timeout = call.timeout.value_or(options_.calls.default_deadline);
+  const Duration wait = std::min(options_.calls.configuration_wait, timeout / 2);
   waiting_.Add(std::move(call), responder, wait, timeout);
 }
 
@@ -67,12 +67,12 @@
     return;
   }
   for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
-    entry.call.patience = entry.deadline - context_.attempt.environment.Now();
+    entry.call.timeout = entry.deadline - context_.attempt.environment.Now();
     Admit(std::move(entry.call), entry.responder);
   }
 }
 
-void ForwardingService::RefuseWithoutControl(HttpResponder& responder) {
+void ForwardingService::RefuseWithoutConfiguration(HttpResponder& responder) {
   Refuse(responder, kHttpUnavailable, "no_configuration",
          "this gateway has no configuration from control now; try another one", kRetryAfter);
 }
@@ -84,8 +84,8 @@
            Duration::zero());
     return;
   }
-  if (route->accepts_batches() && call.take_as_batch) {
-    call.take_as_batch(*route);
+  if (route->accepts_batches() && call.on_batch_route) {
+    call.on_batch_route(*route);
     return;
   }
   if (route->accepts_batches()) {
@@ -113,21 +113,22 @@
   auto live = std::make_shared<LiveForward>(
       context_, responder, [this, number, name = route.name()] { OnCallFinished(number, name); });
   calls_.emplace(number, live);
-  live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
+  live->Start(std::move(spec), MakeForwardCall(std::move(call), route),
+              options_.replica_header_names);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
   const TimePoint now = context_.attempt.environment.Now();
   Duration longest = milliseconds(route.deadline_ms());
-  if (call.patience) {
-    longest = std::min(longest, *call.patience);
+  if (call.timeout) {
+    longest = std::min(longest, *call.timeout);
   }
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
-  spec.attempts = route.attempts();
+  spec.maximum_attempts = route.attempts();
   spec.deadline = now + longest;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
   return spec;
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -37,14 +37,14 @@
   /// @return the route of `host` and `path`, or nullptr.
   const proto::Route* FindRouteFor(std::string_view host, std::string_view path) const;
 
-  std::size_t calls_under_way() const { return calls_.size(); }
+  std::size_t calls_in_flight() const { return calls_.size(); }
 
  private:
   using Responder = std::shared_ptr<HttpResponder>;
 
   bool CanServe() const;
-  void WaitForControl(IncomingCall call, const Responder& responder);
-  void RefuseWithoutControl(HttpResponder& responder);
+  void WaitForConfiguration(IncomingCall call, const Responder& responder);
+  void RefuseWithoutConfiguration(HttpResponder& responder);
   void Admit(IncomingCall call, const Responder& responder);
   void StartCall(IncomingCall call, const Responder& responder, const proto::Route& route);
   CallSpec MakeSpec(const proto::Route& route, const IncomingCall& call) const;
