--- a/apps/cloverbankd/coordinator_role.cc
+++ b/apps/cloverbankd/coordinator_role.cc
@@ -29,9 +29,9 @@
   CoordinatorOptions options;
   options.node_lease = settings.node_lease;
   options.death_after = settings.death_after;
-  options.wanted_store_backups = settings.replicas;
+  options.minimum_store_backups = settings.replicas;
   options.arrival_quiet = settings.arrival_quiet;
-  options.fewest_stores = settings.minimum_replicas;
+  options.minimum_store_machines = settings.minimum_replicas;
   return options;
 }
 
--- a/src/batches/batch_store.cc
+++ b/src/batches/batch_store.cc
@@ -340,7 +340,7 @@
                 "batch \"" + batch_id + "\" has no item \"" + custom_id + "\" without a result");
 }
 
-std::vector<std::string> BatchStore::FindFinishedBy(std::int64_t wall_ms) const {
+std::vector<std::string> BatchStore::FindBatchesFinishedBy(std::int64_t wall_ms) const {
   std::vector<std::string> ids;
   for (const auto& [position, batch] : batches_) {
     if (batch->AllFinished() && batch->finished_at_ms <= wall_ms) {
--- a/src/batches/batch_store.h
+++ b/src/batches/batch_store.h
@@ -65,7 +65,7 @@
                                         const std::string& custom_id) const;
   /// @return the ids of batches that finished at or before `wall_ms` (wall clock, in milliseconds),
   /// in order of acceptance.
-  std::vector<std::string> FindFinishedBy(std::int64_t wall_ms) const;
+  std::vector<std::string> FindBatchesFinishedBy(std::int64_t wall_ms) const;
   /// Calls `visit` for every batch, in order of acceptance.
   void ForEach(const std::function<void(const StoredBatch&)>& visit) const;
 
--- a/src/batches/owned_partition.cc
+++ b/src/batches/owned_partition.cc
@@ -24,7 +24,7 @@
 OwnedPartition::OwnedPartition(PartitionId id, std::unique_ptr<BatchStore> store, SegmentLog& log)
     : id_(id), store_(std::move(store)), log_(log), next_sequence_(store_->next_sequence()) {}
 
-void OwnedPartition::Log(std::vector<proto::LogEntry> entries, Done done) {
+void OwnedPartition::AppendEntries(std::vector<proto::LogEntry> entries, Done done) {
   for (proto::LogEntry& entry : entries) {
     entry.set_partition_tag(PartitionTag(id_));
     entry.set_sequence(next_sequence_.value());
@@ -42,7 +42,7 @@
     for (std::size_t i = 0; status.ok() && i < logged_entries->size(); ++i) {
       Status result = self->store_->Apply(std::move((*logged_entries)[i]));
       if (!result.ok()) {
-        cloverbank::Log(LogLevel::kError, "entry_apply_failed", {{"status", result.ToString()}});
+        Log(LogLevel::kError, "entry_apply_failed", {{"status", result.ToString()}});
       }
     }
     done(status);
@@ -93,7 +93,7 @@
   return store_->CountOpenTokens(tenant, route) + reserved_count;
 }
 
-proto::LogEntry OwnedPartition::Watermark() const {
+proto::LogEntry OwnedPartition::MakeWatermark() const {
   return MakePartitionWatermark(id_, next_sequence_, false);
 }
 
--- a/src/batches/owned_partition.h
+++ b/src/batches/owned_partition.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// A partition that this queue node owns, with its batches. They change in one way only: `Log` logs
-/// entries under the partition's next sequences, and applies them once they are durable.
+/// A partition that this queue node owns, with its batches. They change in one way only:
+/// `AppendEntries` logs entries under the partition's next sequences, and applies them once they
+/// are durable.
 ///
 /// Threads: the owner's event loop only. Created by `std::make_shared`.
 
@@ -38,7 +39,7 @@
   /// Logs the entries together. `done` runs once, later: with OK after they were applied, with the
   /// errors of `SegmentLog::Append`, and with kUnknownOutcome also if the partition was deactivated
   /// meanwhile.
-  void Log(std::vector<proto::LogEntry> entries, Done done);
+  void AppendEntries(std::vector<proto::LogEntry> entries, Done done);
 
   /// Drops the logged items of a batch that was rejected afterwards.
   void DropUnaccepted(const std::string& batch_id) { store_->DropUnaccepted(batch_id); }
@@ -53,13 +54,13 @@
   void ReleaseTokens(const std::string& tenant, const std::string& route, std::uint64_t count);
   std::uint64_t CountOpenTokens(const std::string& tenant, const std::string& route) const;
 
-  /// Records that this node no longer owns the partition: pending `Log` calls fail with
+  /// Records that this node no longer owns the partition: pending `AppendEntries` calls fail with
   /// kUnknownOutcome.
   void Deactivate() { active_ = false; }
 
   /// @return the PartitionWatermark entry with the partition's next sequence, for the start of a
   /// segment.
-  proto::LogEntry Watermark() const;
+  proto::LogEntry MakeWatermark() const;
 
  private:
   PartitionId id_;
--- a/src/control_state/partition_table.cc
+++ b/src/control_state/partition_table.cc
@@ -255,7 +255,7 @@
   return unassigned;
 }
 
-std::vector<PartitionId> PartitionTable::FindFree() const {
+std::vector<PartitionId> PartitionTable::FindFreePartitions() const {
   std::vector<PartitionId> free;
   for (const auto& [id, partition] : partitions_) {
     if (partition.owner() == 0 && partition.recovering_from() == 0) {
--- a/src/control_state/partition_table.h
+++ b/src/control_state/partition_table.h
@@ -79,7 +79,7 @@
   /// @return partitions being recovered from `dead` whose replay is not assigned to a node.
   std::vector<PartitionId> FindUnassigned(NodeId dead) const;
   /// @return partitions without owner that are not being recovered.
-  std::vector<PartitionId> FindFree() const;
+  std::vector<PartitionId> FindFreePartitions() const;
   /// @return the number of partitions that `node` owns or is assigned to replay.
   std::size_t CountAssigned(NodeId node) const;
   /// @return the servers that log heads refer to: owners and backups.
--- a/src/coordinator/coordinator_methods.cc
+++ b/src/coordinator/coordinator_methods.cc
@@ -58,7 +58,7 @@
     if (session_.EnsureReady()) {
       (handlers.*handler)(request, counting_reply);
     } else {
-      counting_reply(context_.NotLeader());
+      counting_reply(context_.MakeNotLeaderStatus());
     }
   });
 }
--- a/src/coordinator/coordinator_methods.h
+++ b/src/coordinator/coordinator_methods.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
 /// Registers the coordinator.* peer methods and passes each call to its handler; a member that may
-/// not answer (`LeaderContext::CanAnswer`) refuses it with kNotLeader. Threads: the owner's event
-/// loop only.
+/// not answer (`LeaderContext::CanAnswerRequests`) refuses it with kNotLeader. Threads: the owner's
+/// event loop only.
 
 #include <functional>
 #include <string_view>
--- a/src/coordinator/coordinator_service.cc
+++ b/src/coordinator/coordinator_service.cc
@@ -83,7 +83,7 @@
 
 void CoordinatorService::State::HandleLeadershipChange(bool leads) {
   if (leads) {
-    session.Begin();
+    session.BeginTerm();
   } else {
     session.End();
     RefuseAll();
--- a/src/coordinator/fleet_problems.cc
+++ b/src/coordinator/fleet_problems.cc
@@ -69,9 +69,9 @@
   const auto voters = static_cast<std::uint32_t>(
       std::count_if(snapshot_.members.begin(), snapshot_.members.end(),
                     [](const LogMember& member) { return !member.learner; }));
-  if (voters < snapshot_.options.wanted_coordinators) {
+  if (voters < snapshot_.options.minimum_coordinators) {
     Add("the coordinator group has " + std::to_string(voters) + " of " +
-        std::to_string(snapshot_.options.wanted_coordinators) +
+        std::to_string(snapshot_.options.minimum_coordinators) +
         " voting members; start the missing ones");
   }
   for (const LogMember& member : snapshot_.members) {
@@ -109,9 +109,9 @@
     active_backups += IsActiveStoreBackup(*backup) ? 1 : 0;
     DescribeFreeDisk(*backup);
   }
-  if (active_backups < snapshot_.options.wanted_store_backups) {
+  if (active_backups < snapshot_.options.minimum_store_backups) {
     Add("only " + std::to_string(active_backups) + " of " +
-        std::to_string(snapshot_.options.wanted_store_backups) +
+        std::to_string(snapshot_.options.minimum_store_backups) +
         " store backups are up: spare backups take the missing copies, or new batches have fewer "
         "copies; start or add a store machine");
   }
@@ -142,7 +142,7 @@
 }
 
 void ProblemList::DescribePartitions() {
-  const std::size_t free = snapshot_.state.partitions().FindFree().size();
+  const std::size_t free = snapshot_.state.partitions().FindFreePartitions().size();
   if (free > 0) {
     const bool no_queue_node = snapshot_.state.servers().FindLiveServers(proto::ROLE_QUEUE).empty();
     Add(std::to_string(free) + " partitions have no owner" +
@@ -154,10 +154,11 @@
 void ProblemList::DescribeRecoveries() {
   for (const auto& [dead, recovery] : snapshot_.state.partitions().recoveries()) {
     const proto::Server* server = snapshot_.state.servers().Find(dead);
-    const std::string awaited = snapshot_.recoveries.DescribeAwaited(snapshot_.state, dead);
+    const std::string pending =
+        snapshot_.recovery_manager.DescribePendingWork(snapshot_.state, dead);
     Add("the batches of queue node " +
         (server == nullptr ? dead.ToString() : DescribeServer(*server)) + " are being recovered" +
-        (awaited.empty() ? "" : "; waiting for " + awaited));
+        (pending.empty() ? "" : "; waiting for " + pending));
   }
 }
 
--- a/src/coordinator/fleet_problems.h
+++ b/src/coordinator/fleet_problems.h
@@ -18,7 +18,7 @@
 struct FleetSnapshot {
   const ControlState& state;
   const CoordinatorOptions& options;
-  const RecoveryManager& recoveries;
+  const RecoveryManager& recovery_manager;
   const BackupSweeper& sweeper;
   const std::map<NodeId, NodeLoad>& loads;
   const std::vector<LogMember>& members;
--- a/src/coordinator/heartbeat_handler.cc
+++ b/src/coordinator/heartbeat_handler.cc
@@ -51,9 +51,9 @@
 }
 
 void HeartbeatHandler::Handle(const proto::HeartbeatRequest& request, Reply reply) {
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     CountRefusal(HeartbeatRefusal::kNotLeader);
-    reply(context_.NotLeader());
+    reply(context_.MakeNotLeaderStatus());
     return;
   }
   if (const auto refusal = FindRefusal(request); refusal.has_value()) {
@@ -85,7 +85,7 @@
   if (context_.state.servers().FindLaterIncarnation(*server).valid()) {
     return HeartbeatRefusal::kSuperseded;
   }
-  if (MustHandOver(context_.state, *server, context_.unresponsive)) {
+  if (MustHandOverPartitions(context_.state, *server, context_.unresponsive)) {
     return HeartbeatRefusal::kRetiring;
   }
   return std::nullopt;
@@ -165,7 +165,7 @@
 }
 
 void HeartbeatHandler::Review() {
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     RefuseAll();
     return;
   }
@@ -179,7 +179,7 @@
 
 void HeartbeatHandler::RefuseAll() {
   for (PendingHeartbeat& pending : std::exchange(pending_, {})) {
-    pending.reply(context_.NotLeader());
+    pending.reply(context_.MakeNotLeaderStatus());
   }
 }
 
--- a/src/coordinator/heartbeat_handler.h
+++ b/src/coordinator/heartbeat_handler.h
@@ -24,7 +24,7 @@
   kDead,              ///< The node was declared dead.
   kOtherIncarnation,  ///< The node id belongs to another process.
   kSuperseded,        ///< A later incarnation of the machine is registered.
-  kRetiring,          ///< The node must hand over its partitions (`MustHandOver`).
+  kRetiring,          ///< The node must hand over its partitions (`MustHandOverPartitions`).
 };
 
 /// @return the label value in metrics.
--- a/src/coordinator/leader_session.cc
+++ b/src/coordinator/leader_session.cc
@@ -14,13 +14,14 @@
 }  // namespace
 
 LeaderSession::LeaderSession(LeaderContext& context, CommandProposer& proposer,
-                             LeaderController& leader_controller, std::function<void()> on_begin)
+                             LeaderController& leader_controller,
+                             std::function<void()> on_begin_term)
     : context_(context),
       proposer_(proposer),
       leader_controller_(leader_controller),
-      on_begin_(std::move(on_begin)) {}
+      on_begin_term_(std::move(on_begin_term)) {}
 
-void LeaderSession::Begin() {
+void LeaderSession::BeginTerm() {
   const TimePoint now = context_.environment.Now();
   Log(LogLevel::kInfo, "coordinator_became_leader", {{"term", context_.log.term()}});
   leading_ = true;
@@ -32,22 +33,22 @@
   context_.unresponsive.clear();
   context_.loads.clear();
   proposer_.Reset();
-  leader_controller_.Begin();
-  on_begin_();
+  leader_controller_.BeginTerm();
+  on_begin_term_();
 }
 
 bool LeaderSession::EnsureReady() {
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     return false;
   }
   if (!leading_ || term_ != context_.log.term()) {
-    Begin();
+    BeginTerm();
   }
   return true;
 }
 
 void LeaderSession::RecordTick() {
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     return;
   }
   const TimePoint now = context_.environment.Now();
--- a/src/coordinator/leader_session.h
+++ b/src/coordinator/leader_session.h
@@ -15,16 +15,16 @@
 
 class LeaderSession {
  public:
-  /// @param on_begin called at the end of each `Begin`, on the event loop.
+  /// @param on_begin_term called at the end of each `BeginTerm`, on the event loop.
   LeaderSession(LeaderContext& context, CommandProposer& proposer,
-                LeaderController& leader_controller, std::function<void()> on_begin);
+                LeaderController& leader_controller, std::function<void()> on_begin_term);
 
   /// Starts a term. Call it when this member becomes leader.
-  void Begin();
+  void BeginTerm();
   /// Call it when this member loses leadership.
   void End() { leading_ = false; }
   /// @return whether this member may answer. If it may, but the log has not yet called its
-  /// leadership observer for this term, calls `Begin` first.
+  /// leadership observer for this term, calls `BeginTerm` first.
   bool EnsureReady();
   /// Call it at each tick. Takes a long gap between ticks as a pause of this process, in which it
   /// received no heartbeats.
@@ -34,7 +34,7 @@
   LeaderContext& context_;
   CommandProposer& proposer_;
   LeaderController& leader_controller_;
-  std::function<void()> on_begin_;
+  std::function<void()> on_begin_term_;
   bool leading_ = false;
   std::uint64_t term_ = 0;
   TimePoint last_ready_tick_;  ///< Last tick at which this member could answer.
--- a/src/coordinator/operator_requests.cc
+++ b/src/coordinator/operator_requests.cc
@@ -17,7 +17,7 @@
       remaining.insert(backup->machine());
     }
   }
-  return remaining.size() >= context_.options.fewest_stores;
+  return remaining.size() >= context_.options.minimum_store_machines;
 }
 
 std::vector<NodeId> OperatorRequests::FindStoreNodes(const std::string& machine) const {
@@ -39,7 +39,7 @@
   }
   if (!request.cancel() && !HasEnoughStoresWithout(request.machine())) {
     reply(Status(StatusCode::kConflict,
-                 "fewer than " + std::to_string(context_.options.fewest_stores) +
+                 "fewer than " + std::to_string(context_.options.minimum_store_machines) +
                      " active store machines would remain without \"" + request.machine() +
                      "\"; add one before you retire it"));
     return;
@@ -112,7 +112,7 @@
 FleetSnapshot OperatorRequests::MakeSnapshot(const std::vector<LogMember>& members) const {
   return {context_.state,
           context_.options,
-          leader_controller_.recoveries(),
+          leader_controller_.recovery_manager(),
           leader_controller_.sweeper(),
           context_.loads,
           members,
@@ -132,7 +132,8 @@
   for (const auto& [dead, recovery] : context_.state.partitions().recoveries()) {
     proto::Recovery* entry = response->add_recoveries();
     *entry = recovery;
-    entry->set_waiting_for(leader_controller_.recoveries().DescribeAwaited(context_.state, dead));
+    entry->set_waiting_for(
+        leader_controller_.recovery_manager().DescribePendingWork(context_.state, dead));
   }
   response->set_configuration_version(context_.state.configuration().version().value());
   response->set_in_force_version(context_.state.configuration().in_force_version().value());
--- a/src/coordinator/operator_requests.h
+++ b/src/coordinator/operator_requests.h
@@ -43,7 +43,8 @@
   void FillCoordinators(const std::vector<LogMember>& members,
                         proto::GetFleetStatusResponse* response) const;
   FleetSnapshot MakeSnapshot(const std::vector<LogMember>& members) const;
-  /// @return whether at least `fewest_stores` active store machines would remain without `machine`.
+  /// @return whether at least `minimum_store_machines` active store machines would remain without
+  /// `machine`.
   bool HasEnoughStoresWithout(const std::string& machine) const;
   /// @return node ids of the live queue nodes and backups on `machine`.
   std::vector<NodeId> FindStoreNodes(const std::string& machine) const;
--- a/src/coordinator/transaction_handler.cc
+++ b/src/coordinator/transaction_handler.cc
@@ -22,7 +22,7 @@
                                            TimePoint now) {
   ConfigurationVersion lowest = state.configuration().version();
   for (const proto::Server* gateway : state.servers().FindLiveServers(proto::ROLE_GATEWAY)) {
-    const auto used = leases.LowestVersionInUse(NodeId(gateway->node_id()), now);
+    const auto used = leases.FindLowestVersionInUse(NodeId(gateway->node_id()), now);
     lowest = std::min(lowest, used.value_or(lowest));
   }
   return lowest;
@@ -45,7 +45,7 @@
   std::vector<NodeId> behind;
   for (const proto::Server* gateway : state.servers().FindLiveServers(proto::ROLE_GATEWAY)) {
     const NodeId node(gateway->node_id());
-    const auto used = leases.LowestVersionInUse(node, now);
+    const auto used = leases.FindLowestVersionInUse(node, now);
     if (used.has_value() && *used < state.configuration().version()) {
       behind.push_back(node);
     }
@@ -91,7 +91,7 @@
 }
 
 void TransactionHandler::Review() {
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     RefuseAll();
     return;
   }
@@ -163,7 +163,7 @@
 
 void TransactionHandler::RefuseAll() {
   for (const PendingTransaction& pending : std::exchange(pending_, {})) {
-    pending.reply(context_.NotLeader());
+    pending.reply(context_.MakeNotLeaderStatus());
   }
 }
 
--- a/src/leader/backup_sweep_executor.cc
+++ b/src/leader/backup_sweep_executor.cc
@@ -32,7 +32,7 @@
     return;
   }
   sweeper_.HandleReplicaList(backup, *replicas);
-  if (!context_.CanAnswer()) {
+  if (!context_.CanAnswerRequests()) {
     return;
   }
   for (const NodeId owner : FindLeftoverOwners(*replicas, context_.state)) {
--- a/src/leader/command_proposer.cc
+++ b/src/leader/command_proposer.cc
@@ -48,7 +48,7 @@
   }
   context_.environment.metrics().Increment("coordinator_proposal_failed_total",
                                            {{"reason", StatusCodeName(applied.status().code())}});
-  done(context_.NotLeader());
+  done(context_.MakeNotLeaderStatus());
 }
 
 void CommandProposer::ProposeOnce(const std::string& key, const proto::ControlCommand& command,
--- a/src/leader/coordinator_options.h
+++ b/src/leader/coordinator_options.h
@@ -31,11 +31,11 @@
   /// Interval between sweeps of a backup that is being retired.
   Duration retiring_sweep_interval = seconds(1);
   /// With fewer store backups than this, the fleet is reported as degraded.
-  std::uint32_t wanted_store_backups = 3;
+  std::uint32_t minimum_store_backups = 3;
   /// A store machine can be retired only if at least this many others remain.
-  std::uint32_t fewest_stores = 1;
+  std::uint32_t minimum_store_machines = 1;
   /// With fewer voting members than this, the coordinator group is reported as degraded.
-  std::uint32_t wanted_coordinators = 3;
+  std::uint32_t minimum_coordinators = 3;
   RecoveryOptions recovery;
 };
 
--- a/src/leader/death_declarer.h
+++ b/src/leader/death_declarer.h
@@ -32,7 +32,7 @@
       : context_(context), proposer_(proposer) {}
 
   /// Drops expired leases, updates `LeaderContext::unresponsive`, forgets nodes that are not live
-  /// and proposes to declare dead each node that is due. Requires `context.CanAnswer()`.
+  /// and proposes to declare dead each node that is due. Requires `context.CanAnswerRequests()`.
   void Step();
 
  private:
--- a/src/leader/leader_context.h
+++ b/src/leader/leader_context.h
@@ -38,10 +38,10 @@
   /// @return whether this member may answer requests from its state now: it is the leader, it has
   /// applied every committed command, and no other member can be leader. Check it immediately
   /// before each answer.
-  bool CanAnswer() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
+  bool CanAnswerRequests() const { return log.IsReadyLeader() && log.HasLeaderLease(); }
   /// @return the kNotLeader error with which a member that may not answer refuses a request; its
   /// detail is the leader's "ip:port", or empty if the leader is not known.
-  Status NotLeader() const {
+  Status MakeNotLeaderStatus() const {
     const Endpoint leader = log.leader_endpoint();
     return {StatusCode::kNotLeader, "this coordinator is not the leader",
             leader.valid() ? leader.ToString() : std::string()};
--- a/src/leader/leader_controller.cc
+++ b/src/leader/leader_controller.cc
@@ -11,7 +11,7 @@
       sweep_executor_(context),
       coordinator_notifier_(context) {}
 
-void LeaderController::Begin() {
+void LeaderController::BeginTerm() {
   recovery_executor_.Reset();
   sweep_executor_.Reset();
   arrival_gate_.Reset();
@@ -33,7 +33,7 @@
 
 bool LeaderController::UpdateArrivalGate() {
   const bool partitions_waiting =
-      !context_.state.partitions().FindFree().empty() ||
+      !context_.state.partitions().FindFreePartitions().empty() ||
       recovery_executor_.manager().IsWaitingForQueueNodes(context_.state);
   return arrival_gate_.Update(context_.state, context_.unresponsive, partitions_waiting,
                               context_.environment.Now());
--- a/src/leader/leader_controller.h
+++ b/src/leader/leader_controller.h
@@ -21,13 +21,13 @@
 
   /// Resets the state that is not replicated, and proposes to create the partitions if this group
   /// has none yet. Call it when this member becomes leader.
-  void Begin();
-  /// Runs one step of each task. Requires `context.CanAnswer()`.
+  void BeginTerm();
+  /// Runs one step of each task. Requires `context.CanAnswerRequests()`.
   void Step();
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions() { partition_assigner_.InitializePartitions(); }
 
-  const RecoveryManager& recoveries() const { return recovery_executor_.manager(); }
+  const RecoveryManager& recovery_manager() const { return recovery_executor_.manager(); }
   const BackupSweeper& sweeper() const { return sweep_executor_.sweeper(); }
 
  private:
--- a/src/leader/lease_table.cc
+++ b/src/leader/lease_table.cc
@@ -45,8 +45,8 @@
   return entry == leases_by_node_.end() ? ConfigurationVersion() : entry->second.confirmed;
 }
 
-std::optional<ConfigurationVersion> LeaseTable::LowestVersionInUse(NodeId node,
-                                                                   TimePoint now) const {
+std::optional<ConfigurationVersion> LeaseTable::FindLowestVersionInUse(NodeId node,
+                                                                       TimePoint now) const {
   const auto entry = leases_by_node_.find(node);
   const ConfigurationVersion confirmed = FindConfirmedVersion(node);
   if (node < first_own_node_id_ && now < predecessor_leases_end_) {
--- a/src/leader/lease_table.h
+++ b/src/leader/lease_table.h
@@ -39,7 +39,7 @@
   /// @return the lowest configuration version that `node` may use at `now`; no value if it holds no
   /// lease. While it may hold a lease of a predecessor, whose version is unknown, this is the
   /// newest version that it confirmed, or 0.
-  std::optional<ConfigurationVersion> LowestVersionInUse(NodeId node, TimePoint now) const;
+  std::optional<ConfigurationVersion> FindLowestVersionInUse(NodeId node, TimePoint now) const;
   /// @return the newest version that `node` confirmed; 0 if none is recorded.
   ConfigurationVersion FindConfirmedVersion(NodeId node) const;
   /// Drops the leases that have expired at `now`, and nodes without a lease once the leases of the
--- a/src/leader/partition_assigner.cc
+++ b/src/leader/partition_assigner.cc
@@ -14,8 +14,8 @@
 }
 
 void PartitionAssigner::AssignFreePartitions() {
-  const auto placement = PlacePartitions(context_.state.partitions().FindFree(), context_.state,
-                                         context_.unresponsive);
+  const auto placement = PlacePartitions(context_.state.partitions().FindFreePartitions(),
+                                         context_.state, context_.unresponsive);
   for (const auto& [node, partitions] : placement) {
     proto::ControlCommand command;
     proto::AssignPartitionsCommand& assign = *command.mutable_assign_partitions();
--- a/src/leader/partition_assigner.h
+++ b/src/leader/partition_assigner.h
@@ -17,7 +17,7 @@
   /// Proposes to create the partitions if this group has none yet.
   void InitializePartitions();
   /// Proposes an owner for each partition that has none, if a queue node is live. Requires
-  /// `context.CanAnswer()`.
+  /// `context.CanAnswerRequests()`.
   void AssignFreePartitions();
 
  private:
--- a/src/leader/partition_placement.cc
+++ b/src/leader/partition_placement.cc
@@ -48,8 +48,8 @@
   return placement;
 }
 
-bool MustHandOver(const ControlState& state, const proto::Server& server,
-                  const std::set<NodeId>& unresponsive) {
+bool MustHandOverPartitions(const ControlState& state, const proto::Server& server,
+                            const std::set<NodeId>& unresponsive) {
   const bool retiring =
       server.role() == proto::ROLE_QUEUE && server.state() == proto::SERVER_STATE_RETIRING;
   if (!retiring || state.partitions().CountAssigned(NodeId(server.node_id())) == 0) {
--- a/src/leader/partition_placement.h
+++ b/src/leader/partition_placement.h
@@ -33,7 +33,7 @@
 /// node can take them over. The leader then refuses its heartbeats, so that it registers again as
 /// after a restart: its partitions move to other nodes by the ordinary recovery, without waiting
 /// for its lease to expire.
-bool MustHandOver(const ControlState& state, const proto::Server& server,
-                  const std::set<NodeId>& unresponsive);
+bool MustHandOverPartitions(const ControlState& state, const proto::Server& server,
+                            const std::set<NodeId>& unresponsive);
 
 }  // namespace cloverbank
--- a/src/leader/recovery_executor.cc
+++ b/src/leader/recovery_executor.cc
@@ -52,7 +52,7 @@
 
 void RecoveryExecutor::HandleReplayAnswer(const proto::RecoverPartitionsRequest& request,
                                           const Result<proto::RecoverPartitionsResponse>& answer) {
-  if (!answer.ok() || !answer->done() || !context_.CanAnswer()) {
+  if (!answer.ok() || !answer->done() || !context_.CanAnswerRequests()) {
     return;
   }
   const NodeId dead(request.dead_node_id());
--- a/src/leader/recovery_executor.h
+++ b/src/leader/recovery_executor.h
@@ -18,7 +18,7 @@
   /// Drops all progress. Call it when this member becomes leader.
   void Reset() { manager_.Reset(); }
   /// Executes the actions that are due. The responses to its calls are handled later on the event
-  /// loop. Requires `context.CanAnswer()`.
+  /// loop. Requires `context.CanAnswerRequests()`.
   /// @param may_assign whether partitions may be assigned now, see `ArrivalGate`.
   void Step(bool may_assign);
 
--- a/src/leader/recovery_manager.cc
+++ b/src/leader/recovery_manager.cc
@@ -238,45 +238,46 @@
   });
 }
 
-std::string RecoveryManager::DescribeAwaited(const ControlState& state, NodeId dead) const {
+std::string RecoveryManager::DescribePendingWork(const ControlState& state, NodeId dead) const {
   const auto entry = progress_.find(dead);
   const auto recovery = state.partitions().recoveries().find(dead);
   if (entry == progress_.end() || recovery == state.partitions().recoveries().end()) {
     return {};
   }
   const Progress& progress = entry->second;
-  std::vector<std::string> awaited;
+  std::vector<std::string> pending;
   if (recovery->second.phase() == proto::RECOVERY_PHASE_RELEASING) {
-    DescribeAwaitedBackups(state, progress.release_calls, &awaited);
+    DescribePendingBackupCalls(state, progress.release_calls, &pending);
   } else if (!progress.log.complete()) {
-    awaited = progress.log.missing;
-    DescribeAwaitedBackups(state, progress.reading_calls, &awaited);
+    pending = progress.log.missing;
+    DescribePendingBackupCalls(state, progress.reading_calls, &pending);
   } else {
-    DescribeAwaitedReplays(state, recovery->second, &awaited);
+    DescribePendingReplays(state, recovery->second, &pending);
   }
-  return Join(awaited);
+  return Join(pending);
 }
 
-void RecoveryManager::DescribeAwaitedBackups(const ControlState& state, const BackupCalls& calls,
-                                             std::vector<std::string>* awaited) {
+void RecoveryManager::DescribePendingBackupCalls(const ControlState& state,
+                                                 const BackupCalls& calls,
+                                                 std::vector<std::string>* pending) {
   for (const auto& [backup, call] : calls) {
     const proto::Server* server = state.servers().FindLive(backup, proto::ROLE_BACKUP);
     if (server != nullptr && !call.done) {
-      awaited->push_back("a response from the backup on " + server->machine() +
+      pending->push_back("a response from the backup on " + server->machine() +
                          (call.failure.empty() ? "" : " (" + call.failure + ")"));
     }
   }
 }
 
-void RecoveryManager::DescribeAwaitedReplays(const ControlState& state,
+void RecoveryManager::DescribePendingReplays(const ControlState& state,
                                              const proto::Recovery& recovery,
-                                             std::vector<std::string>* awaited) {
+                                             std::vector<std::string>* pending) {
   if (FindEligibleQueueNodes(state, {}).empty()) {
-    awaited->emplace_back("a queue node to replay the log");
+    pending->emplace_back("a queue node to replay the log");
   }
   for (const proto::RecoveryAssignment& assignment : recovery.assignments()) {
     if (!assignment.done()) {
-      awaited->push_back("node " + std::to_string(assignment.queue_node_id()) + " to replay " +
+      pending->push_back("node " + std::to_string(assignment.queue_node_id()) + " to replay " +
                          std::to_string(assignment.partition_ids_size()) + " partitions");
     }
   }
--- a/src/leader/recovery_manager.h
+++ b/src/leader/recovery_manager.h
@@ -95,7 +95,7 @@
   bool IsWaitingForQueueNodes(const ControlState& state) const;
   /// @return a human-readable description of what the recovery of `dead` waits for; empty if it
   /// waits for nothing or is unknown.
-  std::string DescribeAwaited(const ControlState& state, NodeId dead) const;
+  std::string DescribePendingWork(const ControlState& state, NodeId dead) const;
 
  private:
   /// State of the calls of one kind to one backup.
@@ -147,10 +147,10 @@
   /// Adds the segments of `log` and the endpoints of their backups to `request`.
   static void AddSegments(const ControlState& state, const AssembledLog& log,
                           proto::RecoverPartitionsRequest* request);
-  static void DescribeAwaitedBackups(const ControlState& state, const BackupCalls& calls,
-                                     std::vector<std::string>* awaited);
-  static void DescribeAwaitedReplays(const ControlState& state, const proto::Recovery& recovery,
-                                     std::vector<std::string>* awaited);
+  static void DescribePendingBackupCalls(const ControlState& state, const BackupCalls& calls,
+                                         std::vector<std::string>* pending);
+  static void DescribePendingReplays(const ControlState& state, const proto::Recovery& recovery,
+                                     std::vector<std::string>* pending);
   /// @return number of calls in flight in all recoveries.
   /// @param kind the member of `Progress` with the calls to count.
   std::size_t CountInFlight(BackupCalls Progress::*kind) const;
--- a/src/queue/batch_intake.cc
+++ b/src/queue/batch_intake.cc
@@ -245,7 +245,7 @@
     submission->accepted.set_accepted_at_ms(environment_.WallMilliseconds());
     *entries.emplace_back().mutable_batch_accepted() = submission->accepted;
   }
-  submission->partition->Log(
+  submission->partition->AppendEntries(
       std::move(entries), [weak = weak_from_this(), submission, is_last](const Status& status) {
         if (const auto self = weak.lock()) {
           self->HandleLogged(submission, is_last, status);
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -114,7 +114,7 @@
 std::vector<proto::LogEntry> PartitionOwnership::Watermarks() const {
   std::vector<proto::LogEntry> watermarks;
   for (const auto& [id, partition] : partitions_) {
-    watermarks.push_back(partition->Watermark());
+    watermarks.push_back(partition->MakeWatermark());
   }
   for (proto::LogEntry& watermark : recoveries_.Watermarks()) {
     watermarks.push_back(std::move(watermark));
--- a/src/queue/partition_ownership.h
+++ b/src/queue/partition_ownership.h
@@ -39,8 +39,8 @@
   /// those it no longer assigns, and drops recoveries of partitions that have another owner.
   void ApplyFleetView();
   /// Deactivates all partitions when the incarnation ends, without notifying the observers.
-  /// Nothing is answered from them any more; pending `OwnedPartition::Log` calls fail with
-  /// kUnknownOutcome.
+  /// Nothing is answered from them any more; pending `OwnedPartition::AppendEntries` calls fail
+  /// with kUnknownOutcome.
   void DeactivateAll();
   /// Starts recovery of the requested partitions that this node does not own yet, and replies at
   /// once. Fails with kConflict if the request is for another node id.
--- a/src/queue/queue_node_incarnation.cc
+++ b/src/queue/queue_node_incarnation.cc
@@ -32,8 +32,8 @@
           .on_deactivated =
               [this](PartitionId partition) {
                 dispatcher_->RemovePartition(partition);
-                quota_owner_->Drop(partition);
-                reserver_->Drop(partition);
+                quota_owner_->DropPartition(partition);
+                reserver_->DropPartition(partition);
               }};
 }
 
@@ -111,7 +111,7 @@
   Metrics& metrics = environment_.metrics();
   metrics.SetGauge("queue_open_items", static_cast<double>(open_items));
   metrics.SetGauge("queue_partitions", static_cast<double>(ownership_.partitions().size()));
-  metrics.SetGauge("queue_work_leases", static_cast<double>(dispatcher_->leases()));
+  metrics.SetGauge("queue_work_leases", static_cast<double>(dispatcher_->lease_count()));
   metrics.SetGauge("queue_log_segments", static_cast<double>(log_.live_segments()));
   const bool degraded = log_.degraded();
   metrics.SetGauge("queue_log_degraded", degraded ? 1 : 0);
--- a/src/queue/retention_sweeper.cc
+++ b/src/queue/retention_sweeper.cc
@@ -41,13 +41,13 @@
 
 void RetentionSweeper::RemoveFinished(OwnedPartition& partition, std::int64_t cutoff_ms) {
   std::vector<proto::LogEntry> entries;
-  for (std::string& batch_id : partition.store().FindFinishedBy(cutoff_ms)) {
+  for (std::string& batch_id : partition.store().FindBatchesFinishedBy(cutoff_ms)) {
     if (entries.size() < kMaxRemovedPerSweep) {
       entries.emplace_back().mutable_batch_removed()->set_batch_id(std::move(batch_id));
     }
   }
   if (!entries.empty()) {
-    partition.Log(std::move(entries), [](const Status&) {});
+    partition.AppendEntries(std::move(entries), [](const Status&) {});
   }
 }
 
--- a/src/scheduler/fair_queue.cc
+++ b/src/scheduler/fair_queue.cc
@@ -165,7 +165,7 @@
     tenant.virtual_time = batch.pass;
     Deactivate(id, batch);
     const std::size_t taken =
-        PopRun(id, batch, std::min(limit - picked.size(), kLongestRun), &picked);
+        PopRun(id, batch, std::min(limit - picked.size(), kMaximumRunLength), &picked);
     waiting_count_ -= taken;
     batch.pass += taken * kPassScale;
     const Pass charge = taken * kPassScale / Weight(tenant_name);
--- a/src/scheduler/fair_queue.h
+++ b/src/scheduler/fair_queue.h
@@ -51,7 +51,7 @@
  public:
   /// Maximum of items that a batch gets in succession before the next tenant's turn. They share one
   /// prefix, unless they are returned items.
-  static constexpr std::size_t kLongestRun = 8;
+  static constexpr std::size_t kMaximumRunLength = 8;
 
   /// Sets the tenant's weight, its share relative to others; 0 counts as 1. Other tenants have the
   /// weight 1.
--- a/src/token_quota/token_quota_owner.cc
+++ b/src/token_quota/token_quota_owner.cc
@@ -260,7 +260,7 @@
   ScheduleCount(key, quota);
 }
 
-void TokenQuotaOwner::Drop(PartitionId partition) {
+void TokenQuotaOwner::DropPartition(PartitionId partition) {
   for (auto entry = quotas_.begin(); entry != quotas_.end();) {
     if (entry->second->partition != partition) {
       ++entry;
--- a/src/token_quota/token_quota_owner.h
+++ b/src/token_quota/token_quota_owner.h
@@ -47,7 +47,7 @@
   void Reserve(const proto::ReserveTokensRequest& request, Reply reply);
   /// Removes the quotas of a partition that this node no longer owns. Their waiting requests fail
   /// with kUnavailable.
-  void Drop(PartitionId partition);
+  void DropPartition(PartitionId partition);
 
  private:
   struct QuotaKey {
--- a/src/token_quota/token_reserver.h
+++ b/src/token_quota/token_reserver.h
@@ -48,7 +48,7 @@
   void RecordCount(PartitionId partition, const std::string& tenant, const std::string& route,
                    std::uint64_t open);
   /// Removes the allowances of a partition that this node no longer owns.
-  void Drop(PartitionId partition) { allowances_.Drop(partition); }
+  void DropPartition(PartitionId partition) { allowances_.Drop(partition); }
   /// @return a sequence. All requests with a lower one have completed, except those of
   /// `PendingRequests`.
   std::uint64_t completed_below() const { return next_sequence_; }
--- a/src/work_dispatch/batch_canceller.cc
+++ b/src/work_dispatch/batch_canceller.cc
@@ -47,8 +47,8 @@
   proto::BatchCancelled& cancelled = *entries[0].mutable_batch_cancelled();
   cancelled.set_batch_id(batch_id);
   cancelled.set_cancelled_at_ms(environment_.WallMilliseconds());
-  partition->Log(std::move(entries), [weak = weak_from_this(), partition, batch_id,
-                                      reply](const Status& status) {
+  partition->AppendEntries(std::move(entries), [weak = weak_from_this(), partition, batch_id,
+                                                reply](const Status& status) {
     const auto self = weak.lock();
     const StoredBatch* current = partition->store().Find(batch_id);
     if (!status.ok() || self == nullptr || current == nullptr) {
@@ -103,7 +103,7 @@
   completed.set_batch_id(batch.batch_id);
   completed.set_completed_at_ms(environment_.WallMilliseconds());
   queue_->FindPartition(batch.partition)
-      ->Log(std::move(entries), [weak = weak_from_this(), batch](const Status& status) {
+      ->AppendEntries(std::move(entries), [weak = weak_from_this(), batch](const Status& status) {
         if (const auto self = weak.lock()) {
           self->HandleCompletionLogged(batch, status);
         }
--- a/src/work_dispatch/batch_canceller.h
+++ b/src/work_dispatch/batch_canceller.h
@@ -43,7 +43,7 @@
   /// durable; from then on no item of the batch is granted. If the batch is cancelled already, or
   /// every item has a result, `reply` gets its status at once. Errors: kNotFound if there is no
   /// such batch; kUnknownOutcome if the batch was removed or this object destroyed meanwhile; those
-  /// of `OwnedPartition::Log`.
+  /// of `OwnedPartition::AppendEntries`.
   void Cancel(const std::shared_ptr<OwnedPartition>& partition, const std::string& batch_id,
               const Reply& reply);
   /// Logs the completion of every cancellation that can complete. Call it at each tick.
--- a/src/work_dispatch/work_dispatcher.h
+++ b/src/work_dispatch/work_dispatcher.h
@@ -61,7 +61,7 @@
   void Tick();
 
   /// @return the number of current leases.
-  std::size_t leases() const { return leases_->size(); }
+  std::size_t lease_count() const { return leases_->size(); }
 
  private:
   /// Grants leases without a gateway on the batch's items that were logged as started.
--- a/src/work_dispatch/work_granter.cc
+++ b/src/work_dispatch/work_granter.cc
@@ -136,7 +136,7 @@
   for (const proto::BackendCapacity& capacity : request.capacity()) {
     std::size_t slots = capacity.slots();
     while (slots > 0 && items.size() < kMaxGrantsPerResponse && bytes < kMaxResponseBytes) {
-      const std::size_t limit = std::min(slots, FairQueue::kLongestRun);
+      const std::size_t limit = std::min(slots, FairQueue::kMaximumRunLength);
       const auto picked = queue_->Pick(capacity.backend(), limit);
       if (picked.empty()) {
         break;
@@ -180,7 +180,7 @@
   }
   grants->pending_logs = starts->size();
   for (auto& [id, entries] : *starts) {
-    queue_->FindPartition(id)->Log(
+    queue_->FindPartition(id)->AppendEntries(
         std::move(entries), [weak = weak_from_this(), grants, id = id](const Status& status) {
           if (const auto self = weak.lock()) {
             self->HandleStartsLogged(grants, id, status);
--- a/src/work_dispatch/work_report_handler.cc
+++ b/src/work_dispatch/work_report_handler.cc
@@ -160,7 +160,7 @@
 void WorkReportHandler::LogResults(const PendingReportPtr& pending, PartitionId partition,
                                    std::vector<proto::LogEntry> entries) {
   const std::vector<WorkItemKey> items = FinishedItems(partition, entries);
-  queue_->FindPartition(partition)->Log(
+  queue_->FindPartition(partition)->AppendEntries(
       std::move(entries),
       [weak = weak_from_this(), pending, partition, items](const Status& status) {
         if (const auto self = weak.lock()) {
@@ -264,12 +264,12 @@
   }
   for (auto& [id, entries] : results) {
     const std::vector<WorkItemKey> items = FinishedItems(id, entries);
-    queue_->FindPartition(id)->Log(std::move(entries),
-                                   [weak = weak_from_this(), id = id, items](const Status& status) {
-                                     if (const auto self = weak.lock()) {
-                                       self->HandleUnknownLogged(id, items, status);
-                                     }
-                                   });
+    queue_->FindPartition(id)->AppendEntries(
+        std::move(entries), [weak = weak_from_this(), id = id, items](const Status& status) {
+          if (const auto self = weak.lock()) {
+            self->HandleUnknownLogged(id, items, status);
+          }
+        });
   }
 }
 
--- a/src/work_dispatch/work_report_handler.h
+++ b/src/work_dispatch/work_report_handler.h
@@ -41,7 +41,7 @@
   /// Renews the request's leases and handles its reports. `reply` runs once every result in the
   /// request is logged. Errors: kConflict (`MakeNotOwnerStatus`) if this node does not own the
   /// partition of some report, and then no report is handled; kUnavailable if another result of an
-  /// item is being logged; those of `OwnedPartition::Log`.
+  /// item is being logged; those of `OwnedPartition::AppendEntries`.
   void Report(const proto::ReportWorkRequest& request, Reply reply);
   /// Ends leases that were not renewed. Their items return to the queue, or become unknown if they
   /// are not idempotent or their batch is cancelled. Call it at each tick.
--- a/tests/batches/batch_store_test.cc
+++ b/tests/batches/batch_store_test.cc
@@ -133,8 +133,8 @@
   }
   const auto first = store_.ListBatches("studio", "", 1);
   Apply(writer_.Finished("b0", 0, ""));
-  EXPECT_EQ(store_.FindFinishedBy(50), std::vector<std::string>{"b0"});
-  EXPECT_TRUE(store_.FindFinishedBy(49).empty());
+  EXPECT_EQ(store_.FindBatchesFinishedBy(50), std::vector<std::string>{"b0"});
+  EXPECT_TRUE(store_.FindBatchesFinishedBy(49).empty());
   proto::LogEntry removed = writer_.Next();
   removed.mutable_batch_removed()->set_batch_id("b0");
   Apply(removed);
--- a/tests/control_state/control_state_test.cc
+++ b/tests/control_state/control_state_test.cc
@@ -93,7 +93,7 @@
   EXPECT_EQ(control.Assign(node, {0, 1}), StatusCode::kOk);
   EXPECT_EQ(control.Assign(node, {1, 2}), StatusCode::kConflict);
   control.DeclareDead(node);
-  EXPECT_EQ(control.state.partitions().FindFree().size(), 4U);
+  EXPECT_EQ(control.state.partitions().FindFreePartitions().size(), 4U);
   EXPECT_TRUE(control.state.partitions().recoveries().empty());
   EXPECT_EQ(control.Assign(node, {0}), StatusCode::kFenced);
 }
--- a/tests/coordinator/coordinator_faults_test.cc
+++ b/tests/coordinator/coordinator_faults_test.cc
@@ -206,7 +206,7 @@
   void CheckRecovered() {
     const ControlState& state = *CommittedState();
     EXPECT_TRUE(state.partitions().recoveries().empty());
-    EXPECT_TRUE(state.partitions().FindFree().empty());
+    EXPECT_TRUE(state.partitions().FindFreePartitions().empty());
     EXPECT_EQ(state.configuration().in_force_version(), state.configuration().version());
     for (const auto& [id, partition] : state.partitions().partitions()) {
       EXPECT_NE(state.servers().FindLive(NodeId(partition.owner()), proto::ROLE_QUEUE), nullptr);
--- a/tests/leader/lease_table_test.cc
+++ b/tests/leader/lease_table_test.cc
@@ -18,11 +18,11 @@
 
 TEST_F(LeaseTableTest, AssumesPredecessorLeasesLastOneLease) {
   EXPECT_GE(leases.FindLeaseEnd(kNode), kStart + seconds(3));
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, kStart), ConfigurationVersion(0));
   leases.RecordConfirmation(kNode, ConfigurationVersion(4));
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart), ConfigurationVersion(4));
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, kStart + seconds(4)), std::nullopt);
-  EXPECT_EQ(leases.LowestVersionInUse(kNextId, kStart), std::nullopt)
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, kStart), ConfigurationVersion(4));
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, kStart + seconds(4)), std::nullopt);
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNextId, kStart), std::nullopt)
       << "registered after this leader started";
 }
 
@@ -43,10 +43,10 @@
   for (int second = 1; second <= 5; ++second) {
     leases.RecordGrant(kNode, ConfigurationVersion(2), first + seconds(second));
   }
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(1));
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(4)), ConfigurationVersion(2));
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(1));
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, first + seconds(4)), ConfigurationVersion(2));
   leases.RecordConfirmation(kNode, ConfigurationVersion(2));
-  EXPECT_EQ(leases.LowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(2));
+  EXPECT_EQ(leases.FindLowestVersionInUse(kNode, first + seconds(2)), ConfigurationVersion(2));
 }
 
 }  // namespace
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -101,7 +101,7 @@
   Step(20);
   EXPECT_THAT(replays, IsEmpty());
   EXPECT_THAT(
-      manager.DescribeAwaited(control.state, dead),
+      manager.DescribePendingWork(control.state, dead),
       AllOf(HasSubstr("head segment 1"), HasSubstr("the backup on s1"), HasSubstr("no route")));
   // The backup restarts: it registers with another node id and the same disk.
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 40);
@@ -128,7 +128,7 @@
   control.DeclareDead(first);
   control.DeclareDead(second);
   Step(5);
-  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("a queue node"));
+  EXPECT_THAT(manager.DescribePendingWork(control.state, dead), HasSubstr("a queue node"));
   const NodeId third = control.Register(proto::ROLE_QUEUE, "q3", 9);
   Step(5);
   EXPECT_EQ(CountOwned(third), 4U);
@@ -140,7 +140,7 @@
   Step(8);
   EXPECT_EQ(control.state.partitions().recoveries().at(dead).phase(),
             proto::RECOVERY_PHASE_RELEASING);
-  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("the backup on s2"));
+  EXPECT_THAT(manager.DescribePendingWork(control.state, dead), HasSubstr("the backup on s2"));
   control.DeclareDead(spare);
   Step(2);
   EXPECT_TRUE(IsRecoveryFinished());
