--- a/src/deployment/deployment.cc
+++ b/src/deployment/deployment.cc
@@ -80,7 +80,7 @@
   DeployedMachine machine;
   machine.name = reader.Text("name");
   machine.address = reader.Text("address");
-  if (!IsIpNumber(machine.address)) {
+  if (!IsIpAddress(machine.address)) {
     reader.Problem("address", "an IP number");
   }
   machine.zone = reader.Text("zone");
--- a/src/settings/settings.cc
+++ b/src/settings/settings.cc
@@ -9,20 +9,21 @@
 namespace {
 
 constexpr NumberBounds kPortBounds{1, 65535};
-constexpr NumberBounds kPollBounds{50, 3000};
-constexpr NumberBounds kElectionBounds{50, 10000};
+// Bounds of durations are in milliseconds.
+constexpr NumberBounds kPollIntervalBounds{50, 3000};
+constexpr NumberBounds kElectionTimeoutBounds{50, 10000};
 constexpr NumberBounds kLeaseBounds{500, 10000};
 constexpr NumberBounds kPartitionBounds{1, 4096};
 constexpr NumberBounds kSegmentBounds{64 << 10, 64 << 20};
 constexpr NumberBounds kReplicaCountBounds{1, 7};
-constexpr NumberBounds kLossesBounds{0, 20};
-constexpr NumberBounds kReplaceBounds{0, 3'600'000};
-constexpr NumberBounds kArrivalBounds{50, 10000};
-constexpr NumberBounds kStopBounds{0, 60000};
-constexpr NumberBounds kStalenessBounds{0, 3'600'000};
+constexpr NumberBounds kLossesBorneBounds{0, 20};
+constexpr NumberBounds kReplaceSilentAfterBounds{0, 3'600'000};
+constexpr NumberBounds kArrivalQuietBounds{50, 10000};
+constexpr NumberBounds kStopDurationBounds{0, 60000};
+constexpr NumberBounds kServeWithoutControlBounds{0, 3'600'000};
 constexpr std::uint16_t kDefaultClientPort = 7400;
 constexpr std::uint16_t kDefaultPeerPort = 7401;
-constexpr std::string_view kEndpointExpected = "an IP number and port, such as \"127.0.0.1:7401\"";
+constexpr std::string_view kEndpointExpected = "an IP address and port, such as \"127.0.0.1:7401\"";
 
 void ReadDuration(SettingsReader& reader, std::string_view key, NumberBounds bounds,
                   Duration* value) {
@@ -57,7 +58,7 @@
   }
 }
 
-/// Reads "zone=region" pairs.
+/// Reads the "zone=region" pairs of node.zones.
 void ReadZones(SettingsReader& reader, Settings* settings) {
   constexpr std::string_view kExpected = "a list of \"zone=region\"";
   for (const std::string& pair :
@@ -93,7 +94,7 @@
   constexpr std::string_view kNameExpected = "this machine's name";
   constexpr std::string_view kZoneExpected = "the name of this machine's zone";
   constexpr std::string_view kFolderExpected =
-      "the path of the folder for this process's files (coordinators and backups need one)";
+      "the path of the folder for this process's files (required for coordinators and backups)";
   reader.RequireKey("node.name", kNameExpected);
   reader.RequireKey("node.zone", kZoneExpected);
   settings->machine = reader.Text("node.name", kNameExpected).value_or("");
@@ -102,8 +103,8 @@
   settings->data_folder = reader.Text("node.data_folder", kFolderExpected).value_or("");
   settings->spare_backup = reader.Boolean("node.spare_backup").value_or(false);
   ReadZones(reader, settings);
-  ReadDuration(reader, "node.stop_linger_ms", kStopBounds, &settings->stop_linger);
-  ReadDuration(reader, "node.stop_grace_ms", kStopBounds, &settings->stop_grace);
+  ReadDuration(reader, "node.stop_linger_ms", kStopDurationBounds, &settings->stop_linger);
+  ReadDuration(reader, "node.stop_grace_ms", kStopDurationBounds, &settings->stop_grace);
   if (settings->roles.coordinator || settings->roles.backup) {
     reader.RequireKey("node.data_folder", kFolderExpected);
   }
@@ -113,10 +114,10 @@
 }
 
 void ReadListen(SettingsReader& reader, Settings* settings) {
-  constexpr std::string_view kExpected = "an IP number, such as \"127.0.0.1\"";
+  constexpr std::string_view kExpected = "an IP address, such as \"127.0.0.1\"";
   reader.RequireKey("listen.address", kExpected);
   const std::string address = reader.Text("listen.address", kExpected).value_or("");
-  if (!address.empty() && !IsIpNumber(address)) {
+  if (!address.empty() && !IsIpAddress(address)) {
     reader.Reject("listen.address", '"' + address + '"', kExpected);
   }
   const auto client = reader.Number("listen.client_port", kPortBounds);
@@ -125,7 +126,7 @@
   settings->peer = {address, static_cast<std::uint16_t>(peer.value_or(kDefaultPeerPort))};
   if (settings->client == settings->peer) {
     reader.Reject("listen.peer_port", std::to_string(settings->peer.port),
-                  "another port than listen.client_port");
+                  "a port other than listen.client_port");
   }
 }
 
@@ -162,28 +163,29 @@
       reader.Reject("platform.replica_list", '"' + *text + '"', kEndpointExpected);
     }
   }
-  ReadDuration(reader, "platform.poll_interval_ms", kPollBounds, &settings->poll_interval);
+  ReadDuration(reader, "platform.poll_interval_ms", kPollIntervalBounds, &settings->poll_interval);
   settings->platform_adapter = reader.Boolean("platform.adapter").value_or(false);
   settings->probe_replicas = reader.Boolean("platform.probe_replicas").value_or(true);
   settings->share_list = reader.Boolean("platform.share_list").value_or(false);
 }
 
 void ReadControl(SettingsReader& reader, Settings* settings) {
-  ReadDuration(reader, "control.election_timeout_ms", kElectionBounds, &settings->election_timeout);
+  ReadDuration(reader, "control.election_timeout_ms", kElectionTimeoutBounds,
+               &settings->election_timeout);
   ReadDuration(reader, "control.node_lease_ms", kLeaseBounds, &settings->node_lease);
   ReadDuration(reader, "control.death_after_ms", kLeaseBounds, &settings->death_after);
   if (settings->death_after < settings->node_lease) {
     reader.Reject("control.death_after_ms", "less than control.node_lease_ms",
-                  "at least control.node_lease_ms, so that a dead node's lease has run out");
+                  "at least control.node_lease_ms, so that a dead node's lease has expired");
   }
-  ReadDuration(reader, "control.arrival_quiet_ms", kArrivalBounds, &settings->arrival_quiet);
-  ReadDuration(reader, "control.replace_silent_after_ms", kReplaceBounds,
+  ReadDuration(reader, "control.arrival_quiet_ms", kArrivalQuietBounds, &settings->arrival_quiet);
+  ReadDuration(reader, "control.replace_silent_after_ms", kReplaceSilentAfterBounds,
                &settings->replace_unresponsive_after);
-  if (const auto losses = reader.Number("control.losses_borne", kLossesBounds)) {
+  if (const auto losses = reader.Number("control.losses_borne", kLossesBorneBounds)) {
     settings->losses_borne = static_cast<std::uint32_t>(*losses);
   }
   settings->form_group = reader.Boolean("control.form_group").value_or(true);
-  ReadDuration(reader, "control.serve_without_control_ms", kStalenessBounds,
+  ReadDuration(reader, "control.serve_without_control_ms", kServeWithoutControlBounds,
                &settings->serve_without_control);
   if (const auto count = reader.Number("control.partition_count", kPartitionBounds)) {
     settings->partition_count = static_cast<std::uint32_t>(*count);
--- a/src/settings/settings_reader.cc
+++ b/src/settings/settings_reader.cc
@@ -11,9 +11,11 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kMaximumSuggestionDistance = 4;
+/// A known key is suggested for an unknown one if their edit distance is below this.
+constexpr std::size_t kSuggestionDistanceLimit = 4;
 
-std::string Printed(const toml::node& node) {
+/// @return the value as error texts show it.
+std::string FormatValue(const toml::node& node) {
   std::ostringstream text;
   if (const auto* string = node.as_string()) {
     text << '"' << string->get() << '"';
@@ -33,16 +35,17 @@
   return text.str();
 }
 
+/// @return the Levenshtein distance.
 std::size_t EditDistance(std::string_view left, std::string_view right) {
   std::vector<std::size_t> row(right.size() + 1);
   for (std::size_t column = 0; column <= right.size(); ++column) {
     row[column] = column;
   }
-  for (std::size_t line = 1; line <= left.size(); ++line) {
+  for (std::size_t prefix = 1; prefix <= left.size(); ++prefix) {
     std::size_t diagonal = row[0];
-    row[0] = line;
+    row[0] = prefix;
     for (std::size_t column = 1; column <= right.size(); ++column) {
-      const std::size_t substitution = diagonal + (left[line - 1] == right[column - 1] ? 0 : 1);
+      const std::size_t substitution = diagonal + (left[prefix - 1] == right[column - 1] ? 0 : 1);
       diagonal = row[column];
       row[column] = std::min({row[column] + 1, row[column - 1] + 1, substitution});
     }
@@ -50,6 +53,7 @@
   return row[right.size()];
 }
 
+/// @return the section and the name of a dotted key; the section is empty if there is no dot.
 std::pair<std::string, std::string> SplitKey(std::string_view key) {
   const auto dot = key.find('.');
   if (dot == std::string_view::npos) {
@@ -64,12 +68,13 @@
   std::string file;
   toml::table table;
   bool parsed = true;
-  std::set<std::string> known;
-  std::set<std::string> overridden;
+  std::set<std::string> known;       ///< Keys that the program has read.
+  std::set<std::string> overridden;  ///< Keys set by a flag.
   std::vector<SettingsProblem> problems;
 
   const toml::node* Find(std::string_view key) { return table.at_path(key).node(); }
 
+  /// @return the line of `key` or else of its section; 0 if the file has neither.
   std::uint32_t LineOf(std::string_view key) {
     const toml::node* node = Find(key);
     if (node == nullptr) {
@@ -78,13 +83,14 @@
     return node == nullptr ? 0 : static_cast<std::uint32_t>(node->source().begin.line);
   }
 
-  void Add(std::string_view key, std::string found, std::string_view expected) {
-    const bool by_flag = overridden.contains(std::string(key));
-    problems.push_back({by_flag ? "--set" : file, by_flag ? 0 : LineOf(key), std::string(key),
+  void AddProblem(std::string_view key, std::string found, std::string_view expected) {
+    const bool from_flag = overridden.contains(std::string(key));
+    problems.push_back({from_flag ? "--set" : file, from_flag ? 0 : LineOf(key), std::string(key),
                         std::move(found), std::string(expected)});
   }
 
-  const toml::node* FindKnown(std::string_view key) {
+  /// Records `key` as known and returns its value; nullptr if it is absent.
+  const toml::node* MarkKnownAndFind(std::string_view key) {
     known.emplace(key);
     return Find(key);
   }
@@ -125,41 +131,41 @@
 }
 
 std::optional<std::string> SettingsReader::Text(std::string_view key, std::string_view expected) {
-  const toml::node* node = state_->FindKnown(key);
+  const toml::node* node = state_->MarkKnownAndFind(key);
   if (node == nullptr) {
     return std::nullopt;
   }
   const auto* text = node->as_string();
   if (text == nullptr || text->get().empty()) {
-    state_->Add(key, Printed(*node), expected);
+    state_->AddProblem(key, FormatValue(*node), expected);
     return std::nullopt;
   }
   return text->get();
 }
 
 std::optional<std::int64_t> SettingsReader::Number(std::string_view key, NumberBounds bounds) {
-  const toml::node* node = state_->FindKnown(key);
+  const toml::node* node = state_->MarkKnownAndFind(key);
   if (node == nullptr) {
     return std::nullopt;
   }
   const auto* number = node->as_integer();
   if (number == nullptr || number->get() < bounds.minimum || number->get() > bounds.maximum) {
-    state_->Add(key, Printed(*node),
-                "a whole number from " + std::to_string(bounds.minimum) + " to " +
-                    std::to_string(bounds.maximum));
+    state_->AddProblem(key, FormatValue(*node),
+                       "a whole number from " + std::to_string(bounds.minimum) + " to " +
+                           std::to_string(bounds.maximum));
     return std::nullopt;
   }
   return number->get();
 }
 
 std::optional<bool> SettingsReader::Boolean(std::string_view key) {
-  const toml::node* node = state_->FindKnown(key);
+  const toml::node* node = state_->MarkKnownAndFind(key);
   if (node == nullptr) {
     return std::nullopt;
   }
   const auto* boolean = node->as_boolean();
   if (boolean == nullptr) {
-    state_->Add(key, Printed(*node), "true or false");
+    state_->AddProblem(key, FormatValue(*node), "true or false");
     return std::nullopt;
   }
   return boolean->get();
@@ -167,20 +173,20 @@
 
 std::optional<std::vector<std::string>> SettingsReader::TextList(std::string_view key,
                                                                  std::string_view expected) {
-  const toml::node* node = state_->FindKnown(key);
+  const toml::node* node = state_->MarkKnownAndFind(key);
   if (node == nullptr) {
     return std::nullopt;
   }
   const auto* array = node->as_array();
   if (array == nullptr) {
-    state_->Add(key, Printed(*node), expected);
+    state_->AddProblem(key, FormatValue(*node), expected);
     return std::nullopt;
   }
   std::vector<std::string> values;
   for (const toml::node& element : *array) {
     const auto* text = element.as_string();
     if (text == nullptr) {
-      state_->Add(key, Printed(element), expected);
+      state_->AddProblem(key, FormatValue(element), expected);
       return std::nullopt;
     }
     values.push_back(text->get());
@@ -190,13 +196,13 @@
 
 void SettingsReader::RequireKey(std::string_view key, std::string_view expected) {
   if (state_->parsed && !Has(key)) {
-    state_->Add(key, "nothing", expected);
+    state_->AddProblem(key, "nothing", expected);
   }
 }
 
 void SettingsReader::Reject(std::string_view key, std::string_view found,
                             std::string_view expected) {
-  state_->Add(key, std::string(found), expected);
+  state_->AddProblem(key, std::string(found), expected);
 }
 
 void SettingsReader::RejectUnknownKeys() {
@@ -204,7 +210,7 @@
     const std::string section_name(section.str());
     const auto* table = node.as_table();
     if (table == nullptr) {
-      state_->Add(section_name, Printed(node), "a section in brackets, such as [node]");
+      state_->AddProblem(section_name, FormatValue(node), "a section in brackets, such as [node]");
       continue;
     }
     for (const auto& [name, value] : *table) {
@@ -212,16 +218,16 @@
       if (state_->known.contains(key)) {
         continue;
       }
-      std::string expected = "no such key";
-      std::size_t best = kMaximumSuggestionDistance;
+      std::string expected = "a known key";
+      std::size_t best = kSuggestionDistanceLimit;
       for (const std::string& candidate : state_->known) {
         const std::size_t distance = EditDistance(candidate, key);
         if (distance < best) {
           best = distance;
-          expected = "no such key; did you mean " + candidate + "?";
+          expected = "a known key; did you mean " + candidate + "?";
         }
       }
-      state_->Add(key, "an unknown key", expected);
+      state_->AddProblem(key, "an unknown key", expected);
     }
   }
 }
@@ -230,7 +236,7 @@
 
 const std::vector<SettingsProblem>& SettingsReader::problems() const { return state_->problems; }
 
-bool IsIpNumber(const std::string& text) {
+bool IsIpAddress(const std::string& text) {
   std::array<unsigned char, sizeof(in6_addr)> bytes{};
   return inet_pton(AF_INET, text.c_str(), bytes.data()) == 1 ||
          inet_pton(AF_INET6, text.c_str(), bytes.data()) == 1;
@@ -246,8 +252,8 @@
   std::uint16_t port = 0;
   const auto [end, error] =
       std::from_chars(port_text.data(), port_text.data() + port_text.size(), port);
-  const bool whole = error == std::errc() && end == port_text.data() + port_text.size();
-  if (!whole || port == 0 || !IsIpNumber(host)) {
+  const bool complete = error == std::errc() && end == port_text.data() + port_text.size();
+  if (!complete || port == 0 || !IsIpAddress(host)) {
     return std::nullopt;
   }
   return Endpoint{host, port};
--- a/src/settings/settings_reader.h
+++ b/src/settings/settings_reader.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Reads typed values out of a TOML table, collecting every mistake with its position instead of
-/// stopping at the first. toml++ stays behind this header's implementation file.
+/// Reads typed values from a TOML table. It doesn't stop at the first error but collects every one
+/// with its position. Only the implementation file includes toml++.
 
 #include <cstdint>
 #include <memory>
@@ -24,26 +24,30 @@
 
 class SettingsReader {
  public:
-  /// Parses `toml`; a syntax error becomes the only problem.
+  /// Parses `toml`. After a syntax error, that error is the only problem.
+  /// @param file_name only for error texts.
   SettingsReader(std::string_view toml, std::string file_name);
   ~SettingsReader();
   SettingsReader(const SettingsReader&) = delete;
   SettingsReader& operator=(const SettingsReader&) = delete;
 
-  /// Replaces the value at a dotted key by `value`, read as TOML or else as a plain string.
+  /// Sets the dotted key of `change` to its value. A value that is not valid TOML is taken as a
+  /// plain string.
   void Override(const SettingsOverride& change);
 
-  /// Each returns nothing when the key is absent or wrong; a wrong one is recorded.
+  /// These return nothing if the key is absent or its value is invalid, and record a problem for an
+  /// invalid value. `expected` describes a valid value in the problem.
   std::optional<std::string> Text(std::string_view key, std::string_view expected);
   std::optional<std::int64_t> Number(std::string_view key, NumberBounds bounds);
   std::optional<bool> Boolean(std::string_view key);
   std::optional<std::vector<std::string>> TextList(std::string_view key, std::string_view expected);
 
-  /// Records that a needed key is absent (at the line of its section if there is one).
+  /// Records a problem if the required `key` is absent, at the line of its section if there is one.
   void RequireKey(std::string_view key, std::string_view expected);
-  /// Records that the value present at `key` is not what is expected.
+  /// Records that `key` has the value `found` where `expected` was required.
   void Reject(std::string_view key, std::string_view found, std::string_view expected);
-  /// Records every key that was never asked for, naming the nearest known one.
+  /// Records every key in the file that none of the functions above has read, and suggests the most
+  /// similar known key.
   void RejectUnknownKeys();
 
   bool Has(std::string_view key) const;
@@ -54,9 +58,9 @@
   std::unique_ptr<State> state_;
 };
 
-/// @return the endpoint in "ip:port", or nothing if it is not an IP number and a port.
+/// @return the endpoint in "ip:port", or nothing if `text` is not an IP address and a port.
 std::optional<Endpoint> ParseEndpoint(std::string_view text);
-/// @return whether `text` is an IPv4 or IPv6 number.
-bool IsIpNumber(const std::string& text);
+/// @return whether `text` is an IPv4 or IPv6 address.
+bool IsIpAddress(const std::string& text);
 
 }  // namespace cloverbank
