--- a/tests/settings/configuration_page_test.cc
+++ b/tests/settings/configuration_page_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// docs/CONFIGURATION.md lists exactly the keys that the reader knows.
+/// Checks docs/CONFIGURATION.md against the settings reader: the number of documented keys is the
+/// expected one and the reader knows each of them.
 
 #include <gtest/gtest.h>
 
--- a/tests/settings/settings_test.cc
+++ b/tests/settings/settings_test.cc
@@ -11,7 +11,7 @@
 
 using testing::HasSubstr;
 
-constexpr std::string_view kGood = R"([node]
+constexpr std::string_view kValidSettings = R"([node]
 name = "store-1"
 zone = "a"
 roles = ["queue", "backup"]
@@ -31,13 +31,14 @@
 }
 
 const SettingsProblem* FindKey(const std::vector<SettingsProblem>& problems, std::string_view key) {
-  const auto found = std::find_if(problems.begin(), problems.end(),
-                                  [&](const SettingsProblem& one) { return one.key == key; });
+  const auto found =
+      std::find_if(problems.begin(), problems.end(),
+                   [&](const SettingsProblem& problem) { return problem.key == key; });
   return found == problems.end() ? nullptr : &*found;
 }
 
-TEST(SettingsTest, ReadsAGoodFileWithDefaults) {
-  const auto settings = ParseSettings(kGood, "x.toml", {}, nullptr);
+TEST(SettingsTest, ValidFileGetsDefaultsForAbsentKeys) {
+  const auto settings = ParseSettings(kValidSettings, "x.toml", {}, nullptr);
   ASSERT_TRUE(settings.ok()) << settings.status().ToString();
   EXPECT_TRUE(settings->roles.queue);
   EXPECT_FALSE(settings->roles.gateway);
@@ -46,18 +47,19 @@
   EXPECT_EQ(settings->replicas, 3U);
 }
 
-TEST(SettingsTest, TakesTheLossesThatAPlatformMayAskFor) {
+TEST(SettingsTest, AcceptsLossesBorneUpToTwenty) {
   for (const std::uint32_t losses : {0U, 2U, 20U}) {
     const SettingsOverride flag{"control.losses_borne", std::to_string(losses)};
-    const auto settings = ParseSettings(kGood, "x.toml", {flag}, nullptr);
+    const auto settings = ParseSettings(kValidSettings, "x.toml", {flag}, nullptr);
     ASSERT_TRUE(settings.ok()) << settings.status().ToString();
     EXPECT_EQ(settings->losses_borne, losses);
   }
-  EXPECT_NE(FindKey(ProblemsOf(kGood, {{"control.losses_borne", "21"}}), "control.losses_borne"),
-            nullptr);
+  EXPECT_NE(
+      FindKey(ProblemsOf(kValidSettings, {{"control.losses_borne", "21"}}), "control.losses_borne"),
+      nullptr);
 }
 
-TEST(SettingsTest, NamesEveryMistakeWithItsLine) {
+TEST(SettingsTest, ReportsEveryProblemWithItsLine) {
   const auto problems = ProblemsOf(R"([node]
 name = "store-1"
 zone = 7
@@ -84,13 +86,13 @@
   EXPECT_THAT(FindKey(problems, "log.segment_byte")->expected, HasSubstr("log.segment_bytes"));
 }
 
-TEST(SettingsTest, SyntaxErrorNamesItsLine) {
+TEST(SettingsTest, ReportsTheLineOfASyntaxError) {
   const auto problems = ProblemsOf("[node]\nname = \n");
   ASSERT_EQ(problems.size(), 1U);
   EXPECT_EQ(problems[0].line, 2U);
 }
 
-TEST(SettingsTest, RolesDecideWhichKeysAreNeeded) {
+TEST(SettingsTest, RolesDetermineRequiredKeys) {
   const auto problems = ProblemsOf(R"([node]
 name = "front"
 zone = "a"
@@ -105,26 +107,26 @@
 }
 
 TEST(SettingsTest, FlagsOverrideTheFile) {
-  const auto settings =
-      ParseSettings(kGood, "x.toml", {{"listen.peer_port", "9000"}, {"node.zone", "b"}}, nullptr);
+  const auto settings = ParseSettings(kValidSettings, "x.toml",
+                                      {{"listen.peer_port", "9000"}, {"node.zone", "b"}}, nullptr);
   ASSERT_TRUE(settings.ok()) << settings.status().ToString();
   EXPECT_EQ(settings->peer.port, 9000);
   EXPECT_EQ(settings->zone, "b");
-  const auto problems = ProblemsOf(kGood, {{"log.copies", "many"}});
+  const auto problems = ProblemsOf(kValidSettings, {{"log.copies", "many"}});
   ASSERT_EQ(problems.size(), 1U);
   EXPECT_EQ(problems[0].file, "--set");
 }
 
-TEST(SettingsTest, RefusesCombinationsThatBreakAPromise) {
-  const std::string good(kGood);
-  const auto short_death =
-      ProblemsOf(good + "[control]\nnode_lease_ms = 3000\ndeath_after_ms = 1000\n");
-  EXPECT_NE(FindKey(short_death, "control.death_after_ms"), nullptr);
-  const auto too_few = ProblemsOf(good + "[log]\ncopies = 2\nminimum_copies = 3\n");
-  EXPECT_NE(FindKey(too_few, "log.minimum_copies"), nullptr);
+TEST(SettingsTest, RejectsContradictorySettings) {
+  const std::string valid(kValidSettings);
+  const auto death_before_lease_end =
+      ProblemsOf(valid + "[control]\nnode_lease_ms = 3000\ndeath_after_ms = 1000\n");
+  EXPECT_NE(FindKey(death_before_lease_end, "control.death_after_ms"), nullptr);
+  const auto minimum_above_copies = ProblemsOf(valid + "[log]\ncopies = 2\nminimum_copies = 3\n");
+  EXPECT_NE(FindKey(minimum_above_copies, "log.minimum_copies"), nullptr);
 }
 
-TEST(SettingsTest, MissingFileIsNamed) {
+TEST(SettingsTest, ErrorNamesTheMissingFile) {
   const auto settings = LoadSettings("/nonexistent/x.toml", {}, nullptr);
   ASSERT_FALSE(settings.ok());
   EXPECT_THAT(settings.status().message(), HasSubstr("/nonexistent/x.toml"));
