--- a/src/simulation/event_queue.h
+++ b/src/simulation/event_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The one clock and queue of the simulated world: actions run in order of their time, and those of
-/// one time in the order they were asked for.
+/// Clock and event queue of the simulated world. Actions run in the order of their times, and
+/// actions with the same time in the order in which they were scheduled.
 
 #include <cstdint>
 #include <functional>
@@ -14,14 +14,15 @@
 class EventQueue {
  public:
   TimePoint now() const { return now_; }
-  /// Runs `action` at `at`, or now if `at` has passed; never from within this call.
+  /// Schedules `action` for `at`, or for the current time if `at` has passed. Never runs it within
+  /// this call.
   void Schedule(TimePoint at, std::function<void()> action);
-  /// Runs the next action due at or before `limit`, moving the clock to its time.
-  /// @return false if there is none.
+  /// Advances the clock to the next action that is due at or before `limit` and runs it.
+  /// @return false if there is no such action.
   bool RunNext(TimePoint limit);
-  /// Moves the clock forward to `time`; requires that nothing is due before.
+  /// Moves the clock forward to `time`. No action may be due before that.
   void AdvanceTo(TimePoint time);
-  /// Drops everything waiting without running it.
+  /// Discards all scheduled actions without running them.
   void Clear();
 
  private:
@@ -35,7 +36,7 @@
   /// Not zero, so that a default `TimePoint` lies in the past.
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   std::uint64_t next_sequence_ = 0;
-  std::vector<Event> heap_;  ///< Earliest first, in the order of `RunsLater`.
+  std::vector<Event> heap_;  ///< Heap ordered by `RunsLater`: the earliest event is first.
 };
 
 }  // namespace cloverbank
--- a/src/simulation/simulated_disk.cc
+++ b/src/simulation/simulated_disk.cc
@@ -12,7 +12,7 @@
 
 using Kind = FileOperation::Kind;
 
-/// @return the size of a file of `size` (absent: no file) after `operation`.
+/// @return the size after `operation` of a file that had `size` bytes; absent means no file.
 std::optional<std::uint64_t> SizeAfter(std::optional<std::uint64_t> size,
                                        const FileOperation& operation) {
   const std::uint64_t old_size = size.value_or(0);
@@ -21,7 +21,7 @@
       return old_size + operation.bytes.size();
     case Kind::kWriteAt:
       if (operation.bytes.empty()) {
-        return old_size;  // Like pwrite(2): no byte, no growth.
+        return old_size;  // Like pwrite(2): writing no bytes does not grow the file.
       }
       return std::max<std::uint64_t>(old_size, operation.position + operation.bytes.size());
     case Kind::kReplace:
@@ -36,6 +36,7 @@
   return size;
 }
 
+/// Applies `operation` to the content of a file; an absent content means no file.
 void Apply(const FileOperation& operation, std::optional<std::string>& content) {
   if (operation.kind == Kind::kRemove) {
     content.reset();
@@ -64,6 +65,7 @@
   }
 }
 
+/// Whether a power loss may keep only a prefix of the operation's bytes.
 bool CanTear(Kind kind) { return kind == Kind::kAppend || kind == Kind::kWriteAt; }
 
 }  // namespace
@@ -95,7 +97,7 @@
 Status SimulatedDisk::Sync(const std::string& name, std::uint64_t sequence) {
   const auto found = files_.find(name);
   if (found == files_.end()) {
-    return Status::Ok();  // Removed and synced by a later operation.
+    return Status::Ok();  // A later operation removed the file and is synced.
   }
   File& file = found->second;
   if (fail_syncs_) {
@@ -124,7 +126,7 @@
     return std::nullopt;
   }
   std::optional<std::string> content = found->second.durable;
-  for (const Unsynced& unsynced : found->second.unsynced) {
+  for (const UnsyncedOperation& unsynced : found->second.unsynced) {
     Apply(unsynced.operation, content);
   }
   return content;
@@ -149,21 +151,21 @@
     }
     MakeDurable(file, std::numeric_limits<std::uint64_t>::max());
   }
-  Tidy();
+  ResetToDurable();
 }
 
 void SimulatedDisk::LosePower(SeededRandom& random, bool torn_tails) {
   for (auto& [name, file] : files_) {
     if (torn_tails) {
-      TearUnsynced(file, random);
+      KeepRandomPrefix(file, random);
     }
     file.unsynced.clear();
     file.failed = false;
   }
-  Tidy();
+  ResetToDurable();
 }
 
-void SimulatedDisk::TearUnsynced(File& file, SeededRandom& random) {
+void SimulatedDisk::KeepRandomPrefix(File& file, SeededRandom& random) {
   std::uint64_t kept = random.Below(file.unsynced.size() + 1);
   for (; kept > 0; --kept) {
     Apply(file.unsynced.front().operation, file.durable);
@@ -195,7 +197,7 @@
   return Status::Ok();
 }
 
-void SimulatedDisk::Tidy() {
+void SimulatedDisk::ResetToDurable() {
   used_bytes_ = 0;
   std::erase_if(files_, [](const auto& entry) { return !entry.second.durable.has_value(); });
   for (auto& [name, file] : files_) {
--- a/src/simulation/simulated_environment.cc
+++ b/src/simulation/simulated_environment.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// Wall clock at boot: 2024-01-01T00:00:00Z.
-constexpr std::int64_t kWallMillisecondsAtBoot = 1'704'067'200'000;
+/// Wall clock at simulated time zero: 2024-01-01T00:00:00Z.
+constexpr std::int64_t kWallMillisecondsAtZero = 1'704'067'200'000;
 
 }  // namespace
 
@@ -22,8 +22,8 @@
       random_(seed) {}
 
 std::int64_t SimulatedEnvironment::WallMilliseconds() const {
-  const auto since_boot = queue_.now().time_since_epoch();
-  return kWallMillisecondsAtBoot + std::chrono::floor<milliseconds>(since_boot).count();
+  const auto since_zero = queue_.now().time_since_epoch();
+  return kWallMillisecondsAtZero + std::chrono::floor<milliseconds>(since_zero).count();
 }
 
 TimerId SimulatedEnvironment::ScheduleAfter(Duration delay, std::function<void()> action) {
--- a/src/simulation/simulated_environment.h
+++ b/src/simulation/simulated_environment.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// `Environment` of one simulated process run. After its end every call does nothing.
+/// `Environment` of one simulated process run. After the run has ended, its calls have no effect.
 
 #include <cstdint>
 #include <functional>
--- a/src/simulation/simulated_folder.cc
+++ b/src/simulation/simulated_folder.cc
@@ -78,7 +78,8 @@
   const Duration write_time = random_.Between(Duration::zero(), sync_time);
   times.written = std::max(times.written, queue_.now() + write_time);
   times.synced = std::max(times.synced, queue_.now() + sync_time);
-  // The folder lives as long as the world, like its process; a dead process stops both steps.
+  // `this` stays valid, because the folder lives as long as the world. After the process has ended,
+  // neither step runs.
   queue_.Schedule(times.written, [this, submitted] {
     if (process_->alive()) {
       Write(*submitted);
--- a/src/simulation/simulated_folder.h
+++ b/src/simulation/simulated_folder.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// `DataFolder` over a `SimulatedDisk`. For a process run, an operation reaches the system some
-/// time after it was asked for and is synced some time later; operations on one file keep their
-/// order. A kill drops those that have not reached the system. For checks from outside, operations
-/// last at once.
+/// `DataFolder` on a `SimulatedDisk`. In a process run, an operation is written to the operating
+/// system a random time after it was submitted and synced some time later; operations on one file
+/// keep their order. A kill drops operations that are not written yet. For tests that access the
+/// disk directly, operations are durable at once.
 
 #include <cstdint>
 #include <map>
@@ -22,8 +22,8 @@
 class SimulatedFolder final : public DataFolder {
  public:
   enum class Timing : std::uint8_t {
-    kDelayed,    ///< As a process sees its disk.
-    kImmediate,  ///< As a test handles it.
+    kDelayed,    ///< For a process run.
+    kImmediate,  ///< For a test that accesses the disk directly.
   };
 
   SimulatedFolder(EventQueue& queue, SimulatedDisk& disk, const DiskBehaviour& behaviour,
@@ -41,16 +41,16 @@
   void Remove(const std::string& name, Done done) override;
 
  private:
-  /// When the last operation on a file reaches the system and when it is synced.
+  /// When the last operation on a file is written to the operating system and when it is synced.
   struct FileTimes {
     TimePoint written;
     TimePoint synced;
   };
-  /// An operation between being asked for and being synced.
+  /// An operation that was submitted and is not synced yet.
   struct Submitted {
     std::string name;
     FileOperation operation;
-    std::uint64_t sequence = 0;
+    std::uint64_t sequence = 0;  ///< Set when it is written.
     Status status;
   };
 
--- a/src/simulation/simulated_machine.cc
+++ b/src/simulation/simulated_machine.cc
@@ -7,23 +7,24 @@
 
 namespace cloverbank {
 
-MachineInWorld::MachineInWorld(std::string name, Endpoint endpoint, EventQueue& queue,
-                               SimulatedNetwork& network, const DiskBehaviour& disks,
-                               std::shared_ptr<SimulatedProcess> outside, std::uint64_t seed)
+SimulatedMachineImpl::SimulatedMachineImpl(std::string name, Endpoint endpoint, EventQueue& queue,
+                                           SimulatedNetwork& network, const DiskBehaviour& disks,
+                                           std::shared_ptr<SimulatedProcess> external_process,
+                                           std::uint64_t seed)
     : name_(std::move(name)),
       endpoint_(std::move(endpoint)),
       queue_(queue),
       network_(network),
       disks_(disks),
       random_(seed),
-      outside_folder_(queue, disk_, disks, std::move(outside), SimulatedFolder::Timing::kImmediate,
-                      random_.Next()) {
+      external_folder_(queue, disk_, disks, std::move(external_process),
+                       SimulatedFolder::Timing::kImmediate, random_.Next()) {
   network_.AddEndpoint(endpoint_, [this] { return process_; });
 }
 
-MachineInWorld::~MachineInWorld() { EndProcess(); }
+SimulatedMachineImpl::~SimulatedMachineImpl() { EndProcess(); }
 
-void MachineInWorld::Start() {
+void SimulatedMachineImpl::Start() {
   if (running() || !program_) {
     Log(LogLevel::kError, "simulated_machine_start_failed",
         {{"machine", name_}, {"reason", running() ? "already running" : "no program set"}});
@@ -45,37 +46,37 @@
   });
 }
 
-void MachineInWorld::EndProcess() {
+void SimulatedMachineImpl::EndProcess() {
   const auto process = std::exchange(process_, nullptr);
   if (process) {
     process->End();
   }
 }
 
-void MachineInWorld::Kill() {
+void SimulatedMachineImpl::Kill() {
   if (process_) {
     process_->BreakIncoming();
   }
   EndProcess();
 }
 
-void MachineInWorld::LosePower() {
+void SimulatedMachineImpl::LosePower() {
   EndProcess();
   disk_.LosePower(random_, disks_.torn_tails);
 }
 
-void MachineInWorld::LoseDisk() {
+void SimulatedMachineImpl::LoseDisk() {
   Kill();
   disk_.LoseAll();
 }
 
-void MachineInWorld::Freeze() {
+void SimulatedMachineImpl::Freeze() {
   if (process_) {
     process_->Freeze();
   }
 }
 
-void MachineInWorld::Wake() {
+void SimulatedMachineImpl::Wake() {
   if (!process_) {
     return;
   }
--- a/src/simulation/simulated_machine.h
+++ b/src/simulation/simulated_machine.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A machine of the simulated world: its disk and its process runs, one after another.
+/// Implementation of `SimulatedMachine`: a disk and a sequence of process runs.
 
 #include <cstdint>
 #include <memory>
@@ -17,15 +17,15 @@
 
 namespace cloverbank {
 
-class MachineInWorld final : public SimulatedMachine {
+class SimulatedMachineImpl final : public SimulatedMachine {
  public:
-  /// @param outside the process in whose name tests use the disk.
-  MachineInWorld(std::string name, Endpoint endpoint, EventQueue& queue, SimulatedNetwork& network,
-                 const DiskBehaviour& disks, std::shared_ptr<SimulatedProcess> outside,
-                 std::uint64_t seed);
-  ~MachineInWorld() override;
-  MachineInWorld(const MachineInWorld&) = delete;
-  MachineInWorld& operator=(const MachineInWorld&) = delete;
+  /// @param external_process process on whose behalf tests access the disk.
+  SimulatedMachineImpl(std::string name, Endpoint endpoint, EventQueue& queue,
+                       SimulatedNetwork& network, const DiskBehaviour& disks,
+                       std::shared_ptr<SimulatedProcess> external_process, std::uint64_t seed);
+  ~SimulatedMachineImpl() override;
+  SimulatedMachineImpl(const SimulatedMachineImpl&) = delete;
+  SimulatedMachineImpl& operator=(const SimulatedMachineImpl&) = delete;
 
   const std::string& name() const override { return name_; }
   const Endpoint& endpoint() const override { return endpoint_; }
@@ -38,7 +38,7 @@
   void LoseDisk() override;
   void Freeze() override;
   void Wake() override;
-  DataFolder& disk() override { return outside_folder_; }
+  DataFolder& disk() override { return external_folder_; }
   Status FlipBit(const std::string& file, std::uint64_t byte) override {
     return disk_.FlipBit(file, byte);
   }
@@ -46,7 +46,8 @@
   void FailSyncs(bool fail) override { disk_.FailSyncs(fail); }
 
  private:
-  /// What a run used. Kept until the world ends, since leftovers of its program may refer to it.
+  /// Objects that a process run uses. Kept until the world is destroyed, since remains of the run's
+  /// program may still refer to them.
   struct ProcessRun {
     std::unique_ptr<SimulatedEnvironment> environment;
     std::unique_ptr<SimulatedFolder> folder;
@@ -60,7 +61,7 @@
   const DiskBehaviour& disks_;
   SeededRandom random_;
   SimulatedDisk disk_;
-  SimulatedFolder outside_folder_;
+  SimulatedFolder external_folder_;
   Program program_;
   std::vector<ProcessRun> runs_;
   std::shared_ptr<SimulatedProcess> process_;
--- a/src/simulation/simulated_network.cc
+++ b/src/simulation/simulated_network.cc
@@ -29,7 +29,8 @@
     const auto process = weak_caller.lock();
     if (process) {
       process->Deliver([raw = process.get(), id] {
-        raw->FinishCall(id, {Status(StatusCode::kUnknownOutcome, "no answer in time"), {}});
+        raw->FinishCall(id,
+                        {Status(StatusCode::kUnknownOutcome, "no reply before the deadline"), {}});
       });
     }
   });
@@ -39,21 +40,21 @@
   const auto shared_body = std::make_shared<const std::string>(std::move(body));
   for (int copy = 0; copy < call->copies; ++copy) {
     Transmit({from_host, to.host, shared_body->size()}, behaviour_.request_loss,
-             [this, call, shared_body] { ArriveRequest(call, shared_body); });
+             [this, call, shared_body] { DeliverRequest(call, shared_body); });
   }
 }
 
-TimePoint SimulatedNetwork::PassLink(const Message& message) {
+TimePoint SimulatedNetwork::ReserveLink(const Message& message) {
   const bool within_host = message.from == message.to;
   if (behaviour_.link_bytes_per_second == 0 || within_host) {
     return queue_.now();
   }
   const double seconds_taken =
       static_cast<double>(message.bytes) / static_cast<double>(behaviour_.link_bytes_per_second);
-  TimePoint& free = link_free_[message.from];
-  free = std::max(free, queue_.now()) +
-         std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds_taken));
-  return free;
+  TimePoint& free_at = link_free_at_[message.from];
+  free_at = std::max(free_at, queue_.now()) +
+            std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds_taken));
+  return free_at;
 }
 
 void SimulatedNetwork::Transmit(const Message& message, double loss, std::function<void()> arrive) {
@@ -62,7 +63,7 @@
     return;
   }
   const Duration delay = random_.Between(behaviour_.minimum_delay, behaviour_.maximum_delay);
-  queue_.Schedule(PassLink(message) + delay,
+  queue_.Schedule(ReserveLink(message) + delay,
                   [this, from = message.from, to = message.to, arrive = std::move(arrive)] {
                     if (!IsPartitioned(from, to)) {
                       arrive();
@@ -70,11 +71,11 @@
                   });
 }
 
-void SimulatedNetwork::ArriveRequest(const CallPointer& call, const Body& body) {
+void SimulatedNetwork::DeliverRequest(const CallPointer& call, const Body& body) {
   const auto found = endpoints_.find(call->to);
   const auto callee = found == endpoints_.end() ? nullptr : found->second();
   if (!callee) {
-    SendAnswer(
+    SendCopyReply(
         call,
         {Status(StatusCode::kUnavailable, "connection refused by " + call->to.ToString()), {}});
     return;
@@ -90,19 +91,19 @@
 
 void SimulatedNetwork::Serve(SimulatedProcess& callee, const CallPointer& call, const Body& body,
                              std::uint64_t incoming) {
-  const auto answered = std::make_shared<bool>(false);
+  const auto replied = std::make_shared<bool>(false);
   PeerReplyCallback reply = [this, weak_callee = callee.weak_from_this(), call, incoming,
-                             answered](PeerReply answer) {
+                             replied](PeerReply answer) {
     const auto process = weak_callee.lock();
     if (!process || !process->alive()) {
       return;
     }
-    if (std::exchange(*answered, true)) {
+    if (std::exchange(*replied, true)) {
       Log(LogLevel::kError, "peer_method_answered_twice", {{"method", call->method}});
       std::abort();
     }
     process->RemoveIncoming(incoming);
-    SendAnswer(call, std::move(answer));
+    SendCopyReply(call, std::move(answer));
   };
   const std::shared_ptr<PeerHandler> handler = callee.FindHandler(call->method);
   if (!handler) {
@@ -112,7 +113,7 @@
   (*handler)({*body, call->from_host}, std::move(reply));
 }
 
-void SimulatedNetwork::SendAnswer(const CallPointer& call, PeerReply reply) {
+void SimulatedNetwork::SendCopyReply(const CallPointer& call, PeerReply reply) {
   if (!reply.status.ok()) {
     ++call->failures;
     if (call->failures < call->copies) {
--- a/src/simulation/simulated_network.h
+++ b/src/simulation/simulated_network.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The network of the simulated world: delays, loses, duplicates and cuts peer calls. What a caller
-/// is reported is always true: kUnavailable only if no duplicate of its request reached or can
-/// still reach a running process; a missing reply ends as kUnknownOutcome at the deadline; a
-/// process that is killed breaks its connections (kUnknownOutcome at once), one that loses power
-/// just stops replying.
+/// The network of the simulated world. It delays, loses, duplicates and cuts peer calls. The status
+/// that a caller gets is always correct: kUnavailable only if no copy of its request has reached or
+/// can still reach a running process; kUnknownOutcome at the deadline if there is no reply. A
+/// process that is killed breaks its connections (kUnknownOutcome at once); one that loses power
+/// only stops replying.
 
 #include <cstdint>
 #include <functional>
@@ -24,7 +24,7 @@
 
 class SimulatedNetwork {
  public:
-  /// @return the process that runs behind an endpoint; nullptr if none does.
+  /// @return the process that runs at an endpoint; nullptr if there is none.
   using FindProcess = std::function<std::shared_ptr<SimulatedProcess>()>;
 
   SimulatedNetwork(EventQueue& queue, std::uint64_t seed) : queue_(queue), random_(seed) {}
@@ -34,26 +34,28 @@
   NetworkBehaviour& behaviour() { return behaviour_; }
   void AddEndpoint(const Endpoint& endpoint, FindProcess find);
 
-  /// Cuts are between hosts; calls within a host cross none and are never lost.
+  /// Loses messages between two hosts, in one direction. Calls within a host are never cut or lost.
   void Cut(const std::string& from, const std::string& to) { cuts_.emplace(from, to); }
+  /// Removes all cuts from or to `host`.
   void Heal(const std::string& host);
   void HealAll() { cuts_.clear(); }
 
-  /// Calls `method` at `to` for `caller`, which sits on `from_host`.
+  /// Calls `method` at `to` for `caller`, which runs on `from_host`. `done` runs once in the
+  /// caller's process, with the reply or at `deadline`, unless that process ends first.
   void Call(const std::shared_ptr<SimulatedProcess>& caller, const std::string& from_host,
             const Endpoint& to, std::string_view method, std::string body, Duration deadline,
             PeerReplyCallback done);
 
  private:
-  /// One call under way, shared by the copies of its request.
+  /// One call in progress, shared by the copies of its request.
   struct PendingCall {
     std::weak_ptr<SimulatedProcess> caller;
     std::uint64_t id = 0;
     std::string from_host;
     Endpoint to;
     std::string method;
-    int copies = 1;
-    int failures = 0;
+    int copies = 1;    ///< 2 if the request was duplicated.
+    int failures = 0;  ///< Copies that failed.
   };
   using CallPointer = std::shared_ptr<PendingCall>;
   using Body = std::shared_ptr<const std::string>;
@@ -67,16 +69,18 @@
     std::string to;
     std::size_t bytes = 0;
   };
-  /// Runs `arrive` after a delay unless the message is lost or meets a cut, at its start or its
-  /// end.
+  /// Runs `arrive` after a delay, unless the message is lost or the hosts are cut off when it is
+  /// sent or when it arrives.
   void Transmit(const Message& message, double loss, std::function<void()> arrive);
-  /// @return when the link of the sender has taken the message, and those before it.
-  TimePoint PassLink(const Message& message);
-  void ArriveRequest(const CallPointer& call, const Body& body);
+  /// Occupies the sender's link for the time that the message takes.
+  /// @return when the link has sent the message and all messages before it.
+  TimePoint ReserveLink(const Message& message);
+  void DeliverRequest(const CallPointer& call, const Body& body);
   void Serve(SimulatedProcess& callee, const CallPointer& call, const Body& body,
              std::uint64_t incoming);
-  /// Sends an answer of one copy. A failed copy is no answer while another may yet succeed.
-  void SendAnswer(const CallPointer& call, PeerReply reply);
+  /// Sends the reply to one copy of the request. The failure of a copy is not reported while
+  /// another copy may still succeed.
+  void SendCopyReply(const CallPointer& call, PeerReply reply);
   void SendToCaller(const CallPointer& call, PeerReply reply);
 
   EventQueue& queue_;
@@ -84,7 +88,7 @@
   NetworkBehaviour behaviour_;
   std::map<Endpoint, FindProcess> endpoints_;
   std::set<std::pair<std::string, std::string>> cuts_;
-  std::map<std::string, TimePoint> link_free_;  ///< By host, when its link has sent everything.
+  std::map<std::string, TimePoint> link_free_at_;  ///< When each host's link has sent all messages.
 };
 
 }  // namespace cloverbank
--- a/src/simulation/simulated_process.cc
+++ b/src/simulation/simulated_process.cc
@@ -6,9 +6,9 @@
 
 namespace {
 
-/// Takes the entry `id` out of `table`; empty function if it is not there.
+/// Removes the entry `id` from `table` and returns it; an empty function if there is none.
 template <typename Function>
-Function Take(std::unordered_map<std::uint64_t, Function>& table, std::uint64_t id) {
+Function Extract(std::unordered_map<std::uint64_t, Function>& table, std::uint64_t id) {
   auto node = table.extract(id);
   return node.empty() ? Function() : std::move(node.mapped());
 }
@@ -17,7 +17,7 @@
 
 SimulatedProcess::~SimulatedProcess() {
   alive_ = false;
-  Dismantle();
+  ReleaseProgramAndCallbacks();
 }
 
 void SimulatedProcess::Deliver(std::function<void()> action) {
@@ -25,7 +25,7 @@
     return;
   }
   if (frozen_) {
-    waiting_.push_back(std::move(action));
+    pending_actions_.push_back(std::move(action));
     return;
   }
   const std::shared_ptr<SimulatedProcess> keep = shared_from_this();
@@ -33,25 +33,26 @@
   action();
   --running_callbacks_;
   if (!alive_ && running_callbacks_ == 0) {
-    Dismantle();
+    ReleaseProgramAndCallbacks();
   }
 }
 
 std::deque<std::function<void()>> SimulatedProcess::Wake() {
   frozen_ = false;
-  return std::exchange(waiting_, {});
+  return std::exchange(pending_actions_, {});
 }
 
 void SimulatedProcess::End() {
   alive_ = false;
   if (running_callbacks_ == 0) {
-    Dismantle();
+    ReleaseProgramAndCallbacks();
   }
 }
 
-void SimulatedProcess::Dismantle() {
-  // Moved out first: destructors of what was captured may call back into these tables.
-  const auto waiting = std::exchange(waiting_, {});
+void SimulatedProcess::ReleaseProgramAndCallbacks() {
+  // Moved out before they are destroyed, because destructors of captured objects may access these
+  // members.
+  const auto pending_actions = std::exchange(pending_actions_, {});
   const auto incoming = std::exchange(incoming_, {});
   const auto timers = std::exchange(timers_, {});
   const auto calls = std::exchange(calls_, {});
@@ -69,7 +70,7 @@
 }
 
 void SimulatedProcess::RunTimer(TimerId timer) {
-  const auto action = Take(timers_, timer);
+  const auto action = Extract(timers_, timer);
   if (action) {
     action();
   }
@@ -84,7 +85,7 @@
 }
 
 void SimulatedProcess::FinishCall(std::uint64_t call, PeerReply reply) {
-  const auto done = Take(calls_, call);
+  const auto done = Extract(calls_, call);
   if (done) {
     done(std::move(reply));
   }
@@ -99,7 +100,7 @@
 }
 
 void SimulatedProcess::FinishDiskOperation(std::uint64_t operation, Status status) {
-  const auto done = Take(disk_operations_, operation);
+  const auto done = Extract(disk_operations_, operation);
   if (done) {
     done(std::move(status));
   }
@@ -116,15 +117,15 @@
   return found == handlers_.end() ? nullptr : found->second;
 }
 
-std::uint64_t SimulatedProcess::AddIncoming(std::function<void()> broken) {
+std::uint64_t SimulatedProcess::AddIncoming(std::function<void()> on_broken) {
   const std::uint64_t incoming = next_id_++;
-  incoming_.emplace(incoming, std::move(broken));
+  incoming_.emplace(incoming, std::move(on_broken));
   return incoming;
 }
 
 void SimulatedProcess::BreakIncoming() {
-  for (const auto& [incoming, broken] : std::exchange(incoming_, {})) {
-    broken();
+  for (const auto& [incoming, on_broken] : std::exchange(incoming_, {})) {
+    on_broken();
   }
 }
 
--- a/src/simulation/simulated_process.h
+++ b/src/simulation/simulated_process.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// One run of a process. Every callback its program registers (timers, replies, disk completions,
-/// peer handlers) is owned here and dropped when the run ends; the event queue has only weak
-/// references. So no callback of an ended run is ever called, and nothing it captured outlives it.
+/// One run of a process. It owns every callback that its program registers (timers, replies, disk
+/// completions, peer handlers) and destroys them when the run ends; the event queue holds only weak
+/// references. So no callback of an ended run is ever called, and nothing it captured outlives the
+/// run.
 
 #include <cstdint>
 #include <deque>
@@ -26,23 +27,24 @@
   SimulatedProcess& operator=(const SimulatedProcess&) = delete;
 
   bool alive() const { return alive_; }
-  /// Keeps what the process runs until its end.
+  /// Keeps the program that the process runs until the run ends.
   void SetProgram(std::shared_ptr<void> program) { program_ = std::move(program); }
 
-  /// Runs `action` as this process: now, after `Wake` if it is frozen, never if it is dead.
+  /// Runs `action` in this process: now, or after `Wake` if it is frozen, or never if it has ended.
   void Deliver(std::function<void()> action);
   void Freeze() { frozen_ = true; }
-  /// @return what became due while frozen, in order; the caller delivers it.
+  /// @return the actions that became due while frozen, in order; the caller delivers them.
   std::deque<std::function<void()>> Wake();
-  /// Ends the run. The program is destroyed at once, or when its running callback returns.
+  /// Ends the run and destroys the program: at once, or when its running callback returns.
   void End();
 
   TimerId AddTimer(std::function<void()> action);
   void CancelTimer(TimerId timer) { timers_.erase(timer); }
   void RunTimer(TimerId timer);
 
+  /// @return the id of the call for `FinishCall`.
   std::uint64_t AddCall(PeerReplyCallback done);
-  /// Runs the callback of a call unless it has run; later answers are ignored.
+  /// Runs the callback of a call; ignored if it has run already.
   void FinishCall(std::uint64_t call, PeerReply reply);
 
   std::uint64_t AddDiskOperation(DataFolder::Done done);
@@ -52,23 +54,24 @@
   /// @return nullptr if the method is not served.
   std::shared_ptr<PeerHandler> FindHandler(std::string_view method) const;
 
-  /// Records a request that was received and is not answered; `broken` runs if the process is
-  /// killed first.
-  std::uint64_t AddIncoming(std::function<void()> broken);
+  /// Records a received request that has no reply yet. `on_broken` runs if the process is killed
+  /// before it replies.
+  std::uint64_t AddIncoming(std::function<void()> on_broken);
   void RemoveIncoming(std::uint64_t incoming) { incoming_.erase(incoming); }
-  /// Breaks the connections of all unanswered requests, as the system does when a process dies.
+  /// Breaks the connections of all requests without a reply, as the operating system does when a
+  /// process is killed.
   void BreakIncoming();
 
  private:
-  /// Destroys the program and every kept callback.
-  void Dismantle();
+  /// Destroys the program and all callbacks.
+  void ReleaseProgramAndCallbacks();
 
   bool alive_ = true;
   bool frozen_ = false;
   int running_callbacks_ = 0;
   std::uint64_t next_id_ = 1;
   std::shared_ptr<void> program_;
-  std::deque<std::function<void()>> waiting_;  ///< Due while frozen.
+  std::deque<std::function<void()>> pending_actions_;  ///< Became due while frozen.
   std::unordered_map<TimerId, std::function<void()>> timers_;
   std::unordered_map<std::uint64_t, PeerReplyCallback> calls_;
   std::unordered_map<std::uint64_t, DataFolder::Done> disk_operations_;
--- a/src/simulation/simulated_world.cc
+++ b/src/simulation/simulated_world.cc
@@ -17,8 +17,8 @@
 namespace {
 
 constexpr std::uint16_t kPeerPort = 7401;
-/// Caller's address of calls from outside any machine.
-constexpr const char* kOutsideHost = "127.0.0.1";
+/// Caller's address in calls from outside any machine.
+constexpr const char* kExternalHost = "127.0.0.1";
 
 }  // namespace
 
@@ -27,7 +27,7 @@
       : seeds(seed),
         random(seeds.Next()),
         network(queue, seeds.Next()),
-        outside(std::make_shared<SimulatedProcess>()) {}
+        external_process(std::make_shared<SimulatedProcess>()) {}
 
   const std::string& HostOf(std::string_view name) { return Find(name).endpoint().host; }
   SimulatedMachine& Find(std::string_view name) {
@@ -40,22 +40,24 @@
   }
 
   EventQueue queue;
-  SeededRandom seeds;   ///< Gives every part a stream of its own.
-  SeededRandom random;  ///< The test's stream.
+  SeededRandom seeds;   ///< Gives each component the seed of its own random numbers.
+  SeededRandom random;  ///< For the test (`SimulatedWorld::Random`).
   SimulatedNetwork network;
   DiskBehaviour disks;
-  std::shared_ptr<SimulatedProcess> outside;
-  std::map<std::string, std::unique_ptr<MachineInWorld>, std::less<>> machines;
+  /// Makes the calls and disk accesses of tests.
+  std::shared_ptr<SimulatedProcess> external_process;
+  std::map<std::string, std::unique_ptr<SimulatedMachineImpl>, std::less<>> machines;
 };
 
 SimulatedWorld::SimulatedWorld(std::uint64_t seed) : state_(std::make_unique<State>(seed)) {}
 
 SimulatedWorld::~SimulatedWorld() {
-  // Programs end first, while everything they refer to is there; then what was waiting is dropped.
+  // Programs end first, while everything that they refer to still exists. Then scheduled events are
+  // discarded.
   for (const auto& [name, machine] : state_->machines) {
     machine->Kill();
   }
-  state_->outside->End();
+  state_->external_process->End();
   state_->queue.Clear();
 }
 
@@ -77,9 +79,9 @@
     Log(LogLevel::kError, "simulated_machine_added_twice", {{"machine", name}});
     std::abort();
   }
-  slot = std::make_unique<MachineInWorld>(name, Endpoint{host, kPeerPort}, state_->queue,
-                                          state_->network, state_->disks, state_->outside,
-                                          state_->seeds.Next());
+  slot = std::make_unique<SimulatedMachineImpl>(name, Endpoint{host, kPeerPort}, state_->queue,
+                                                state_->network, state_->disks,
+                                                state_->external_process, state_->seeds.Next());
   return *slot;
 }
 
@@ -109,8 +111,8 @@
 
 void SimulatedWorld::CallPeer(const Endpoint& to, std::string_view method, std::string body,
                               Duration deadline, PeerReplyCallback done) {
-  state_->network.Call(state_->outside, kOutsideHost, to, method, std::move(body), deadline,
-                       std::move(done));
+  state_->network.Call(state_->external_process, kExternalHost, to, method, std::move(body),
+                       deadline, std::move(done));
 }
 
 void SimulatedWorld::RunFor(Duration time) {
--- a/src/simulation/simulated_world.h
+++ b/src/simulation/simulated_world.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// A deterministic world for the services: machines with a disk and one process each, a network
-/// that delays, loses, duplicates and cuts, and one seeded queue of events. The same seed always
-/// gives the same run, so a failing seed can be replayed. Nothing here reads the real clock.
+/// A deterministic simulation for the services: machines with a disk and one process each, a
+/// network that delays, loses, duplicates and cuts messages, and one seeded event queue. The same
+/// seed always gives the same run, so a failing seed can be replayed. Nothing here reads the real
+/// clock.
 
 #include <cstdint>
 #include <functional>
@@ -15,18 +16,19 @@
 
 namespace cloverbank {
 
-/// How the network treats messages. Every request and every reply is drawn independently.
+/// How the network treats messages. The probabilities apply to each request and each reply
+/// independently.
 struct NetworkBehaviour {
   Duration minimum_delay = milliseconds(1);
   Duration maximum_delay = milliseconds(5);
   double request_loss = 0;         ///< Probability that a request never arrives.
-  double reply_loss = 0;           ///< Probability that an answer never arrives.
-  double request_duplication = 0;  ///< Probability that a request is carried out twice.
-  /// What a machine's link sends in a second; messages wait for those before them. 0: no bound.
+  double reply_loss = 0;           ///< Probability that a reply never arrives.
+  double request_duplication = 0;  ///< Probability that a request is delivered twice.
+  /// Rate of each machine's outgoing link; messages wait for those sent before them. 0: unlimited.
   std::uint64_t link_bytes_per_second = 0;
 };
 
-/// How disks behave when they are not being lost.
+/// How long syncs take, and what a power loss does to unsynced bytes.
 struct DiskBehaviour {
   Duration minimum_sync = milliseconds(1);
   Duration maximum_sync = milliseconds(8);
@@ -39,7 +41,8 @@
 /// A machine: an address, a disk, and at most one running process.
 class SimulatedMachine {
  public:
-  /// Builds everything the process runs; the returned object is destroyed when the process ends.
+  /// Creates the objects that the process runs. The returned object is destroyed when the process
+  /// ends.
   using Program = std::function<std::shared_ptr<void>(Environment&, DataFolder&)>;
 
   virtual ~SimulatedMachine() = default;
@@ -50,25 +53,27 @@
   virtual void SetProgram(Program program) = 0;
   /// Starts a new process run. Requires that none is running.
   virtual void Start() = 0;
-  /// kill -9: the process ends at once; bytes passed to the system stay.
+  /// Like kill -9: the process ends at once; bytes written to the operating system stay.
   virtual void Kill() = 0;
-  /// Power loss: like Kill, and unsynced bytes are dropped (or torn).
+  /// Power loss: the process ends, and unsynced bytes are dropped, or torn with
+  /// `DiskBehaviour::torn_tails`. Connections are not broken: callers wait until their deadline.
   virtual void LosePower() = 0;
-  /// Kill, and the disk comes back empty.
+  /// Like `Kill`, and all files are lost.
   virtual void LoseDisk() = 0;
-  /// SIGSTOP: timers and messages wait; those due meanwhile run at once after `Wake`, in order, as
-  /// real sockets and timers would deliver them. Callers' deadlines run on.
+  /// Like SIGSTOP: timers and messages that become due meanwhile run at once after `Wake`, in
+  /// order, as real timers and sockets would deliver them. Deadlines of callers keep running.
   virtual void Freeze() = 0;
+  /// Like SIGCONT.
   virtual void Wake() = 0;
-  /// The disk, for checks and for planting damage.
+  /// The disk, for a test to check or damage its files. Operations complete at once.
   virtual DataFolder& disk() = 0;
   /// Flips one bit of a stored file. @return kNotFound if there is no such file or byte.
   virtual Status FlipBit(const std::string& file, std::uint64_t byte) = 0;
   /// From now on writes that would make the disk hold more than `bytes` fail with
   /// kResourceExhausted.
   virtual void SetDiskLimit(std::uint64_t bytes) = 0;
-  /// While `fail` is set every sync fails with kIoError. A file whose sync failed takes no more
-  /// writes in this process run, and the bytes concerned are lost in the next.
+  /// While `fail` is set, every sync fails with kIoError. A file whose sync failed accepts no more
+  /// writes in this process run, and its unsynced bytes are lost in the next run.
   virtual void FailSyncs(bool fail) = 0;
 };
 
@@ -80,7 +85,7 @@
   SimulatedWorld& operator=(const SimulatedWorld&) = delete;
 
   TimePoint Now() const;
-  /// The world's own random numbers, for schedules of faults (same seed, same numbers).
+  /// Random numbers for fault schedules; the same seed gives the same numbers.
   std::uint64_t Random();
   /// @return a number in [0, bound).
   std::uint64_t RandomBelow(std::uint64_t bound);
@@ -88,25 +93,27 @@
   NetworkBehaviour& network();
   DiskBehaviour& disks();
 
-  /// Adds a machine with peer port 7401. It stays until the world ends.
+  /// Adds a machine with peer port 7401, which exists as long as the world. The name must be new.
   SimulatedMachine& AddMachine(const std::string& name, const std::string& host);
   SimulatedMachine& machine(std::string_view name);
 
-  /// Cuts messages from `from` to `to` (one way). Requests or answers that cross it are lost.
+  /// Loses all requests and replies from machine `from` to machine `to`, in this direction only.
   void Cut(std::string_view from, std::string_view to);
-  /// Cuts both ways between `name` and every other machine.
+  /// Cuts `name` off from every other machine, in both directions.
   void Isolate(std::string_view name);
-  /// Mends every cut.
+  /// Removes every cut.
   void HealAll();
-  /// Mends every cut from or to `name`.
+  /// Removes every cut from or to `name`.
   void Heal(std::string_view name);
 
-  /// Runs `action` at a time from now, outside any process (for fault schedules and clients).
+  /// Runs `action` after `delay`, outside any process, for fault schedules and clients.
   void ScheduleAfter(Duration delay, std::function<void()> action);
-  /// Makes a peer call from outside any machine (never cut), e.g. as a test's client.
+  /// Makes a peer call from outside any machine, e.g. as a client in a test. `Cut` and `Isolate`
+  /// don't affect it.
   void CallPeer(const Endpoint& to, std::string_view method, std::string body, Duration deadline,
                 PeerReplyCallback done);
 
+  /// Runs all events of the next `time`.
   void RunFor(Duration time);
   /// Runs until `condition` holds or `limit` has passed. @return whether it held.
   bool RunUntil(const std::function<bool()>& condition, Duration limit);
