--- a/tests/simulation/configuration_in_force_test.cc
+++ b/tests/simulation/configuration_in_force_test.cc
@@ -1,4 +1,5 @@
-// What was acknowledged is in force at every gateway in touch, while coordinators are lost.
+// Checks that every gateway that serves calls holds each acknowledged configuration within a time
+// limit, also while coordinators fail and are replaced.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -12,19 +13,20 @@
 
 constexpr std::uint64_t kDefaultSeeds = 2;
 constexpr int kRounds = 6;
-/// A leader's silence is noticed, another is elected, and leases that it does not know run out.
-constexpr Duration kLongestWait = seconds(5);
+/// Limit for the acknowledgement of a transaction: time to detect that the leader has failed, to
+/// elect another one and to wait until node leases that the new leader does not know have expired.
+constexpr Duration kMaximumAcknowledgementTime = seconds(5);
 
-/// The place of a lost voter is taken.
-constexpr Duration kLongestRepair = seconds(6);
+/// Limit for the replacement of a lost voter.
+constexpr Duration kMaximumReplacementTime = seconds(6);
 
-void ExpectComplete(const ConfigurationWorld& fleet) {
+void ExpectNoFailures(const ConfigurationWorld& fleet) {
   EXPECT_TRUE(fleet.failures.empty())
       << fleet.failures.size() << " failures, the first: " << fleet.failures.front();
-  EXPECT_LE(fleet.longest_wait, kLongestWait);
+  EXPECT_LE(fleet.longest_wait, kMaximumAcknowledgementTime);
 }
 
-TEST(ConfigurationInForce, WhileAFrozenLeadersPlaceIsTaken) {
+TEST(ConfigurationInForce, HoldsWhenFrozenLeaderIsReplaced) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     ConfigurationWorldOptions options;
@@ -32,31 +34,32 @@
     options.document_bytes = 160'000;
     ConfigurationWorld fleet(options);
     ASSERT_TRUE(fleet.RunUntilFormed(seconds(20)));
-    fleet.RunFor(seconds(30));  // The log grows.
+    fleet.RunFor(seconds(30));  // Lets the Raft log grow.
     for (int round = 0; round < 2; ++round) {
       const std::string leader = fleet.Leader();
-      ASSERT_FALSE(leader.empty()) << "nobody leads in round " << round;
+      ASSERT_FALSE(leader.empty()) << "no leader in round " << round;
       fleet.world().machine(leader).Freeze();
       fleet.RunFor(seconds(6));
       fleet.world().machine(leader).Wake();
       fleet.RunFor(seconds(6));
     }
-    ExpectComplete(fleet);
+    ExpectNoFailures(fleet);
   }
 }
 
-class LossesSchedule {
+/// In each round, injects random faults into the leader and into another voter, and repairs them.
+class CoordinatorFaultSchedule {
  public:
-  explicit LossesSchedule(ConfigurationWorld& fleet) : fleet_(fleet) {}
+  explicit CoordinatorFaultSchedule(ConfigurationWorld& fleet) : fleet_(fleet) {}
 
-  void Round() {
-    ASSERT_TRUE(fleet_.RunUntilFormed(kLongestRepair));
+  void RunRound() {
+    ASSERT_TRUE(fleet_.RunUntilFormed(kMaximumReplacementTime));
     const std::vector<std::string> voters = fleet_.Voters();
     const std::string leader = fleet_.Leader();
     const std::string& other = voters[fleet_.world().RandomBelow(voters.size())];
-    Strike(leader);
+    InjectFault(leader);
     if (other != leader) {
-      Strike(other);
+      InjectFault(other);
     }
     fleet_.RunFor(seconds(4 + static_cast<int>(fleet_.world().RandomBelow(4))));
     for (const std::string& name : down_) {
@@ -74,7 +77,7 @@
   }
 
  private:
-  void Strike(const std::string& name) {
+  void InjectFault(const std::string& name) {
     SimulatedMachine& machine = fleet_.world().machine(name);
     switch (fleet_.world().RandomBelow(5)) {
       case 0:
@@ -100,23 +103,23 @@
   }
 
   ConfigurationWorld& fleet_;
-  std::vector<std::string> down_;
+  std::vector<std::string> down_;  ///< Stopped or isolated.
   std::vector<std::string> frozen_;
 };
 
-TEST(ConfigurationInForce, WhileTwoCoordinatorsAreLostRepeatedly) {
+TEST(ConfigurationInForce, HoldsWhenTwoCoordinatorsAreLostRepeatedly) {
   for (const std::uint64_t seed : TestSeeds(kDefaultSeeds)) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     ConfigurationWorldOptions options;
     options.seed = seed;
     ConfigurationWorld fleet(options);
     ASSERT_TRUE(fleet.RunUntilFormed(seconds(20)));
-    LossesSchedule schedule(fleet);
+    CoordinatorFaultSchedule schedule(fleet);
     for (int round = 0; round < kRounds; ++round) {
-      schedule.Round();
+      schedule.RunRound();
     }
     fleet.RunFor(seconds(5));
-    ExpectComplete(fleet);
+    ExpectNoFailures(fleet);
     EXPECT_GE(fleet.acknowledgements, 40U);
   }
 }
--- a/tests/simulation/configuration_world.cc
+++ b/tests/simulation/configuration_world.cc
@@ -10,9 +10,9 @@
 
 constexpr Duration kElectionTimeout = milliseconds(200);
 constexpr Duration kNodeLease = seconds(2);
-/// Silence after which the operator sends the same order again.
-constexpr Duration kOrderPatience = seconds(1);
-constexpr Duration kOrderRetry = milliseconds(100);
+/// Time without a response after which the operator submits the same transaction again.
+constexpr Duration kSubmissionTimeout = seconds(1);
+constexpr Duration kSubmissionRetryDelay = milliseconds(100);
 constexpr std::uint32_t kPartitions = 4;
 
 }  // namespace
@@ -124,7 +124,7 @@
   }
   const RaftCore& core = FindCoordinator(leader)->log.core();
   if (core.log().configuration_index() > core.commit_index()) {
-    return voters;  // Others may not know it yet.
+    return voters;  // Not committed: other members may not have it yet.
   }
   for (const LogMember& member : FindCoordinator(leader)->log.members()) {
     for (const std::string& name : coordinators_) {
@@ -148,14 +148,14 @@
 
 void ConfigurationWorld::ScheduleChange() {
   world_.ScheduleAfter(options_.change_interval, [this] {
-    if (!ordering_) {
-      SendOrder();
+    if (!submitting_) {
+      SubmitTransaction();
     }
     ScheduleChange();
   });
 }
 
-proto::ConfigurationTransaction ConfigurationWorld::MakeOrder(std::uint64_t label) const {
+proto::ConfigurationTransaction ConfigurationWorld::MakeTransaction(std::uint64_t label) const {
   proto::ConfigurationTransaction transaction;
   transaction.set_operation_id("order-" + std::to_string(label));
   transaction.set_label(label);
@@ -176,48 +176,49 @@
   return transaction;
 }
 
-void ConfigurationWorld::SendOrder() {
-  ordering_ = true;
+void ConfigurationWorld::SubmitTransaction() {
+  submitting_ = true;
   const std::uint64_t label = next_label_++;
-  proto::SubmitTransactionRequest order;
-  *order.mutable_transaction() = MakeOrder(label);
-  AttemptOrder(order.SerializeAsString(), label, world_.Now());
+  proto::SubmitTransactionRequest request;
+  *request.mutable_transaction() = MakeTransaction(label);
+  AttemptSubmission(request.SerializeAsString(), label, world_.Now());
 }
 
-void ConfigurationWorld::AttemptOrder(const std::string& order, std::uint64_t label,
-                                      TimePoint begun) {
+void ConfigurationWorld::AttemptSubmission(const std::string& request, std::uint64_t label,
+                                           TimePoint submitted_at) {
   const std::string leader = Leader();
   const std::string& to = leader.empty() ? coordinators_.front() : leader;
-  world_.CallPeer(world_.machine(to).endpoint(), "coordinator.SubmitTransaction", order,
-                  kOrderPatience, [this, order, label, begun](const PeerReply& reply) {
+  world_.CallPeer(world_.machine(to).endpoint(), "coordinator.SubmitTransaction", request,
+                  kSubmissionTimeout, [this, request, label, submitted_at](const PeerReply& reply) {
                     proto::SubmitTransactionResponse response;
-                    const bool read = reply.status.ok() && response.ParseFromString(reply.body);
-                    if (!read) {
-                      world_.ScheduleAfter(kOrderRetry, [this, order, label, begun] {
-                        AttemptOrder(order, label, begun);
-                      });
+                    const bool parsed = reply.status.ok() && response.ParseFromString(reply.body);
+                    if (!parsed) {
+                      world_.ScheduleAfter(kSubmissionRetryDelay,
+                                           [this, request, label, submitted_at] {
+                                             AttemptSubmission(request, label, submitted_at);
+                                           });
                     } else if (response.result().outcome() == proto::TRANSACTION_OUTCOME_APPLIED) {
-                      TakeAcknowledgement(label, begun);
+                      RecordAcknowledgement(label, submitted_at);
                     } else {
-                      failures.push_back("order " + std::to_string(label) + " is refused");
+                      failures.push_back("transaction " + std::to_string(label) + " was refused");
                     }
                   });
 }
 
-void ConfigurationWorld::TakeAcknowledgement(std::uint64_t label, TimePoint begun) {
-  ordering_ = false;
+void ConfigurationWorld::RecordAcknowledgement(std::uint64_t label, TimePoint submitted_at) {
+  submitting_ = false;
   acknowledged = label;
   ++acknowledgements;
-  longest_wait = std::max<Duration>(longest_wait, world_.Now() - begun);
+  longest_wait = std::max<Duration>(longest_wait, world_.Now() - submitted_at);
   world_.ScheduleAfter(options_.in_force_within, [this, label] { CheckInForce(label); });
 }
 
 void ConfigurationWorld::CheckInForce(std::uint64_t label) {
   for (const Gateway& gateway : gateways_) {
     const std::uint64_t held = gateway.agent->configuration().label();
-    const bool serves = held != 0;  // Without any configuration it lets callers wait.
+    const bool serves = held != 0;  // Without a configuration, a gateway keeps callers waiting.
     if (serves && held < label) {
-      failures.push_back(gateway.name + " holds " + std::to_string(held) + " where " +
+      failures.push_back(gateway.name + " holds " + std::to_string(held) + " although " +
                          std::to_string(label) + " was acknowledged");
     }
   }
--- a/tests/simulation/configuration_world.h
+++ b/tests/simulation/configuration_world.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Coordinators with their consensus, and gateways, on links of a bounded rate, under an operator
-/// who changes the configuration all the time.
+/// Simulated coordinators with their Raft group, and gateways, on links of limited rate. A
+/// simulated operator changes the configuration continuously.
 
 #include <map>
 #include <memory>
@@ -25,12 +25,13 @@
   std::size_t routes = 150;
   std::size_t document_bytes = 40'000;
   Duration change_interval = milliseconds(300);
-  /// After its acknowledgement a version must be held by every gateway.
+  /// Time after the acknowledgement of a version within which every gateway that serves calls must
+  /// hold this version or a later one.
   Duration in_force_within = milliseconds(2500);
   std::uint64_t link_bytes_per_second = 12'500'000;
 };
 
-/// One life of a coordinator.
+/// One process run of a coordinator.
 struct CoordinatorProcess {
   CoordinatorProcess(Environment& environment, DataFolder& folder, const RaftNodeOptions& raft,
                      const CoordinatorOptions& options);
@@ -44,21 +45,25 @@
   explicit ConfigurationWorld(const ConfigurationWorldOptions& options);
 
   SimulatedWorld& world() { return world_; }
-  /// Lets time pass, with changes and checks.
+  /// Runs the simulation for `time`, with configuration changes and checks.
   void RunFor(Duration time);
-  /// Until the group has all its voters, by a committed configuration, and took an order.
+  /// Runs until the committed Raft configuration has all voters and the coordinators have
+  /// acknowledged a transaction.
+  /// @return whether both were reached within `limit`.
   bool RunUntilFormed(Duration limit);
-  /// @return the name of the machine whose coordinator may answer now; empty if none.
+  /// @return the machine of the coordinator that is the ready leader with the highest term; empty
+  /// if there is none.
   std::string Leader() const;
-  /// @return machines whose coordinators vote by the leader's committed configuration.
+  /// @return the machines whose coordinators are voters in the leader's committed configuration;
+  /// empty if there is no leader or its configuration is not committed.
   std::vector<std::string> Voters() const;
   const std::vector<std::string>& coordinators() const { return coordinators_; }
-  /// The machine is gone for good; an empty one comes at another address.
+  /// Removes the machine for good and starts one with an empty disk at another address after 2 s.
   void Replace(const std::string& coordinator);
-  std::vector<std::string> failures;
-  std::uint64_t acknowledged = 0;  ///< Label.
+  std::vector<std::string> failures;  ///< Descriptions of failed checks.
+  std::uint64_t acknowledged = 0;     ///< Label of the last acknowledged transaction.
   std::size_t acknowledgements = 0;
-  Duration longest_wait{};  ///< From sending an order to its acknowledgement.
+  Duration longest_wait{};  ///< From the first submission of a transaction to its acknowledgement.
 
  private:
   struct Gateway {
@@ -70,11 +75,12 @@
   void AddGateway(std::size_t number);
   CoordinatorProcess* FindCoordinator(const std::string& machine) const;
   void ScheduleChange();
-  void SendOrder();
-  void AttemptOrder(const std::string& order, std::uint64_t label, TimePoint begun);
-  void TakeAcknowledgement(std::uint64_t label, TimePoint begun);
+  void SubmitTransaction();
+  /// Repeats the submission until a response arrives.
+  void AttemptSubmission(const std::string& request, std::uint64_t label, TimePoint submitted_at);
+  void RecordAcknowledgement(std::uint64_t label, TimePoint submitted_at);
   void CheckInForce(std::uint64_t label);
-  proto::ConfigurationTransaction MakeOrder(std::uint64_t label) const;
+  proto::ConfigurationTransaction MakeTransaction(std::uint64_t label) const;
 
   const ConfigurationWorldOptions options_;
   std::vector<Endpoint> seeds_;
@@ -83,8 +89,9 @@
   std::vector<Gateway> gateways_;
   std::uint64_t next_label_ = 1;
   int replacements_ = 0;
-  bool ordering_ = false;
-  SimulatedWorld world_;  ///< Last: its processes end first.
+  bool submitting_ = false;
+  /// Declared last so that its processes end before the other members are destroyed.
+  SimulatedWorld world_;
 };
 
 }  // namespace cloverbank
--- a/tests/simulation/simulated_disk_test.cc
+++ b/tests/simulation/simulated_disk_test.cc
@@ -7,6 +7,7 @@
 namespace cloverbank {
 namespace {
 
+/// The program of the simulated process: it only holds the data folder.
 struct Files {
   DataFolder* folder = nullptr;
 };
@@ -23,16 +24,16 @@
     machine.Start();
   }
   DataFolder& folder() { return *folder_; }
-  DataFolder::Done Record() {
-    ++asked;
+  DataFolder::Done CountCompletion() {
+    ++submitted;
     return [this](Status status) {
-      ++finished;
-      last = std::move(status);
+      ++completed;
+      last_status = std::move(status);
     };
   }
-  Status Finish() {
-    EXPECT_TRUE(world.RunUntil([this] { return finished == asked; }, seconds(1)));
-    return last;
+  Status WaitForCompletions() {
+    EXPECT_TRUE(world.RunUntil([this] { return completed == submitted; }, seconds(1)));
+    return last_status;
   }
   std::string Content(const std::string& name) {
     const auto content = machine.disk().Read(name);
@@ -42,24 +43,24 @@
   SimulatedWorld world{3};
   SimulatedMachine& machine;
   DataFolder* folder_ = nullptr;
-  Status last;
-  int asked = 0;
-  int finished = 0;
+  Status last_status;
+  int submitted = 0;
+  int completed = 0;
 };
 
-TEST_F(SimulatedDiskTest, FinishedOperationsOutliveAPowerLoss) {
-  folder().Append("log", "one", Record());
-  folder().Append("log", "two", Record());
-  folder().WriteAt("log", 8, "x", Record());
-  folder().Reserve("segments/1", 4, Record());
-  folder().WriteAt("segments/1", 1, "ab", Record());
-  folder().Replace("state", "old", Record());
-  folder().Replace("state", "new", Record());
-  folder().Append("gone", "x", Record());
-  folder().Remove("gone", Record());
-  folder().Append("cut", "abcdef", Record());
-  folder().Truncate("cut", 2, Record());
-  ASSERT_TRUE(Finish().ok());
+TEST_F(SimulatedDiskTest, CompletedOperationsSurvivePowerLoss) {
+  folder().Append("log", "one", CountCompletion());
+  folder().Append("log", "two", CountCompletion());
+  folder().WriteAt("log", 8, "x", CountCompletion());
+  folder().Reserve("segments/1", 4, CountCompletion());
+  folder().WriteAt("segments/1", 1, "ab", CountCompletion());
+  folder().Replace("state", "old", CountCompletion());
+  folder().Replace("state", "new", CountCompletion());
+  folder().Append("gone", "x", CountCompletion());
+  folder().Remove("gone", CountCompletion());
+  folder().Append("cut", "abcdef", CountCompletion());
+  folder().Truncate("cut", 2, CountCompletion());
+  ASSERT_TRUE(WaitForCompletions().ok());
   machine.LosePower();
   machine.Start();
   EXPECT_EQ(Content("log"), std::string("onetwo\0\0x", 9));
@@ -71,32 +72,32 @@
   EXPECT_EQ(*folder().List("segments"), (std::vector<std::string>{"1"}));
 }
 
-TEST_F(SimulatedDiskTest, PowerLossDropsWhatIsNotSynced) {
+TEST_F(SimulatedDiskTest, PowerLossDropsUnsyncedOperations) {
   world.disks().torn_tails = false;
   world.disks().minimum_sync = world.disks().maximum_sync;
-  folder().Append("log", "kept", Record());
-  ASSERT_TRUE(Finish().ok());
-  folder().Append("log", "lost", Record());
-  folder().Append("created", "lost", Record());
-  folder().Remove("log", Record());
+  folder().Append("log", "kept", CountCompletion());
+  ASSERT_TRUE(WaitForCompletions().ok());
+  folder().Append("log", "lost", CountCompletion());
+  folder().Append("created", "lost", CountCompletion());
+  folder().Remove("log", CountCompletion());
   world.RunFor(world.disks().minimum_sync - Duration(1));
   machine.LosePower();
   machine.Start();
   EXPECT_EQ(Content("log"), "kept");
   EXPECT_EQ(folder().Read("created").status().code(), StatusCode::kNotFound);
   world.RunFor(seconds(1));
-  EXPECT_EQ(finished, 1);
+  EXPECT_EQ(completed, 1);
 }
 
-TEST_F(SimulatedDiskTest, PowerLossTearsAppendsAndNotReplacements) {
+TEST_F(SimulatedDiskTest, PowerLossTearsAppendsButNotReplacements) {
   std::set<std::string> logs;
   std::set<std::string> states;
   for (int round = 0; round < 300; ++round) {
     machine.disk().Replace("log", "0", [](const Status&) {});
     machine.disk().Replace("state", "old", [](const Status&) {});
-    folder().Append("log", "12", Record());
-    folder().Append("log", "34", Record());
-    folder().Replace("state", "new", Record());
+    folder().Append("log", "12", CountCompletion());
+    folder().Append("log", "34", CountCompletion());
+    folder().Replace("state", "new", CountCompletion());
     world.RunFor(milliseconds(world.RandomBelow(9)));
     machine.LosePower();
     machine.Start();
@@ -111,7 +112,7 @@
   std::set<std::string> contents;
   for (int round = 0; round < 100; ++round) {
     machine.disk().Remove("log", [](const Status&) {});
-    folder().Append("log", "abc", Record());
+    folder().Append("log", "abc", CountCompletion());
     world.RunFor(milliseconds(world.RandomBelow(9)));
     machine.Kill();
     machine.Start();
@@ -124,41 +125,41 @@
   EXPECT_EQ(contents, (std::set<std::string>{"abc", "not_found: read log: no such file"}));
 }
 
-TEST_F(SimulatedDiskTest, FullDiskRefusesAndRecovers) {
+TEST_F(SimulatedDiskTest, FullDiskRejectsWritesUntilSpaceIsFreed) {
   machine.SetDiskLimit(10);
-  folder().Append("log", "12345678", Record());
-  EXPECT_TRUE(Finish().ok());
+  folder().Append("log", "12345678", CountCompletion());
+  EXPECT_TRUE(WaitForCompletions().ok());
   EXPECT_EQ(folder().FreeBytes(), 2U);
-  folder().Append("log", "abc", Record());
-  EXPECT_EQ(Finish().code(), StatusCode::kResourceExhausted);
-  folder().Reserve("more", 3, Record());
-  EXPECT_EQ(Finish().code(), StatusCode::kResourceExhausted);
+  folder().Append("log", "abc", CountCompletion());
+  EXPECT_EQ(WaitForCompletions().code(), StatusCode::kResourceExhausted);
+  folder().Reserve("more", 3, CountCompletion());
+  EXPECT_EQ(WaitForCompletions().code(), StatusCode::kResourceExhausted);
   EXPECT_EQ(Content("log"), "12345678");
-  folder().Truncate("log", 4, Record());
-  folder().Append("log", "abc", Record());
-  EXPECT_TRUE(Finish().ok());
+  folder().Truncate("log", 4, CountCompletion());
+  folder().Append("log", "abc", CountCompletion());
+  EXPECT_TRUE(WaitForCompletions().ok());
   EXPECT_EQ(Content("log"), "1234abc");
 }
 
-TEST_F(SimulatedDiskTest, FailedSyncEndsTheFileForThisRun) {
-  folder().Append("log", "kept", Record());
-  ASSERT_TRUE(Finish().ok());
+TEST_F(SimulatedDiskTest, FailedSyncBlocksTheFileUntilRestart) {
+  folder().Append("log", "kept", CountCompletion());
+  ASSERT_TRUE(WaitForCompletions().ok());
   machine.FailSyncs(true);
-  folder().Append("log", "lost", Record());
-  EXPECT_EQ(Finish().code(), StatusCode::kIoError);
+  folder().Append("log", "lost", CountCompletion());
+  EXPECT_EQ(WaitForCompletions().code(), StatusCode::kIoError);
   machine.FailSyncs(false);
-  folder().Append("log", "later", Record());
-  EXPECT_EQ(Finish().code(), StatusCode::kIoError);
+  folder().Append("log", "later", CountCompletion());
+  EXPECT_EQ(WaitForCompletions().code(), StatusCode::kIoError);
   machine.Kill();
   machine.Start();
   EXPECT_EQ(Content("log"), "kept");
-  folder().Append("log", "!", Record());
-  EXPECT_TRUE(Finish().ok());
+  folder().Append("log", "!", CountCompletion());
+  EXPECT_TRUE(WaitForCompletions().ok());
 }
 
-TEST_F(SimulatedDiskTest, LostDiskIsEmptyAndABitCanBeFlipped) {
-  folder().Append("log", "a", Record());
-  ASSERT_TRUE(Finish().ok());
+TEST_F(SimulatedDiskTest, FlipBitDamagesAFileAndLostDiskIsEmpty) {
+  folder().Append("log", "a", CountCompletion());
+  ASSERT_TRUE(WaitForCompletions().ok());
   ASSERT_TRUE(machine.FlipBit("log", 0).ok());
   EXPECT_EQ(Content("log"), "`");
   EXPECT_EQ(machine.FlipBit("log", 1).code(), StatusCode::kNotFound);
--- a/tests/simulation/simulated_world_test.cc
+++ b/tests/simulation/simulated_world_test.cc
@@ -8,15 +8,15 @@
 namespace cloverbank {
 namespace {
 
-/// Echoes bodies, counts what it carried out, and can hold its answers back.
+/// Echoes request bodies, counts the requests it served, and can withhold its replies.
 struct EchoProgram {
   EchoProgram(Environment& environment_in, DataFolder& folder_in)
       : environment(environment_in), folder(folder_in) {
     environment.RegisterPeerMethod(
         "echo", [this](const PeerRequest& request, PeerReplyCallback reply) {
           ++served;
-          if (hold) {
-            held.push_back(std::move(reply));
+          if (withhold_replies) {
+            withheld_replies.push_back(std::move(reply));
           } else {
             reply({Status::Ok(), request.body + "@" + request.peer_address});
           }
@@ -26,8 +26,8 @@
   Environment& environment;
   DataFolder& folder;
   int served = 0;
-  bool hold = false;
-  std::vector<PeerReplyCallback> held;
+  bool withhold_replies = false;
+  std::vector<PeerReplyCallback> withheld_replies;
 };
 
 class SimulatedWorldTest : public testing::Test {
@@ -49,7 +49,7 @@
     a->environment.CallPeer(world.machine("b").endpoint(), "echo", "hi", deadline,
                             [this](PeerReply reply) { replies.push_back(std::move(reply)); });
   }
-  StatusCode OnlyCode() const {
+  StatusCode SingleReplyCode() const {
     return replies.size() == 1 ? replies[0].status.code() : StatusCode::kInternal;
   }
 
@@ -59,7 +59,7 @@
   SimulatedWorld world{1};
 };
 
-TEST_F(SimulatedWorldTest, AnswersAfterTheNetworkDelay) {
+TEST_F(SimulatedWorldTest, ReplyArrivesAfterNetworkDelay) {
   Call();
   EXPECT_TRUE(replies.empty());
   ASSERT_TRUE(world.RunUntil([this] { return !replies.empty(); }, seconds(1)));
@@ -73,34 +73,34 @@
   world.machine("b").Kill();
   Call();
   world.RunFor(milliseconds(20));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnavailable);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnavailable);
 }
 
-TEST_F(SimulatedWorldTest, PartitionIsOneWayAndSilent) {
+TEST_F(SimulatedWorldTest, CutLosesMessagesInOneDirection) {
   world.Cut("b", "a");
   Call();
   world.RunFor(milliseconds(999));
   EXPECT_TRUE(replies.empty());
   EXPECT_EQ(b->served, 1);
   world.RunFor(milliseconds(1));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   world.HealAll();
   world.Cut("a", "b");
   Call();
   world.RunFor(seconds(2));
   EXPECT_EQ(b->served, 1);
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   world.Heal("a");
   Call();
   world.RunFor(seconds(1));
-  EXPECT_EQ(OnlyCode(), StatusCode::kOk);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kOk);
 }
 
 TEST_F(SimulatedWorldTest, FrozenCalleeServesAfterWake) {
   world.machine("b").Freeze();
   Call();
   world.RunFor(seconds(2));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   EXPECT_EQ(b->served, 0);
   world.machine("b").Wake();
   world.RunFor(seconds(1));
@@ -126,47 +126,47 @@
   EXPECT_EQ(ran, (std::vector<int>{1, 2, 3}));
 }
 
-TEST_F(SimulatedWorldTest, KillBreaksConnectionsPowerLossDoesNot) {
-  b->hold = true;
+TEST_F(SimulatedWorldTest, KillBreaksConnectionsButPowerLossDoesNot) {
+  b->withhold_replies = true;
   Call();
   world.RunFor(milliseconds(10));
   world.machine("b").Kill();
   world.RunFor(milliseconds(10));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
 
   world.machine("b").Start();
-  b->hold = true;
+  b->withhold_replies = true;
   Call();
   world.RunFor(milliseconds(10));
   world.machine("b").LosePower();
   world.RunFor(milliseconds(900));
   EXPECT_TRUE(replies.empty());
   world.RunFor(milliseconds(100));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
 }
 
-TEST_F(SimulatedWorldTest, RunsNothingOfAnEndedProcess) {
+TEST_F(SimulatedWorldTest, CallbacksOfAnEndedProcessNeverRun) {
   int ran = 0;
   a->environment.ScheduleAfter(milliseconds(5), [&ran] { ++ran; });
   a->folder.Append("log", "x", [&ran](const Status&) { ++ran; });
   a->environment.CallPeer(world.machine("b").endpoint(), "echo", "", seconds(1),
                           [&ran](const PeerReply&) { ++ran; });
-  b->hold = true;
+  b->withhold_replies = true;
   world.RunFor(milliseconds(0));
   world.machine("a").Kill();
   world.machine("a").Start();
   world.RunFor(seconds(2));
   EXPECT_EQ(ran, 0);
-  // An answer kept over the death of the answering life goes nowhere.
+  // A reply callback that outlives the process run it belongs to sends nothing.
   Call();
   world.RunFor(milliseconds(20));
-  const auto kept = b->held;
+  const auto kept = b->withheld_replies;
   ASSERT_FALSE(kept.empty());
   world.machine("b").Kill();
   world.machine("b").Start();
   kept.back()({Status::Ok(), "late"});
   world.RunFor(seconds(2));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   EXPECT_EQ(b->served, 0);
 }
 
@@ -182,29 +182,29 @@
   EXPECT_EQ(alive.use_count(), 1);
 }
 
-TEST_F(SimulatedWorldTest, DuplicateIsServedTwiceAndAnsweredOnce) {
+TEST_F(SimulatedWorldTest, DuplicatedRequestIsServedTwiceAndAnsweredOnce) {
   world.network().request_duplication = 1;
   Call();
   world.RunFor(seconds(2));
   EXPECT_EQ(b->served, 2);
-  EXPECT_EQ(OnlyCode(), StatusCode::kOk);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kOk);
 }
 
-TEST_F(SimulatedWorldTest, LostMessagesEndAsUnknown) {
+TEST_F(SimulatedWorldTest, LostMessagesEndWithUnknownOutcome) {
   world.network().request_loss = 1;
   Call();
   world.RunFor(seconds(2));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   EXPECT_EQ(b->served, 0);
   world.network().request_loss = 0;
   world.network().reply_loss = 1;
   Call();
   world.RunFor(seconds(2));
-  EXPECT_EQ(OnlyCode(), StatusCode::kUnknownOutcome);
+  EXPECT_EQ(SingleReplyCode(), StatusCode::kUnknownOutcome);
   EXPECT_EQ(b->served, 1);
 }
 
-TEST_F(SimulatedWorldTest, UnavailableMeansNothingWasExecuted) {
+TEST_F(SimulatedWorldTest, UnavailableMeansTheRequestWasNotExecuted) {
   world.network() = {.request_loss = 0.1, .reply_loss = 0.1, .request_duplication = 0.5};
   int refused = 0;
   for (int round = 0; round < 2000; ++round) {
@@ -223,7 +223,7 @@
     world.RunFor(milliseconds(100));
     served += b->served;
     ASSERT_EQ(replies.size(), 1U);
-    if (OnlyCode() == StatusCode::kUnavailable) {
+    if (SingleReplyCode() == StatusCode::kUnavailable) {
       ++refused;
       ASSERT_EQ(served, 0) << "round " << round;
     }
@@ -231,7 +231,7 @@
   EXPECT_GT(refused, 50);
 }
 
-/// @return a record of a run under faults, to compare runs with.
+/// @return the times and replies of all calls of a run with network faults, to compare runs.
 std::string Trace(std::uint64_t seed) {
   SimulatedWorld world(seed);
   world.network() = {.request_loss = 0.2, .reply_loss = 0.2, .request_duplication = 0.2};
