--- a/src/deployment/deployment.cc
+++ b/src/deployment/deployment.cc
@@ -12,16 +12,17 @@
 namespace cloverbank {
 namespace {
 
-/// Reads one table of the file and records what is wrong with it.
+/// Reads values from one table of the file. A function that finds an invalid value records a
+/// problem and returns a default.
 class TableReader {
  public:
-  TableReader(const toml::table& table, std::string place, std::vector<std::string>* problems)
-      : table_(table), place_(std::move(place)), problems_(problems) {}
+  TableReader(const toml::table& table, std::string file, std::vector<std::string>* problems)
+      : table_(table), file_(std::move(file)), problems_(problems) {}
 
-  std::string Text(std::string_view key, bool needed = true) {
+  std::string Text(std::string_view key, bool required = true) {
     const auto text = table_[key].value<std::string>();
-    if ((!text || text->empty()) && (needed || table_.contains(key))) {
-      Problem(key, "a text");
+    if ((!text || text->empty()) && (required || table_.contains(key))) {
+      AddProblem(key, "a non-empty text");
     }
     return text.value_or("");
   }
@@ -31,7 +32,7 @@
       return fallback;
     }
     if (!number || *number < 0 || *number > kMaximumNumber) {
-      Problem(key, "a whole number, not negative");
+      AddProblem(key, "a whole number from 0 to 2^31");
       return fallback;
     }
     return static_cast<std::uint32_t>(*number);
@@ -39,7 +40,7 @@
   Endpoint Address(std::string_view key) {
     const auto endpoint = ParseEndpoint(table_[key].value_or(std::string()));
     if (!endpoint) {
-      Problem(key, "an IP number and port, such as \"127.0.0.1:9000\"");
+      AddProblem(key, "an IP address and port, such as \"127.0.0.1:9000\"");
     }
     return endpoint.value_or(Endpoint{});
   }
@@ -60,19 +61,19 @@
       }
     }
     if (texts.empty()) {
-      Problem(key, "a list of texts");
+      AddProblem(key, "a non-empty list of texts");
     }
     return texts;
   }
-  void Problem(std::string_view key, std::string_view expected) {
-    problems_->push_back(place_ + ":" + std::to_string(table_.source().begin.line) + ": " +
+  void AddProblem(std::string_view key, std::string_view expected) {
+    problems_->push_back(file_ + ":" + std::to_string(table_.source().begin.line) + ": " +
                          std::string(key) + ": expected " + std::string(expected));
   }
 
  private:
   static constexpr std::int64_t kMaximumNumber = 1LL << 31U;
   const toml::table& table_;
-  std::string place_;
+  std::string file_;
   std::vector<std::string>* problems_;
 };
 
@@ -81,7 +82,7 @@
   machine.name = reader.Text("name");
   machine.address = reader.Text("address");
   if (!IsIpAddress(machine.address)) {
-    reader.Problem("address", "an IP number");
+    reader.AddProblem("address", "an IP address");
   }
   machine.zone = reader.Text("zone");
   machine.roles = reader.Texts("roles");
@@ -102,7 +103,7 @@
   } else if (kind == "service") {
     replica.kind = proto::BACKEND_KIND_SERVICE;
   } else {
-    reader.Problem("kind", "\"model\" or \"service\"");
+    reader.AddProblem("kind", "\"model\" or \"service\"");
   }
   return replica;
 }
@@ -138,7 +139,7 @@
   }
   for (const DeployedReplica& replica : deployment.replicas) {
     if (!names.insert(replica.id).second) {
-      problems->push_back(file + ": the name " + replica.id + " is used twice");
+      problems->push_back(file + ": the name " + replica.id + " of a replica is used twice");
     }
   }
 }
