--- a/tests/deployment/deployment_test.cc
+++ b/tests/deployment/deployment_test.cc
@@ -8,7 +8,7 @@
 
 using testing::HasSubstr;
 
-TEST(DeploymentTest, ReadsMachinesReplicasAndBehaviour) {
+TEST(DeploymentTest, ReadsAndPrintsMachinesReplicasAndBehaviour) {
   const auto deployment = ParseDeployment(R"([deployment]
 name = "small"
 platform_list = "127.0.9.1:9000"
@@ -33,14 +33,14 @@
   ASSERT_NE(deployment->FindMachine("front"), nullptr);
   EXPECT_EQ(deployment->replicas[0].capacity, 8U);
   EXPECT_EQ(deployment->BehaviourOf("m").decode_step, std::chrono::microseconds(500));
-  const auto again = ParseDeployment(PrintDeployment(*deployment), "printed");
-  ASSERT_TRUE(again.ok()) << again.status().ToString();
-  EXPECT_EQ(PrintDeployment(*again), PrintDeployment(*deployment));
-  EXPECT_EQ(again->replicas[0].endpoint, deployment->replicas[0].endpoint);
+  const auto reparsed = ParseDeployment(PrintDeployment(*deployment), "printed");
+  ASSERT_TRUE(reparsed.ok()) << reparsed.status().ToString();
+  EXPECT_EQ(PrintDeployment(*reparsed), PrintDeployment(*deployment));
+  EXPECT_EQ(reparsed->replicas[0].endpoint, deployment->replicas[0].endpoint);
   EXPECT_EQ(deployment->BehaviourOf("other").decode_step, BackendBehaviour{}.decode_step);
 }
 
-TEST(DeploymentTest, ListsEveryProblem) {
+TEST(DeploymentTest, ErrorListsEveryProblem) {
   const auto deployment = ParseDeployment(R"([deployment]
 name = "small"
 platform_list = "nowhere"
