--- a/src/fleet/fleet.cc
+++ b/src/fleet/fleet.cc
@@ -17,16 +17,16 @@
 namespace {
 
 constexpr std::uint16_t kClientPort = 7400;
-constexpr Duration kShortCall = seconds(2);
-constexpr auto kPollPause = milliseconds(50);
+constexpr Duration kCallDeadline = seconds(2);
+constexpr auto kPollInterval = milliseconds(50);
 constexpr std::string_view kEmulator = "emulator";
 
 bool HasRole(const DeployedMachine& machine, std::string_view role) {
   return std::find(machine.roles.begin(), machine.roles.end(), role) != machine.roles.end();
 }
 
-Status SystemError(const std::string& what) {
-  return {StatusCode::kIoError, what + ": " + std::strerror(errno)};
+Status SystemError(const std::string& operation) {
+  return {StatusCode::kIoError, operation + ": " + std::strerror(errno)};
 }
 
 }  // namespace
@@ -53,8 +53,8 @@
   }
   if (pid == 0) {
     const int output = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0644);
-    const int nothing = open("/dev/null", O_RDONLY);
-    dup2(nothing, STDIN_FILENO);
+    const int input = open("/dev/null", O_RDONLY);
+    dup2(input, STDIN_FILENO);
     dup2(output, STDOUT_FILENO);
     dup2(output, STDERR_FILENO);
     setsid();
@@ -121,7 +121,7 @@
     return "not running";
   }
   const HttpOutcome outcome =
-      http_.Call(ClientEndpoint(machine), MakeRequest("GET", "/ready"), kShortCall);
+      http_.Call(ClientEndpoint(machine), MakeRequest("GET", "/ready"), kCallDeadline);
   if (outcome.kind != HttpOutcomeKind::kAnswered) {
     return outcome.reason;
   }
@@ -129,7 +129,7 @@
 }
 
 Status Fleet::WaitReady(Duration limit) {
-  const TimePoint give_up = EventLoop::Now() + limit;
+  const TimePoint deadline = EventLoop::Now() + limit;
   while (true) {
     std::string problems;
     for (const DeployedMachine& machine : deployment_.machines) {
@@ -145,10 +145,10 @@
     if (problems.empty()) {
       return Status::Ok();
     }
-    if (EventLoop::Now() >= give_up) {
+    if (EventLoop::Now() >= deadline) {
       return {StatusCode::kUnavailable, "not ready:" + problems};
     }
-    std::this_thread::sleep_for(kPollPause);
+    std::this_thread::sleep_for(kPollInterval);
   }
 }
 
@@ -161,9 +161,9 @@
 }
 
 bool Fleet::WaitForExit(const std::string& process, Duration limit) {
-  const TimePoint give_up = EventLoop::Now() + limit;
+  const TimePoint deadline = EventLoop::Now() + limit;
   while (folder_.RunningPid(process)) {
-    if (EventLoop::Now() >= give_up) {
+    if (EventLoop::Now() >= deadline) {
       return false;
     }
     while (waitpid(-1, nullptr, WNOHANG) > 0) {
@@ -179,7 +179,7 @@
   }
   return WaitForExit(process, seconds(5))
              ? folder_.SavePid(process, 0)
-             : Status(StatusCode::kInternal, process + " is still there after SIGKILL");
+             : Status(StatusCode::kInternal, process + " has not ended within 5 s after SIGKILL");
 }
 
 Status Fleet::Stop(const std::string& process, Duration grace) {
@@ -188,7 +188,8 @@
   }
   return WaitForExit(process, grace)
              ? folder_.SavePid(process, 0)
-             : Status(StatusCode::kUnavailable, process + " has not stopped within the grace time");
+             : Status(StatusCode::kUnavailable,
+                      process + " has not ended within the grace time after SIGTERM");
 }
 
 Status Fleet::Freeze(const std::string& process) { return Signal(process, SIGSTOP); }
@@ -201,9 +202,9 @@
       static_cast<void>(Signal(process, SIGTERM));
     }
   }
-  const TimePoint give_up = EventLoop::Now() + grace;
+  const TimePoint deadline = EventLoop::Now() + grace;
   for (const std::string& process : processes) {
-    if (!WaitForExit(process, std::max(Duration::zero(), give_up - EventLoop::Now()))) {
+    if (!WaitForExit(process, std::max(Duration::zero(), deadline - EventLoop::Now()))) {
       static_cast<void>(Kill(process));
     }
     static_cast<void>(folder_.SavePid(process, 0));
@@ -227,9 +228,9 @@
   for (const std::string& address : addresses) {
     list += (list.empty() ? "\"" : ",\"") + address + "\"";
   }
-  const HttpOutcome outcome =
-      http_.Call(ClientEndpoint(machine),
-                 MakeRequest("POST", "/admin/faults", "{\"blocked\":[" + list + "]}"), kShortCall);
+  const HttpOutcome outcome = http_.Call(
+      ClientEndpoint(machine), MakeRequest("POST", "/admin/faults", "{\"blocked\":[" + list + "]}"),
+      kCallDeadline);
   if (outcome.kind == HttpOutcomeKind::kAnswered && outcome.response.status < 300) {
     return Status::Ok();
   }
@@ -237,8 +238,8 @@
 }
 
 Status Fleet::Cut(const std::string& machine, std::vector<std::string> others) {
-  const DeployedMachine* cut = deployment_.FindMachine(machine);
-  if (cut == nullptr) {
+  const DeployedMachine* found = deployment_.FindMachine(machine);
+  if (found == nullptr) {
     return {StatusCode::kNotFound, "no machine is named " + machine};
   }
   std::vector<std::string> addresses;
@@ -249,7 +250,7 @@
       addresses.push_back(other.address);
     }
   }
-  return SetBlocked(*cut, addresses);
+  return SetBlocked(*found, addresses);
 }
 
 Status Fleet::HealAll() {
@@ -265,14 +266,14 @@
 }
 
 Status Fleet::Add(const std::string& name, const std::string& like, const std::string& address) {
-  const DeployedMachine* model = deployment_.FindMachine(like);
-  if (model == nullptr) {
+  const DeployedMachine* original = deployment_.FindMachine(like);
+  if (original == nullptr) {
     return {StatusCode::kNotFound, "no machine is named " + like};
   }
   if (deployment_.FindMachine(name) != nullptr) {
-    return {StatusCode::kConflict, "a machine is named " + name + " already"};
+    return {StatusCode::kConflict, "a machine named " + name + " already exists"};
   }
-  DeployedMachine added = *model;
+  DeployedMachine added = *original;
   added.name = name;
   added.address = address;
   deployment_.machines.push_back(added);
@@ -285,7 +286,7 @@
 Status Fleet::ReplicaFault(const std::string& replica, const std::string& fault) {
   const HttpOutcome outcome =
       http_.Call(deployment_.emulator_admin,
-                 MakeRequest("POST", "/admin/replicas/" + replica + "/" + fault), kShortCall);
+                 MakeRequest("POST", "/admin/replicas/" + replica + "/" + fault), kCallDeadline);
   if (outcome.kind == HttpOutcomeKind::kAnswered && outcome.response.status < 300) {
     return Status::Ok();
   }
@@ -297,7 +298,7 @@
   file << PrintDeployment(deployment_);
   file.close();
   return file ? Status::Ok()
-              : Status(StatusCode::kIoError, "can not write " + folder_.FleetFile().string());
+              : Status(StatusCode::kIoError, "cannot write " + folder_.FleetFile().string());
 }
 
 }  // namespace cloverbank
--- a/src/fleet/run_folder.cc
+++ b/src/fleet/run_folder.cc
@@ -10,8 +10,9 @@
 constexpr int kClientPort = 7400;
 constexpr int kPeerPort = 7401;
 
-/// @return the start time of a process in clock ticks (field 22 of /proc/<pid>/stat), which tells
-/// it from a later process that was given the same id.
+/// @return the start time of a process in clock ticks (field 22 of /proc/<pid>/stat), which
+/// distinguishes it from a later process with the same id; empty if there is no such process or it
+/// has ended and was not waited for (a zombie).
 std::string StartTimeOf(int pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string line;
@@ -20,7 +21,7 @@
   if (after_name == std::string::npos) {
     return {};
   }
-  constexpr int kFieldsUntilStartTime = 20;
+  constexpr int kFieldsUntilStartTime = 20;  // The name before them is field 2.
   constexpr char kZombie = 'Z';
   std::istringstream fields(line.substr(after_name + 1));
   std::string field;
@@ -42,6 +43,7 @@
   return "[" + list + "]";
 }
 
+/// @return the peer endpoints of the first three coordinators.
 std::vector<std::string> SeedsOf(const Deployment& deployment) {
   std::vector<std::string> seeds;
   for (const DeployedMachine& machine : deployment.machines) {
@@ -64,7 +66,7 @@
     std::filesystem::create_directories(root_ / folder, error);
     if (error) {
       return {StatusCode::kIoError,
-              "can not create " + (root_ / folder).string() + ": " + error.message()};
+              "cannot create " + (root_ / folder).string() + ": " + error.message()};
     }
   }
   return Status::Ok();
@@ -95,7 +97,7 @@
   file << pid << ' ' << StartTimeOf(pid) << '\n';
   file.close();
   return file ? Status::Ok()
-              : Status(StatusCode::kIoError, "can not write " + PidFile(process).string());
+              : Status(StatusCode::kIoError, "cannot write " + PidFile(process).string());
 }
 
 std::optional<int> RunFolder::RunningPid(const std::string& process) const {
@@ -138,7 +140,7 @@
   file.close();
   return file ? Status::Ok()
               : Status(StatusCode::kIoError,
-                       "can not write " + folder.SettingsFile(machine.name).string());
+                       "cannot write " + folder.SettingsFile(machine.name).string());
 }
 
 }  // namespace cloverbank
--- a/src/fleet/run_folder.h
+++ b/src/fleet/run_folder.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Where a running fleet keeps its files: generated settings, data folders, logs, and the ids of
-/// the processes that the tool started.
+/// The folder of a running fleet: generated settings, data folders, logs, and the ids of the
+/// processes that the fleet tool started.
 
 #include <filesystem>
 #include <optional>
@@ -17,19 +17,22 @@
  public:
   explicit RunFolder(const std::filesystem::path& root);
 
+  /// Creates the folder and its sub-folders.
   Status Create();
   std::filesystem::path SettingsFile(const std::string& machine) const;
   std::filesystem::path DataFolderOf(const std::string& machine) const;
   std::filesystem::path LogFile(const std::string& process) const;
+  /// The emulator's log of the starts, refusals and ends of calls at replicas.
   std::filesystem::path WitnessFile() const;
-  /// The deployment with the machines that were added while it runs.
+  /// File of the deployment, including machines added while the fleet runs.
   std::filesystem::path FleetFile() const;
 
-  /// Remembers the process id of `process`; nothing if `pid` is 0.
+  /// Stores the process id of `process`; removes the stored one if `pid` is 0.
   Status SavePid(const std::string& process, int pid);
-  /// @return the remembered id if that process still runs the program it was started as.
+  /// @return the stored id if the process that it was stored for still runs; a later process with
+  /// the same id does not count.
   std::optional<int> RunningPid(const std::string& process) const;
-  /// @return names of all processes ever started and not forgotten.
+  /// @return the names of all processes with a stored id, sorted.
   std::vector<std::string> Processes() const;
 
  private:
@@ -37,7 +40,7 @@
   std::filesystem::path root_;
 };
 
-/// Writes the settings file of `machine`.
+/// Writes the settings file of `machine` into `folder`.
 Status WriteMachineSettings(const Deployment& deployment, const DeployedMachine& machine,
                             const RunFolder& folder);
 
