--- a/src/emulation/model_replica.cc
+++ b/src/emulation/model_replica.cc
@@ -44,7 +44,7 @@
       run_prefix_(std::move(run_prefix)),
       loaded_at_(started + behaviour.load_time) {}
 
-std::uint32_t ModelReplica::KvNeed(const proto::CallRequest& request) const {
+std::uint32_t ModelReplica::RequiredKvTokens(const proto::CallRequest& request) const {
   const std::uint32_t prefix = request.prefix_key().empty() ? 0 : behaviour_.shared_prefix_tokens;
   return PromptTokens(request.prompt()) + AnswerTokens(request) + prefix;
 }
@@ -54,12 +54,12 @@
   if (!Loaded(now)) {
     return StartOutcome::kLoading;
   }
-  if (KvNeed(request) > behaviour_.kv_capacity_tokens) {
+  if (RequiredKvTokens(request) > behaviour_.kv_capacity_tokens) {
     return StartOutcome::kTooLarge;
   }
-  const std::size_t present =
+  const std::size_t accepted =
       waiting_.size() + decoding_.size() + (prefilling_.has_value() ? 1U : 0U);
-  if (present >= capacity_) {
+  if (accepted >= capacity_) {
     return StartOutcome::kFull;
   }
   RunningCall call;
@@ -112,7 +112,7 @@
 }
 
 void ModelReplica::BeginNextStep(TimePoint now) {
-  // Prefill and decode alternate, so that a crowd of new prompts does not stop running calls.
+  // Prefill and decode steps alternate, so that many new prompts don't stop the running calls.
   const bool decode_first = last_step_was_prefill_ && !decoding_.empty();
   if (!decode_first && BeginPrefill(now)) {
     last_step_was_prefill_ = true;
@@ -130,9 +130,9 @@
   if (waiting_.empty() || prefilling_) {
     return false;
   }
-  const std::uint32_t need = KvNeed(waiting_.front().request);
+  const std::uint32_t need = RequiredKvTokens(waiting_.front().request);
   if (kv_used_ + need > behaviour_.kv_capacity_tokens) {
-    return false;  // Waits until running calls end.
+    return false;  // The call waits until running calls end.
   }
   prefilling_ = std::move(waiting_.front());
   waiting_.pop_front();
@@ -162,12 +162,12 @@
 }
 
 void ModelReplica::EvictPrefixes() {
-  const auto over = [this] {
+  const auto over_limit = [this] {
     const std::uint64_t prefix_tokens = prefixes_.size() * behaviour_.shared_prefix_tokens;
     return prefixes_.size() > behaviour_.prefix_cache_entries ||
            kv_used_ + prefix_tokens > behaviour_.kv_capacity_tokens;
   };
-  while (!prefixes_.empty() && over()) {
+  while (!prefixes_.empty() && over_limit()) {
     prefixes_.pop_back();
   }
 }
--- a/src/emulation/model_replica.h
+++ b/src/emulation/model_replica.h
@@ -1,11 +1,11 @@
 #pragma once
 /// @file
-/// An accelerator that serves one model, as the emulator plays it: prompts are prefilled one at a
-/// time, running calls decode one token each a step, and a KV cache holds running calls and the
-/// prompt prefixes seen lately. A pure core: it is told the time and answers with the pieces that
-/// are due.
+/// Emulates an accelerator that serves one model. It prefills one prompt at a time, decodes one
+/// token of each running call per step, and has a KV cache for the running calls and recently used
+/// prompt prefixes. It does no I/O and reads no clock: the caller passes the time and gets the
+/// chunks that are due.
 ///
-/// Threads: none of its own; used from one thread.
+/// Threads: starts none; use it from one thread.
 
 #include <cstdint>
 #include <deque>
@@ -23,12 +23,12 @@
 
 namespace cloverbank {
 
-/// @return token `index` of the answer to `prompt`. Callers use it to check that a stream is
+/// @return token `index` of the answer to `prompt`. Clients use it to check that a stream is
 /// complete.
 std::string ExpectedToken(std::string_view prompt, std::uint64_t index);
-/// @return the complete answer to `prompt` with `tokens` tokens.
+/// @return the complete answer to `prompt` with `tokens` tokens; 0 means the default number, 16.
 std::string ExpectedAnswer(std::string_view prompt, std::uint32_t tokens);
-/// @return how many tokens `prompt` counts as (four bytes each, rounded up).
+/// @return the number of tokens of `prompt`: one per four bytes, rounded up.
 std::uint32_t PromptTokens(std::string_view prompt);
 
 /// One token of one call.
@@ -39,25 +39,28 @@
 
 enum class StartOutcome : std::uint8_t {
   kAccepted,
-  kFull,      ///< Running and waiting calls fill its capacity.
-  kLoading,   ///< Cold: the model is still being loaded.
+  kFull,      ///< The number of running and waiting calls has reached the capacity.
+  kLoading,   ///< The model is still being loaded.
   kTooLarge,  ///< The call can never fit into the KV cache.
 };
 
 class ModelReplica {
  public:
-  /// @param run_prefix makes run ids of this instance unique.
+  /// @param capacity maximum number of running and waiting calls.
+  /// @param run_prefix start of the run ids of this instance, to make them unique.
   ModelReplica(const BackendBehaviour& behaviour, std::uint32_t capacity, std::string run_prefix,
                TimePoint started);
 
-  /// Takes a call to run it, or refuses it before anything ran.
+  /// Accepts a call, or refuses it before any of it has run.
+  /// @param call_key identifies the call in `Cancel` and in the emitted chunks.
   StartOutcome Start(TimePoint now, const std::string& call_key, const proto::CallRequest& request);
-  /// Ends a call whose caller left.
+  /// Ends a call whose caller has disconnected.
   void Cancel(const std::string& call_key);
 
-  /// @return when `Advance` has something to do, if ever.
+  /// @return when `Advance` has to be called next; nothing if no step is in progress.
   std::optional<TimePoint> NextEvent() const;
-  /// Does what is due by `now`. @return the pieces made, in order.
+  /// Runs all steps that end by `now`.
+  /// @return the chunks that they produced, in order.
   std::vector<EmittedChunk> Advance(TimePoint now);
 
   bool Loaded(TimePoint now) const { return now >= loaded_at_; }
@@ -66,9 +69,9 @@
   std::uint32_t capacity() const { return capacity_; }
   std::uint64_t prefix_hits() const { return prefix_hits_; }
   std::uint64_t prefix_misses() const { return prefix_misses_; }
-  /// @return share of the KV cache in use, 0 to 1.
+  /// @return the fraction of the KV cache in use, from 0 to 1.
   double kv_occupancy() const;
-  /// Multiplies the time of every later step (a slow replica); 1 is normal.
+  /// Multiplies the duration of every later step, to emulate a slow replica; 1 is normal.
   void SetSlowdown(double factor) { slowdown_ = factor; }
 
  private:
@@ -83,8 +86,12 @@
   void BeginNextStep(TimePoint now);
   bool BeginPrefill(TimePoint now);
   void FinishStep(std::vector<EmittedChunk>* chunks);
-  std::uint32_t KvNeed(const proto::CallRequest& request) const;
+  /// @return the KV cache tokens that the call needs: its prompt, its answer and its shared prefix.
+  std::uint32_t RequiredKvTokens(const proto::CallRequest& request) const;
+  /// Marks the prefix as most recently used, adding it if it is not cached.
+  /// @return whether it was cached.
   bool CachePrefix(const std::string& prefix_key);
+  /// Evicts the least recently used prefixes until the limits of the cache are met.
   void EvictPrefixes();
   Duration Slowed(Duration time) const;
 
@@ -97,7 +104,7 @@
   std::deque<RunningCall> waiting_;  ///< Not prefilled yet.
   std::optional<RunningCall> prefilling_;
   std::list<RunningCall> decoding_;
-  std::optional<TimePoint> step_end_;  ///< Set while a prefill or a decode step is under way.
+  std::optional<TimePoint> step_end_;  ///< Set while a prefill or a decode step runs.
   bool last_step_was_prefill_ = false;
   std::uint32_t kv_used_ = 0;        ///< Tokens of running calls.
   std::list<std::string> prefixes_;  ///< Cached prefixes, most recently used first.
--- a/src/emulation/platform_list.h
+++ b/src/emulation/platform_list.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The platform's list of ready and draining replicas, which shows each change only after a lag.
-/// A pure core.
+/// Emulates the platform's list of ready and draining replicas, which shows each change only after
+/// a lag. It does no I/O and reads no clock: the caller passes the time.
 
 #include <cstdint>
 #include <deque>
@@ -17,11 +17,12 @@
  public:
   explicit PlatformList(Duration lag) : lag_(lag) {}
 
-  /// The replica is now as given; the list shows it after the lag.
+  /// Adds or updates the replica; the list shows it after the lag.
   void Set(TimePoint now, const proto::Replica& replica);
-  /// The replica is gone.
+  /// Removes the replica; the list shows it until the lag has passed.
   void Remove(TimePoint now, const std::string& id);
-  /// @return the list as shown at `now`, sorted by id.
+  /// @return the list that the platform shows at `now`, sorted by id. Its version increases with
+  /// each change of the list. The reference is valid until the next call.
   const proto::ReplicaList& Shown(TimePoint now);
 
  private:
--- a/tests/emulation/model_replica_test.cc
+++ b/tests/emulation/model_replica_test.cc
@@ -39,7 +39,7 @@
   return all;
 }
 
-TEST(ModelReplicaTest, RefusesWhileLoadingAndWhenFull) {
+TEST(ModelReplicaTest, RefusesCallsWhileLoadingWhenFullAndWhenTooLarge) {
   ModelReplica replica(TestBehaviour(), 1, "r", kStart);
   EXPECT_EQ(replica.Start(kStart, "a", Request("a", 2)), StartOutcome::kLoading);
   EXPECT_EQ(replica.Start(kLoaded, "a", Request("a", 2)), StartOutcome::kAccepted);
@@ -66,12 +66,12 @@
 TEST(ModelReplicaTest, CachedPrefixShortensPrefill) {
   ModelReplica replica(TestBehaviour(), 4, "r", kStart);
   ASSERT_EQ(replica.Start(kLoaded, "a", Request("x", 1, "shared")), StartOutcome::kAccepted);
-  const Duration cold = *replica.NextEvent() - kLoaded;
+  const Duration uncached_prefill = *replica.NextEvent() - kLoaded;
   RunToEnd(replica);
   const TimePoint later = kLoaded + seconds(5);
   ASSERT_EQ(replica.Start(later, "b", Request("x", 1, "shared")), StartOutcome::kAccepted);
-  const Duration warm = *replica.NextEvent() - later;
-  EXPECT_EQ(cold - warm, TestBehaviour().prefill_per_token * 100);
+  const Duration cached_prefill = *replica.NextEvent() - later;
+  EXPECT_EQ(uncached_prefill - cached_prefill, TestBehaviour().prefill_per_token * 100);
   EXPECT_EQ(replica.prefix_hits(), 1U);
 }
 
@@ -82,7 +82,7 @@
   while (replica.running() == 0) {
     replica.Advance(*replica.NextEvent());
   }
-  EXPECT_EQ(replica.queued(), 1U) << "both do not fit into the KV cache at once";
+  EXPECT_EQ(replica.queued(), 1U) << "the KV cache cannot hold both calls at once";
   EXPECT_LE(replica.kv_occupancy(), 1.0);
   RunToEnd(replica);
   EXPECT_EQ(replica.queued(), 0U);
