--- a/src/client/api_client.cc
+++ b/src/client/api_client.cc
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr Duration kCallDeadline = seconds(10);
-constexpr auto kPause = milliseconds(200);
+constexpr auto kRetryDelay = milliseconds(200);
 constexpr int kFirstErrorStatus = 400;
 
 bool MayRepeat(const HttpOutcome& outcome, const ApiError& error, Repeat repeat) {
@@ -31,8 +31,8 @@
 ApiClient::ApiClient(std::vector<Endpoint> gateways, Duration patience)
     : gateways_(std::move(gateways)), patience_(patience) {}
 
-bool ApiClient::TakeAnswer(const HttpOutcome& outcome, google::protobuf::Message* answer,
-                           ApiError* error) {
+bool ApiClient::ReadOutcome(const HttpOutcome& outcome, google::protobuf::Message* answer,
+                            ApiError* error) {
   if (outcome.kind != HttpOutcomeKind::kAnswered) {
     error->error.set_code("unreachable");
     error->error.set_message(outcome.reason);
@@ -66,19 +66,19 @@
 
 bool ApiClient::Call(const std::string& method, const std::string& path, const std::string& body,
                      Repeat repeat, google::protobuf::Message* answer, ApiError* error) {
-  const TimePoint give_up = EventLoop::Now() + patience_;
+  const TimePoint retry_until = EventLoop::Now() + patience_;
   while (true) {
     *error = ApiError{};
     const Endpoint& gateway = gateways_[next_gateway_ % gateways_.size()];
     const HttpOutcome outcome = http_.Call(gateway, MakeRequest(method, path, body), kCallDeadline);
-    if (TakeAnswer(outcome, answer, error)) {
+    if (ReadOutcome(outcome, answer, error)) {
       return true;
     }
-    if (!MayRepeat(outcome, *error, repeat) || EventLoop::Now() + kPause > give_up) {
+    if (!MayRepeat(outcome, *error, repeat) || EventLoop::Now() + kRetryDelay > retry_until) {
       return false;
     }
     ++next_gateway_;
-    std::this_thread::sleep_for(kPause);
+    std::this_thread::sleep_for(kRetryDelay);
   }
 }
 
--- a/src/client/api_client.h
+++ b/src/client/api_client.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Calls cloverbank's HTTP interface through any of several gateways and repeats what may be
-/// repeated: a request that certainly was not carried out goes to the next gateway; one whose
-/// answer was lost is sent again only if it carries an operation id or idempotency key
+/// Calls cloverbank's HTTP interface through any of several gateways and retries where that is
+/// safe. A request that was certainly not executed is sent to the next gateway. A request whose
+/// outcome is unknown is sent again only if it has an operation id or an idempotency key
 /// (`Repeat::kSafe`).
 
 #include <string>
@@ -17,21 +17,25 @@
 
 namespace cloverbank {
 
-/// Whether a request whose outcome is unknown may be sent again.
+/// Whether a request may be sent again although it may have been executed.
 enum class Repeat { kSafe, kNever };
 
-/// An error response, or a missing one, as it is shown to the user.
+/// An error response, or the reason why there was no response, to be shown to the user.
 struct ApiError {
-  int http_status = 0;  ///< 0: no gateway answered.
+  int http_status = 0;  ///< 0: no gateway responded.
   proto::CallError error;
 };
 
 class ApiClient {
  public:
+  /// @param gateways client endpoints; at least one.
+  /// @param patience how long a call may be retried.
   ApiClient(std::vector<Endpoint> gateways, Duration patience);
 
-  /// Sends a request and reads a JSON answer into `answer` (may be nullptr).
-  /// @param error filled when the result is false.
+  /// Sends a request, waits for the response and parses its JSON body into `answer`.
+  /// @param answer may be nullptr if the body is not needed.
+  /// @param error describes the last attempt if the result is false.
+  /// @return whether a gateway responded with success.
   bool Call(const std::string& method, const std::string& path, const std::string& body,
             Repeat repeat, google::protobuf::Message* answer, ApiError* error);
   /// @return the HTTP status of the last complete response.
@@ -41,11 +45,12 @@
   const std::vector<Endpoint>& gateways() const { return gateways_; }
 
  private:
-  bool TakeAnswer(const HttpOutcome& outcome, google::protobuf::Message* answer, ApiError* error);
+  /// Fills `answer` or `error` from the outcome. @return whether it is a success.
+  bool ReadOutcome(const HttpOutcome& outcome, google::protobuf::Message* answer, ApiError* error);
 
   BlockingHttp http_;
   std::vector<Endpoint> gateways_;
-  Duration patience_;  ///< How long to go on over all gateways.
+  Duration patience_;  ///< How long a call may be retried over all gateways.
   std::size_t next_gateway_ = 0;
   int last_status_ = 0;
 };
