--- a/src/simulation/simulated_world.h
+++ b/src/simulation/simulated_world.h
@@ -65,7 +65,8 @@
   virtual void Freeze() = 0;
   /// Like SIGCONT.
   virtual void Wake() = 0;
-  /// The disk, for a test to check or damage its files. Operations complete at once.
+  /// The disk, for a test to check or damage its files. Operations are durable at once; their
+  /// callbacks run as events of the current time.
   virtual DataFolder& disk() = 0;
   /// Flips one bit of a stored file. @return kNotFound if there is no such file or byte.
   virtual Status FlipBit(const std::string& file, std::uint64_t byte) = 0;
