--- a/src/backup/backup_service.cc
+++ b/src/backup/backup_service.cc
@@ -68,13 +68,14 @@
 template <typename Request, typename Response>
 void BackupService::ServeChange(std::string_view method,
                                 std::function<Result<ReplicaChange>(const Request&)> decide,
-                                std::function<Response(const Request&)> answer) {
+                                std::function<Response(const Request&)> make_response) {
   ServePeer<Request, Response>(
       environment_, method,
-      [this, method, decide = std::move(decide), answer = std::move(answer)](
+      [this, method, decide = std::move(decide), make_response = std::move(make_response)](
           const Request& request, const std::string&, Reply<Response> reply) {
-        const auto shared = std::make_shared<const Request>(request);
-        const auto complete = [this, method, answer, shared, start = environment_.Now(),
+        const auto shared_request = std::make_shared<const Request>(request);
+        const auto complete = [this, method, make_response, shared_request,
+                               start = environment_.Now(),
                                reply = std::move(reply)](const Status& status) {
           CountOutcome(method, status);
           if (!status.ok()) {
@@ -82,10 +83,11 @@
             return;
           }
           ObserveDuration(method, start);
-          reply(answer(*shared));
+          reply(make_response(*shared_request));
         };
         operations_.Submit(
-            ReplicaKeyFor(request), [decide, shared] { return decide(*shared); }, complete);
+            ReplicaKeyFor(request), [decide, shared_request] { return decide(*shared_request); },
+            complete);
       });
 }
 
@@ -215,8 +217,9 @@
 }
 
 void BackupService::ObserveDuration(std::string_view method, TimePoint start) {
-  const std::chrono::duration<double> took = environment_.Now() - start;
-  environment_.metrics().ObserveSeconds("backup_call_seconds", took.count(), {{"method", method}});
+  const std::chrono::duration<double> elapsed = environment_.Now() - start;
+  environment_.metrics().ObserveSeconds("backup_call_seconds", elapsed.count(),
+                                        {{"method", method}});
 }
 
 void BackupService::UpdateGauges() {
--- a/src/backup/backup_service.h
+++ b/src/backup/backup_service.h
@@ -62,7 +62,7 @@
   template <typename Request, typename Response>
   void ServeChange(std::string_view method,
                    std::function<Result<ReplicaChange>(const Request&)> decide,
-                   std::function<Response(const Request&)> answer);
+                   std::function<Response(const Request&)> make_response);
 
   Environment& environment_;
   DataFolder& folder_;
--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -72,13 +72,13 @@
 void FenceFile::Add(NodeId node, DataFolder::Done done) {
   fenced_.insert(node);
   waiting_callbacks_.push_back(std::move(done));
-  if (!save_under_way_) {
+  if (!save_in_progress_) {
     StartSave();
   }
 }
 
 void FenceFile::StartSave() {
-  save_under_way_ = true;
+  save_in_progress_ = true;
   saving_callbacks_ = std::exchange(waiting_callbacks_, {});
   WriteFile(0, std::make_shared<const Content>(Content{fenced_, Encode(fenced_)}));
 }
@@ -98,14 +98,14 @@
 }
 
 void FenceFile::CompleteSave(const std::set<NodeId>& saved, const Status& status) {
-  save_under_way_ = false;
+  save_in_progress_ = false;
   if (status.ok()) {
     synced_ = saved;
   }
   for (const DataFolder::Done& done : std::exchange(saving_callbacks_, {})) {
     done(status);
   }
-  if (!waiting_callbacks_.empty() && !save_under_way_) {
+  if (!waiting_callbacks_.empty() && !save_in_progress_) {
     StartSave();
   }
 }
--- a/src/backup/fence_file.h
+++ b/src/backup/fence_file.h
@@ -43,7 +43,7 @@
   DataFolder& folder_;
   std::set<NodeId> fenced_;
   std::set<NodeId> synced_;
-  bool save_under_way_ = false;
+  bool save_in_progress_ = false;
   std::vector<DataFolder::Done> waiting_callbacks_;  ///< For the next save.
   std::vector<DataFolder::Done> saving_callbacks_;   ///< Of the save under way.
 };
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -13,13 +13,13 @@
 class RecoveryReader::Removal {
  public:
   Removal(std::size_t count, Reply<proto::ReleaseRecoveryDataResponse> reply)
-      : left_(count), reply_(std::move(reply)) {}
+      : remaining_(count), reply_(std::move(reply)) {}
 
   void RecordRemoved(const Status& status) {
     if (!status.ok() && first_failure_.ok()) {
       first_failure_ = status;
     }
-    if (--left_ > 0) {
+    if (--remaining_ > 0) {
       return;
     }
     if (first_failure_.ok()) {
@@ -30,7 +30,7 @@
   }
 
  private:
-  std::size_t left_;
+  std::size_t remaining_;
   Status first_failure_;
   Reply<proto::ReleaseRecoveryDataResponse> reply_;
 };
@@ -56,9 +56,9 @@
 }
 
 void RecoveryReader::StartReadingData(NodeId node, Reply<proto::StartReadingDataResponse> reply) {
-  const bool under_way = pending_replies_.contains(node);
+  const bool already_started = pending_replies_.contains(node);
   pending_replies_[node].push_back(std::move(reply));
-  if (under_way) {
+  if (already_started) {
     return;
   }
   FenceNode(node, [this, node](const Status& status) {
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -134,15 +134,15 @@
 
 void ReplicaOperations::CompleteOperation(const ReplicaKey& key, const Done& done,
                                           const Status& status) {
-  const Done call_back = done;  // `done` may belong to the operation that is removed here.
+  const Done done_copy = done;  // `done` may belong to the operation that is removed here.
   std::deque<Operation>& queue = queues_.at(key);
   queue.pop_front();
-  const bool more = !queue.empty();
-  if (!more) {
+  const bool has_more = !queue.empty();
+  if (!has_more) {
     queues_.erase(key);
   }
-  call_back(status);
-  if (more) {
+  done_copy(status);
+  if (has_more) {
     StartNext(key);
   } else {
     RunIdleActions();
--- a/src/backup/segment_dump.cc
+++ b/src/backup/segment_dump.cc
@@ -6,7 +6,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::size_t kShownContentBytes = 160;
+constexpr std::size_t kMaximumPrintedBytes = 160;
 
 std::string_view TailName(RecordTail tail) {
   switch (tail) {
@@ -43,15 +43,15 @@
   }
   line += " " + EntryKindName(entry) + " ";
   std::string content = entry.ShortDebugString();
-  if (content.size() > kShownContentBytes) {
-    content.resize(kShownContentBytes);
+  if (content.size() > kMaximumPrintedBytes) {
+    content.resize(kMaximumPrintedBytes);
     content += "...";
   }
   return line + content + "\n";
 }
 
 /// @return the segment's bytes as far as the header says they go.
-std::string_view Contents(std::string_view file, const ReplicaHeader& header) {
+std::string_view SegmentContents(std::string_view file, const ReplicaHeader& header) {
   return SegmentData(file).substr(0, header.capacity);
 }
 
@@ -77,7 +77,7 @@
   }
   check.header = *header;
   const SegmentId segment = header->key.segment;
-  const std::string_view contents = Contents(file, *header);
+  const std::string_view contents = SegmentContents(file, *header);
   const SegmentScan scan = ScanSegment(segment, contents);
   check.valid_length = scan.valid_length;
   check.entry_count = scan.entry_count;
@@ -93,7 +93,7 @@
     return check.status.ToString() + "\n";
   }
   std::string text = FormatHeader(*check.header);
-  SegmentReader reader(check.header->key.segment, Contents(file, *check.header));
+  SegmentReader reader(check.header->key.segment, SegmentContents(file, *check.header));
   proto::LogEntry entry;
   std::size_t offset = 0;
   while (reader.Next(&entry)) {
--- a/src/backup/segment_file.cc
+++ b/src/backup/segment_file.cc
@@ -11,10 +11,10 @@
 
 constexpr std::string_view kMagic = "CBSEGMNT";
 constexpr std::uint64_t kFormatVersion = 1;
-constexpr std::size_t kWordBytes = 8;
-constexpr std::size_t kHalfWordBytes = 4;
-constexpr std::size_t kCheckedBytes = 64;
-constexpr std::size_t kHeaderBytes = kCheckedBytes + kWordBytes;
+constexpr std::size_t kUint64Bytes = 8;
+constexpr std::size_t kUint32Bytes = 4;
+constexpr std::size_t kChecksummedBytes = 64;
+constexpr std::size_t kHeaderBytes = kChecksummedBytes + kUint64Bytes;
 
 // Offsets of the fields; see docs/FORMATS.md.
 constexpr std::size_t kVersionOffset = 8;
@@ -53,15 +53,15 @@
 
 std::string EncodeReplicaHeader(const ReplicaHeader& header) {
   std::string bytes(kMagic);
-  AppendLittleEndian(&bytes, kFormatVersion, kHalfWordBytes);
-  AppendLittleEndian(&bytes, static_cast<std::uint64_t>(header.state), kHalfWordBytes);
-  AppendLittleEndian(&bytes, header.key.node.value(), kWordBytes);
-  AppendLittleEndian(&bytes, header.key.segment.value(), kWordBytes);
-  AppendLittleEndian(&bytes, header.epoch.value(), kWordBytes);
-  AppendLittleEndian(&bytes, header.capacity, kWordBytes);
-  AppendLittleEndian(&bytes, header.length, kWordBytes);
-  AppendLittleEndian(&bytes, header.generation, kWordBytes);
-  AppendLittleEndian(&bytes, Checksum(bytes), kWordBytes);
+  AppendLittleEndian(&bytes, kFormatVersion, kUint32Bytes);
+  AppendLittleEndian(&bytes, static_cast<std::uint64_t>(header.state), kUint32Bytes);
+  AppendLittleEndian(&bytes, header.key.node.value(), kUint64Bytes);
+  AppendLittleEndian(&bytes, header.key.segment.value(), kUint64Bytes);
+  AppendLittleEndian(&bytes, header.epoch.value(), kUint64Bytes);
+  AppendLittleEndian(&bytes, header.capacity, kUint64Bytes);
+  AppendLittleEndian(&bytes, header.length, kUint64Bytes);
+  AppendLittleEndian(&bytes, header.generation, kUint64Bytes);
+  AppendLittleEndian(&bytes, Checksum(bytes), kUint64Bytes);
   return bytes;
 }
 
@@ -69,12 +69,12 @@
   if (slot.size() < kHeaderBytes || slot.substr(0, kMagic.size()) != kMagic) {
     return Status(StatusCode::kCorrupt, "segment header without its magic bytes");
   }
-  if (ReadLittleEndian(slot.substr(kCheckedBytes, kWordBytes)) !=
-      Checksum(slot.substr(0, kCheckedBytes))) {
+  if (ReadLittleEndian(slot.substr(kChecksummedBytes, kUint64Bytes)) !=
+      Checksum(slot.substr(0, kChecksummedBytes))) {
     return Status(StatusCode::kCorrupt, "segment header fails its checksum");
   }
-  const std::uint64_t version = ReadLittleEndian(slot.substr(kVersionOffset, kHalfWordBytes));
-  const std::uint64_t state = ReadLittleEndian(slot.substr(kStateOffset, kHalfWordBytes));
+  const std::uint64_t version = ReadLittleEndian(slot.substr(kVersionOffset, kUint32Bytes));
+  const std::uint64_t state = ReadLittleEndian(slot.substr(kStateOffset, kUint32Bytes));
   if (version != kFormatVersion || !IsKnownState(state)) {
     return Status(StatusCode::kInvalidArgument,
                   "segment file of format version " + std::to_string(version) + ", state " +
@@ -82,12 +82,12 @@
   }
   ReplicaHeader header;
   header.state = static_cast<ReplicaState>(state);
-  header.key.node = NodeId(ReadLittleEndian(slot.substr(kNodeOffset, kWordBytes)));
-  header.key.segment = SegmentId(ReadLittleEndian(slot.substr(kSegmentOffset, kWordBytes)));
-  header.epoch = HeadEpoch(ReadLittleEndian(slot.substr(kEpochOffset, kWordBytes)));
-  header.capacity = ReadLittleEndian(slot.substr(kCapacityOffset, kWordBytes));
-  header.length = ReadLittleEndian(slot.substr(kLengthOffset, kWordBytes));
-  header.generation = ReadLittleEndian(slot.substr(kGenerationOffset, kWordBytes));
+  header.key.node = NodeId(ReadLittleEndian(slot.substr(kNodeOffset, kUint64Bytes)));
+  header.key.segment = SegmentId(ReadLittleEndian(slot.substr(kSegmentOffset, kUint64Bytes)));
+  header.epoch = HeadEpoch(ReadLittleEndian(slot.substr(kEpochOffset, kUint64Bytes)));
+  header.capacity = ReadLittleEndian(slot.substr(kCapacityOffset, kUint64Bytes));
+  header.length = ReadLittleEndian(slot.substr(kLengthOffset, kUint64Bytes));
+  header.generation = ReadLittleEndian(slot.substr(kGenerationOffset, kUint64Bytes));
   return header;
 }
 
@@ -103,12 +103,12 @@
 
 Result<ReplicaHeader> ReadReplicaHeader(std::string_view file) {
   std::optional<ReplicaHeader> newest;
-  Status problem(StatusCode::kCorrupt, "segment file without a header");
+  Status last_error(StatusCode::kCorrupt, "segment file without a header");
   for (std::uint64_t slot = 0; slot < kHeaderSlots; ++slot) {
     const std::size_t offset = std::min<std::size_t>(slot * kHeaderSlotBytes, file.size());
     Result<ReplicaHeader> header = DecodeReplicaHeader(file.substr(offset, kHeaderSlotBytes));
     if (!header.ok()) {
-      problem = header.status();
+      last_error = header.status();
     } else if (!newest || header->generation > newest->generation) {
       newest = *header;
     }
@@ -117,7 +117,7 @@
     return Status(StatusCode::kNotFound, "segment file was never written");
   }
   if (!newest) {
-    return problem;
+    return last_error;
   }
   return *newest;
 }
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -13,7 +13,7 @@
 
 /// @return the replica for an unusable file, under the key of its name, so that it can be freed or
 /// opened again.
-Replica CorruptReplica(const ReplicaKey& key) {
+Replica MakeCorruptReplica(const ReplicaKey& key) {
   Replica replica;
   replica.header.key = key;
   replica.header.state = ReplicaState::kClosed;
@@ -43,7 +43,7 @@
                  const ReplicaKey& key, const std::string& name) {
   const auto restore_corrupt = [&](std::string_view reason) {
     ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad, reason);
-    store.Restore(CorruptReplica(key));
+    store.Restore(MakeCorruptReplica(key));
   };
   const Result<std::string> file = folder.Read(SegmentFileName(key));
   if (!file.ok()) {
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -13,10 +13,10 @@
   return {StatusCode::kFenced, "node " + node.ToString() + " is declared dead"};
 }
 
-Status StaleEpochError(HeadEpoch asked, HeadEpoch current) {
+Status StaleEpochError(HeadEpoch requested_epoch, HeadEpoch current_epoch) {
   return {StatusCode::kStaleEpoch,
-          "epoch " + asked.ToString() + " is superseded by " + current.ToString(),
-          current.ToString()};
+          "epoch " + requested_epoch.ToString() + " is superseded by " + current_epoch.ToString(),
+          current_epoch.ToString()};
 }
 
 Status ConflictError(std::string message, std::uint64_t length) {
@@ -44,22 +44,23 @@
 bool DecideReplacement(const Replica& replica, const proto::WriteSegmentRequest& request,
                        ReplicaChange* change) {
   const HeadEpoch epoch(request.epoch());
-  const bool raised = epoch > replica.current_epoch();
+  const bool epoch_raised = epoch > replica.current_epoch();
   const bool hidden = replica.header.state == ReplicaState::kReplacing || replica.length == 0;
-  if (hidden && (raised || replica.header.state == ReplicaState::kOpen)) {
+  if (hidden && (epoch_raised || replica.header.state == ReplicaState::kOpen)) {
     change->header_before = NextHeader(replica.header, ReplicaState::kReplacing, epoch, 0);
   }
-  const bool over_older = !hidden && (raised || replica.replacement_epoch.valid());
-  if (over_older && raised) {
+  const bool over_older_content = !hidden && (epoch_raised || replica.replacement_epoch.valid());
+  if (over_older_content && epoch_raised) {
     change->replacement_epoch = epoch;
   }
   if (!request.replace_complete()) {
-    return hidden || over_older;
+    return hidden || over_older_content;
   }
-  if (hidden || over_older) {
-    const ReplicaHeader& last = change->header_before ? *change->header_before : replica.header;
-    change->header =
-        NextHeader(last, ReplicaState::kOpen, epoch, replica.length + change->data.size());
+  if (hidden || over_older_content) {
+    const ReplicaHeader& previous_header =
+        change->header_before ? *change->header_before : replica.header;
+    change->header = NextHeader(previous_header, ReplicaState::kOpen, epoch,
+                                replica.length + change->data.size());
     change->replacement_epoch = HeadEpoch();
   }
   return false;
@@ -122,7 +123,7 @@
   change.header->epoch = HeadEpoch(request.epoch());
   change.header->capacity = request.capacity();
   change.header->generation = 1;
-  opening_[change.header->key] = request.capacity();
+  opening_capacities_[change.header->key] = request.capacity();
   return change;
 }
 
@@ -210,18 +211,19 @@
   if (already_stored < request.data().size()) {
     change.data = request.data().substr(already_stored);
   }
-  bool partial = false;
+  bool replacement_incomplete = false;
   if (request.atomic_replace() || request.replace_complete()) {
-    partial = DecideReplacement(replica, request, &change);
+    replacement_incomplete = DecideReplacement(replica, request, &change);
   } else if (HeadEpoch(request.epoch()) > replica.header.epoch) {
     change.header_before = NextHeader(replica.header, replica.header.state,
                                       HeadEpoch(request.epoch()), replica.length);
   }
-  const bool completes = request.replace_complete() && change.header.has_value();
-  const bool ends_complete = completes
-                                 ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
-                                 : partial || EndsWithCompleteEntry(key.segment, change.data);
-  if (!ends_complete) {
+  const bool completes_replacement = request.replace_complete() && change.header.has_value();
+  const bool ends_with_complete_entry =
+      completes_replacement
+          ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
+          : replacement_incomplete || EndsWithCompleteEntry(key.segment, change.data);
+  if (!ends_with_complete_entry) {
     return Status(StatusCode::kCorrupt, "write does not consist of whole, checked entries");
   }
   return change;
--- a/src/backup/segment_store.h
+++ b/src/backup/segment_store.h
@@ -36,7 +36,7 @@
   std::uint64_t spare_disk_bytes = 16ULL << 20U;
   /// How long opening a freed segment again under the same epoch is refused: a message that was
   /// delayed while this process was frozen must not recreate it.
-  Duration freed_memory = seconds(5);
+  Duration freed_segment_retention = seconds(5);
 };
 
 /// One replica as the backup knows it.
@@ -130,15 +130,15 @@
   Result<Replica*> FindForWriter(const ReplicaKey& key);
   bool WasFreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now);
 
-  struct Freed {
+  struct FreedSegment {
     HeadEpoch epoch;
     TimePoint time;
   };
 
   SegmentStoreOptions options_;
   std::map<ReplicaKey, Replica> replicas_;
-  std::map<ReplicaKey, std::uint64_t> opening_;  ///< Capacity of opens under way.
-  std::map<ReplicaKey, Freed> freed_;
+  std::map<ReplicaKey, std::uint64_t> opening_capacities_;  ///< Capacity of opens under way.
+  std::map<ReplicaKey, FreedSegment> freed_segments_;
   std::set<NodeId> fenced_;
 };
 
--- a/src/backup/segment_store_state.cc
+++ b/src/backup/segment_store_state.cc
@@ -8,11 +8,11 @@
 namespace cloverbank {
 
 void SegmentStore::Apply(const ReplicaKey& key, const ReplicaChange& change, TimePoint now) {
-  opening_.erase(key);
+  opening_capacities_.erase(key);
   if (change.remove) {
     const auto found = replicas_.find(key);
     if (found != replicas_.end() && !found->second.corrupt) {
-      freed_[key] = {found->second.header.epoch, now};
+      freed_segments_[key] = {found->second.header.epoch, now};
     }
     replicas_.erase(key);
   }
@@ -36,7 +36,7 @@
 }
 
 void SegmentStore::Abandon(const ReplicaKey& key, const ReplicaChange& change) {
-  opening_.erase(key);
+  opening_capacities_.erase(key);
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
     return;
@@ -87,17 +87,18 @@
   for (const auto& [key, replica] : replicas_) {
     total += replica.IsOpen() && !replica.corrupt ? replica.header.capacity : 0;
   }
-  for (const auto& [key, capacity] : opening_) {
+  for (const auto& [key, capacity] : opening_capacities_) {
     total += capacity;
   }
   return total;
 }
 
 bool SegmentStore::WasFreedRecently(const ReplicaKey& key, HeadEpoch epoch, TimePoint now) {
-  std::erase_if(
-      freed_, [&](const auto& entry) { return now - entry.second.time >= options_.freed_memory; });
-  const auto found = freed_.find(key);
-  return found != freed_.end() && epoch <= found->second.epoch;
+  std::erase_if(freed_segments_, [&](const auto& entry) {
+    return now - entry.second.time >= options_.freed_segment_retention;
+  });
+  const auto found = freed_segments_.find(key);
+  return found != freed_segments_.end() && epoch <= found->second.epoch;
 }
 
 }  // namespace cloverbank
--- a/tests/backup/backup_model_test.cc
+++ b/tests/backup/backup_model_test.cc
@@ -41,8 +41,8 @@
 
   void Run() {
     for (int round = 0; round < kRounds; ++round) {
-      SendSomething();
-      Fault();
+      SendRandomCall();
+      InjectRandomFault();
       // Some calls meet the next ones, some are over first.
       backup_.world.RunFor(milliseconds(backup_.world.RandomBelow(40)));
     }
@@ -69,10 +69,10 @@
   }
 
   /// An owner has one call at a time on a segment, and resends when it got no answer.
-  void SendSomething() {
+  void SendRandomCall() {
     const std::uint64_t id = 1 + backup_.world.RandomBelow(kSegments);
     ModelSegment& segment = segments_[id];
-    if (busy_[id] || segment.free_sent) {
+    if (call_in_flight_[id] || segment.free_sent) {
       return;
     }
     if (segment.acknowledged_epoch == 0) {
@@ -93,11 +93,11 @@
   template <typename Request>
   void Send(std::string_view method, const Request& request, std::function<void()> on_ok) {
     const std::uint64_t id = request.segment_id();
-    busy_[id] = true;
+    call_in_flight_[id] = true;
     backup_.world.CallPeer(backup_.machine.endpoint(), method, request.SerializeAsString(),
                            seconds(1),
                            [this, id, on_ok = std::move(on_ok)](const PeerReply& reply) {
-                             busy_[id] = false;
+                             call_in_flight_[id] = false;
                              EXPECT_NE(reply.status.code(), StatusCode::kCorrupt);
                              if (reply.status.ok()) {
                                ++acknowledged_calls_;
@@ -115,8 +115,8 @@
          [&segment, epoch = segment.epoch] { segment.acknowledged_epoch = epoch; });
   }
   void SendWrite(std::uint64_t id, ModelSegment& segment) {
-    const std::uint64_t more = segment.close_sent ? 0 : backup_.world.RandomBelow(4);
-    for (std::uint64_t i = 0; i < more; ++i) {
+    const std::uint64_t new_entries = segment.close_sent ? 0 : backup_.world.RandomBelow(4);
+    for (std::uint64_t i = 0; i < new_entries; ++i) {
       ++segment.entry_count;
       segment.content +=
           Framed(id, NumberedEntry(segment.entry_count % kPartitions, segment.entry_count));
@@ -143,7 +143,7 @@
          [&segment] { segment.free_acknowledged = true; });
   }
 
-  void Fault() {
+  void InjectRandomFault() {
     switch (backup_.world.RandomBelow(10)) {
       case 0:
         return backup_.RestartAfterPowerLoss();
@@ -196,7 +196,7 @@
 
   BackupWorld backup_;
   std::map<std::uint64_t, ModelSegment> segments_;
-  std::map<std::uint64_t, bool> busy_;
+  std::map<std::uint64_t, bool> call_in_flight_;
   std::uint64_t acknowledged_calls_ = 0;
 };
 
--- a/tests/backup/backup_service_test.cc
+++ b/tests/backup/backup_service_test.cc
@@ -56,8 +56,8 @@
   ASSERT_TRUE(read.ok()) << read.status().ToString();
   EXPECT_EQ(read->data(), backup.content);
   EXPECT_EQ(read->epoch(), 4U);
-  const std::string more = Framed(kSegment, NumberedEntry(0, 3));
-  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more, 4), StatusCode::kOk);
+  const std::string next_entry = Framed(kSegment, NumberedEntry(0, 3));
+  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), next_entry, 4), StatusCode::kOk);
 }
 
 TEST_F(EmptyBackupServiceTest, DiskIdChangesOnlyWithTheDisk) {
@@ -70,14 +70,14 @@
   EXPECT_NE(backup.service.lock()->disk_id(), disk_id);
 }
 
-TEST_F(BackupServiceTest, FenceRefusesLateCallsPermanently) {
+TEST_F(BackupServiceTest, FencedNodeIsRefusedBeforeAndAfterRestart) {
   const auto offers = backup.Offers();
-  const std::string late = Framed(kSegment, NumberedEntry(0, 3));
+  const std::string late_entry = Framed(kSegment, NumberedEntry(0, 3));
   for (const bool after_restart : {false, true}) {
     if (after_restart) {
       backup.RestartAfterPowerLoss();
     }
-    EXPECT_EQ(backup.Write(kSegment, backup.content.size(), late), StatusCode::kFenced);
+    EXPECT_EQ(backup.Write(kSegment, backup.content.size(), late_entry), StatusCode::kFenced);
     EXPECT_EQ(backup.SetEpoch(kSegment, 2), StatusCode::kFenced);
     EXPECT_EQ(backup.Close(kSegment, backup.content.size()), StatusCode::kFenced);
     EXPECT_EQ(backup.Free(kSegment), StatusCode::kFenced);
@@ -86,7 +86,7 @@
   }
 }
 
-TEST_F(EmptyBackupServiceTest, FenceCoversUnknownNode) {
+TEST_F(EmptyBackupServiceTest, FencesNodeWithoutReplicas) {
   ASSERT_TRUE(backup.Offers().empty());
   backup.RestartAfterPowerLoss();
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kFenced);
@@ -110,13 +110,13 @@
     const std::string content = SegmentStart(backup.node, kSegment, {kSegment});
     ASSERT_EQ(backup.Open(kSegment), StatusCode::kOk);
     ASSERT_EQ(backup.Write(kSegment, 0, content), StatusCode::kOk);
-    const std::string late = Framed(kSegment, NumberedEntry(0, 1));
+    const std::string late_entry = Framed(kSegment, NumberedEntry(0, 1));
     const auto write = backup.Send<proto::WriteSegmentResponse>(
-        "backup.WriteSegment", WriteRequest(backup.node, kSegment, content.size(), late, 1));
+        "backup.WriteSegment", WriteRequest(backup.node, kSegment, content.size(), late_entry, 1));
     const std::uint64_t length = backup.Offers().at(kSegment).length();
     ASSERT_TRUE(backup.world.RunUntil([&] { return write->has_value(); }, seconds(10)));
     const bool acknowledged = (*write)->ok();
-    EXPECT_EQ(length, content.size() + (acknowledged ? late.size() : 0)) << "seed " << seed;
+    EXPECT_EQ(length, content.size() + (acknowledged ? late_entry.size() : 0)) << "seed " << seed;
     ++(acknowledged ? offered : refused);
   }
   EXPECT_GT(offered, 0);
@@ -146,7 +146,7 @@
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kNotFound);
 }
 
-TEST_F(BackupServiceTest, DamageBelowRecordedLengthIsNoTornTail) {
+TEST_F(BackupServiceTest, DamageBelowRecordedLengthMakesReplicaCorrupt) {
   ASSERT_EQ(backup.SetEpoch(kSegment, 2), StatusCode::kOk);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   backup.Restart();
@@ -161,7 +161,7 @@
   EXPECT_EQ(backup.RecoveryData(kSegment, {0, 1})->entries_size(), 2);
 }
 
-TEST_F(BackupServiceTest, DetectsDamageAfterTheOffer) {
+TEST_F(BackupServiceTest, RecoveryDataDetectsDamageAfterStartReadingData) {
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit(kFile, kDataOffset + backup.content.size() - 1).ok());
   EXPECT_EQ(backup.RecoveryData(kSegment, {0}).status().code(), StatusCode::kCorrupt);
@@ -184,7 +184,7 @@
 class DamagedHeaderSlotTest : public BackupServiceTest,
                               public testing::WithParamInterface<std::uint64_t> {};
 
-TEST_P(DamagedHeaderSlotTest, OneDamagedHeaderSlotLosesNothing) {
+TEST_P(DamagedHeaderSlotTest, DataSurvivesOneDamagedHeaderSlot) {
   constexpr std::uint64_t kDamagedByte = 33;
   ASSERT_TRUE(backup.machine.FlipBit(kFile, GetParam() + kDamagedByte).ok());
   backup.Restart();
@@ -196,7 +196,7 @@
 class DamagedFenceFileTest : public BackupServiceTest,
                              public testing::WithParamInterface<const char*> {};
 
-TEST_P(DamagedFenceFileTest, OneDamagedFenceFileLosesNothing) {
+TEST_P(DamagedFenceFileTest, FenceSurvivesOneDamagedFenceFile) {
   ASSERT_EQ(backup.Offers().size(), 1U);
   ASSERT_TRUE(backup.machine.FlipBit(GetParam(), 5).ok());
   backup.Restart();
@@ -233,20 +233,20 @@
 INSTANTIATE_TEST_SUITE_P(Complete, ReplacementOfferTest, testing::Bool());
 
 TEST_F(BackupServiceTest, FullDiskRefusesOpensButStillFences) {
-  constexpr std::uint64_t kNearlyAllTaken = 128U << 10U;  // The open segment takes 72 KiB.
-  backup.machine.SetDiskLimit(kNearlyAllTaken);
+  constexpr std::uint64_t kDiskLimitBytes = 128U << 10U;  // The open segment takes 72 KiB.
+  backup.machine.SetDiskLimit(kDiskLimitBytes);
   EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kResourceExhausted);
   EXPECT_EQ(backup.service.lock()->FreeBytes(), 0U);
   // Reserved space can still be written, and the fence fits into the spare bytes.
-  const std::string more = Framed(kSegment, NumberedEntry(0, 3));
-  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kOk);
-  EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + more.size());
+  const std::string next_entry = Framed(kSegment, NumberedEntry(0, 3));
+  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), next_entry), StatusCode::kOk);
+  EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + next_entry.size());
 }
 
 TEST_F(BackupServiceTest, FailedSyncIsNotAcknowledged) {
-  const std::string more = Framed(kSegment, NumberedEntry(0, 3));
+  const std::string next_entry = Framed(kSegment, NumberedEntry(0, 3));
   backup.machine.FailSyncs(true);
-  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), more), StatusCode::kIoError);
+  EXPECT_EQ(backup.Write(kSegment, backup.content.size(), next_entry), StatusCode::kIoError);
   EXPECT_EQ(backup.StartReading().status().code(), StatusCode::kIoError);
   backup.machine.FailSyncs(false);
   backup.Restart();
@@ -261,7 +261,7 @@
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
 }
 
-TEST_F(BackupServiceTest, OverlappingStartReadingDataShareOneCheck) {
+TEST_F(BackupServiceTest, AnswersOverlappingStartReadingDataCalls) {
   const auto first = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
                                                                   backup.StartReadingRequest());
   const auto second = backup.Send<proto::StartReadingDataResponse>("backup.StartReadingData",
--- a/tests/backup/segment_file_test.cc
+++ b/tests/backup/segment_file_test.cc
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-ReplicaHeader SomeHeader(std::uint64_t generation) {
+ReplicaHeader HeaderWithGeneration(std::uint64_t generation) {
   ReplicaHeader header;
   header.key = {NodeId(0x0102030405060708), SegmentId(3)};
   header.epoch = HeadEpoch(4);
@@ -21,7 +21,7 @@
 }
 
 TEST(SegmentFileTest, EncodesHeaderAsDocumented) {
-  const std::string bytes = EncodeReplicaHeader(SomeHeader(7));
+  const std::string bytes = EncodeReplicaHeader(HeaderWithGeneration(7));
   ASSERT_EQ(bytes.size(), 72U);
   EXPECT_EQ(bytes.substr(0, 8), "CBSEGMNT");
   EXPECT_EQ(bytes.substr(8, 8), std::string("\x01\0\0\0\x03\0\0\0", 8));
@@ -31,18 +31,18 @@
   EXPECT_EQ(bytes.substr(40, 8), std::string("\0\0\x01\0\0\0\0\0", 8));
   EXPECT_EQ(bytes[48], 20);
   EXPECT_EQ(bytes[56], 7);
-  EXPECT_EQ(*DecodeReplicaHeader(bytes), SomeHeader(7));
+  EXPECT_EQ(*DecodeReplicaHeader(bytes), HeaderWithGeneration(7));
 }
 
 TEST(SegmentFileTest, TornHeaderLeavesPreviousOne) {
-  std::string file = EncodeFirstHeader(SomeHeader(1)) + "data";
-  const std::string next = EncodeReplicaHeader(SomeHeader(2));
+  std::string file = EncodeFirstHeader(HeaderWithGeneration(1)) + "data";
+  const std::string next = EncodeReplicaHeader(HeaderWithGeneration(2));
   for (std::size_t written = 0; written <= next.size(); ++written) {
     std::string torn = file;
     torn.replace(HeaderSlotOffset(2), written, next.substr(0, written));
-    const bool complete = *ReadReplicaHeader(torn) == SomeHeader(2);
+    const bool complete = *ReadReplicaHeader(torn) == HeaderWithGeneration(2);
     EXPECT_EQ(complete, written == next.size());
-    EXPECT_TRUE(complete || *ReadReplicaHeader(torn) == SomeHeader(1));
+    EXPECT_TRUE(complete || *ReadReplicaHeader(torn) == HeaderWithGeneration(1));
   }
   EXPECT_NE(HeaderSlotOffset(2), HeaderSlotOffset(3));
 }
@@ -59,8 +59,8 @@
   const ReplicaKey key{NodeId(12), SegmentId(7)};
   EXPECT_EQ(SegmentFileName(key), "segments/12-7");
   EXPECT_EQ(ParseSegmentFileName("12-7"), key);
-  for (const char* wrong : {"12", "12-", "-7", "0-7", "12-7x", "12-7.tmp"}) {
-    EXPECT_EQ(ParseSegmentFileName(wrong), std::nullopt) << wrong;
+  for (const char* invalid_name : {"12", "12-", "-7", "0-7", "12-7x", "12-7.tmp"}) {
+    EXPECT_EQ(ParseSegmentFileName(invalid_name), std::nullopt) << invalid_name;
   }
 }
 
@@ -68,7 +68,7 @@
  protected:
   SegmentDumpTest() {
     const std::string content = SegmentStart(5, 3, {2, 3}) + Framed(3, NumberedEntry(4, 11));
-    ReplicaHeader header = SomeHeader(1);
+    ReplicaHeader header = HeaderWithGeneration(1);
     header.length = content.size();
     file_ = EncodeFirstHeader(header) + content;
   }
--- a/tests/backup/segment_store_test.cc
+++ b/tests/backup/segment_store_test.cc
@@ -109,7 +109,7 @@
   EXPECT_EQ(Open(2).code(), StatusCode::kStaleEpoch);
 }
 
-TEST_F(SegmentStoreTest, WriteRaisesEpochBeforeItsData) {
+TEST_F(SegmentStoreTest, WriteWithNewerEpochSyncsHeaderBeforeData) {
   ASSERT_TRUE(Open(2).ok());
   ASSERT_TRUE(Write(0, first_entry_, 2).ok());
   ASSERT_TRUE(Write(first_entry_.size(), second_entry_, 5).ok());
@@ -150,7 +150,7 @@
   EXPECT_EQ(replica().staging, first_entry_ + second_entry_);
 }
 
-TEST_F(SegmentStoreTest, FencedNodeIsRefusedEveryCall) {
+TEST_F(SegmentStoreTest, RefusesEveryCallOfFencedNode) {
   ASSERT_TRUE(Open(1).ok());
   ASSERT_TRUE(Write(0, first_entry_).ok());
   store_.Fence(NodeId(kNode));
@@ -177,11 +177,11 @@
   EXPECT_EQ(Write(0, first_entry_, 2).code(), StatusCode::kNotFound);
   EXPECT_TRUE(Open(3).ok());
   ASSERT_TRUE(Free().ok());
-  now_ += options_.freed_memory;
+  now_ += options_.freed_segment_retention;
   EXPECT_TRUE(Open(2).ok());
 }
 
-TEST_F(SegmentStoreTest, OpensAreBoundedByDiskSpace) {
+TEST_F(SegmentStoreTest, RefusesOpenWhenDiskIsNearlyFull) {
   free_bytes_ = options_.spare_disk_bytes;
   EXPECT_EQ(Open(1).code(), StatusCode::kResourceExhausted);
 }
@@ -190,7 +190,7 @@
   EXPECT_EQ(Open(1, options_.maximum_segment_bytes + 1).code(), StatusCode::kInvalidArgument);
 }
 
-TEST_F(SegmentStoreTest, OpensAreBoundedByStagingMemory) {
+TEST_F(SegmentStoreTest, RefusesOpenWhenStagingMemoryIsFull) {
   Status status;
   for (std::uint64_t segment = 1; status.ok(); ++segment) {
     const auto request = OpenRequest(kNode, segment, 1, options_.maximum_segment_bytes);
@@ -200,7 +200,7 @@
   EXPECT_EQ(store_.staging_bytes(), options_.staging_bytes);
 }
 
-TEST_F(SegmentStoreTest, FailedWriteEndsWritesButKeepsSyncedData) {
+TEST_F(SegmentStoreTest, RefusesWritesAfterFailedWriteAndKeepsSyncedData) {
   ASSERT_TRUE(Open(1).ok());
   ASSERT_TRUE(Write(0, first_entry_).ok());
   store_.Abandon(kKey, ReplicaChange());
