--- a/src/backup/backup_service.cc
+++ b/src/backup/backup_service.cc
@@ -56,7 +56,7 @@
     return change;
   };
   operations_.Submit(key, remove,
-                     [](const Status&) { /* Failures are logged; the file holds nothing. */ });
+                     [](const Status&) { /* Failures are logged; the file holds no data. */ });
 }
 
 std::uint64_t BackupService::FreeBytes() {
--- a/src/backup/backup_service.h
+++ b/src/backup/backup_service.h
@@ -1,12 +1,13 @@
 #pragma once
 /// @file
-/// A backup: keeps replicas of queue nodes' segments and serves the `backup.*` calls of log.proto
-/// (RAMCloud page, BackupServer; docs/DESIGN.md section 5). Connects `SegmentStore`, which decides,
-/// to the disk and to peers.
+/// A backup stores replicas of the log segments of queue nodes and serves the `backup.*` calls of
+/// log.proto (RAMCloud page, BackupServer; docs/DESIGN.md section 5). `BackupService` connects
+/// `SegmentStore`, which decides what each call changes, to the disk and to peers.
 ///
-/// A call that changes a replica is answered with success only when the change is synced.
+/// A call that changes a replica gets a successful reply only after the change is synced to disk.
 ///
-/// Threads: the environment's event loop only. Destroy it after the loop stopped calling back.
+/// Threads: call on the environment's event loop only. Destroy the service only after the loop has
+/// stopped running callbacks.
 
 #include <cstdint>
 #include <string>
@@ -24,7 +25,7 @@
 
 struct BackupOptions {
   SegmentStoreOptions store;
-  /// One closed replica is read and checked in each interval.
+  /// The scrubber reads and checks one closed or sealed replica per interval.
   Duration scrub_interval = seconds(2);
 };
 
@@ -34,31 +35,43 @@
   BackupService(const BackupService&) = delete;
   BackupService& operator=(const BackupService&) = delete;
 
-  /// Reads the disk, then starts to serve. Call it once, first. kCorrupt if the fences can not be
-  /// read: then nothing may be served from this disk.
+  /// Loads the disk id, the fences and the replicas from disk, then starts to serve calls. Must be
+  /// called once, before any other member function.
+  /// @return kCorrupt if no fence file can be read (this disk must then not serve any call), or the
+  /// error of listing the segment folder.
   Status Load();
-  /// Identifies this disk over restarts; a lost disk comes back with another id.
+  /// @return the id of this disk. It stays the same over restarts; a disk that lost its data gets a
+  /// new id.
   const std::string& disk_id() const { return disk_id_; }
-  /// @return the bytes of disk that new segments may take.
+  /// @return the disk space in bytes that new segments may take: the free space of the data folder
+  /// minus `SegmentStoreOptions::spare_disk_bytes`, at least 0.
   std::uint64_t FreeBytes();
 
  private:
-  /// Removes the file that an unfinished open left.
+  /// Removes the file that an OpenSegment call left behind when the process ended before the call
+  /// was complete.
   void RemoveUnfinished(const ReplicaKey& key);
-  /// OpenSegment, CloseSegment and FreeSegment.
+  /// Registers the handlers of OpenSegment, CloseSegment and FreeSegment.
   void ServeLifecycleCalls();
-  /// WriteSegment and SetSegmentEpoch.
+  /// Registers the handlers of WriteSegment and SetSegmentEpoch.
   void ServeWriteCalls();
+  /// Registers the handlers of ReadSegment and ListSegments.
   void ServeReadCalls();
+  /// Registers the handlers of StartReadingData, GetRecoveryData and ReleaseRecoveryData.
   void ServeRecoveryCalls();
   Result<proto::ReadSegmentResponse> ReadSegment(const proto::ReadSegmentRequest& request);
   proto::ListSegmentsResponse ListSegments() const;
+  /// Counts `status` in the metric of refused calls if it is an error.
   void CountOutcome(std::string_view method, const Status& status);
+  /// Records the time from `start` until now as the duration of a call of `method`.
   void ObserveDuration(std::string_view method, TimePoint start);
   void UpdateGauges();
 
   template <typename Response>
   using Reply = std::function<void(Result<Response>)>;
+  /// Registers a handler for `method` that queues an operation on the replica of the request.
+  /// `decide` runs when the operation reaches the front of the replica's queue; `make_response`
+  /// runs once the change is synced and applied.
   template <typename Request, typename Response>
   void ServeChange(std::string_view method,
                    std::function<Result<ReplicaChange>(const Request&)> decide,
--- a/src/backup/corrupt_replica.h
+++ b/src/backup/corrupt_replica.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// What happens when a replica fails its check: it is counted and logged, and never offered again.
+/// Handling of a replica that failed a check: it is counted, logged and never offered to a recovery
+/// or repair again.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: call on the owner's event loop only.
 
 #include <cstdint>
 #include <string_view>
@@ -13,7 +14,7 @@
 
 namespace cloverbank {
 
-/// Which check found a corrupt replica.
+/// The check that found a replica corrupt.
 enum class CorruptionFoundBy : std::uint8_t {
   kLoad,      ///< Reading the disk at start-up.
   kRead,      ///< A ReadSegment call.
@@ -21,14 +22,17 @@
   kScrub,     ///< The scrubber.
 };
 
-/// @return the label value for logs and metrics.
+/// @return the value of the label `found_by` in logs and metrics.
 std::string_view CorruptionFoundByName(CorruptionFoundBy found_by);
 
-/// Counts and logs a corrupt replica. @param file its name in the log.
+/// Counts and logs a corrupt replica, without changing any state.
+/// @param file name of the segment file, for the log.
+/// @param reason what the check found, for the log.
 void ReportCorruptReplica(Environment& environment, std::string_view file,
                           CorruptionFoundBy found_by, std::string_view reason);
 
-/// Takes the replica out of every offer and reports it.
+/// Marks the replica of `key` as corrupt in `store`, so that it is never offered again, and reports
+/// it.
 void DropCorruptReplica(Environment& environment, SegmentStore& store, const ReplicaKey& key,
                         CorruptionFoundBy found_by, const Status& reason);
 
--- a/src/backup/disk_id.h
+++ b/src/backup/disk_id.h
@@ -1,8 +1,9 @@
 #pragma once
 /// @file
-/// The id of a backup's disk: the same over restarts, another one after the disk was lost.
+/// The id of a backup's disk. It stays the same over restarts; a disk that lost its data gets a new
+/// one.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: call on the owner's event loop only.
 
 #include <string>
 
@@ -11,8 +12,9 @@
 
 namespace cloverbank {
 
-/// @return the id stored in `folder`, or a new random one (hexadecimal digits), which is written
-/// later. Should that write be lost, the disk counts as another one after the next start.
+/// @return the id stored in `folder`. If none can be read, a new random one (hexadecimal digits),
+/// which is written to `folder` asynchronously: if that write is lost, the next start creates
+/// another id, as for a new disk.
 std::string LoadOrCreateDiskId(Environment& environment, DataFolder& folder);
 
 }  // namespace cloverbank
--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -61,7 +61,7 @@
     return Status(StatusCode::kCorrupt,
                   "no copy of the fences can be read; replace this disk or empty its data folder");
   }
-  // A fence that is in one file only counts as synced after the next save.
+  // A fence that is in only one file counts as not synced until the next save writes both files.
   if (files.size() == std::size(kFileNames)) {
     std::set_intersection(files[0].begin(), files[0].end(), files[1].begin(), files[1].end(),
                           std::inserter(synced_, synced_.end()));
--- a/src/backup/fence_file.h
+++ b/src/backup/fence_file.h
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// The durable set of fenced node ids, kept in two files ("fenced", "fenced_copy"), each a
-/// checksummed `proto::FencedNodes`. Fences are never removed, so the union of the readable files
-/// counts, and one damaged file loses nothing.
+/// The durable set of fenced node ids: nodes that were declared dead and whose calls this backup
+/// refuses. It is stored in two files ("fenced", "fenced_copy"), each a checksummed
+/// `proto::FencedNodes`. Fences are never removed, so `Load` takes the union of the readable files,
+/// and damage to one file loses no fence.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: call on the owner's event loop only; callbacks run there too.
 
 #include <memory>
 #include <set>
@@ -21,22 +22,23 @@
  public:
   explicit FenceFile(DataFolder& folder) : folder_(folder) {}
 
-  /// @return the fenced nodes on disk. kCorrupt if there are files and none can be read.
+  /// @return the fenced nodes on disk; kCorrupt if fence files exist but none can be read.
   Result<std::set<NodeId>> Load();
-  /// Adds `node`; `done` runs with OK once both files are synced. Concurrent calls share a save.
+  /// Fences `node`. `done` runs once: with OK when both files are synced, otherwise with the error
+  /// of the write that failed. Calls made during a save are saved together by the next one.
   void Add(NodeId node, DataFolder::Done done);
-  /// Whether the fence of `node` is synced in both files.
+  /// @return whether the fence of `node` is synced in both files.
   bool IsSynced(NodeId node) const { return synced_.contains(node); }
 
  private:
-  /// What one save writes.
+  /// The data of one save, written to both files.
   struct Content {
     std::set<NodeId> nodes;
-    std::string bytes;
+    std::string bytes;  ///< `nodes`, encoded.
   };
 
   void StartSave();
-  /// Writes the file at `index` and those after it, one at a time.
+  /// Writes the file at `index` of the list of file names and the files after it, one at a time.
   void WriteFile(std::size_t index, const std::shared_ptr<const Content>& content);
   void CompleteSave(const std::set<NodeId>& saved, const Status& status);
 
@@ -44,8 +46,8 @@
   std::set<NodeId> fenced_;
   std::set<NodeId> synced_;
   bool save_in_progress_ = false;
-  std::vector<DataFolder::Done> waiting_callbacks_;  ///< For the next save.
-  std::vector<DataFolder::Done> saving_callbacks_;   ///< Of the save under way.
+  std::vector<DataFolder::Done> waiting_callbacks_;  ///< Run after the next save.
+  std::vector<DataFolder::Done> saving_callbacks_;   ///< Run after the save in progress.
 };
 
 }  // namespace cloverbank
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -9,7 +9,7 @@
 
 namespace cloverbank {
 
-/// The removal of all replicas of one node, answered after the last one.
+/// The removal of all replicas of one node; replies after the last replica.
 class RecoveryReader::Removal {
  public:
   Removal(std::size_t count, Reply<proto::ReleaseRecoveryDataResponse> reply)
@@ -103,7 +103,7 @@
     return true;
   }
   store_.RecordChecked(key, FindLogDigest(key.segment, *bytes));
-  // One segment a turn of the event loop, so that other calls and timers are not delayed.
+  // Check one segment per turn of the event loop, so that other calls and timers are not delayed.
   environment_.ScheduleAfter(Duration::zero(), std::move(next));
   return true;
 }
@@ -117,7 +117,8 @@
       [this, key, length, digest = std::move(digest),
        next = std::move(next)](const Status& status) {
         if (!status.ok()) {
-          // The synced fence refuses late writes too, and this may be the last replica.
+          // Seal in memory although the disk write failed: this may be the last replica, and the
+          // synced fence also makes the backup refuse late writes.
           store_.Apply(key, store_.Seal(key, length), environment_.Now());
         }
         store_.RecordChecked(key, digest);
--- a/src/backup/recovery_reader.h
+++ b/src/backup/recovery_reader.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Serves the recovery of a dead queue node (RAMCloud page, "Data Recovery"): fences it, seals and
-/// checks its replicas, one in each turn of the event loop, returns the entries of partitions, and
-/// removes the replicas when the recovery is over.
+/// Serves the recovery of a dead queue node (RAMCloud page, "Data Recovery"): fences the node,
+/// seals and checks its replicas (one per turn of the event loop), returns the log entries of
+/// requested partitions, and removes the replicas when the recovery is over.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: call on the owner's event loop only; replies are sent from there too.
 
 #include <functional>
 #include <map>
@@ -27,31 +27,41 @@
   RecoveryReader(Environment& environment, DataFolder& folder, SegmentStore& store,
                  ReplicaOperations& operations, FenceFile& fences);
 
-  /// Answers once the fence is synced, every earlier call of the node is complete, and all of its
-  /// replicas are sealed and checked. Overlapping calls for one node share the work.
+  /// Fences `node`, then seals and checks its replicas. `reply` runs once, with the segments that
+  /// this backup offers, when the fence is synced, every earlier call of the node is complete and
+  /// all of its replicas are sealed and checked; or with the error of syncing the fence.
+  /// Overlapping calls for one node share the work.
   void StartReadingData(NodeId node, Reply<proto::StartReadingDataResponse> reply);
-  /// @return the entries of the asked partitions. kConflict before `StartReadingData`, kNotFound if
-  /// no replica is offered, kCorrupt if the replica fails its check now.
+  /// @return the entries of the requested partitions; kConflict if `StartReadingData` has not
+  /// completed before, kNotFound if this backup offers no replica of the segment, kCorrupt if the
+  /// replica fails the check made by this call.
   Result<proto::GetRecoveryDataResponse> GetRecoveryData(
       const proto::GetRecoveryDataRequest& request);
-  /// Answers once the node's replicas are removed. Fences the node first, if it was not.
+  /// Fences `node` unless it is fenced already, then removes its replicas. `reply` runs once: with
+  /// OK when all of them are removed, otherwise with the first error.
   void ReleaseRecoveryData(NodeId node, Reply<proto::ReleaseRecoveryDataResponse> reply);
 
  private:
   class Removal;
-  /// The check of a dead node's replicas, one after the other.
+  /// Progress of the check of a dead node's replicas, which are checked one after the other.
   struct ReplicaCheck {
     NodeId node;
     std::vector<ReplicaKey> keys;
-    std::size_t position = 0;  ///< Of the next one.
+    std::size_t position = 0;  ///< Index in `keys` of the next replica to check.
   };
 
+  /// Refuses later calls of `node` from now on; `done` runs with OK once the fence is synced.
   void FenceNode(NodeId node, DataFolder::Done done);
   void StartCheck(NodeId node);
+  /// Checks the remaining replicas until one of them needs an asynchronous step; replies after the
+  /// last replica.
   void ContinueCheck(const std::shared_ptr<ReplicaCheck>& check);
-  /// @return whether `next` will run later; else the caller goes on.
+  /// @return true if `next` runs later; false if there is nothing to wait for and the caller has to
+  /// continue itself (`next` is not run).
   bool CheckReplica(const ReplicaKey& key, std::function<void()> next);
+  /// Seals the open replica of `key`, which holds `bytes`, then runs `next`.
   void Seal(const ReplicaKey& key, const std::string& bytes, std::function<void()> next);
+  /// Sends `result` to all pending StartReadingData calls for `node`.
   void CompleteReading(NodeId node, const Result<proto::StartReadingDataResponse>& result);
   proto::StartReadingDataResponse ListOfferedSegments(NodeId node) const;
   void DropCorrupt(const ReplicaKey& key, const Status& reason);
@@ -62,6 +72,7 @@
   SegmentStore& store_;
   ReplicaOperations& operations_;
   FenceFile& fences_;
+  /// Replies of the StartReadingData calls in progress, by dead node.
   std::map<NodeId, std::vector<Reply<proto::StartReadingDataResponse>>> pending_replies_;
 };
 
--- a/src/backup/replica_operations.cc
+++ b/src/backup/replica_operations.cc
@@ -53,7 +53,8 @@
 ReplicaOperations::Step ReplicaOperations::TruncateStep(const std::string& name,
                                                         std::uint64_t size) {
   return [this, name, size](DataFolder::Done done) {
-    // Only releases space: the header says where the segment ends.
+    // Truncation only releases disk space; the header records where the segment ends. A failure is
+    // therefore logged but does not fail the operation.
     folder_.Truncate(name, size, [name, done = std::move(done)](const Status& status) {
       if (!status.ok()) {
         Log(LogLevel::kWarning, "segment_truncate_failed",
@@ -122,7 +123,8 @@
     CompleteOperation(execution->key, execution->done, status);
     return;
   }
-  // Nothing was acknowledged: release the space before the next operation on this replica.
+  // Nothing in the new file was acknowledged. Remove it, to release its space before the next
+  // operation on this replica.
   folder_.Remove(name, [this, execution, status](const Status& removed) {
     if (!removed.ok()) {
       Log(LogLevel::kWarning, "segment_remove_failed",
@@ -134,7 +136,8 @@
 
 void ReplicaOperations::CompleteOperation(const ReplicaKey& key, const Done& done,
                                           const Status& status) {
-  const Done done_copy = done;  // `done` may belong to the operation that is removed here.
+  // A copy, because `done` may be a member of the operation that pop_front() destroys.
+  const Done done_copy = done;
   std::deque<Operation>& queue = queues_.at(key);
   queue.pop_front();
   const bool has_more = !queue.empty();
--- a/src/backup/replica_reader.h
+++ b/src/backup/replica_reader.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Reads the bytes of a replica and checks them: of a closed replica from disk, so that memory has
-/// one segment at a time; of an open one from its staging buffer.
+/// Reads and checks the bytes of a replica. A closed replica is read from disk, so that only one
+/// segment at a time is in memory; an open one from its staging buffer, if it has one.
 ///
-/// Threads: the owner's event loop only (reads are synchronous).
+/// Threads: call on the owner's event loop only; reads are synchronous.
 
 #include <string>
 #include <string_view>
@@ -13,12 +13,13 @@
 
 namespace cloverbank {
 
-/// @return the bytes of complete, checked entries. kCorrupt if there are fewer than the header
-/// records, or the file can not be read.
+/// @return the bytes of all entries that are complete and match their checksums; kCorrupt if there
+/// are fewer such bytes than the replica's header records, or if the file cannot be read.
 Result<std::string> ReadReplica(DataFolder& folder, const Replica& replica);
 
-/// Appends the entries in `bytes` of the request's partitions to `response`, in order. kCorrupt if
-/// an entry can not be decoded.
+/// Appends those entries in `bytes` that belong to the partitions of `request` to `response`, in
+/// order.
+/// @return kCorrupt if an entry cannot be decoded; `response` then holds the entries before it.
 Status FilterEntries(SegmentId segment, std::string_view bytes,
                      const proto::GetRecoveryDataRequest& request,
                      proto::GetRecoveryDataResponse* response);
--- a/src/backup/scrubber.h
+++ b/src/backup/scrubber.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Reads and checks closed replicas in turn, one in each interval, to find damage while other
-/// replicas are intact and the owner can repair it.
+/// Reads and checks the closed and sealed replicas in turn, one per interval, to find damage while
+/// other replicas are still intact and the owner of the segment can repair it.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: call on the owner's event loop only.
 
 #include "backup/segment_store.h"
 #include "runtime/environment.h"
@@ -18,10 +18,11 @@
   Scrubber(const Scrubber&) = delete;
   Scrubber& operator=(const Scrubber&) = delete;
 
-  /// Schedules the next check, and from then on one in each interval.
+  /// Schedules a check after one interval, and then one check per interval until destruction.
   void Start();
 
  private:
+  /// Checks the replica after `last_scrubbed_` in key order, starting over after the last one.
   void ScrubNext();
 
   Environment& environment_;
--- a/src/backup/segment_dump.cc
+++ b/src/backup/segment_dump.cc
@@ -50,11 +50,12 @@
   return line + content + "\n";
 }
 
-/// @return the segment's bytes as far as the header says they go.
+/// @return the segment's bytes, at most as many as the capacity in `header`.
 std::string_view SegmentContents(std::string_view file, const ReplicaHeader& header) {
   return SegmentData(file).substr(0, header.capacity);
 }
 
+/// @return OK if a backup would offer the contents of the file, otherwise why not.
 Status OfferStatus(const SegmentFileCheck& check) {
   if (check.header->state == ReplicaState::kReplacing) {
     return {StatusCode::kConflict, "replacement copy is not complete"};
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -11,8 +11,8 @@
 namespace cloverbank {
 namespace {
 
-/// @return the replica for an unusable file, under the key of its name, so that it can be freed or
-/// opened again.
+/// @return a corrupt replica that stands for an unusable file, under the key in the file name, so
+/// that the owner can free it or open it again.
 Replica MakeCorruptReplica(const ReplicaKey& key) {
   Replica replica;
   replica.header.key = key;
@@ -21,6 +21,8 @@
   return replica;
 }
 
+/// @param data the segment's bytes in the file, with reserved space after them.
+/// @param keep_staging whether an open replica keeps its bytes in memory.
 Replica ScanReplica(const ReplicaHeader& header, std::string_view data, bool keep_staging) {
   Replica replica;
   replica.header = header;
@@ -38,7 +40,7 @@
 }
 
 /// Adds the replica in the file of `key` to `store`.
-/// @return false if an unfinished open left the file.
+/// @return false, without adding a replica, if the file was left by an open that did not finish.
 bool LoadSegment(Environment& environment, DataFolder& folder, SegmentStore& store,
                  const ReplicaKey& key, const std::string& name) {
   const auto restore_corrupt = [&](std::string_view reason) {
--- a/src/backup/segment_loader.h
+++ b/src/backup/segment_loader.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Rebuilds a backup's state from its disk at start-up.
+/// Rebuilds a backup's state from its disk at startup.
 ///
-/// Threads: the owner's event loop only, before it serves.
+/// Threads: call on the owner's event loop only, before the backup serves calls.
 
 #include <vector>
 
@@ -12,10 +12,11 @@
 
 namespace cloverbank {
 
-/// Adds every replica found in `folder` to `store`, which knows the fences already. Torn tails of
-/// open replicas are cut at the first bad entry; a closed or sealed replica that is shorter than
-/// its recorded length is kept as corrupt and never offered.
-/// @return the keys of files that an unfinished open left: they hold nothing and can be removed.
+/// Adds every replica found in `folder` to `store`, which must already know the fences. The content
+/// of an open replica ends before the first bad entry, as after a torn write. A replica with fewer
+/// valid bytes than its header records is kept as corrupt and never offered.
+/// @return the keys of files that were left by an open that did not finish (these files hold no
+/// data and can be removed), or the error of listing the segment folder.
 Result<std::vector<ReplicaKey>> LoadSegments(Environment& environment, DataFolder& folder,
                                              SegmentStore& store);
 
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -23,7 +23,9 @@
   return {StatusCode::kConflict, std::move(message), std::to_string(length)};
 }
 
-/// @param length synced bytes: complete entries unless a replacement is under way.
+/// @return the header of the next generation.
+/// @param length synced bytes; they consist of complete entries unless a replacement is in
+/// progress.
 ReplicaHeader NextHeader(ReplicaHeader header, ReplicaState state, HeadEpoch epoch,
                          std::uint64_t length) {
   header.length = state == ReplicaState::kReplacing ? 0 : length;
@@ -37,9 +39,9 @@
   return ScanSegment(segment, bytes).tail == RecordTail::kClean;
 }
 
-/// Decides the headers around a write that is part of a replacement. A replacement in an empty
-/// replica is hidden until it is complete; one over older content leaves that offered under its own
-/// epoch.
+/// Decides which headers are written before and after a write that is part of a replacement. A
+/// replacement in an empty replica is not offered (hidden) until it is complete. During a
+/// replacement over older content, the older content is still offered under its own epoch.
 /// @return whether the replacement is still incomplete after this write.
 bool DecideReplacement(const Replica& replica, const proto::WriteSegmentRequest& request,
                        ReplicaChange* change) {
--- a/src/backup/segment_store_state.cc
+++ b/src/backup/segment_store_state.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The state of `SegmentStore`: how decided changes are applied, and look-ups.
+/// The part of `SegmentStore` that applies changes to its state and looks up replicas.
 
 #include <utility>
 
