--- a/src/backup/backup_service.cc
+++ b/src/backup/backup_service.cc
@@ -177,13 +177,14 @@
   const ReplicaKey key = ReplicaKeyFor(request);
   const Replica* replica = store_.Find(key);
   if (replica == nullptr) {
-    return Status(StatusCode::kNotFound, "no such segment");
+    return Status(StatusCode::kNotFound, "no replica of segment " + key.segment.ToString() +
+                                             " of node " + key.node.ToString());
   }
   if (replica->corrupt) {
-    return Status(StatusCode::kCorrupt, "this replica failed its check");
+    return Status(StatusCode::kCorrupt, "this replica failed a check and is marked corrupt");
   }
   if (replica->header.state == ReplicaState::kReplacing) {
-    return Status(StatusCode::kConflict, "replacement copy is not complete");
+    return Status(StatusCode::kConflict, "replacement of this replica is not complete");
   }
   Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -59,7 +59,8 @@
   }
   if (any_damaged && files.empty()) {
     return Status(StatusCode::kCorrupt,
-                  "no copy of the fences can be read; replace this disk or empty its data folder");
+                  "no fence file (fenced, fenced_copy) can be read; replace this disk or empty its "
+                  "data folder");
   }
   // A fence that is in only one file counts as not synced until the next save writes both files.
   if (files.size() == std::size(kFileNames)) {
--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -160,10 +160,12 @@
   const Replica* replica = store_.Find(key);
   if (!fences_.IsSynced(key.node) ||
       (replica != nullptr && replica->IsOpen() && replica->IsOffered())) {
-    return Status(StatusCode::kConflict, "startReadingData has to come first");
+    return Status(StatusCode::kConflict, "StartReadingData must be called before GetRecoveryData");
   }
   if (replica == nullptr || !replica->IsOffered()) {
-    return Status(StatusCode::kNotFound, "no whole copy of this segment here");
+    return Status(StatusCode::kNotFound, "no replica of segment " + key.segment.ToString() +
+                                             " of node " + key.node.ToString() +
+                                             " is offered here");
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
--- a/src/backup/replica_reader.cc
+++ b/src/backup/replica_reader.cc
@@ -15,7 +15,7 @@
   }
   Result<std::string> file = folder.Read(SegmentFileName(replica.header.key));
   if (!file.ok()) {
-    return Status(StatusCode::kCorrupt, "replica can not be read: " + file.status().message());
+    return Status(StatusCode::kCorrupt, "replica file cannot be read: " + file.status().message());
   }
   std::string bytes = *std::move(file);
   bytes.erase(0, kSegmentDataOffset);
@@ -24,8 +24,9 @@
   }
   const std::size_t valid = ScanSegment(segment, bytes).valid_length;
   if (valid < replica.header.length) {
-    return Status(StatusCode::kCorrupt, "replica of " + std::to_string(replica.header.length) +
-                                            " bytes is whole up to byte " + std::to_string(valid));
+    return Status(StatusCode::kCorrupt, "replica has " + std::to_string(valid) +
+                                            " valid bytes; its header records " +
+                                            std::to_string(replica.header.length));
   }
   bytes.resize(valid);
   return bytes;
@@ -47,7 +48,8 @@
     }
   }
   if (reader.valid_length() != bytes.size()) {
-    return {StatusCode::kCorrupt, "an entry can not be decoded"};
+    return {StatusCode::kCorrupt, "entry at offset " + std::to_string(reader.valid_length()) +
+                                      " of segment " + segment.ToString() + " cannot be decoded"};
   }
   return Status::Ok();
 }
--- a/src/backup/segment_dump.cc
+++ b/src/backup/segment_dump.cc
@@ -58,11 +58,12 @@
 /// @return OK if a backup would offer the contents of the file, otherwise why not.
 Status OfferStatus(const SegmentFileCheck& check) {
   if (check.header->state == ReplicaState::kReplacing) {
-    return {StatusCode::kConflict, "replacement copy is not complete"};
+    return {StatusCode::kConflict, "replacement of this replica is not complete"};
   }
   if (check.valid_length < check.header->length) {
-    return {StatusCode::kCorrupt, "whole up to byte " + std::to_string(check.valid_length) +
-                                      " of " + std::to_string(check.header->length)};
+    return {StatusCode::kCorrupt, std::to_string(check.valid_length) +
+                                      " valid bytes; the header records " +
+                                      std::to_string(check.header->length)};
   }
   return Status::Ok();
 }
--- a/src/backup/segment_file.cc
+++ b/src/backup/segment_file.cc
@@ -67,18 +67,18 @@
 
 Result<ReplicaHeader> DecodeReplicaHeader(std::string_view slot) {
   if (slot.size() < kHeaderBytes || slot.substr(0, kMagic.size()) != kMagic) {
-    return Status(StatusCode::kCorrupt, "segment header without its magic bytes");
+    return Status(StatusCode::kCorrupt, "segment header does not begin with its magic bytes");
   }
   if (ReadLittleEndian(slot.substr(kChecksummedBytes, kUint64Bytes)) !=
       Checksum(slot.substr(0, kChecksummedBytes))) {
-    return Status(StatusCode::kCorrupt, "segment header fails its checksum");
+    return Status(StatusCode::kCorrupt, "segment header does not match its checksum");
   }
   const std::uint64_t version = ReadLittleEndian(slot.substr(kVersionOffset, kUint32Bytes));
   const std::uint64_t state = ReadLittleEndian(slot.substr(kStateOffset, kUint32Bytes));
   if (version != kFormatVersion || !IsKnownState(state)) {
     return Status(StatusCode::kInvalidArgument,
-                  "segment file of format version " + std::to_string(version) + ", state " +
-                      std::to_string(state) + "; this program knows version 1, states 1 to 4");
+                  "segment file has format version " + std::to_string(version) + " and state " +
+                      std::to_string(state) + "; supported are version 1 and states 1 to 4");
   }
   ReplicaHeader header;
   header.state = static_cast<ReplicaState>(state);
@@ -103,7 +103,7 @@
 
 Result<ReplicaHeader> ReadReplicaHeader(std::string_view file) {
   std::optional<ReplicaHeader> newest;
-  Status last_error(StatusCode::kCorrupt, "segment file without a header");
+  Status last_error(StatusCode::kCorrupt, "segment file has no header");
   for (std::uint64_t slot = 0; slot < kHeaderSlots; ++slot) {
     const std::size_t offset = std::min<std::size_t>(slot * kHeaderSlotBytes, file.size());
     Result<ReplicaHeader> header = DecodeReplicaHeader(file.substr(offset, kHeaderSlotBytes));
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -57,13 +57,14 @@
     return false;
   }
   if (!header.ok() || header->key != key) {
-    restore_corrupt(header.ok() ? "wrong key" : header.status().message());
+    restore_corrupt(header.ok() ? "header names another node or segment than the file name"
+                                : header.status().message());
     return true;
   }
   Replica replica = ScanReplica(*header, SegmentData(*file), !store.IsFenced(key.node));
   if (replica.corrupt) {
     ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad,
-                         "shorter than its recorded length");
+                         "fewer valid bytes than its header records");
   }
   store.Restore(std::move(replica));
   return true;
--- a/src/backup/segment_store.cc
+++ b/src/backup/segment_store.cc
@@ -10,12 +10,14 @@
 namespace {
 
 Status FencedError(NodeId node) {
-  return {StatusCode::kFenced, "node " + node.ToString() + " is declared dead"};
+  return {StatusCode::kFenced,
+          "node " + node.ToString() + " is fenced, because it was declared dead"};
 }
 
 Status StaleEpochError(HeadEpoch requested_epoch, HeadEpoch current_epoch) {
   return {StatusCode::kStaleEpoch,
-          "epoch " + requested_epoch.ToString() + " is superseded by " + current_epoch.ToString(),
+          "epoch " + requested_epoch.ToString() + " is older than the replica's epoch " +
+              current_epoch.ToString(),
           current_epoch.ToString()};
 }
 
@@ -92,12 +94,15 @@
   }
   if (request.capacity() == 0 || request.capacity() > options_.maximum_segment_bytes) {
     return Status(StatusCode::kInvalidArgument,
-                  "capacity must be from 1 to " + std::to_string(options_.maximum_segment_bytes));
+                  "capacity is " + std::to_string(request.capacity()) + " bytes; expected 1 to " +
+                      std::to_string(options_.maximum_segment_bytes));
   }
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
     if (WasFreedRecently(key, epoch, now)) {
-      return Status(StatusCode::kStaleEpoch, "segment was freed moments ago under this epoch");
+      return Status(StatusCode::kStaleEpoch, "segment " + key.segment.ToString() +
+                                                 " was freed recently; epoch " + epoch.ToString() +
+                                                 " cannot open it again yet");
     }
     return OpenNew(request, free_bytes, false);
   }
@@ -111,11 +116,18 @@
 Result<ReplicaChange> SegmentStore::OpenNew(const proto::OpenSegmentRequest& request,
                                             std::uint64_t free_bytes, bool remove_first) {
   if (staging_bytes() + request.capacity() > options_.staging_bytes) {
-    return Status(StatusCode::kResourceExhausted, "too many open segments for the staging memory");
+    return Status(StatusCode::kResourceExhausted,
+                  "open segments take " + std::to_string(staging_bytes()) + " of " +
+                      std::to_string(options_.staging_bytes) +
+                      " bytes of staging memory; too little is left for " +
+                      std::to_string(request.capacity()));
   }
   if (free_bytes < request.capacity() + kSegmentDataOffset + options_.spare_disk_bytes) {
     return Status(StatusCode::kResourceExhausted,
-                  "disk has " + std::to_string(free_bytes) + " bytes free, too few for a segment");
+                  "disk has " + std::to_string(free_bytes) +
+                      " bytes free, too few for a segment of " +
+                      std::to_string(request.capacity()) + " bytes and " +
+                      std::to_string(options_.spare_disk_bytes) + " spare bytes");
   }
   ReplicaChange change;
   change.remove = remove_first;
@@ -136,10 +148,12 @@
     return ConflictError("segment is closed", replica.length);
   }
   if (replica.failed) {
-    return Status(StatusCode::kIoError, "an earlier write of this replica failed");
+    return Status(StatusCode::kIoError, "an earlier disk write to this replica failed");
   }
   if (request.capacity() > replica.header.capacity) {
-    return Status(StatusCode::kInvalidArgument, "segment is open with less capacity");
+    return Status(StatusCode::kInvalidArgument,
+                  "segment is open with capacity " + std::to_string(replica.header.capacity) +
+                      " bytes, less than the requested " + std::to_string(request.capacity()));
   }
   ReplicaChange change;
   if (epoch == replica.current_epoch()) {
@@ -159,13 +173,14 @@
   }
   const auto found = replicas_.find(key);
   if (found == replicas_.end()) {
-    return Status(StatusCode::kNotFound, "no such segment; open it first");
+    return Status(StatusCode::kNotFound, "no replica of segment " + key.segment.ToString() +
+                                             " of node " + key.node.ToString() + "; open it first");
   }
   if (found->second.corrupt) {
-    return Status(StatusCode::kCorrupt, "this replica failed its check");
+    return Status(StatusCode::kCorrupt, "this replica failed a check and is marked corrupt");
   }
   if (found->second.failed) {
-    return Status(StatusCode::kIoError, "an earlier write of this replica failed");
+    return Status(StatusCode::kIoError, "an earlier disk write to this replica failed");
   }
   return &found->second;
 }
@@ -181,19 +196,26 @@
   }
   const std::string& data = request.data();
   if (request.offset() > replica.length) {
-    return ConflictError("write leaves a gap", replica.length);
+    return ConflictError("write at offset " + std::to_string(request.offset()) +
+                             " leaves a gap after the " + std::to_string(replica.length) +
+                             " bytes stored",
+                         replica.length);
   }
   if (data.size() > replica.header.capacity - request.offset()) {
-    return {StatusCode::kResourceExhausted, "write goes over the segment's capacity"};
+    return {StatusCode::kResourceExhausted,
+            "write of " + std::to_string(data.size()) + " bytes at offset " +
+                std::to_string(request.offset()) + " exceeds the segment's capacity of " +
+                std::to_string(replica.header.capacity) + " bytes"};
   }
   const bool replacing =
       replica.header.state == ReplicaState::kReplacing || replica.replacement_epoch.valid();
   if (replacing && !request.atomic_replace() && !request.replace_complete()) {
-    return Status(StatusCode::kConflict, "replacement copy is not complete");
+    return Status(StatusCode::kConflict, "replacement of this replica is not complete");
   }
   const std::size_t overlap = std::min<std::size_t>(data.size(), replica.length - request.offset());
   if (replica.staging.compare(request.offset(), overlap, data, 0, overlap) != 0) {
-    return {StatusCode::kCorrupt, "write differs from the bytes held"};
+    return {StatusCode::kCorrupt, "write at offset " + std::to_string(request.offset()) +
+                                      " differs from the bytes already stored"};
   }
   return Status::Ok();
 }
@@ -226,7 +248,8 @@
           ? EndsWithCompleteEntry(key.segment, replica.staging + change.data)
           : replacement_incomplete || EndsWithCompleteEntry(key.segment, change.data);
   if (!ends_with_complete_entry) {
-    return Status(StatusCode::kCorrupt, "write does not consist of whole, checked entries");
+    return Status(StatusCode::kCorrupt,
+                  "write does not consist of complete entries with valid checksums");
   }
   return change;
 }
@@ -263,14 +286,16 @@
   }
   const Replica& replica = **found;
   if (request.length() != replica.length) {
-    return ConflictError("replica has another length", replica.length);
+    return ConflictError("close at length " + std::to_string(request.length()) +
+                             ", but the replica has length " + std::to_string(replica.length),
+                         replica.length);
   }
   ReplicaChange change;
   if (!replica.IsOpen()) {
     return change;
   }
   if (replica.header.state == ReplicaState::kReplacing || replica.replacement_epoch.valid()) {
-    return Status(StatusCode::kConflict, "replacement copy is not complete");
+    return Status(StatusCode::kConflict, "replacement of this replica is not complete");
   }
   change.header =
       NextHeader(replica.header, ReplicaState::kClosed, replica.header.epoch, replica.length);
