--- a/tests/backup/backup_model_test.cc
+++ b/tests/backup/backup_model_test.cc
@@ -1,5 +1,6 @@
-// Random calls and faults against one backup, checked against a model of what it has promised: what
-// was acknowledged is offered to a recovery, what was freed never is.
+// Sends random calls to one backup, injects faults, and compares the result with a model: every
+// acknowledged write must be offered to a recovery, and a segment whose free was acknowledged
+// never.
 
 #include <gtest/gtest.h>
 
@@ -17,13 +18,13 @@
 constexpr std::uint64_t kCapacity = 16384;
 constexpr std::uint64_t kPartitions = 2;
 
-/// One segment as its owner knows it.
+/// What the owner of a segment has sent and what the backup has acknowledged.
 struct ModelSegment {
-  std::string content;            ///< All that was ever sent.
-  std::uint64_t entry_count = 0;  ///< In `content`.
-  std::uint64_t acknowledged = 0;
-  std::uint64_t epoch = 1;               ///< Last one sent.
-  std::uint64_t acknowledged_epoch = 0;  ///< 0: not opened.
+  std::string content;                   ///< All bytes sent so far.
+  std::uint64_t entry_count = 0;         ///< In `content`.
+  std::uint64_t acknowledged = 0;        ///< Bytes of `content` acknowledged so far.
+  std::uint64_t epoch = 1;               ///< The last epoch sent.
+  std::uint64_t acknowledged_epoch = 0;  ///< 0: the open is not acknowledged.
   bool closed_acknowledged = false;
   bool close_sent = false;
   bool free_sent = false;
@@ -33,7 +34,7 @@
 class ModelRun {
  public:
   explicit ModelRun(std::uint64_t seed) : backup_(seed, Options()) {
-    backup_.world.network().maximum_delay = milliseconds(60);  // Duplicates come late.
+    backup_.world.network().maximum_delay = milliseconds(60);  // Duplicates may arrive late.
     backup_.world.network().request_duplication = 0.2;
     backup_.world.network().request_loss = 0.05;
     backup_.world.network().reply_loss = 0.05;
@@ -43,7 +44,8 @@
     for (int round = 0; round < kRounds; ++round) {
       SendRandomCall();
       InjectRandomFault();
-      // Some calls meet the next ones, some are over first.
+      // Wait a random time, so that some calls are complete before the next one and some overlap
+      // it.
       backup_.world.RunFor(milliseconds(backup_.world.RandomBelow(40)));
     }
     backup_.world.network() = NetworkBehaviour();
@@ -68,7 +70,8 @@
     return options;
   }
 
-  /// An owner has one call at a time on a segment, and resends when it got no answer.
+  /// Sends at most one call at a time on a segment, as an owner does; a call without a reply is
+  /// sent again in a later round.
   void SendRandomCall() {
     const std::uint64_t id = 1 + backup_.world.RandomBelow(kSegments);
     ModelSegment& segment = segments_[id];
@@ -208,7 +211,8 @@
     run.Run();
     acknowledged += run.acknowledged_calls();
   }
-  EXPECT_GT(acknowledged, kSeeds * kRounds / 8) << "the runs promised too little to say anything";
+  EXPECT_GT(acknowledged, kSeeds * kRounds / 8)
+      << "too few calls were acknowledged for the runs to be meaningful";
 }
 
 }  // namespace
--- a/tests/backup/backup_service_test.cc
+++ b/tests/backup/backup_service_test.cc
@@ -11,8 +11,8 @@
 constexpr const char* kFile = "segments/9-3";
 constexpr std::uint64_t kDataOffset = 8192;
 
-/// A backup with an open segment that holds `content`: its start and an entry of partitions 0
-/// and 1.
+/// A backup with an open segment. `content` is its segment header, its log digest, and one entry
+/// each of partitions 0 and 1.
 struct BackupWithSegment : BackupWorld {
   BackupWithSegment() {
     content = SegmentStart(node, kSegment, {2, kSegment}) + Framed(kSegment, NumberedEntry(0, 1)) +
@@ -130,7 +130,7 @@
                                 tail.substr(0, tail.size() - 1), [](const Status&) {});
   backup.machine.Start();
   EXPECT_EQ(backup.Read(kSegment)->data(), backup.content);
-  // The owner, which got no answer, sends it again.
+  // The owner got no reply, so it sends the entry again.
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), tail), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + tail.size());
 }
@@ -175,7 +175,7 @@
   EXPECT_EQ(backup.List()->replicas_size(), 0);
   EXPECT_NE(backup.metrics->Render().find(R"(backup_corrupt_replicas_total{found_by="scrub"} 1)"),
             std::string::npos);
-  // The owner replaces it.
+  // The owner replaces the damaged replica.
   EXPECT_EQ(backup.Open(kSegment), StatusCode::kOk);
   EXPECT_EQ(backup.Write(kSegment, 0, backup.content, 1, ReplacementPart::kLast), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size());
@@ -237,7 +237,7 @@
   backup.machine.SetDiskLimit(kDiskLimitBytes);
   EXPECT_EQ(backup.Open(kSegment + 1), StatusCode::kResourceExhausted);
   EXPECT_EQ(backup.service.lock()->FreeBytes(), 0U);
-  // Reserved space can still be written, and the fence fits into the spare bytes.
+  // Writes into the reserved space still succeed, and the fence fits into the spare bytes.
   const std::string next_entry = Framed(kSegment, NumberedEntry(0, 3));
   EXPECT_EQ(backup.Write(kSegment, backup.content.size(), next_entry), StatusCode::kOk);
   EXPECT_EQ(backup.Offers().at(kSegment).length(), backup.content.size() + next_entry.size());
--- a/tests/backup/backup_world.h
+++ b/tests/backup/backup_world.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// One backup in a simulated world, and its calls as a test makes them.
+/// A backup on a machine of a simulated world, with functions that send the calls of a queue node
+/// to it.
 
 #include <gtest/gtest.h>
 
@@ -40,7 +41,8 @@
     machine.Start();
   }
 
-  /// Sends without waiting. @return where the answer will be.
+  /// Sends a call without waiting for the reply.
+  /// @return holder of the result; empty until the reply arrives.
   template <typename Response, typename Request>
   std::shared_ptr<std::optional<Result<Response>>> Send(std::string_view method,
                                                         const Request& request) {
@@ -56,11 +58,12 @@
                    });
     return answer;
   }
+  /// Sends a call and runs the world until the reply arrives, at most 20 s of simulated time.
   template <typename Response, typename Request>
   Result<Response> Call(std::string_view method, const Request& request) {
     const auto answer = Send<Response>(method, request);
     world.RunUntil([&] { return answer->has_value(); }, seconds(20));
-    return answer->value_or(Status(StatusCode::kInternal, "call was never answered"));
+    return answer->value_or(Status(StatusCode::kInternal, "no reply within 20 s"));
   }
 
   StatusCode Open(std::uint64_t segment, std::uint64_t epoch = 1) {
@@ -101,7 +104,8 @@
   Result<proto::StartReadingDataResponse> StartReading() {
     return Call<proto::StartReadingDataResponse>("backup.StartReadingData", StartReadingRequest());
   }
-  /// @return segment id -> what is offered of it; also checks that the call succeeded.
+  /// Calls StartReadingData and expects it to succeed.
+  /// @return the offered segments by segment id.
   std::map<std::uint64_t, proto::StoredSegment> Offers() {
     const auto response = StartReading();
     EXPECT_TRUE(response.ok()) << response.status().ToString();
@@ -132,8 +136,8 @@
   }
 
   BackupOptions options;
-  std::uint64_t node = 9;  ///< Queue node whose calls these are.
-  Status load_status;
+  std::uint64_t node = 9;  ///< Id of the queue node in whose name calls are sent.
+  Status load_status;      ///< Result of `Load` at the last start.
   std::weak_ptr<BackupService> service;
   Metrics* metrics = nullptr;
   SimulatedWorld world;
--- a/tests/backup/segment_messages.h
+++ b/tests/backup/segment_messages.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Segment contents and calls for tests.
+/// Functions that make segment contents and `backup.*` requests for tests.
 
 #include <string>
 #include <vector>
@@ -9,6 +9,7 @@
 
 namespace cloverbank {
 
+/// @return an entry of `partition` that cancels batch "batch-<sequence>".
 inline proto::LogEntry NumberedEntry(std::uint64_t partition, std::uint64_t sequence) {
   proto::LogEntry entry;
   entry.set_partition_tag(partition + 1);
@@ -17,14 +18,14 @@
   return entry;
 }
 
-/// @return one framed entry.
+/// @return the bytes of `entry` as a segment stores them: framed with length and checksum.
 inline std::string Framed(std::uint64_t segment, const proto::LogEntry& entry) {
   std::string bytes;
   AppendEntry(&bytes, SegmentId(segment), entry);
   return bytes;
 }
 
-/// @return the framed header and digest that begin a segment.
+/// @return the first two entries of a segment, framed: the segment header and the log digest.
 inline std::string SegmentStart(std::uint64_t node, std::uint64_t segment,
                                 const std::vector<std::uint64_t>& digest) {
   proto::LogEntry header;
@@ -52,7 +53,8 @@
   request.set_capacity(capacity);
   return request;
 }
-/// Whether a write is part of a replacement, and whether it completes it.
+/// The role of a write in a replacement: not part of one, an earlier part, or the part that
+/// completes it.
 enum class ReplacementPart : std::uint8_t { kNone, kPartial, kLast };
 inline proto::WriteSegmentRequest WriteRequest(std::uint64_t node, std::uint64_t segment,
                                                std::uint64_t offset, const std::string& data,
--- a/tests/backup/segment_store_test.cc
+++ b/tests/backup/segment_store_test.cc
@@ -12,7 +12,7 @@
 constexpr std::uint64_t kFreeBytes = 1ULL << 30U;
 constexpr ReplicaKey kKey{NodeId(kNode), SegmentId(kSegment)};
 
-/// A store whose decided changes are applied at once, as if the disk were immediate.
+/// Applies each decided change immediately, as if every disk write completed at once.
 class SegmentStoreTest : public testing::Test {
  protected:
   Status Apply(Result<ReplicaChange> decided) {
@@ -194,7 +194,8 @@
   Status status;
   for (std::uint64_t segment = 1; status.ok(); ++segment) {
     const auto request = OpenRequest(kNode, segment, 1, options_.maximum_segment_bytes);
-    status = store_.Open(request, kFreeBytes, now_).status();  // Still under way.
+    status = store_.Open(request, kFreeBytes, now_)
+                 .status();  // Not applied, so the open stays in progress.
   }
   EXPECT_EQ(status.code(), StatusCode::kResourceExhausted);
   EXPECT_EQ(store_.staging_bytes(), options_.staging_bytes);
