--- a/src/storage/file_group.cc
+++ b/src/storage/file_group.cc
@@ -22,8 +22,8 @@
 bool IsWrite(Kind kind) { return kind != Kind::kReplace && kind != Kind::kRemove; }
 
 /// Gives every operation of `group` the same status.
-Outcome SameForAll(const std::vector<FileOperation>& group, const Status& status,
-                   bool file_failed) {
+Outcome MakeUniformOutcome(const std::vector<FileOperation>& group, const Status& status,
+                           bool file_failed) {
   return {std::vector<Status>(group.size(), status), file_failed};
 }
 
@@ -134,7 +134,7 @@
   }
   const Status folder = EnsureFolder(name);
   if (!folder.ok()) {
-    return SameForAll(group, folder, false);
+    return MakeUniformOutcome(group, folder, false);
   }
   return group.front().kind == Kind::kReplace ? CommitReplace(name, group)
                                               : CommitWrites(name, group);
@@ -179,10 +179,10 @@
   }
   if (!status.ok()) {
     ::unlink(temporary.c_str());  // Best effort: opening the folder removes what is left.
-    return SameForAll(group, status, sync_failed);
+    return MakeUniformOutcome(group, status, sync_failed);
   }
   status = SyncFolder(FolderOf(name));
-  return SameForAll(group, status, !status.ok());
+  return MakeUniformOutcome(group, status, !status.ok());
 }
 
 Outcome FileGroupCommitter::CommitRemove(const std::string& name,
@@ -191,10 +191,10 @@
   if (::unlink(path.c_str()) != 0) {
     const int error = errno;
     const Status status = error == ENOENT ? Status::Ok() : ErrnoStatus("remove", path, error);
-    return SameForAll(group, status, false);
+    return MakeUniformOutcome(group, status, false);
   }
   const Status synced = SyncFolder(FolderOf(name));
-  return SameForAll(group, synced, !synced.ok());
+  return MakeUniformOutcome(group, synced, !synced.ok());
 }
 
 std::string FileGroupCommitter::FolderOf(const std::string& name) const {
--- a/src/storage/posix_data_folder.cc
+++ b/src/storage/posix_data_folder.cc
@@ -38,11 +38,11 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     closing_ = true;
   }
-  work_waits_.notify_all();
+  work_available_.notify_all();
   for (std::thread& thread : threads_) {
     thread.join();
   }
-  *callbacks_wanted_ = false;
+  *callbacks_enabled_ = false;
 }
 
 Status PosixDataFolder::Open() {
@@ -62,7 +62,7 @@
   }
   open_ = true;
   for (int index = 0; index < kThreadCount; ++index) {
-    threads_.emplace_back([this] { Work(); });
+    threads_.emplace_back([this] { RunWorker(); });
   }
   return Status::Ok();
 }
@@ -185,19 +185,19 @@
     const std::lock_guard<std::mutex> lock(mutex_);
     File& file = files_[name];
     file.waiting.push_back(std::move(operation));
-    file.dones.push_back(std::move(done));
+    file.callbacks.push_back(std::move(done));
     if (std::exchange(file.busy, true)) {
       return;
     }
     ready_.push_back(name);
   }
-  work_waits_.notify_one();
+  work_available_.notify_one();
 }
 
-void PosixDataFolder::Work() {
+void PosixDataFolder::RunWorker() {
   std::unique_lock<std::mutex> lock(mutex_);
   while (true) {
-    work_waits_.wait(lock, [this] { return closing_ || !ready_.empty(); });
+    work_available_.wait(lock, [this] { return closing_ || !ready_.empty(); });
     if (ready_.empty()) {
       return;  // Closing. A file in another thread's hands is finished by that thread.
     }
@@ -211,13 +211,13 @@
   File& file = files_[name];  // Stays in place while busy.
   const std::size_t length = FileGroupCommitter::GroupLength(file.waiting);
   const auto operations_end = file.waiting.begin() + static_cast<std::ptrdiff_t>(length);
-  const auto dones_end = file.dones.begin() + static_cast<std::ptrdiff_t>(length);
+  const auto callbacks_end = file.callbacks.begin() + static_cast<std::ptrdiff_t>(length);
   const std::vector<FileOperation> group(std::make_move_iterator(file.waiting.begin()),
                                          std::make_move_iterator(operations_end));
-  std::vector<Done> dones(std::make_move_iterator(file.dones.begin()),
-                          std::make_move_iterator(dones_end));
+  std::vector<Done> callbacks(std::make_move_iterator(file.callbacks.begin()),
+                              std::make_move_iterator(callbacks_end));
   file.waiting.erase(file.waiting.begin(), operations_end);
-  file.dones.erase(file.dones.begin(), dones_end);
+  file.callbacks.erase(file.callbacks.begin(), callbacks_end);
   const bool already_failed = file.failed;
   lock.unlock();
 
@@ -228,26 +228,26 @@
     outcome = committer_.Commit(name, group);
   }
   const bool failed = outcome.file_failed;
-  Complete(std::move(dones), std::move(outcome.statuses));
+  Complete(std::move(callbacks), std::move(outcome.statuses));
 
   lock.lock();
   file.failed = failed;
   file.busy = !file.waiting.empty();
   if (file.busy) {
     ready_.push_back(name);
-    work_waits_.notify_one();
+    work_available_.notify_one();
   } else if (!file.failed) {
     files_.erase(name);
   }
 }
 
-void PosixDataFolder::Complete(std::vector<Done> dones, std::vector<Status> statuses) {
-  post_to_loop_(
-      [wanted = callbacks_wanted_, dones = std::move(dones), statuses = std::move(statuses)] {
-        for (std::size_t index = 0; index < dones.size() && *wanted; ++index) {
-          dones[index](statuses[index]);
-        }
-      });
+void PosixDataFolder::Complete(std::vector<Done> callbacks, std::vector<Status> statuses) {
+  post_to_loop_([enabled = callbacks_enabled_, callbacks = std::move(callbacks),
+                 statuses = std::move(statuses)] {
+    for (std::size_t index = 0; index < callbacks.size() && *enabled; ++index) {
+      callbacks[index](statuses[index]);
+    }
+  });
 }
 
 }  // namespace cloverbank
--- a/src/storage/posix_data_folder.h
+++ b/src/storage/posix_data_folder.h
@@ -60,8 +60,8 @@
   /// A file with operations waiting or under way, or one that failed.
   struct File {
     std::deque<FileOperation> waiting;
-    std::deque<Done> dones;  ///< One for each of `waiting`.
-    bool busy = false;       ///< Waiting for a thread or being processed by one.
+    std::deque<Done> callbacks;  ///< One for each of `waiting`.
+    bool busy = false;           ///< Waiting for a thread or being processed by one.
     bool failed = false;
   };
 
@@ -69,11 +69,11 @@
   /// Removes temporary files of, and syncs, one folder and all files in it.
   Status CleanAndSync(const std::string& path);
   void Submit(const std::string& name, FileOperation operation, Done done);
-  void Work();
+  void RunWorker();
   /// Commits the next group of one file. Called and returning with `lock` held.
   void CommitNext(const std::string& name, std::unique_lock<std::mutex>& lock);
   /// Posts the completions of a group.
-  void Complete(std::vector<Done> dones, std::vector<Status> statuses);
+  void Complete(std::vector<Done> callbacks, std::vector<Status> statuses);
 
   const std::string root_;
   const std::function<void(std::function<void()>)> post_to_loop_;
@@ -81,10 +81,10 @@
   PosixFile lock_file_;
   bool open_ = false;
   /// Cleared by the destructor; read and written on the loop only.
-  const std::shared_ptr<bool> callbacks_wanted_ = std::make_shared<bool>(true);
+  const std::shared_ptr<bool> callbacks_enabled_ = std::make_shared<bool>(true);
 
   std::mutex mutex_;  ///< Guards what follows.
-  std::condition_variable work_waits_;
+  std::condition_variable work_available_;
   bool closing_ = false;
   std::unordered_map<std::string, File> files_;
   std::deque<std::string> ready_;  ///< Busy files that no thread processes yet.
--- a/src/storage/posix_file.cc
+++ b/src/storage/posix_file.cc
@@ -14,7 +14,7 @@
 
 /// Repeats `call` while a signal interrupts it. @return its result.
 template <typename Call>
-auto RepeatInterrupted(Call call) {
+auto RetryInterrupted(Call call) {
   auto result = call();
   while (result < 0 && errno == EINTR) {
     result = call();
@@ -23,7 +23,7 @@
 }
 
 constexpr mode_t kFileMode = 0644;
-constexpr std::size_t kReadBytes = 1U << 20U;
+constexpr std::size_t kReadChunkBytes = 1U << 20U;
 
 }  // namespace
 
@@ -58,7 +58,7 @@
 
 Result<PosixFile> PosixFile::Open(const std::string& path, int flags) {
   const int descriptor =
-      RepeatInterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); });
+      RetryInterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); });
   if (descriptor < 0) {
     return ErrnoStatus("open", path, errno);
   }
@@ -77,9 +77,9 @@
   std::string content;
   while (true) {
     const std::size_t old_size = content.size();
-    content.resize(old_size + kReadBytes);
-    const ssize_t count = RepeatInterrupted([&] {
-      return ::pread(descriptor_, content.data() + old_size, kReadBytes,
+    content.resize(old_size + kReadChunkBytes);
+    const ssize_t count = RetryInterrupted([&] {
+      return ::pread(descriptor_, content.data() + old_size, kReadChunkBytes,
                      static_cast<off_t>(old_size));
     });
     if (count < 0) {
@@ -95,7 +95,7 @@
 Status PosixFile::WriteAt(const FileCalls& calls, std::uint64_t offset,
                           std::string_view bytes) const {
   while (!bytes.empty()) {
-    const ssize_t count = RepeatInterrupted([&] {
+    const ssize_t count = RetryInterrupted([&] {
       return calls.write_at(descriptor_, bytes.data(), bytes.size(), static_cast<off_t>(offset));
     });
     if (count < 0) {
@@ -112,7 +112,7 @@
 
 Status PosixFile::Truncate(std::uint64_t size) const {
   const int result =
-      RepeatInterrupted([&] { return ::ftruncate(descriptor_, static_cast<off_t>(size)); });
+      RetryInterrupted([&] { return ::ftruncate(descriptor_, static_cast<off_t>(size)); });
   return result == 0 ? Status::Ok() : ErrnoStatus("truncate", path_, errno);
 }
 
--- a/src/storage/record_file.cc
+++ b/src/storage/record_file.cc
@@ -68,9 +68,9 @@
     return RecordTail::kReserved;
   }
   const auto length = LengthAt(bytes_, position_);
-  const bool valid_one_follows =
+  const bool valid_record_follows =
       length.has_value() && PayloadAt(position_ + kRecordHeaderBytes + *length).has_value();
-  return valid_one_follows ? RecordTail::kCorrupt : RecordTail::kTorn;
+  return valid_record_follows ? RecordTail::kCorrupt : RecordTail::kTorn;
 }
 
 }  // namespace cloverbank
--- a/tests/storage/folder_conformance_test.cc
+++ b/tests/storage/folder_conformance_test.cc
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr int kRounds = 60;
-constexpr int kOperationsInABurst = 12;
+constexpr int kOperationsPerBurst = 12;
 
 /// Asks `folder` for one random operation drawn from `random`.
-void AskForOne(DataFolder& folder, std::mt19937_64& random, DataFolder::Done done) {
+void SubmitRandomOperation(DataFolder& folder, std::mt19937_64& random, DataFolder::Done done) {
   const std::vector<std::string> names = {"a", "b", "sub/a", "sub/b"};
   const std::string& name = names[random() % names.size()];
   const std::string bytes(random() % 20, static_cast<char>('a' + random() % 26));
@@ -37,19 +37,19 @@
   }
 }
 
-/// Asks for a burst and lets `finish(done_count)` run the world until all have completed.
+/// Asks for a burst and lets `run_until(done_count)` run the world until all have completed.
 /// @return codes in the order asked, then every file's content.
 std::string RunBurst(DataFolder& folder, std::mt19937_64 random,
-                     const std::function<void(const std::function<bool()>&)>& finish) {
-  std::vector<std::string> codes(kOperationsInABurst);
+                     const std::function<void(const std::function<bool()>&)>& run_until) {
+  std::vector<std::string> codes(kOperationsPerBurst);
   int completed = 0;
-  for (int index = 0; index < kOperationsInABurst; ++index) {
-    AskForOne(folder, random, [&codes, &completed, index](const Status& status) {
+  for (int index = 0; index < kOperationsPerBurst; ++index) {
+    SubmitRandomOperation(folder, random, [&codes, &completed, index](const Status& status) {
       codes[index] = StatusCodeName(status.code());
       ++completed;
     });
   }
-  finish([&completed] { return completed == kOperationsInABurst; });
+  run_until([&completed] { return completed == kOperationsPerBurst; });
   std::ostringstream outcome;
   for (const std::string& code : codes) {
     outcome << code << ' ';
@@ -65,10 +65,10 @@
   return outcome.str();
 }
 
-TEST(FolderConformanceTest, RealAndSimulatedFolderAnswerAlike) {
-  const TemporaryFolder place;
+TEST(FolderConformanceTest, RealAndSimulatedFolderGiveSameResults) {
+  const TemporaryFolder temporary_folder;
   TestLoop loop;
-  PosixDataFolder real(place.path(), loop.poster());
+  PosixDataFolder real(temporary_folder.path(), loop.poster());
   ASSERT_TRUE(real.Open().ok());
   SimulatedWorld world(1);
   DataFolder* simulated = nullptr;
@@ -81,12 +81,12 @@
   std::mt19937_64 random(5);
   for (int round = 0; round < kRounds; ++round) {
     const std::mt19937_64 burst(random());
-    const std::string of_real =
+    const std::string real_outcome =
         RunBurst(real, burst, [&loop](const auto& finished) { loop.RunUntil(finished); });
-    const std::string of_simulated = RunBurst(*simulated, burst, [&world](const auto& finished) {
-      ASSERT_TRUE(world.RunUntil(finished, seconds(10)));
-    });
-    ASSERT_EQ(of_real, of_simulated) << "round " << round;
+    const std::string simulated_outcome = RunBurst(
+        *simulated, burst,
+        [&world](const auto& finished) { ASSERT_TRUE(world.RunUntil(finished, seconds(10))); });
+    ASSERT_EQ(real_outcome, simulated_outcome) << "round " << round;
   }
 }
 
--- a/tests/storage/number_log.h
+++ b/tests/storage/number_log.h
@@ -27,7 +27,7 @@
   /// Appends `count` records of varying size without waiting, unless something has failed.
   void AppendMore(std::uint64_t count) {
     for (; count > 0 && !failed_; --count) {
-      const std::uint64_t number = ++last_;
+      const std::uint64_t number = ++last_number_;
       folder_.Append(kFileName, EncodeRecord(Payload(number), kSeed),
                      [this, number](const Status& status) { OnAppended(number, status); });
     }
@@ -36,8 +36,8 @@
 
  private:
   static std::string Payload(std::uint64_t number) {
-    constexpr std::uint64_t kLongest = 40;
-    return std::to_string(number) + std::string(number * number % kLongest, '.');
+    constexpr std::uint64_t kPaddingLimit = 40;
+    return std::to_string(number) + std::string(number * number % kPaddingLimit, '.');
   }
 
   void Load() {
@@ -45,10 +45,10 @@
     const std::string bytes = content.ok() ? *content : "";
     RecordReader reader(bytes, kSeed);
     while (const auto payload = reader.Next()) {
-      ASSERT_EQ(*payload, Payload(++last_));
+      ASSERT_EQ(*payload, Payload(++last_number_));
     }
-    completed_ = last_;
-    ASSERT_GE(last_, acknowledged_) << "an acknowledged record is gone";
+    completed_number_ = last_number_;
+    ASSERT_GE(last_number_, acknowledged_) << "an acknowledged record is gone";
     ASSERT_NE(reader.tail(), RecordTail::kCorrupt);
     if (reader.tail() != RecordTail::kClean) {
       folder_.Truncate(kFileName, reader.valid_bytes(),
@@ -59,15 +59,15 @@
   void OnAppended(std::uint64_t number, const Status& status) {
     failed_ = failed_ || !status.ok();
     if (!failed_) {
-      ASSERT_EQ(number, ++completed_) << "completed out of order";
+      ASSERT_EQ(number, ++completed_number_) << "completed out of order";
       acknowledged_ = number;
     }
   }
 
   DataFolder& folder_;
   std::uint64_t& acknowledged_;
-  std::uint64_t last_ = 0;
-  std::uint64_t completed_ = 0;
+  std::uint64_t last_number_ = 0;
+  std::uint64_t completed_number_ = 0;
   bool failed_ = false;
 };
 
--- a/tests/storage/record_file_test.cc
+++ b/tests/storage/record_file_test.cc
@@ -18,7 +18,7 @@
   return payloads;
 }
 
-TEST(RecordFileTest, BytesAreAsDocumented) {
+TEST(RecordFileTest, EncodesRecordAsDocumented) {
   const std::string record = EncodeRecord("abc", 0);
   // The checksum is XXH3_64bits("abc") = 0x78af5f94892f3950, as libxxhash gives it.
   const std::string expected(
@@ -36,7 +36,7 @@
     AppendRecord(bytes, payload, kSeed);
     ends.push_back(bytes.size());
   }
-  const auto complete_before = [&ends](std::size_t position) {
+  const auto intact_records_before = [&ends](std::size_t position) {
     std::size_t count = 0;
     while (count + 1 < ends.size() && ends[count + 1] <= position) {
       ++count;
@@ -46,31 +46,32 @@
   const std::string_view complete_file = bytes;
   for (std::size_t cut = 0; cut <= bytes.size(); ++cut) {
     RecordReader reader(complete_file.substr(0, cut), kSeed);
-    const std::size_t whole = complete_before(cut);
+    const std::size_t intact_count = intact_records_before(cut);
     EXPECT_EQ(ReadAll(reader),
-              std::vector<std::string>(payloads.begin(), payloads.begin() + whole));
-    EXPECT_EQ(reader.valid_bytes(), ends[whole]);
-    const std::string_view rest = complete_file.substr(ends[whole], cut - ends[whole]);
-    const bool zeros = rest.find_first_not_of('\0') == std::string_view::npos;
-    const RecordTail unfinished = zeros ? RecordTail::kReserved : RecordTail::kTorn;
-    EXPECT_EQ(reader.tail(), rest.empty() ? RecordTail::kClean : unfinished);
+              std::vector<std::string>(payloads.begin(), payloads.begin() + intact_count));
+    EXPECT_EQ(reader.valid_bytes(), ends[intact_count]);
+    const std::string_view rest =
+        complete_file.substr(ends[intact_count], cut - ends[intact_count]);
+    const bool all_zero = rest.find_first_not_of('\0') == std::string_view::npos;
+    const RecordTail cut_tail = all_zero ? RecordTail::kReserved : RecordTail::kTorn;
+    EXPECT_EQ(reader.tail(), rest.empty() ? RecordTail::kClean : cut_tail);
   }
   for (std::size_t bit = 0; bit < bytes.size() * 8; ++bit) {
     std::string damaged = bytes;
     damaged[bit / 8] = static_cast<char>(damaged[bit / 8] ^ (1 << (bit % 8)));
     RecordReader reader(damaged, kSeed);
-    const std::size_t whole = complete_before(bit / 8);
-    EXPECT_EQ(ReadAll(reader).size(), whole);
-    EXPECT_EQ(reader.valid_bytes(), ends[whole]);
-    const std::size_t place = bit / 8 - ends[whole];
-    const bool length_damaged = place < 4;
-    const bool last = whole + 1 == payloads.size();
+    const std::size_t intact_count = intact_records_before(bit / 8);
+    EXPECT_EQ(ReadAll(reader).size(), intact_count);
+    EXPECT_EQ(reader.valid_bytes(), ends[intact_count]);
+    const std::size_t offset_in_record = bit / 8 - ends[intact_count];
+    const bool length_damaged = offset_in_record < 4;
+    const bool last = intact_count + 1 == payloads.size();
     EXPECT_EQ(reader.tail(), length_damaged || last ? RecordTail::kTorn : RecordTail::kCorrupt)
         << "bit " << bit;
   }
 }
 
-TEST(RecordFileTest, ReservedSpaceAndOtherSeedsAreNoRecords) {
+TEST(RecordFileTest, RejectsReservedSpaceAndOtherSeeds) {
   std::string bytes = EncodeRecord("payload", kSeed);
   const std::size_t end = bytes.size();
   bytes.append(100, '\0');
@@ -78,8 +79,8 @@
   EXPECT_EQ(ReadAll(reader).size(), 1U);
   EXPECT_EQ(reader.valid_bytes(), end);
   EXPECT_EQ(reader.tail(), RecordTail::kReserved);
-  RecordReader other(bytes, kSeed + 1);
-  EXPECT_FALSE(other.Next().has_value());
+  RecordReader reader_with_other_seed(bytes, kSeed + 1);
+  EXPECT_FALSE(reader_with_other_seed.Next().has_value());
 }
 
 TEST(RecordFileTest, RandomBytesNeverReadAsRecords) {
--- a/tests/storage/torn_tail_test.cc
+++ b/tests/storage/torn_tail_test.cc
@@ -1,5 +1,5 @@
-// Random ends of a process that appends records: whatever was acknowledged is there at the next
-// start.
+// Random ends of a process that appends records: whatever was acknowledged is there at the
+// next start.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -18,7 +18,7 @@
 namespace {
 
 /// Ends the process in a random way and starts it again.
-void EndAndStart(SimulatedWorld& world, SimulatedMachine& machine) {
+void CrashAndRestart(SimulatedWorld& world, SimulatedMachine& machine) {
   machine.FailSyncs(false);
   switch (world.RandomBelow(3)) {
     case 0:
@@ -37,7 +37,7 @@
 
 class SimulatedTornTailTest : public testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(SimulatedTornTailTest, AcknowledgedRecordsOutliveEveryEnd) {
+TEST_P(SimulatedTornTailTest, AcknowledgedRecordsSurviveRandomCrashes) {
   SimulatedWorld world(GetParam());
   SimulatedMachine& machine = world.AddMachine("a", "10.0.0.1");
   std::uint64_t acknowledged = 0;
@@ -54,7 +54,7 @@
     machine.FailSyncs(world.RandomBelow(50) == 0);
     world.RunFor(milliseconds(world.RandomBelow(6)));
     if (world.RandomBelow(8) == 0 || current.lock()->failed()) {
-      EndAndStart(world, machine);
+      CrashAndRestart(world, machine);
     }
   }
   EXPECT_GT(acknowledged, 100U);
@@ -85,17 +85,18 @@
 /// Runs a process that appends and kills it after `messages` of its acknowledgements.
 /// @return the last number acknowledged, as far as it came to be said.
 std::uint64_t AppendAndKill(const std::string& path, std::uint64_t acknowledged, int messages) {
-  int ends[2];
-  EXPECT_EQ(::pipe(ends), 0);
+  int pipe_ends[2];
+  EXPECT_EQ(::pipe(pipe_ends), 0);
   const pid_t child = ::fork();
   if (child == 0) {
-    ::close(ends[0]);
-    AppendUntilKilled(path, acknowledged, ends[1]);
+    ::close(pipe_ends[0]);
+    AppendUntilKilled(path, acknowledged, pipe_ends[1]);
   }
-  ::close(ends[1]);
-  std::uint64_t heard = 0;
-  for (int count = 0; ::read(ends[0], &heard, sizeof heard) == sizeof heard; ++count) {
-    acknowledged = heard;
+  ::close(pipe_ends[1]);
+  std::uint64_t received = 0;
+  for (int count = 0; ::read(pipe_ends[0], &received, sizeof received) == sizeof received;
+       ++count) {
+    acknowledged = received;
     if (count == messages) {
       ::kill(child, SIGKILL);
     }
@@ -103,19 +104,20 @@
   int exit_status = 0;
   EXPECT_EQ(::waitpid(child, &exit_status, 0), child);
   EXPECT_TRUE(WIFSIGNALED(exit_status));
-  ::close(ends[0]);
+  ::close(pipe_ends[0]);
   return acknowledged;
 }
 
 TEST(RealTornTailTest, AcknowledgedRecordsSurviveKills) {
-  const TemporaryFolder place;
-  const std::string file = place.path() + "/" + NumberLog::kFileName;
+  const TemporaryFolder temporary_folder;
+  const std::string file = temporary_folder.path() + "/" + NumberLog::kFileName;
   std::mt19937_64 random(11);
   std::uint64_t acknowledged = 0;
   for (int round = 0; round < 8 && !testing::Test::HasFatalFailure(); ++round) {
-    acknowledged = AppendAndKill(place.path(), acknowledged, static_cast<int>(random() % 6));
+    acknowledged =
+        AppendAndKill(temporary_folder.path(), acknowledged, static_cast<int>(random() % 6));
     TestLoop loop;
-    PosixDataFolder folder(place.path(), loop.poster());
+    PosixDataFolder folder(temporary_folder.path(), loop.poster());
     ASSERT_TRUE(folder.Open().ok());
     NumberLog log(folder, acknowledged);
     // What a power loss in the middle of the next append would leave.
