--- a/src/storage/data_folder.h
+++ b/src/storage/data_folder.h
@@ -1,19 +1,20 @@
 #pragma once
 /// @file
-/// The one folder of files a process keeps. Bytes last only once they are synced, so every writing
-/// call reports completion through a callback that runs after the data (and, for new or renamed
-/// files, the directory) is synced. The real folder does the work off the event loop and commits
-/// waiting writes in groups; the simulated one drops unsynced bytes at a power loss.
+/// The folder that holds all files of a process. Data is durable only once it is synced, so every
+/// call that writes takes a callback, which runs after the data is synced (and the directory too,
+/// for new or renamed files). The real folder works outside the event loop and commits waiting
+/// writes in groups; the simulated folder drops unsynced bytes at a power loss.
 ///
-/// File names are relative, may hold one level of sub-folder ("segments/12-7") and are created on
-/// demand. Reads are synchronous and meant for start-up, recovery and tools.
+/// File names are relative and may contain one level of sub-folder ("segments/12-7"), which is
+/// created on demand. Reads are synchronous and meant for startup, recovery and tools.
 ///
-/// A failed operation leaves nothing of itself behind, except that a failed `WriteAt` may have
-/// changed its own range. Operations already asked for on the same file are still carried out: who
-/// needs a run of appends without holes stops at the first failure. After a failed sync the file
-/// takes no more operations (kIoError) until the process is restarted.
+/// A failed operation leaves no data behind, except that a failed `WriteAt` may have changed bytes
+/// in its own range. Later operations that were already submitted for the same file are still
+/// carried out, so a caller that needs a sequence of appends without gaps must stop at the first
+/// failure. After a failed sync the file refuses all operations (kIoError) until the process is
+/// restarted.
 ///
-/// Threads: called and calling back on the owner's event loop only.
+/// Threads: call on the owner's event loop only; callbacks run there too.
 
 #include <cstdint>
 #include <functional>
@@ -27,32 +28,33 @@
 
 class DataFolder {
  public:
+  /// Runs with OK once the operation is synced, otherwise with the reason why it failed.
   using Done = std::function<void(Status)>;
   virtual ~DataFolder() = default;
 
-  /// @return the bare names of the files (not folders) in `folder` ("" is the top), sorted; empty
-  /// if
-  ///   there is no such folder.
+  /// @return the sorted names, without folder, of the files (not folders) in `folder` ("" is the
+  /// top folder); empty if there is no such folder.
   virtual Result<std::vector<std::string>> List(const std::string& folder) = 0;
-  /// @return the complete content; kNotFound if the file does not exist.
+  /// @return the complete content of the file; kNotFound if it does not exist.
   virtual Result<std::string> Read(const std::string& name) = 0;
-  /// @return bytes free for new data on this disk (of this folder's quota, if it has one).
+  /// @return the bytes free for new data on this disk, or in this folder's quota if it has one.
   virtual std::uint64_t FreeBytes() = 0;
 
-  /// Appends to the end of the file (created when absent) and syncs. Appends to one file complete
-  /// in the order they were asked for; waiting ones share a sync.
+  /// Appends to the end of the file, which is created if it does not exist, and syncs. Appends to
+  /// one file complete in the order in which they were submitted; waiting appends share one sync.
   virtual void Append(const std::string& name, std::string bytes, Done done) = 0;
-  /// Writes at `offset` (the file grows when needed) and syncs; grouped like `Append`.
+  /// Writes at `offset` and syncs, grouped like `Append`. The file is created and grows if needed.
   virtual void WriteAt(const std::string& name, std::uint64_t offset, std::string bytes,
                        Done done) = 0;
   /// Replaces the file's content atomically (temporary file, sync, rename, directory sync).
   virtual void Replace(const std::string& name, std::string bytes, Done done) = 0;
-  /// Cuts the file to `size` bytes and syncs; never grows it; kNotFound if it does not exist.
+  /// Shortens the file to `size` bytes and syncs; never makes it longer. kNotFound if the file does
+  /// not exist.
   virtual void Truncate(const std::string& name, std::uint64_t size, Done done) = 0;
-  /// Creates the file if absent and reserves `size` bytes of disk; kResourceExhausted when the disk
-  /// is too full. Reserved, unwritten bytes read as zero.
+  /// Creates the file if it does not exist and reserves `size` bytes of disk space for it;
+  /// kResourceExhausted if the disk has too little space. Reserved, unwritten bytes read as zero.
   virtual void Reserve(const std::string& name, std::uint64_t size, Done done) = 0;
-  /// Removes the file and syncs its directory; OK when it did not exist.
+  /// Removes the file and syncs its directory; OK if the file does not exist.
   virtual void Remove(const std::string& name, Done done) = 0;
 };
 
--- a/src/storage/file_group.cc
+++ b/src/storage/file_group.cc
@@ -21,7 +21,7 @@
 
 bool IsWrite(Kind kind) { return kind != Kind::kReplace && kind != Kind::kRemove; }
 
-/// Gives every operation of `group` the same status.
+/// @return an outcome with the same status for every operation of `group`.
 Outcome MakeUniformOutcome(const std::vector<FileOperation>& group, const Status& status,
                            bool file_failed) {
   return {std::vector<Status>(group.size(), status), file_failed};
@@ -32,7 +32,7 @@
  public:
   FileWriter(const FileCalls& calls, std::string path) : calls_(calls), path_(std::move(path)) {}
 
-  /// Applies one operation; on failure the file is put back to its size before.
+  /// Applies one operation; if it fails, the file is truncated to its previous size.
   Status Apply(const FileOperation& operation) {
     Status opened = EnsureOpen(operation.kind != Kind::kTruncate);
     if (!opened.ok()) {
@@ -52,10 +52,11 @@
   }
 
   const PosixFile& file() const { return file_; }
+  /// @return whether this object created the file.
   bool created() const { return created_; }
-  /// Whether any operation succeeded.
+  /// @return whether any operation succeeded.
   bool wrote() const { return wrote_; }
-  /// Whether a failed operation could not be undone.
+  /// @return whether the effect of a failed operation could not be undone.
   bool failed() const { return failed_; }
 
  private:
@@ -98,7 +99,8 @@
   bool failed_ = false;
 };
 
-/// Writes and syncs `bytes` as a new file at `path`.
+/// Writes `bytes` to a new file at `path` and syncs it. @param sync_failed set if the write
+/// succeeded: whether the sync failed.
 Status WriteNewFile(const FileCalls& calls, const std::string& path, std::string_view bytes,
                     bool* sync_failed) {
   const auto file = PosixFile::Open(path, O_WRONLY | O_CREAT | O_TRUNC);
@@ -149,7 +151,7 @@
   }
   outcome.file_failed = writer.failed();
   if (!writer.wrote()) {
-    // Left behind, its entry in the folder would never be synced.
+    // Remove the empty new file: its entry in the folder would otherwise never be synced.
     if (writer.created() && ::unlink(PathOf(name).c_str()) != 0) {
       outcome.file_failed = true;
     }
@@ -178,7 +180,7 @@
     status = ErrnoStatus("rename", temporary, errno);
   }
   if (!status.ok()) {
-    ::unlink(temporary.c_str());  // Best effort: opening the folder removes what is left.
+    ::unlink(temporary.c_str());  // Errors are ignored: the next Open() removes it.
     return MakeUniformOutcome(group, status, sync_failed);
   }
   status = SyncFolder(FolderOf(name));
@@ -209,8 +211,8 @@
 
 Status FileGroupCommitter::EnsureFolder(const std::string& name) {
   const std::string folder = SplitFileName(name).first;
-  // Held over the sync, so that no file in a new folder is acknowledged before the folder is
-  // synced.
+  // The lock is held during the sync, so that no file in a new folder is acknowledged before the
+  // folder is synced.
   const std::lock_guard<std::mutex> lock(folders_mutex_);
   if (folder.empty()) {
     return Status::Ok();
--- a/src/storage/file_group.h
+++ b/src/storage/file_group.h
@@ -1,7 +1,10 @@
 #pragma once
 /// @file
-/// Group commit: carries out the operations that wait for one file and syncs them once.
-/// Threads: one file is handled by one thread at a time; different files by any.
+/// Group commit: carries out the waiting operations of one file and syncs the file once for all of
+/// them.
+///
+/// Threads: only one thread at a time may handle a given file; different files may be handled by
+/// different threads at the same time.
 
 #include <cstddef>
 #include <deque>
@@ -18,24 +21,25 @@
 
 class FileGroupCommitter {
  public:
-  /// @param root folder of all files; exists.
+  /// @param root the folder that holds all files; must exist.
+  /// @param calls system calls to use; tests replace them to make the disk fail.
   FileGroupCommitter(std::string root, FileCalls calls)
       : root_(std::move(root)), calls_(std::move(calls)) {}
 
-  /// What became of a group.
+  /// Result of the commit of a group.
   struct Outcome {
-    std::vector<Status> statuses;  ///< One an operation, in order.
-    /// A sync failed or the file's state is unknown: it must take no more operations.
+    std::vector<Status> statuses;  ///< One for each operation, in order.
+    /// A sync failed or the file's state is unknown, so the file must take no more operations.
     bool file_failed = false;
   };
 
-  /// @return how many of the waiting operations, from the first, are committed together: writes of
-  /// all
-  ///   kinds share one sync, of several replacements only the last is carried out.
+  /// @return how many of the waiting operations, counted from the first, form one group. Writes of
+  /// all kinds (append, write at, truncate, reserve) share one sync; of several replacements in a
+  /// row only the last is carried out; removals in a row are one removal.
   static std::size_t GroupLength(const std::deque<FileOperation>& waiting);
-  /// Carries out a group of `GroupLength` operations and syncs file and folder as needed.
+  /// Carries out a group of `GroupLength` operations and syncs the file and its folder as needed.
   Outcome Commit(const std::string& name, const std::vector<FileOperation>& group);
-  /// Notes that `folder` exists and is synced.
+  /// Records that the sub-folder `folder` exists and its entry in the root is synced.
   void AddKnownFolder(const std::string& folder);
 
  private:
@@ -43,15 +47,16 @@
   Outcome CommitReplace(const std::string& name, const std::vector<FileOperation>& group);
   Outcome CommitRemove(const std::string& name, const std::vector<FileOperation>& group);
   std::string PathOf(const std::string& name) const { return root_ + "/" + name; }
-  /// Path of the folder that holds `name`.
+  /// @return the path of the folder that holds the file `name`.
   std::string FolderOf(const std::string& name) const;
-  /// Makes the sub-folder of `name` and syncs its entry in the root.
+  /// Creates the sub-folder of the file `name` unless it is known, and syncs its entry in the root.
   Status EnsureFolder(const std::string& name);
 
   const std::string root_;
   const FileCalls calls_;
   std::mutex folders_mutex_;
-  /// Sub-folders and how the sync of their entry in the root went. A failed one is not tried again.
+  /// Sub-folders, each with the result of the sync of its entry in the root. A failed sync is not
+  /// repeated.
   std::map<std::string, Status> known_folders_;
 };
 
--- a/src/storage/posix_data_folder.cc
+++ b/src/storage/posix_data_folder.cc
@@ -19,7 +19,7 @@
 
 using Kind = FileOperation::Kind;
 
-/// Enough to keep a log, a vote file and several segments syncing side by side.
+/// Enough to sync a log, a vote file and several segments concurrently.
 constexpr int kThreadCount = 4;
 constexpr mode_t kFolderMode = 0755;
 constexpr const char* kLockFileName = ".lock";
@@ -90,7 +90,7 @@
     Status status = Status::Ok();
     std::error_code ignored;
     if (entries->is_directory(ignored)) {
-      // Only one level is used; deeper ones are not this program's.
+      // The program uses only one level of sub-folders; deeper ones are not its own.
       status = path == root_ ? CleanAndSync(entry.string()) : Status::Ok();
       committer_.AddKnownFolder(entry.filename().string());
     } else if (entry.string().ends_with(kTemporarySuffix)) {
@@ -199,7 +199,7 @@
   while (true) {
     work_available_.wait(lock, [this] { return closing_ || !ready_.empty(); });
     if (ready_.empty()) {
-      return;  // Closing. A file in another thread's hands is finished by that thread.
+      return;  // Closing. The thread that processes a file finishes it.
     }
     const std::string name = std::move(ready_.front());
     ready_.pop_front();
@@ -208,7 +208,7 @@
 }
 
 void PosixDataFolder::CommitNext(const std::string& name, std::unique_lock<std::mutex>& lock) {
-  File& file = files_[name];  // Stays in place while busy.
+  File& file = files_[name];  // Not erased while the file is busy.
   const std::size_t length = FileGroupCommitter::GroupLength(file.waiting);
   const auto operations_end = file.waiting.begin() + static_cast<std::ptrdiff_t>(length);
   const auto callbacks_end = file.callbacks.begin() + static_cast<std::ptrdiff_t>(length);
--- a/src/storage/posix_file.cc
+++ b/src/storage/posix_file.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Repeats `call` while a signal interrupts it. @return its result.
+/// Repeats `call` as long as it fails with EINTR. @return the result of the last call.
 template <typename Call>
 auto RetryInterrupted(Call call) {
   auto result = call();
@@ -52,7 +52,7 @@
 
 PosixFile::~PosixFile() {
   if (is_open()) {
-    ::close(descriptor_);  // Everything acknowledged was synced; close has nothing to report.
+    ::close(descriptor_);  // Errors are ignored: acknowledged data is already synced.
   }
 }
 
--- a/src/storage/posix_file.h
+++ b/src/storage/posix_file.h
@@ -1,10 +1,11 @@
 #pragma once
 /// @file
-/// System calls on files as `Status` values that name operation, file and cause. Interrupted calls
-/// are repeated and short writes continued; a failed sync is never repeated, because the system may
-/// have dropped the bytes and report success the second time.
+/// Wrappers of system calls on files. Errors are `Status` values that name the operation, the file
+/// and the cause. Calls interrupted by a signal are repeated, and short writes are continued. A
+/// failed sync is never repeated, because the system may have dropped the bytes and would report
+/// success the second time.
 ///
-/// Threads: any; one object belongs to one thread at a time.
+/// Threads: any; only one thread at a time may use an object.
 
 #include <sys/types.h>
 
@@ -18,7 +19,7 @@
 
 namespace cloverbank {
 
-/// The calls whose failure tests must be able to cause; by default the system's own.
+/// System calls that tests can replace to make them fail; by default the system's own.
 struct FileCalls {
   std::function<ssize_t(int, const void*, std::size_t, off_t)> write_at;  ///< As pwrite(2).
   std::function<int(int)> sync_data;                                      ///< As fdatasync(2).
@@ -26,11 +27,12 @@
   FileCalls();
 };
 
-/// @return kNotFound for ENOENT, kResourceExhausted for a full disk or quota, else kIoError; the
-///   message is "<operation> <path>: <cause>".
+/// @param error value of errno.
+/// @return kNotFound for ENOENT; kResourceExhausted for a full disk or quota, a file that is too
+/// large or too many open files; otherwise kIoError. The message is "<operation> <path>: <cause>".
 Status ErrnoStatus(std::string_view operation, const std::string& path, int error);
 
-/// An open file, closed with the object.
+/// An open file; the destructor closes it.
 class PosixFile {
  public:
   PosixFile() = default;
@@ -40,21 +42,25 @@
   PosixFile& operator=(const PosixFile&) = delete;
   ~PosixFile();
 
-  /// @param flags of open(2); O_CLOEXEC is added.
+  /// Opens or creates a file. @param flags as for open(2); O_CLOEXEC is added.
   static Result<PosixFile> Open(const std::string& path, int flags);
 
   bool is_open() const { return descriptor_ >= 0; }
   int descriptor() const { return descriptor_; }
   const std::string& path() const { return path_; }
 
+  /// @return the size of the file in bytes.
   Result<std::uint64_t> Size() const;
   Result<std::string> ReadAll() const;
   /// Writes all of `bytes` at `offset`.
   Status WriteAt(const FileCalls& calls, std::uint64_t offset, std::string_view bytes) const;
+  /// Sets the size of the file to `size` bytes.
   Status Truncate(std::uint64_t size) const;
+  /// Reserves disk space for the first `size` bytes of the file.
   Status Reserve(const FileCalls& calls, std::uint64_t size) const;
+  /// Syncs the content, and the metadata needed to read it.
   Status SyncData(const FileCalls& calls) const;
-  /// Syncs content and all metadata; for folders and at opening.
+  /// Syncs the content and all metadata; used for folders and when a data folder is opened.
   Status SyncAll() const;
 
  private:
--- a/src/storage/record_file.cc
+++ b/src/storage/record_file.cc
@@ -10,7 +10,8 @@
 constexpr std::size_t kLengthBytes = 4;
 constexpr std::size_t kChecksumBytes = 8;
 
-/// @return the length in the header at `position`, if that is whole and the payload could be.
+/// @return the payload length in the header at `position`, or nothing if `bytes` is too short for
+/// the header or for a payload of this length.
 std::optional<std::size_t> LengthAt(std::string_view bytes, std::size_t position) {
   if (bytes.size() - position < kRecordHeaderBytes) {
     return std::nullopt;
