--- a/src/storage/file_group.cc
+++ b/src/storage/file_group.cc
@@ -87,7 +87,7 @@
       case Kind::kReserve:
         return operation.position > 0 ? file_.Reserve(calls_, operation.position) : Status::Ok();
       default:
-        return {StatusCode::kInternal, "not a write: " + path_};
+        return {StatusCode::kInternal, "operation on " + path_ + " is not a write"};
     }
   }
 
--- a/src/storage/file_name.cc
+++ b/src/storage/file_name.cc
@@ -18,7 +18,8 @@
   if (IsNameComponentAllowed(bare_name) && (!has_folder || IsNameComponentAllowed(folder))) {
     return Status::Ok();
   }
-  return {StatusCode::kInvalidArgument, "not a file name of a data folder: " + std::string(name)};
+  return {StatusCode::kInvalidArgument,
+          "not a valid file name in a data folder: \"" + std::string(name) + "\""};
 }
 
 std::pair<std::string, std::string> SplitFileName(std::string_view name) {
--- a/src/storage/file_operation.h
+++ b/src/storage/file_operation.h
@@ -18,7 +18,8 @@
 
 /// @return the status of every operation on the file `name` after one of its syncs has failed.
 inline Status FailedFileStatus(const std::string& name) {
-  return {StatusCode::kIoError, "an earlier sync of " + name + " failed; it takes no more writes"};
+  return {StatusCode::kIoError,
+          "an earlier sync of " + name + " failed; the file takes no more operations"};
 }
 
 }  // namespace cloverbank
--- a/src/storage/posix_file.cc
+++ b/src/storage/posix_file.cc
@@ -102,7 +102,7 @@
       return ErrnoStatus("write", path_, errno);
     }
     if (count == 0) {
-      return {StatusCode::kIoError, "write " + path_ + ": no byte was taken"};
+      return {StatusCode::kIoError, "write " + path_ + ": the system wrote 0 bytes"};
     }
     bytes.remove_prefix(static_cast<std::size_t>(count));
     offset += static_cast<std::uint64_t>(count);
