--- a/tests/storage/folder_conformance_test.cc
+++ b/tests/storage/folder_conformance_test.cc
@@ -1,4 +1,5 @@
-// The simulated folder stands for the real one in every other test, so both must answer alike.
+// Sends the same random operations to the real and the simulated folder. Other tests use the
+// simulated folder in place of the real one, so both must give the same results.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -15,7 +16,7 @@
 constexpr int kRounds = 60;
 constexpr int kOperationsPerBurst = 12;
 
-/// Asks `folder` for one random operation drawn from `random`.
+/// Submits one operation, chosen with `random`, to `folder`.
 void SubmitRandomOperation(DataFolder& folder, std::mt19937_64& random, DataFolder::Done done) {
   const std::vector<std::string> names = {"a", "b", "sub/a", "sub/b"};
   const std::string& name = names[random() % names.size()];
@@ -37,8 +38,9 @@
   }
 }
 
-/// Asks for a burst and lets `run_until(done_count)` run the world until all have completed.
-/// @return codes in the order asked, then every file's content.
+/// Submits a burst of operations and calls `run_until` with a condition that holds once all of them
+/// have completed.
+/// @return the status codes in the order of submission, then the name and content of every file.
 std::string RunBurst(DataFolder& folder, std::mt19937_64 random,
                      const std::function<void(const std::function<bool()>&)>& run_until) {
   std::vector<std::string> codes(kOperationsPerBurst);
--- a/tests/storage/number_log.h
+++ b/tests/storage/number_log.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// A small program that keeps a log the way consensus and backups do: records with consecutive
-/// numbers, appended in bursts, checked and cut to its valid part at each start.
+/// A small program that keeps a log file as consensus and backups do: it appends records with
+/// consecutive numbers in bursts, and at each start checks them and truncates the file after the
+/// last valid record.
 
 #include <gtest/gtest.h>
 
@@ -18,13 +19,14 @@
   static constexpr const char* kFileName = "log";
   static constexpr std::uint64_t kSeed = 99;
 
-  /// @param acknowledged highest number ever acknowledged, over all lives.
+  /// @param acknowledged the highest number acknowledged so far, over all restarts.
   NumberLog(DataFolder& folder, std::uint64_t& acknowledged)
       : folder_(folder), acknowledged_(acknowledged) {
     Load();
   }
 
-  /// Appends `count` records of varying size without waiting, unless something has failed.
+  /// Appends `count` records of varying size without waiting for them, unless an operation has
+  /// failed.
   void AppendMore(std::uint64_t count) {
     for (; count > 0 && !failed_; --count) {
       const std::uint64_t number = ++last_number_;
@@ -32,6 +34,7 @@
                      [this, number](const Status& status) { OnAppended(number, status); });
     }
   }
+  /// @return whether any operation has failed.
   bool failed() const { return failed_; }
 
  private:
@@ -48,7 +51,7 @@
       ASSERT_EQ(*payload, Payload(++last_number_));
     }
     completed_number_ = last_number_;
-    ASSERT_GE(last_number_, acknowledged_) << "an acknowledged record is gone";
+    ASSERT_GE(last_number_, acknowledged_) << "an acknowledged record is missing";
     ASSERT_NE(reader.tail(), RecordTail::kCorrupt);
     if (reader.tail() != RecordTail::kClean) {
       folder_.Truncate(kFileName, reader.valid_bytes(),
--- a/tests/storage/posix_data_folder_test.cc
+++ b/tests/storage/posix_data_folder_test.cc
@@ -22,14 +22,17 @@
     folder.emplace(temporary_folder.path(), loop.poster(), std::move(calls));
     return folder->Open();
   }
+  /// @return a callback that records the status of one operation.
   DataFolder::Done RecordStatus() {
     ++submitted;
     return [this](Status status) { statuses.push_back(std::move(status)); };
   }
+  /// Waits for all operations submitted with `RecordStatus`. @return the status of the last one.
   Status WaitForAll() {
     loop.RunUntil([this] { return statuses.size() == submitted; });
     return statuses.back();
   }
+  /// @return the content of the file `name`, or the name of the error code.
   std::string Content(const std::string& name) {
     const auto content = folder->Read(name);
     return content.ok() ? *content : std::string(StatusCodeName(content.status().code()));
--- a/tests/storage/record_file_test.cc
+++ b/tests/storage/record_file_test.cc
@@ -20,7 +20,7 @@
 
 TEST(RecordFileTest, EncodesRecordAsDocumented) {
   const std::string record = EncodeRecord("abc", 0);
-  // The checksum is XXH3_64bits("abc") = 0x78af5f94892f3950, as libxxhash gives it.
+  // The checksum is XXH3_64bits("abc") = 0x78af5f94892f3950, as computed by libxxhash.
   const std::string expected(
       "\x03\0\0\0\x50\x39\x2f\x89\x94\x5f\xaf\x78"
       "abc",
@@ -88,7 +88,7 @@
   for (int round = 0; round < 10000; ++round) {
     std::string bytes(random() % 64, '\0');
     for (char& byte : bytes) {
-      // Small numbers, so that lengths are often plausible.
+      // Small values, so that the length field often fits into the bytes.
       byte = static_cast<char>(random() % 3);
     }
     RecordReader reader(bytes, kSeed);
--- a/tests/storage/temporary_folder.h
+++ b/tests/storage/temporary_folder.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A folder that is removed with the object.
+/// A temporary folder; the destructor removes it.
 
 #include <gtest/gtest.h>
 
--- a/tests/storage/test_loop.h
+++ b/tests/storage/test_loop.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A loop for tests of folders that work on threads: runs what is posted, on the test's thread.
+/// An event loop for tests of code that works on its own threads: runs posted functions on the
+/// thread of the test.
 
 #include <condition_variable>
 #include <deque>
@@ -12,15 +13,17 @@
 
 class TestLoop {
  public:
+  /// Queues `action`. Thread-safe.
   void Post(std::function<void()> action) {
     const std::lock_guard<std::mutex> lock(mutex_);
     posted_.push_back(std::move(action));
     something_posted_.notify_one();
   }
+  /// @return a function that calls `Post`.
   std::function<void(std::function<void()>)> poster() {
     return [this](std::function<void()> action) { Post(std::move(action)); };
   }
-  /// Runs posted functions until `condition` holds.
+  /// Runs posted functions, waiting for more if needed, until `condition` holds.
   void RunUntil(const std::function<bool()>& condition) {
     while (!condition()) {
       std::unique_lock<std::mutex> lock(mutex_);
@@ -31,7 +34,7 @@
       action();
     }
   }
-  /// Runs what has been posted so far.
+  /// Runs posted functions until none is left.
   void RunPosted() {
     RunUntil([this] {
       const std::lock_guard<std::mutex> lock(mutex_);
--- a/tests/storage/torn_tail_test.cc
+++ b/tests/storage/torn_tail_test.cc
@@ -1,5 +1,5 @@
-// Random ends of a process that appends records: whatever was acknowledged is there at the
-// next start.
+// Ends a process that appends records at random times; every acknowledged record must be readable
+// after the next start.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -17,7 +17,7 @@
 namespace cloverbank {
 namespace {
 
-/// Ends the process in a random way and starts it again.
+/// Ends the process by a kill, a power loss or both, chosen at random, and starts it again.
 void CrashAndRestart(SimulatedWorld& world, SimulatedMachine& machine) {
   machine.FailSyncs(false);
   switch (world.RandomBelow(3)) {
@@ -62,7 +62,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SimulatedTornTailTest, testing::Range<std::uint64_t>(1, 21));
 
-/// Appends without end and writes each newly acknowledged number to `acknowledgements`.
+/// Appends until the process is killed and writes the last acknowledged number to the file
+/// descriptor `acknowledgements` whenever it has grown.
 [[noreturn]] void AppendUntilKilled(const std::string& path, std::uint64_t acknowledged,
                                     int acknowledgements) {
   TestLoop loop;
@@ -82,8 +83,9 @@
   std::_Exit(1);
 }
 
-/// Runs a process that appends and kills it after `messages` of its acknowledgements.
-/// @return the last number acknowledged, as far as it came to be said.
+/// Runs a child process that appends records, and kills it when `messages` + 1 acknowledgements
+/// have been read from it.
+/// @return the last acknowledged number that the child reported.
 std::uint64_t AppendAndKill(const std::string& path, std::uint64_t acknowledged, int messages) {
   int pipe_ends[2];
   EXPECT_EQ(::pipe(pipe_ends), 0);
@@ -120,7 +122,7 @@
     PosixDataFolder folder(temporary_folder.path(), loop.poster());
     ASSERT_TRUE(folder.Open().ok());
     NumberLog log(folder, acknowledged);
-    // What a power loss in the middle of the next append would leave.
+    // Write part of a record, as a power loss in the middle of an append would leave it.
     const std::string torn = EncodeRecord("a record cut short", NumberLog::kSeed);
     bool torn_written = false;
     folder.Append(NumberLog::kFileName, torn.substr(0, random() % torn.size()),
