--- a/src/backup/recovery_reader.cc
+++ b/src/backup/recovery_reader.cc
@@ -9,17 +9,17 @@
 
 namespace cloverbank {
 
-/// The removal of all replicas of one node, answered after the last one.
+/// The removal of all replicas of one node; replies after the last replica.
 class RecoveryReader::Removal {
  public:
   Removal(std::size_t count, Reply<proto::ReleaseRecoveryDataResponse> reply)
-      : left_(count), reply_(std::move(reply)) {}
+      : remaining_(count), reply_(std::move(reply)) {}
 
   void RecordRemoved(const Status& status) {
     if (!status.ok() && first_failure_.ok()) {
       first_failure_ = status;
     }
-    if (--left_ > 0) {
+    if (--remaining_ > 0) {
       return;
     }
     if (first_failure_.ok()) {
@@ -30,7 +30,7 @@
   }
 
  private:
-  std::size_t left_;
+  std::size_t remaining_;
   Status first_failure_;
   Reply<proto::ReleaseRecoveryDataResponse> reply_;
 };
@@ -56,9 +56,9 @@
 }
 
 void RecoveryReader::StartReadingData(NodeId node, Reply<proto::StartReadingDataResponse> reply) {
-  const bool under_way = pending_replies_.contains(node);
+  const bool already_started = pending_replies_.contains(node);
   pending_replies_[node].push_back(std::move(reply));
-  if (under_way) {
+  if (already_started) {
     return;
   }
   FenceNode(node, [this, node](const Status& status) {
@@ -103,7 +103,7 @@
     return true;
   }
   store_.RecordChecked(key, FindLogDigest(key.segment, *bytes));
-  // One segment a turn of the event loop, so that other calls and timers are not delayed.
+  // Check one segment per turn of the event loop, so that other calls and timers are not delayed.
   environment_.ScheduleAfter(Duration::zero(), std::move(next));
   return true;
 }
@@ -117,7 +117,8 @@
       [this, key, length, digest = std::move(digest),
        next = std::move(next)](const Status& status) {
         if (!status.ok()) {
-          // The synced fence refuses late writes too, and this may be the last replica.
+          // Seal in memory although the disk write failed: this may be the last replica, and the
+          // synced fence also makes the backup refuse late writes.
           store_.Apply(key, store_.Seal(key, length), environment_.Now());
         }
         store_.RecordChecked(key, digest);
@@ -159,10 +160,12 @@
   const Replica* replica = store_.Find(key);
   if (!fences_.IsSynced(key.node) ||
       (replica != nullptr && replica->IsOpen() && replica->IsOffered())) {
-    return Status(StatusCode::kConflict, "startReadingData has to come first");
+    return Status(StatusCode::kConflict, "StartReadingData must be called before GetRecoveryData");
   }
   if (replica == nullptr || !replica->IsOffered()) {
-    return Status(StatusCode::kNotFound, "no whole copy of this segment here");
+    return Status(StatusCode::kNotFound, "no replica of segment " + key.segment.ToString() +
+                                             " of node " + key.node.ToString() +
+                                             " is offered here");
   }
   const Result<std::string> bytes = ReadReplica(folder_, *replica);
   if (!bytes.ok()) {
