--- a/src/base/logging.cc
+++ b/src/base/logging.cc
@@ -13,7 +13,7 @@
   LoggingOptions options;
 };
 
-LoggingState& State() {
+LoggingState& GlobalState() {
   static LoggingState state;
   return state;
 }
@@ -32,7 +32,7 @@
   return spdlog::level::err;
 }
 
-std::string Quoted(std::string_view text) {
+std::string Quote(std::string_view text) {
   std::string quoted = "\"";
   for (const char character : text) {
     const auto byte = static_cast<unsigned char>(character);
@@ -54,32 +54,32 @@
 
 void AppendField(std::string& line, const LogField& field, bool json) {
   if (json) {
-    line += fmt::format(",{}:{}", Quoted(field.key), Quoted(field.value));
+    line += fmt::format(",{}:{}", Quote(field.key), Quote(field.value));
   } else {
     line += fmt::format(" {}={}", field.key,
-                        NeedsQuotes(field.value) ? Quoted(field.value) : field.value);
+                        NeedsQuotes(field.value) ? Quote(field.value) : field.value);
   }
 }
 
 }  // namespace
 
 void ConfigureLogging(const LoggingOptions& options) {
-  State().options = options;
-  State().logger->set_level(ToSpdlog(options.level));
-  State().logger->flush_on(spdlog::level::info);
-  State().logger->set_pattern(options.json
-                                  ? "{\"time\":\"%Y-%m-%dT%H:%M:%S.%e\",\"level\":\"%l\",%v}"
-                                  : "%Y-%m-%dT%H:%M:%S.%e %l %v");
+  GlobalState().options = options;
+  GlobalState().logger->set_level(ToSpdlog(options.level));
+  GlobalState().logger->flush_on(spdlog::level::info);
+  GlobalState().logger->set_pattern(options.json
+                                        ? "{\"time\":\"%Y-%m-%dT%H:%M:%S.%e\",\"level\":\"%l\",%v}"
+                                        : "%Y-%m-%dT%H:%M:%S.%e %l %v");
 }
 
 void Log(LogLevel level, std::string_view event, std::initializer_list<LogField> fields) {
-  LoggingState& state = State();
+  LoggingState& state = GlobalState();
   const auto spdlog_level = ToSpdlog(level);
   if (!state.logger->should_log(spdlog_level)) {
     return;
   }
   const bool json = state.options.json;
-  std::string line = json ? "\"event\":" + Quoted(event) : std::string(event);
+  std::string line = json ? "\"event\":" + Quote(event) : std::string(event);
   if (!state.options.node_name.empty()) {
     AppendField(line, LogField("node", state.options.node_name), json);
   }
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -13,9 +13,9 @@
 inline std::optional<std::uint64_t> ParseInteger(std::string_view text) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
-  const auto [stop, error] = std::from_chars(text.data(), end, number);
-  const bool whole = error == std::errc() && stop == end && !text.empty();
-  return whole ? std::optional(number) : std::nullopt;
+  const auto [parsed_end, error] = std::from_chars(text.data(), end, number);
+  const bool consumed_all = error == std::errc() && parsed_end == end && !text.empty();
+  return consumed_all ? std::optional(number) : std::nullopt;
 }
 
 }  // namespace cloverbank
--- a/src/json/json.cc
+++ b/src/json/json.cc
@@ -6,11 +6,11 @@
 namespace cloverbank {
 namespace {
 
-std::string Print(const google::protobuf::Message& message, bool readable) {
+std::string PrintJson(const google::protobuf::Message& message, bool pretty) {
   google::protobuf::util::JsonPrintOptions options;
   options.preserve_proto_field_names = true;
   options.always_print_primitive_fields = true;
-  options.add_whitespace = readable;
+  options.add_whitespace = pretty;
   std::string json;
   const auto status = google::protobuf::util::MessageToJsonString(message, &json, options);
   return status.ok() ? json : "{}";  // Only malformed Any messages fail; the schemas have none.
@@ -22,10 +22,10 @@
 
 }  // namespace
 
-std::string ToJson(const google::protobuf::Message& message) { return Print(message, false); }
+std::string ToJson(const google::protobuf::Message& message) { return PrintJson(message, false); }
 
 std::string ToReadableJson(const google::protobuf::Message& message) {
-  return Print(message, true);
+  return PrintJson(message, true);
 }
 
 Status FromJson(const std::string& json, google::protobuf::Message* message,
--- a/src/net/asio_environment.cc
+++ b/src/net/asio_environment.cc
@@ -9,8 +9,8 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::string_view kPeerPath = "/peer/";
-constexpr std::string_view kPeerPattern = "/peer/{method}";
+constexpr std::string_view kPeerPathPrefix = "/peer/";
+constexpr std::string_view kPeerPathPattern = "/peer/{method}";
 constexpr std::string_view kContentType = "application/x-protobuf";
 constexpr int kOkStatus = 200;
 
@@ -21,7 +21,7 @@
 }
 
 /// The HTTP status is for people who read traces; the peer goes by the body.
-int HttpStatusOf(StatusCode code) {
+int ToHttpStatus(StatusCode code) {
   switch (code) {
     case StatusCode::kOk:
       return kOkStatus;
@@ -43,9 +43,9 @@
   }
 }
 
-HttpResponse ToHttp(PeerReply reply) {
+HttpResponse ToHttpResponse(PeerReply reply) {
   HttpResponse response;
-  response.status = HttpStatusOf(reply.status.code());
+  response.status = ToHttpStatus(reply.status.code());
   response.headers.emplace_back("Content-Type", kContentType);
   if (reply.status.ok()) {
     response.body = std::move(reply.body);
@@ -61,7 +61,7 @@
 
 /// Reads an answer that is not in the peer protocol: the peer's HTTP layer refused the request
 /// before any handler saw it.
-Status TransportRefusal(const HttpResponse& response) {
+Status StatusFromTransportError(const HttpResponse& response) {
   const std::string reason = "peer answered HTTP " + std::to_string(response.status);
   switch (response.status) {
     case 413:
@@ -75,27 +75,27 @@
   }
 }
 
-PeerReply FromHttp(HttpResponse response) {
+PeerReply PeerReplyFromResponse(HttpResponse response) {
   if (FindHeader(response.headers, "Content-Type") != kContentType) {
-    return {TransportRefusal(response), {}};
+    return {StatusFromTransportError(response), {}};
   }
   if (response.status == kOkStatus) {
     return {Status::Ok(), std::move(response.body)};
   }
   proto::Error error;
-  const bool readable = error.ParseFromString(response.body);
-  const bool known =
+  const bool parsed = error.ParseFromString(response.body);
+  const bool known_code =
       error.code() > 0 && error.code() <= static_cast<std::uint32_t>(StatusCode::kInternal);
-  if (!readable || !known) {
+  if (!parsed || !known_code) {
     return {Status(StatusCode::kUnknownOutcome, "peer sent a malformed error"), {}};
   }
   return {Status(static_cast<StatusCode>(error.code()), error.message(), error.detail()), {}};
 }
 
-PeerReply FromOutcome(HttpOutcome outcome) {
+PeerReply PeerReplyFromOutcome(HttpOutcome outcome) {
   switch (outcome.kind) {
     case HttpOutcomeKind::kAnswered:
-      return FromHttp(std::move(outcome.response));
+      return PeerReplyFromResponse(std::move(outcome.response));
     case HttpOutcomeKind::kNotSent:
       return {Status(StatusCode::kUnavailable, outcome.reason), {}};
     case HttpOutcomeKind::kUnknown:
@@ -115,18 +115,19 @@
       random_(SeededGenerator()),
       methods_(std::make_shared<Methods>()) {
   peer_router.Handle(
-      "POST", kPeerPattern,
+      "POST", kPeerPathPattern,
       [methods = methods_](HttpRequest request, const std::shared_ptr<HttpResponder>& responder) {
         const std::string method(PathSegment(request.path, 1));
         const auto handler = methods->find(method);
         if (handler == methods->end()) {
-          const Status unserved(StatusCode::kUnavailable, "this process does not serve " + method);
-          responder->Send(ToHttp({unserved, {}}));
+          const Status not_served(StatusCode::kUnavailable,
+                                  "this process does not serve " + method);
+          responder->Send(ToHttpResponse({not_served, {}}));
           return;
         }
         const PeerRequest peer_request{std::move(request.body), std::move(request.peer_address)};
         handler->second(peer_request, [responder](PeerReply reply) {
-          responder->Send(ToHttp(std::move(reply)));
+          responder->Send(ToHttpResponse(std::move(reply)));
         });
       });
 }
@@ -152,12 +153,12 @@
                                Duration deadline, PeerReplyCallback done) {
   HttpRequest request;
   request.method = "POST";
-  request.path = std::string(kPeerPath) + std::string(method);
+  request.path = std::string(kPeerPathPrefix) + std::string(method);
   request.headers.emplace_back("Content-Type", kContentType);
   request.body = std::move(body);
   client_.Call(to, std::move(request), deadline,
                [this, name = std::string(method), done = std::move(done)](HttpOutcome outcome) {
-                 PeerReply reply = FromOutcome(std::move(outcome));
+                 PeerReply reply = PeerReplyFromOutcome(std::move(outcome));
                  metrics_.Increment(
                      "peer_calls_total",
                      {{"method", name}, {"outcome", StatusCodeName(reply.status.code())}});
--- a/src/net/beast_http_client.cc
+++ b/src/net/beast_http_client.cc
@@ -56,6 +56,6 @@
   return call;
 }
 
-std::size_t BeastHttpClient::idle_connections() const { return shared_->pool.size(); }
+std::size_t BeastHttpClient::idle_connection_count() const { return shared_->pool.size(); }
 
 }  // namespace cloverbank
--- a/src/net/beast_http_client.h
+++ b/src/net/beast_http_client.h
@@ -54,7 +54,7 @@
   void CancelAll();
 
   /// @return connections kept open for later calls.
-  std::size_t idle_connections() const;
+  std::size_t idle_connection_count() const;
 
  private:
   std::shared_ptr<HttpClientShared> shared_;
--- a/src/net/beast_http_server.cc
+++ b/src/net/beast_http_server.cc
@@ -20,8 +20,8 @@
 /// Connections beyond the limit that are told so; further ones are closed without a word.
 constexpr std::size_t kMaximumRefusalsInProgress = 256;
 
-Status IoError(const std::string& what, const Endpoint& endpoint, const error_code& error) {
-  return {StatusCode::kIoError, what + " " + endpoint.ToString() + ": " + error.message()};
+Status IoError(const std::string& action, const Endpoint& endpoint, const error_code& error) {
+  return {StatusCode::kIoError, action + " " + endpoint.ToString() + ": " + error.message()};
 }
 
 /// @return a copy, since closing a connection takes it out of the set.
@@ -136,7 +136,9 @@
   shared_->routes.Add(method, pattern, std::move(handler));
 }
 
-void BeastHttpServer::HandleOther(HttpHandler handler) { shared_->other = std::move(handler); }
+void BeastHttpServer::HandleOther(HttpHandler handler) {
+  shared_->unmatched_handler = std::move(handler);
+}
 
 void BeastHttpServer::SetBounds(const CallerBounds& bounds) {
   const auto replace = [](auto bound, auto* option) {
@@ -165,7 +167,7 @@
   shared_->draining = true;
   shared_->on_idle = std::move(idle);
   shared_->drain_timer =
-      shared_->loop.ScheduleAfter(shared_->options.drain_linger, [shared = shared_] {
+      shared_->loop.ScheduleAfter(shared_->options.drain_idle_grace, [shared = shared_] {
         shared->drain_timer = 0;
         for (ServerConnection* connection : OpenConnections(*shared)) {
           connection->CloseIfIdle();
--- a/src/net/beast_http_server.h
+++ b/src/net/beast_http_server.h
@@ -29,7 +29,7 @@
   Duration write_timeout = seconds(30);  ///< For the client to read what was written.
   /// For a caller with an idle connection to send a request that crosses the beginning of a drain:
   /// it is answered with a close, instead of finding its connection closed.
-  Duration drain_linger = milliseconds(300);
+  Duration drain_idle_grace = milliseconds(300);
 };
 
 /// Bounds on the requests of one client; zero leaves a bound unchanged.
@@ -68,7 +68,7 @@
   /// Closes each connection after the current or the next response; keeps accepting.
   void EndConnections();
   /// Stops accepting, lets responses in progress complete and closes idle connections after
-  /// `drain_linger`; `idle` runs once there are no answers under way after it.
+  /// `drain_idle_grace`; `idle` runs once there are no answers under way after it.
   void Drain(std::function<void()> idle);
   /// @return requests whose answers are not complete.
   std::size_t calls_in_progress() const;
--- a/src/net/beast_message.cc
+++ b/src/net/beast_message.cc
@@ -37,8 +37,8 @@
 
 void AddHeaders(const HttpHeaders& headers, http::fields* fields) {
   for (const auto& [name, value] : headers) {
-    const bool fits = IsSafeName(name) && IsSafeText(value);
-    if (fits && !IsSetByTransport(http::string_to_field(name))) {
+    const bool valid = IsSafeName(name) && IsSafeText(value);
+    if (valid && !IsSetByTransport(http::string_to_field(name))) {
       fields->insert(name, value);
     }
   }
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -80,7 +80,7 @@
       to_(std::move(to)),
       limits_(limits),
       can_send_(std::move(request.can_send)),
-      accept_unframed_(request.accept_unframed),
+      accept_close_delimited_(request.accept_unframed),
       connect_timeout_(request.connect_timeout > Duration::zero()
                            ? request.connect_timeout
                            : shared_->options.connect_timeout),
@@ -114,7 +114,7 @@
 }
 
 void ClientCall::Begin() {
-  if (shared_->Blocked(to_)) {
+  if (shared_->IsBlocked(to_)) {
     may_have_sent_ = true;  // As if the bytes were lost on the way.
     return;
   }
@@ -163,17 +163,17 @@
 }
 
 void ClientCall::Write() {
-  const auto ask = can_send_;  // Kept for the question: `Cancel` within it drops the member.
-  const bool can_send = !ask || ask();
+  const auto check = can_send_;  // Kept for the question: `Cancel` within it drops the member.
+  const bool allowed = !check || check();
   if (!callbacks_) {
     return;  // Cancelled from within the question.
   }
-  if (!can_send) {
+  if (!allowed) {
     Finish(HttpOutcomeKind::kNotSent, "the right to send has ended");
     return;
   }
   may_have_sent_ = true;
-  if (shared_->Blocked(to_)) {
+  if (shared_->IsBlocked(to_)) {
     return;  // Cut off since `Begin`.
   }
   http::async_write(connection_->socket, request_,
@@ -221,13 +221,13 @@
     return;
   }
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
-  if (error || shared_->Blocked(to_)) {
+  if (error || shared_->IsBlocked(to_)) {
     FailAfterSending("reading the answer's head failed: " + error.message());
     return;
   }
   status_ = static_cast<int>(parser_->get().result_int());
-  const bool unframed = parser_->need_eof() && !parser_->is_done();
-  if (status_ < kFirstFinalStatus || (unframed && !accept_unframed_)) {
+  const bool close_delimited = parser_->need_eof() && !parser_->is_done();
+  if (status_ < kFirstFinalStatus || (close_delimited && !accept_close_delimited_)) {
     FailAfterSending("the answer has neither length nor chunks");
     return;
   }
@@ -271,7 +271,7 @@
   }
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
   const bool failed = error && error != http::error::need_buffer;
-  if (failed || shared_->Blocked(to_)) {
+  if (failed || shared_->IsBlocked(to_)) {
     FailAfterSending("reading the answer failed: " + error.message());
     return;
   }
@@ -281,9 +281,9 @@
     ContinueBody();
     return;
   }
-  waiting_for_more_ = true;
+  waiting_for_receiver_ = true;
   callbacks->on_bytes(std::string(chunk_.data(), received), [self = shared_from_this()] {
-    if (std::exchange(self->waiting_for_more_, false)) {
+    if (std::exchange(self->waiting_for_receiver_, false)) {
       self->ContinueBody();
     }
   });
@@ -292,7 +292,7 @@
 // ---- Ends ----
 
 void ClientCall::FailAfterSending(const std::string& reason) {
-  if (shared_->Blocked(to_)) {
+  if (shared_->IsBlocked(to_)) {
     return;
   }
   Finish(HttpOutcomeKind::kUnknown, reason);
@@ -303,7 +303,7 @@
     Finish(HttpOutcomeKind::kNotSent, "deadline before a connection stood");
     return;
   }
-  shared_->pool.Forget(to_);
+  shared_->pool.CloseConnectionsTo(to_);
   Finish(HttpOutcomeKind::kUnknown, "deadline");
 }
 
@@ -326,7 +326,7 @@
   }
   if (reusable) {
     connection_->buffer.shrink_to_fit();
-    shared_->Recycle(to_, std::move(connection_));
+    shared_->ReturnToPool(to_, std::move(connection_));
   } else {
     CloseConnection();
   }
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -59,7 +59,7 @@
   ClientCallLimits limits_;
   boost::beast::http::request<boost::beast::http::string_body> request_;
   std::function<bool()> can_send_;
-  bool accept_unframed_ = false;
+  bool accept_close_delimited_ = false;
   Duration connect_timeout_;
   /// Null once the call is over.
   std::shared_ptr<HttpStreamCallbacks> callbacks_;
@@ -69,7 +69,7 @@
   std::vector<char> chunk_;
   int status_ = 0;
   bool may_have_sent_ = false;  ///< A byte of the request may have left.
-  bool waiting_for_more_ = false;
+  bool waiting_for_receiver_ = false;
   TimerId deadline_timer_ = 0;
   TimerId step_timer_ = 0;  ///< Of connecting, or of an idle peer.
 };
--- a/src/net/connection_pool.cc
+++ b/src/net/connection_pool.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /// @return whether the peer has neither closed the connection nor sent anything unasked.
-bool IsQuiet(ClientConnection& connection) {
+bool IsReusable(ClientConnection& connection) {
   char byte = 0;
   const ssize_t received =
       recv(connection.socket.native_handle(), &byte, sizeof(byte), MSG_PEEK | MSG_DONTWAIT);
@@ -29,7 +29,7 @@
     taken = std::move(connections.back());
     connections.pop_back();
     const bool expired = EventLoop::Now() - taken->idle_since >= idle_timeout_;
-    if (expired || !IsQuiet(*taken)) {
+    if (expired || !IsReusable(*taken)) {
       taken.reset();
     }
   }
@@ -71,8 +71,8 @@
   return total;
 }
 
-void HttpClientShared::Recycle(const Endpoint& endpoint,
-                               std::unique_ptr<ClientConnection> connection) {
+void HttpClientShared::ReturnToPool(const Endpoint& endpoint,
+                                    std::unique_ptr<ClientConnection> connection) {
   pool.Put(endpoint, std::move(connection));
   if (sweep_timer == 0) {
     ScheduleSweep();
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -35,7 +35,7 @@
   /// Adds a connection whose last call ended in a complete response.
   void Put(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
   /// Closes the idle connections to `endpoint`, after a call to it timed out.
-  void Forget(const Endpoint& endpoint) { idle_.erase(endpoint); }
+  void CloseConnectionsTo(const Endpoint& endpoint) { idle_.erase(endpoint); }
   /// Closes connections that were idle for too long.
   void Sweep();
   std::size_t size() const;
@@ -58,11 +58,11 @@
   HttpClientShared(const HttpClientShared&) = delete;
   HttpClientShared& operator=(const HttpClientShared&) = delete;
 
-  bool Blocked(const Endpoint& endpoint) const {
-    return faults != nullptr && faults->Blocked(endpoint.host);
+  bool IsBlocked(const Endpoint& endpoint) const {
+    return faults != nullptr && faults->IsBlocked(endpoint.host);
   }
   /// Puts a connection back and sees to it that the pool is swept while it holds any.
-  void Recycle(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
+  void ReturnToPool(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
 
   EventLoop& loop;
   HttpClientOptions options;
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -35,19 +35,19 @@
   State() : timer_descriptor(context, OpenTimerDescriptor()), signals(context) {}
 
   /// Sets the descriptor to wake the loop at the earliest timer.
-  void Arm() {
-    if (timers.empty() || timers.begin()->first.first >= armed_for) {
+  void ArmTimerDescriptor() {
+    if (timers.empty() || timers.begin()->first.first >= armed_time) {
       return;
     }
-    armed_for = timers.begin()->first.first;
-    const std::int64_t due = armed_for.time_since_epoch().count();
-    itimerspec when{};
-    when.it_value.tv_sec = due / kNanosecondsPerSecond;
-    when.it_value.tv_nsec = due % kNanosecondsPerSecond;
-    timerfd_settime(timer_descriptor.native_handle(), TFD_TIMER_ABSTIME, &when, nullptr);
+    armed_time = timers.begin()->first.first;
+    const std::int64_t due = armed_time.time_since_epoch().count();
+    itimerspec expiry{};
+    expiry.it_value.tv_sec = due / kNanosecondsPerSecond;
+    expiry.it_value.tv_nsec = due % kNanosecondsPerSecond;
+    timerfd_settime(timer_descriptor.native_handle(), TFD_TIMER_ABSTIME, &expiry, nullptr);
   }
 
-  void AwaitTimers() {
+  void WaitForTimers() {
     timer_descriptor.async_wait(boost::asio::posix::descriptor_base::wait_read,
                                 [this](const boost::system::error_code& error) {
                                   if (!error) {
@@ -60,15 +60,15 @@
     std::uint64_t expirations = 0;
     [[maybe_unused]] const ssize_t size =
         read(timer_descriptor.native_handle(), &expirations, sizeof(expirations));
-    armed_for = TimePoint::max();
+    armed_time = TimePoint::max();
     const TimePoint now = Now();
     while (!timers.empty() && timers.begin()->first.first <= now && !context.stopped()) {
       auto timer = timers.extract(timers.begin());
       due_times.erase(timer.key().second);
       timer.mapped()();
     }
-    Arm();
-    AwaitTimers();
+    ArmTimerDescriptor();
+    WaitForTimers();
   }
 
   void AwaitSignal() {
@@ -96,9 +96,9 @@
   std::map<std::pair<TimePoint, TimerId>, std::function<void()>> timers;
   std::unordered_map<TimerId, TimePoint> due_times;
   TimerId last_timer = 0;
-  TimePoint armed_for = TimePoint::max();
+  TimePoint armed_time = TimePoint::max();
   /// Set while the loop is torn down: what destructors ask for then is dropped.
-  std::atomic<bool> ending = false;
+  std::atomic<bool> destroying = false;
   boost::asio::io_context context{1};
   boost::asio::posix::stream_descriptor timer_descriptor;
   boost::asio::signal_set signals;
@@ -107,11 +107,11 @@
   bool awaiting_signals = false;
 };
 
-EventLoop::EventLoop() : state_(std::make_unique<State>()) { state_->AwaitTimers(); }
+EventLoop::EventLoop() : state_(std::make_unique<State>()) { state_->WaitForTimers(); }
 
 EventLoop::~EventLoop() {
-  state_->ending = true;
-  // Actions may own objects that cancel timers when destroyed, so empty the map by moving it out.
+  state_->destroying = true;
+  // Actions may own objects that cancel timers expiry destroyed, so empty the map by moving it out.
   auto timers = std::move(state_->timers);
   state_->timers.clear();
   timers.clear();
@@ -125,7 +125,7 @@
 void EventLoop::Stop() { state_->context.stop(); }
 
 void EventLoop::Post(std::function<void()> action) {
-  if (!state_->ending) {
+  if (!state_->destroying) {
     boost::asio::post(state_->context, std::move(action));
   }
 }
@@ -138,13 +138,13 @@
 
 TimerId EventLoop::ScheduleAfter(Duration delay, std::function<void()> action) {
   const TimerId timer = ++state_->last_timer;
-  if (state_->ending) {
+  if (state_->destroying) {
     return timer;
   }
   const TimePoint due = Now() + std::max(delay, Duration(1));
   state_->timers.emplace(std::pair(due, timer), std::move(action));
   state_->due_times.emplace(timer, due);
-  state_->Arm();
+  state_->ArmTimerDescriptor();
   return timer;
 }
 
--- a/src/net/fault_injector.h
+++ b/src/net/fault_injector.h
@@ -19,7 +19,9 @@
  public:
   /// Replaces the list of blocked IP numbers.
   void SetBlocked(const std::vector<std::string>& addresses);
-  bool Blocked(std::string_view address) const { return blocked_.find(address) != blocked_.end(); }
+  bool IsBlocked(std::string_view address) const {
+    return blocked_.find(address) != blocked_.end();
+  }
 
   /// Serves GET and POST /admin/faults (FaultSettings as JSON). Only for daemons that were started
   /// with --allow-fault-injection. The injector must outlive the router.
--- a/src/net/http_headers.cc
+++ b/src/net/http_headers.cc
@@ -9,16 +9,16 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::array<std::string_view, 10> kHopByHop = {"Connection",
-                                                        "Keep-Alive",
-                                                        "Proxy-Connection",
-                                                        "Proxy-Authenticate",
-                                                        "Proxy-Authorization",
-                                                        "TE",
-                                                        "Trailer",
-                                                        "Transfer-Encoding",
-                                                        "Upgrade",
-                                                        "Expect"};
+constexpr std::array<std::string_view, 10> kHopByHopHeaders = {"Connection",
+                                                               "Keep-Alive",
+                                                               "Proxy-Connection",
+                                                               "Proxy-Authenticate",
+                                                               "Proxy-Authorization",
+                                                               "TE",
+                                                               "Trailer",
+                                                               "Transfer-Encoding",
+                                                               "Upgrade",
+                                                               "Expect"};
 
 std::string_view Trim(std::string_view text) {
   const std::size_t first = text.find_first_not_of(" \t");
@@ -29,7 +29,7 @@
 }
 
 /// @return the names that the "Connection" headers list.
-std::vector<std::string_view> NamedByConnection(const HttpHeaders& headers) {
+std::vector<std::string_view> NamesInConnectionHeaders(const HttpHeaders& headers) {
   std::vector<std::string_view> names;
   for (const auto& [name, value] : headers) {
     if (!EqualIgnoringCase(name, "Connection")) {
@@ -55,21 +55,22 @@
 }
 
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers,
-                            std::initializer_list<std::string_view> others) {
-  std::vector<std::string_view> dropped = NamedByConnection(headers);
-  dropped.insert(dropped.end(), kHopByHop.begin(), kHopByHop.end());
-  dropped.insert(dropped.end(), others.begin(), others.end());
-  dropped.emplace_back("Content-Length");
-  HttpHeaders kept;
+                            std::initializer_list<std::string_view> additional_names) {
+  std::vector<std::string_view> excluded = NamesInConnectionHeaders(headers);
+  excluded.insert(excluded.end(), kHopByHopHeaders.begin(), kHopByHopHeaders.end());
+  excluded.insert(excluded.end(), additional_names.begin(), additional_names.end());
+  excluded.emplace_back("Content-Length");
+  HttpHeaders end_to_end;
   for (const auto& [name, value] : headers) {
-    const bool drop = std::any_of(
-        dropped.begin(), dropped.end(),
-        [&name = name](std::string_view other) { return EqualIgnoringCase(name, other); });
-    if (!drop) {
-      kept.emplace_back(name, value);
+    const bool is_excluded = std::any_of(excluded.begin(), excluded.end(),
+                                         [&name = name](std::string_view excluded_name) {
+                                           return EqualIgnoringCase(name, excluded_name);
+                                         });
+    if (!is_excluded) {
+      end_to_end.emplace_back(name, value);
     }
   }
-  return kept;
+  return end_to_end;
 }
 
 }  // namespace cloverbank
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -15,8 +15,8 @@
 bool EqualIgnoringCase(std::string_view left, std::string_view right);
 
 /// @return the headers without those that concern one connection only, those that "Connection"
-/// names, and `others` (any case).
+/// names, and `additional_names` (any case).
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers,
-                            std::initializer_list<std::string_view> others);
+                            std::initializer_list<std::string_view> additional_names);
 
 }  // namespace cloverbank
--- a/src/net/http_types.cc
+++ b/src/net/http_types.cc
@@ -7,10 +7,11 @@
 namespace {
 
 bool EqualIgnoringCase(std::string_view left, std::string_view right) {
-  return std::equal(left.begin(), left.end(), right.begin(), right.end(), [](char a, char b) {
-    return std::tolower(static_cast<unsigned char>(a)) ==
-           std::tolower(static_cast<unsigned char>(b));
-  });
+  return std::equal(left.begin(), left.end(), right.begin(), right.end(),
+                    [](char first, char second) {
+                      return std::tolower(static_cast<unsigned char>(first)) ==
+                             std::tolower(static_cast<unsigned char>(second));
+                    });
 }
 
 }  // namespace
--- a/src/net/route_table.cc
+++ b/src/net/route_table.cc
@@ -30,14 +30,14 @@
 
 bool Matches(const std::vector<std::string>& segments, std::string_view path) {
   std::size_t index = 0;
-  const bool fits = VisitSegments(path, [&](std::string_view segment) {
+  const bool matched = VisitSegments(path, [&](std::string_view segment) {
     if (index == segments.size()) {
       return false;
     }
     const std::string& expected = segments[index++];
     return IsPlaceholder(expected) ? !segment.empty() : segment == expected;
   });
-  return fits && index == segments.size();
+  return matched && index == segments.size();
 }
 
 }  // namespace
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -22,7 +22,7 @@
 constexpr std::size_t kWatchBytes = 4096;
 constexpr std::size_t kMaximumReadBytes = 64U << 10U;
 /// A larger buffer is given back between requests.
-constexpr std::size_t kKeptBufferBytes = 16U << 10U;
+constexpr std::size_t kMaximumRetainedBufferBytes = 16U << 10U;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
 std::string_view ToStringView(boost::beast::string_view text) { return {text.data(), text.size()}; }
@@ -62,7 +62,7 @@
 
 void ServerConnection::WatchForBytes() {
   watching_ = true;
-  if (buffer_.capacity() > kKeptBufferBytes) {
+  if (buffer_.capacity() > kMaximumRetainedBufferBytes) {
     buffer_.shrink_to_fit();
   }
   socket_.async_read_some(buffer_.prepare(kWatchBytes),
@@ -87,7 +87,7 @@
     buffer_.consume(buffer_.size());
     WatchForBytes();
   }
-  // While answering: these are bytes of the next request. They wait, and the watch ends.
+  // While responding: these are bytes of the next request. They wait, and the watch ends.
 }
 
 void ServerConnection::LeaveIdle() {
@@ -150,7 +150,7 @@
     return;
   }
   DisarmTimer();
-  if (shared_->Blocked(peer_address_)) {
+  if (shared_->IsBlocked(peer_address_)) {
     state_ = State::kBlackholed;
     ArmTimer(shared_->options.idle_timeout);
     buffer_.consume(buffer_.size());
@@ -176,24 +176,24 @@
 void ServerConnection::RefuseAndClose(int http_status, std::string_view code,
                                       std::string_view message) {
   shared_->metrics.Increment("http_server_refusals_total", {{"reason", code}});
-  state_ = State::kAnswering;
-  ++call_;
+  state_ = State::kResponding;
+  ++request_number_;
   ++shared_->calls_in_progress;
   keep_alive_ = false;
   head_request_ = false;
-  answer_started_ = false;
-  answer_complete_ = false;
+  response_started_ = false;
+  response_complete_ = false;
   HttpResponse response = MakeErrorResponse(http_status, code, message, proto::EXECUTED_NO);
   if (http_status == 503) {
     response.headers.emplace_back("Retry-After", "1");
   }
-  Send(call_, std::move(response));
+  Send(request_number_, std::move(response));
 }
 
 void ServerConnection::Dispatch() {
   const http::request<http::string_body>& message = parser_->get();
   auto target = ParseRequestTarget(ToStringView(message.target()));
-  if (!target && !shared_->other) {
+  if (!target && !shared_->unmatched_handler) {
     RefuseAndClose(400, "malformed_request", "the request target is not a well-formed path");
     return;
   }
@@ -202,11 +202,12 @@
     match = shared_->routes.Find(ToStringView(message.method_string()), target->path);
   }
   HttpRequest request = TakeRequest(std::move(target));
-  BeginAnswer(message.keep_alive(), message.method() == http::verb::head);
+  BeginResponse(message.keep_alive(), message.method() == http::verb::head);
   if (match.handler != nullptr) {
-    (*match.handler)(std::move(request), MakeServerResponder(shared_from_this(), call_));
-  } else if (shared_->other) {
-    shared_->other(std::move(request), MakeServerResponder(shared_from_this(), call_));
+    (*match.handler)(std::move(request), MakeServerResponder(shared_from_this(), request_number_));
+  } else if (shared_->unmatched_handler) {
+    shared_->unmatched_handler(std::move(request),
+                               MakeServerResponder(shared_from_this(), request_number_));
   } else {
     RefuseUnrouted(request, match.path_known);
   }
@@ -227,14 +228,14 @@
   return request;
 }
 
-void ServerConnection::BeginAnswer(bool keep_alive, bool head_request) {
+void ServerConnection::BeginResponse(bool keep_alive, bool head_request) {
   keep_alive_ = keep_alive && !shared_->draining && !shared_->ending_connections;
   head_request_ = head_request;
-  state_ = State::kAnswering;
-  ++call_;
+  state_ = State::kResponding;
+  ++request_number_;
   ++shared_->calls_in_progress;
-  answer_started_ = false;
-  answer_complete_ = false;
+  response_started_ = false;
+  response_complete_ = false;
   if (buffer_.size() == 0) {
     WatchForBytes();
   }
@@ -242,7 +243,7 @@
 
 void ServerConnection::RefuseUnrouted(const HttpRequest& request, bool path_known) {
   shared_->metrics.Increment("http_server_refusals_total", {{"reason", "no_route"}});
-  Send(call_,
+  Send(request_number_,
        path_known
            ? MakeErrorResponse(405, "method_not_allowed",
                                "this path does not serve " + request.method, proto::EXECUTED_NO)
@@ -267,7 +268,7 @@
   if (state_ == State::kClosed) {
     return;
   }
-  const bool answering = state_ == State::kAnswering;
+  const bool responding = state_ == State::kResponding;
   const auto self = shared_from_this();
   state_ = State::kClosed;
   LeaveIdle();
@@ -279,7 +280,7 @@
   if (on_disconnect_) {
     shared_->loop.Post(std::exchange(on_disconnect_, nullptr));
   }
-  if (answering) {
+  if (responding) {
     --shared_->calls_in_progress;
   }
   shared_->NotifyIfIdle();
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -32,8 +32,8 @@
                    const FaultInjector* faults_)
       : loop(loop_), options(std::move(options_)), metrics(metrics_), faults(faults_) {}
 
-  bool Blocked(const std::string& address) const {
-    return faults != nullptr && faults->Blocked(address);
+  bool IsBlocked(const std::string& address) const {
+    return faults != nullptr && faults->IsBlocked(address);
   }
   /// Runs the drain callback if nothing is left to wait for.
   void NotifyIfIdle();
@@ -43,7 +43,7 @@
   Metrics& metrics;
   const FaultInjector* faults;
   RouteTable routes;
-  HttpHandler other;  ///< For requests that no route matches; may be empty.
+  HttpHandler unmatched_handler;  ///< For requests that no route matches; may be empty.
   std::unordered_set<ServerConnection*> connections;
   std::list<ServerConnection*> idle;  ///< Between requests; the longest idle one first.
   std::size_t calls_in_progress = 0;
@@ -66,22 +66,23 @@
   /// Closes if it waits for a request.
   void CloseIfIdle();
 
-  // Of the responder. `call` numbers the request; calls for any but the current one are ignored.
-  void Send(std::uint64_t call, HttpResponse response);
-  void StartStream(std::uint64_t call, int status, const HttpHeaders& headers);
-  void WriteChunk(std::uint64_t call, const std::string& chunk,
+  // Of the responder. `request_number` numbers the request; calls for any but the current one are
+  // ignored.
+  void Send(std::uint64_t request_number, HttpResponse response);
+  void StartStream(std::uint64_t request_number, int status, const HttpHeaders& headers);
+  void WriteChunk(std::uint64_t request_number, const std::string& chunk,
                   std::function<void(bool alive)> written);
-  void FinishStream(std::uint64_t call);
-  void Abort(std::uint64_t call);
-  void OnDisconnect(std::uint64_t call, std::function<void()> on_disconnect);
+  void FinishStream(std::uint64_t request_number);
+  void Abort(std::uint64_t request_number);
+  void OnDisconnect(std::uint64_t request_number, std::function<void()> on_disconnect);
   /// The responder was destroyed: breaks the response if it is not complete.
-  void OnResponderDestroyed(std::uint64_t call);
+  void OnResponderDestroyed(std::uint64_t request_number);
 
  private:
   enum class State : std::uint8_t {
     kIdle,        ///< Between requests.
     kReading,     ///< A request is being received.
-    kAnswering,   ///< A handler has it.
+    kResponding,  ///< A handler has it.
     kLingering,   ///< Nothing left to write; waits for the client to close.
     kBlackholed,  ///< Partitioned by fault injection: reads and discards.
     kClosed,
@@ -92,7 +93,7 @@
     std::function<void(bool alive)> written;
   };
 
-  bool IsCurrent(std::uint64_t call) const;
+  bool IsCurrent(std::uint64_t request_number) const;
   void WatchForBytes();
   void OnWatched(const boost::system::error_code& error, std::size_t size);
   void ReadHead();
@@ -105,12 +106,12 @@
   void Dispatch();
   /// Moves the request out of the parser. @param target nothing if it is not well-formed.
   HttpRequest TakeRequest(std::optional<RequestTarget> target);
-  void BeginAnswer(bool keep_alive, bool head_request);
+  void BeginResponse(bool keep_alive, bool head_request);
   void RefuseUnrouted(const HttpRequest& request, bool path_known);
   void Enqueue(std::string bytes, std::function<void(bool alive)> written);
   void WriteNext();
   void OnWritten(const boost::system::error_code& error);
-  void FinishAnswer();
+  void FinishResponse();
   void BecomeIdle();
   void LeaveIdle();
   void Linger();
@@ -128,11 +129,11 @@
   bool watching_ = false;  ///< A read is pending in `WatchForBytes`.
   TimerId timer_ = 0;      ///< Closes the connection when its state lasts too long.
 
-  std::uint64_t call_ = 0;
+  std::uint64_t request_number_ = 0;
   bool head_request_ = false;
   bool keep_alive_ = false;
-  bool answer_started_ = false;
-  bool answer_complete_ = false;  ///< The response is queued to its end.
+  bool response_started_ = false;
+  bool response_complete_ = false;  ///< The response is queued to its end.
   std::function<void()> on_disconnect_;
 
   bool writing_ = false;
--- a/src/net/server_connection_answer.cc
+++ b/src/net/server_connection_answer.cc
@@ -1,4 +1,4 @@
-// The answering half of ServerConnection: what the responder asks for, and the write queue.
+// The responding half of ServerConnection: what the responder asks for, and the write queue.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -33,18 +33,18 @@
 
 }  // namespace
 
-bool ServerConnection::IsCurrent(std::uint64_t call) const {
-  return state_ == State::kAnswering && call == call_ && !answer_complete_;
+bool ServerConnection::IsCurrent(std::uint64_t request_number) const {
+  return state_ == State::kResponding && request_number == request_number_ && !response_complete_;
 }
 
-void ServerConnection::Send(std::uint64_t call, HttpResponse response) {
-  if (!IsCurrent(call) || answer_started_) {
+void ServerConnection::Send(std::uint64_t request_number, HttpResponse response) {
+  if (!IsCurrent(request_number) || response_started_) {
     return;
   }
   auto head = MakeHead(response.status, response.headers, keep_alive_);
   head.content_length(response.body.size());
-  answer_started_ = true;
-  answer_complete_ = true;
+  response_started_ = true;
+  response_complete_ = true;
   queue_.push_back({SerializeResponseHead(head), nullptr});
   if (!head_request_ && !response.body.empty()) {
     queue_.push_back({std::move(response.body), nullptr});
@@ -52,19 +52,20 @@
   WriteNext();
 }
 
-void ServerConnection::StartStream(std::uint64_t call, int status, const HttpHeaders& headers) {
-  if (!IsCurrent(call) || answer_started_) {
+void ServerConnection::StartStream(std::uint64_t request_number, int status,
+                                   const HttpHeaders& headers) {
+  if (!IsCurrent(request_number) || response_started_) {
     return;
   }
   auto head = MakeHead(status, headers, keep_alive_);
   head.chunked(true);
-  answer_started_ = true;
+  response_started_ = true;
   Enqueue(SerializeResponseHead(head), nullptr);
 }
 
-void ServerConnection::WriteChunk(std::uint64_t call, const std::string& chunk,
+void ServerConnection::WriteChunk(std::uint64_t request_number, const std::string& chunk,
                                   std::function<void(bool alive)> written) {
-  if (!IsCurrent(call) || !answer_started_) {
+  if (!IsCurrent(request_number) || !response_started_) {
     if (written) {
       shared_->loop.Post([written = std::move(written)] { written(/*alive=*/false); });
     }
@@ -78,39 +79,40 @@
   Enqueue(std::move(encoded), std::move(written));
 }
 
-void ServerConnection::FinishStream(std::uint64_t call) {
-  if (!IsCurrent(call) || !answer_started_) {
+void ServerConnection::FinishStream(std::uint64_t request_number) {
+  if (!IsCurrent(request_number) || !response_started_) {
     return;
   }
-  answer_complete_ = true;
+  response_complete_ = true;
   Enqueue(boost::beast::buffers_to_string(http::make_chunk_last()), nullptr);
 }
 
-void ServerConnection::Abort(std::uint64_t call) {
-  if (IsCurrent(call)) {
+void ServerConnection::Abort(std::uint64_t request_number) {
+  if (IsCurrent(request_number)) {
     on_disconnect_ = nullptr;
     Close();
   }
 }
 
-void ServerConnection::OnDisconnect(std::uint64_t call, std::function<void()> on_disconnect) {
-  if (state_ == State::kClosed && call == call_) {
+void ServerConnection::OnDisconnect(std::uint64_t request_number,
+                                    std::function<void()> on_disconnect) {
+  if (state_ == State::kClosed && request_number == request_number_) {
     shared_->loop.Post(std::move(on_disconnect));
-  } else if (IsCurrent(call)) {
+  } else if (IsCurrent(request_number)) {
     on_disconnect_ = std::move(on_disconnect);
   }
 }
 
-void ServerConnection::OnResponderDestroyed(std::uint64_t call) {
-  if (!IsCurrent(call)) {
+void ServerConnection::OnResponderDestroyed(std::uint64_t request_number) {
+  if (!IsCurrent(request_number)) {
     return;
   }
   shared_->metrics.Increment("http_server_refusals_total", {{"reason", "handler_destroyed"}});
-  if (answer_started_) {
-    Abort(call);
+  if (response_started_) {
+    Abort(request_number);
     return;
   }
-  Send(call,
+  Send(request_number,
        MakeErrorResponse(500, "internal", "the server gave no answer", proto::EXECUTED_UNKNOWN));
 }
 
@@ -126,7 +128,7 @@
   writing_ = true;
   in_flight_.swap(queue_);
   ArmTimer(shared_->options.write_timeout);
-  if (shared_->Blocked(peer_address_)) {
+  if (shared_->IsBlocked(peer_address_)) {
     return;  // Swallowed: as if the caller never took it, until the timer closes the connection.
   }
   std::vector<asio::const_buffer> buffers;
@@ -150,24 +152,24 @@
     return;
   }
   writing_ = false;
-  std::deque<OutgoingChunk> done;
-  done.swap(in_flight_);
-  for (OutgoingChunk& chunk : done) {
+  std::deque<OutgoingChunk> written_chunks;
+  written_chunks.swap(in_flight_);
+  for (OutgoingChunk& chunk : written_chunks) {
     if (chunk.written) {
       chunk.written(/*alive=*/true);
     }
   }
-  if (state_ != State::kAnswering || writing_) {
+  if (state_ != State::kResponding || writing_) {
     return;
   }
   if (!queue_.empty()) {
     WriteNext();
-  } else if (answer_complete_) {
-    FinishAnswer();
+  } else if (response_complete_) {
+    FinishResponse();
   }
 }
 
-void ServerConnection::FinishAnswer() {
+void ServerConnection::FinishResponse() {
   on_disconnect_ = nullptr;
   --shared_->calls_in_progress;
   if (keep_alive_ && !shared_->draining) {
--- a/src/net/server_responder.h
+++ b/src/net/server_responder.h
@@ -10,9 +10,10 @@
 
 class ServerConnection;
 
-/// @return a responder that answers request number `call` of `connection`. Dropping it without a
-/// complete response answers 500 if nothing was sent, and breaks the connection otherwise.
+/// @return a responder that answers request number `request_number` of `connection`. Dropping it
+/// without a complete response answers 500 if nothing was sent, and breaks the connection
+/// otherwise.
 std::shared_ptr<HttpResponder> MakeServerResponder(std::shared_ptr<ServerConnection> connection,
-                                                   std::uint64_t call);
+                                                   std::uint64_t request_number);
 
 }  // namespace cloverbank
--- a/src/net/url.cc
+++ b/src/net/url.cc
@@ -18,7 +18,7 @@
 }
 
 /// @param plus_is_space whether "+" stands for a space, as in queries.
-std::optional<std::string> Decode(std::string_view text, bool plus_is_space) {
+std::optional<std::string> PercentDecode(std::string_view text, bool plus_is_space) {
   std::string decoded;
   decoded.reserve(text.size());
   for (std::size_t index = 0; index < text.size(); ++index) {
@@ -44,13 +44,14 @@
   return decoded;
 }
 
-void AppendEncoded(std::string_view text, std::string_view also_allowed, std::string* encoded) {
+void AppendPercentEncoded(std::string_view text, std::string_view also_allowed,
+                          std::string* encoded) {
   for (const char character : text) {
     const auto byte = static_cast<unsigned char>(character);
-    const bool plain = (byte < 0x80 && std::isalnum(byte) != 0) ||
-                       kUnreservedPunctuation.find(character) != std::string_view::npos ||
-                       also_allowed.find(character) != std::string_view::npos;
-    if (plain) {
+    const bool unescaped = (byte < 0x80 && std::isalnum(byte) != 0) ||
+                           kUnreservedPunctuation.find(character) != std::string_view::npos ||
+                           also_allowed.find(character) != std::string_view::npos;
+    if (unescaped) {
       *encoded += character;
       continue;
     }
@@ -68,9 +69,9 @@
       continue;
     }
     const std::size_t equals = pair.find('=');
-    auto key = Decode(pair.substr(0, equals), true);
+    auto key = PercentDecode(pair.substr(0, equals), true);
     auto value = equals == std::string_view::npos ? std::optional<std::string>("")
-                                                  : Decode(pair.substr(equals + 1), true);
+                                                  : PercentDecode(pair.substr(equals + 1), true);
     if (!key || !value) {
       return false;
     }
@@ -85,15 +86,15 @@
   if (target.empty() || target.front() != '/') {
     return std::nullopt;
   }
-  const std::size_t question = target.find('?');
-  auto path = Decode(target.substr(0, question), false);
+  const std::size_t query_start = target.find('?');
+  auto path = PercentDecode(target.substr(0, query_start), false);
   if (!path) {
     return std::nullopt;
   }
   RequestTarget parsed;
   parsed.path = std::move(*path);
-  if (question != std::string_view::npos &&
-      !ParseQuery(target.substr(question + 1), &parsed.query)) {
+  if (query_start != std::string_view::npos &&
+      !ParseQuery(target.substr(query_start + 1), &parsed.query)) {
     return std::nullopt;
   }
   return parsed;
@@ -101,13 +102,13 @@
 
 std::string FormatRequestTarget(std::string_view path, const HttpHeaders& query) {
   std::string target;
-  AppendEncoded(path, "/", &target);
+  AppendPercentEncoded(path, "/", &target);
   char separator = '?';
   for (const auto& [key, value] : query) {
     target += separator;
-    AppendEncoded(key, "", &target);
+    AppendPercentEncoded(key, "", &target);
     target += '=';
-    AppendEncoded(value, "", &target);
+    AppendPercentEncoded(value, "", &target);
     separator = '&';
   }
   return target;
--- a/tests/net/event_loop_test.cc
+++ b/tests/net/event_loop_test.cc
@@ -64,13 +64,13 @@
 }
 
 TEST(EventLoopTest, PendingActionsAreDroppedWithTheLoop) {
-  auto witness = std::make_shared<int>(0);
+  auto captured = std::make_shared<int>(0);
   {
     EventLoop loop;
-    loop.ScheduleAfter(seconds(100), [witness] {});
-    loop.Post([witness] {});
+    loop.ScheduleAfter(seconds(100), [captured] {});
+    loop.Post([captured] {});
   }
-  EXPECT_EQ(witness.use_count(), 1);
+  EXPECT_EQ(captured.use_count(), 1);
 }
 
 }  // namespace
--- a/tests/net/http_call_test.cc
+++ b/tests/net/http_call_test.cc
@@ -15,14 +15,14 @@
     server_->Handle("GET", "/", [this](const HttpRequest&, ResponderPointer responder) {
       held_ = std::move(responder);
       held_->OnDisconnect([this] {
-        gone_ = true;
+        client_disconnected_ = true;
         loop_.Stop();
       });
     });
   }
 
   ResponderPointer held_;
-  bool gone_ = false;
+  bool client_disconnected_ = false;
 };
 
 TEST_F(HttpCallTest, CarriesRequestAndAnswerWhole) {
@@ -53,7 +53,7 @@
   });
   for (int round = 0; round < 3; ++round) {
     EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).response.body, "ok");
-    EXPECT_EQ(client_->idle_connections(), 1U);
+    EXPECT_EQ(client_->idle_connection_count(), 1U);
   }
 }
 
@@ -85,8 +85,8 @@
 }
 
 TEST_F(HttpCallTest, RefusedConnectIsNotSent) {
-  const Endpoint nobody = RawListener().endpoint();
-  EXPECT_EQ(CallAndWait(nobody, Get("/")).kind, HttpOutcomeKind::kNotSent);
+  const Endpoint unused_endpoint = RawListener().endpoint();
+  EXPECT_EQ(CallAndWait(unused_endpoint, Get("/")).kind, HttpOutcomeKind::kNotSent);
 }
 
 TEST_F(HttpCallTest, ExpiredPermissionSendsNothing) {
@@ -120,8 +120,8 @@
                 [&](HttpOutcome ended) { outcome = std::move(ended); });
   RunUntilStopped();
   EXPECT_EQ(outcome.kind, HttpOutcomeKind::kUnknown);
-  EXPECT_TRUE(gone_);
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_TRUE(client_disconnected_);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
   held_->Send({200, {}, "too late"});
 }
 
@@ -134,7 +134,7 @@
                   [&](const HttpRequest&, const ResponderPointer&) { call->Cancel(); });
   client_->Call(server_->endpoint(), Get("/cancel"), seconds(20), [](const HttpOutcome&) {});
   RunUntilStopped();
-  EXPECT_TRUE(gone_);
+  EXPECT_TRUE(client_disconnected_);
   EXPECT_FALSE(done);
 }
 
@@ -145,14 +145,14 @@
         "HTTP/1.1 200 OK\r\n\r\nends with the connection", "nonsense\r\n\r\n"}) {
     EXPECT_EQ(CallCannedPeer(answer).kind, HttpOutcomeKind::kUnknown) << answer;
   }
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
 TEST_F(HttpCallTest, NeverReusesAConnectionWithExtraBytes) {
   const HttpOutcome outcome =
       CallCannedPeer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
   EXPECT_EQ(outcome.response.body, "ok");
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
 TEST_F(HttpCallTest, ReplacesAClosedIdleConnection) {
--- a/tests/net/http_limits_test.cc
+++ b/tests/net/http_limits_test.cc
@@ -11,7 +11,7 @@
 };
 
 TEST_F(HttpLimitsTest, RefusesOversizedHeadersAndBodies) {
-  Restart({.maximum_header_bytes = 1024, .maximum_body_bytes = 1000});
+  RestartServer({.maximum_header_bytes = 1024, .maximum_body_bytes = 1000});
   HttpRequest large_header = Get("/");
   large_header.headers.emplace_back("X-Large", std::string(2000, 'h'));
   EXPECT_EQ(CallAndWait(server_->endpoint(), large_header).response.status, 431);
@@ -19,11 +19,11 @@
       CallAndWait(server_->endpoint(), Post("/", std::string(1001, 'b')));
   EXPECT_EQ(large_body.response.status, 413);
   EXPECT_NE(large_body.response.body.find("EXECUTED_NO"), std::string::npos);
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
 TEST_F(HttpLimitsTest, RefusesConnectionsBeyondTheLimit) {
-  Restart({.maximum_connections = 1});
+  RestartServer({.maximum_connections = 1});
   server_->Handle("GET", "/slow", [this](const HttpRequest&, const ResponderPointer& responder) {
     kept_ = responder;
     loop_.Stop();
@@ -37,17 +37,17 @@
 }
 
 TEST_F(HttpLimitsTest, ClosesTheLongestIdleConnectionAtTheLimit) {
-  Restart({.maximum_connections = 2});
+  RestartServer({.maximum_connections = 2});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "served"});
   });
-  const auto left_behind = RawConnect(server_->endpoint());
-  const auto used_since = RawConnect(server_->endpoint());
-  used_since->Send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
+  const auto idle_connection = RawConnect(server_->endpoint());
+  const auto used_connection = RawConnect(server_->endpoint());
+  used_connection->Send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).response.status, 200);
   std::thread reader([&] {
-    EXPECT_NE(used_since->ReadUntil("served"), "");
-    EXPECT_EQ(left_behind->ReadUntil(""), "") << "closed without a byte";
+    EXPECT_NE(used_connection->ReadUntil("served"), "");
+    EXPECT_EQ(idle_connection->ReadUntil(""), "") << "closed without a byte";
     loop_.Stop();
   });
   RunUntilStopped();
@@ -62,11 +62,11 @@
   options.maximum_idle = 0;
   client_ = std::make_unique<BeastHttpClient>(loop_, options, nullptr);
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).response.status, 200);
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
 TEST_F(HttpLimitsTest, ClosesConnectionsWithSlowHeaders) {
-  Restart({.header_timeout = milliseconds(50)});
+  RestartServer({.header_timeout = milliseconds(50)});
   const auto slow = RawConnect(server_->endpoint());
   slow->Send("GET / HTTP/1.1\r\nHost:");
   std::string received = "not closed";
@@ -80,7 +80,7 @@
 }
 
 TEST_F(HttpLimitsTest, ClosesConnectionsThatNeverRead) {
-  Restart({.write_timeout = milliseconds(50)});
+  RestartServer({.write_timeout = milliseconds(50)});
   server_->Handle("GET", "/", [this](const HttpRequest&, const ResponderPointer& responder) {
     responder->OnDisconnect([this] { loop_.Stop(); });
     responder->Send({200, {}, std::string(64U << 20U, 'x')});
@@ -129,21 +129,21 @@
 
 TEST_F(HttpLimitsTest, DrainLetsAnswersUnderWayComeToTheirEnd) {
   std::string events;
-  const auto note = [&](const std::string& event) {
+  const auto record_event = [&](const std::string& event) {
     events += event;
     if (events.size() == 3) {
       loop_.Stop();
     }
   };
   server_->Handle("GET", "/", [&](const HttpRequest&, const ResponderPointer& responder) {
-    server_->Drain([&] { note("i"); });
-    loop_.ScheduleAfter(milliseconds(10), [&note, responder] {
-      note("s");
+    server_->Drain([&] { record_event("i"); });
+    loop_.ScheduleAfter(milliseconds(10), [&record_event, responder] {
+      record_event("s");
       responder->Send({200, {}, "a"});
     });
   });
   client_->Call(server_->endpoint(), Get("/"), seconds(20),
-                [&](const HttpOutcome& outcome) { note(outcome.response.body); });
+                [&](const HttpOutcome& outcome) { record_event(outcome.response.body); });
   RunUntilStopped();
   EXPECT_EQ(events.front(), 's') << "idle before the answer was sent";
   EXPECT_NE(events.find('a'), std::string::npos);
@@ -151,19 +151,19 @@
 }
 
 TEST_F(HttpLimitsTest, DrainAnswersACrossingRequestAndCloses) {
-  Restart({.drain_linger = milliseconds(200)});
+  RestartServer({.drain_idle_grace = milliseconds(200)});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "ok"});
   });
   CallAndWait(server_->endpoint(), Get("/"));
-  ASSERT_EQ(client_->idle_connections(), 1U);
+  ASSERT_EQ(client_->idle_connection_count(), 1U);
   bool idle = false;
   server_->Drain([&] {
     idle = true;
     loop_.Stop();
   });
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).response.body, "ok");
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
   EXPECT_FALSE(idle);
   RunUntilStopped();
   EXPECT_TRUE(idle);
--- a/tests/net/http_stream_test.cc
+++ b/tests/net/http_stream_test.cc
@@ -58,7 +58,7 @@
   EXPECT_EQ(status_, 200);
   EXPECT_EQ(kind_header_, "stream");
   EXPECT_EQ(body_, "one two three");
-  EXPECT_EQ(client_->idle_connections(), 1U);
+  EXPECT_EQ(client_->idle_connection_count(), 1U);
 }
 
 TEST_F(HttpStreamTest, TakesAnAnswerOfStatedLength) {
@@ -114,7 +114,7 @@
   StreamAndWait();
   EXPECT_EQ(body_, "part");
   EXPECT_EQ(outcome_.kind, HttpOutcomeKind::kUnknown);
-  EXPECT_EQ(client_->idle_connections(), 0U);
+  EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
 TEST_F(HttpStreamTest, SilenceWithinTheStreamIsUnknown) {
@@ -129,11 +129,11 @@
 }
 
 TEST_F(HttpStreamTest, WriterLearnsThatTheReaderLeft) {
-  bool gone = false;
+  bool reader_disconnected = false;
   std::shared_ptr<HttpCall> call;
   ServeStream([&](const ResponderPointer& responder) {
     responder->OnDisconnect([&, responder] {
-      gone = true;
+      reader_disconnected = true;
       responder->WriteChunk("into the void", [this](bool alive) {
         EXPECT_FALSE(alive);
         loop_.Stop();
@@ -146,7 +146,7 @@
   callbacks.on_end = [](const HttpOutcome&) { ADD_FAILURE() << "a cancelled call ended"; };
   call = client_->Stream(server_->endpoint(), Get("/"), seconds(20), seconds(20), callbacks);
   RunUntilStopped();
-  EXPECT_TRUE(gone);
+  EXPECT_TRUE(reader_disconnected);
 }
 
 }  // namespace
--- a/tests/net/net_fixture.h
+++ b/tests/net/net_fixture.h
@@ -96,10 +96,10 @@
 
 class NetFixture : public ::testing::Test {
  protected:
-  NetFixture() { Restart({}); }
+  NetFixture() { RestartServer({}); }
 
   /// Starts a server with `options` (on a free port) in place of the former one.
-  void Restart(HttpServerOptions options) {
+  void RestartServer(HttpServerOptions options) {
     server_.reset();
     options.listen = {kServerHost, 0};
     server_ = std::make_unique<BeastHttpServer>(loop_, options, metrics_, &faults_);
@@ -107,14 +107,14 @@
     ASSERT_TRUE(listening.ok()) << listening.ToString();
   }
 
-  /// Runs the loop until a callback stops it. The guard only keeps a broken test from hanging.
+  /// Runs the loop until a callback stops it. The watchdog only keeps a broken test from hanging.
   void RunUntilStopped() {
-    const TimerId guard = loop_.ScheduleAfter(seconds(30), [this] {
+    const TimerId watchdog = loop_.ScheduleAfter(seconds(30), [this] {
       ADD_FAILURE() << "the loop was not stopped";
       loop_.Stop();
     });
     loop_.Run();
-    loop_.CancelTimer(guard);
+    loop_.CancelTimer(watchdog);
   }
 
   static HttpRequest Get(const std::string& path) {
--- a/tests/net/peer_test.cc
+++ b/tests/net/peer_test.cc
@@ -141,10 +141,10 @@
   const HttpOutcome set =
       CallAndWait(server_->endpoint(), Post("/admin/faults", R"({"blocked":["127.10.0.2"]})"));
   EXPECT_EQ(set.response.body, R"({"blocked":["127.10.0.2"]})");
-  EXPECT_TRUE(faults_.Blocked("127.10.0.2"));
+  EXPECT_TRUE(faults_.IsBlocked("127.10.0.2"));
   EXPECT_EQ(CallAndWait(server_->endpoint(), Post("/admin/faults", "{")).response.status, 400);
   CallAndWait(server_->endpoint(), Post("/admin/faults", "{}"));
-  EXPECT_FALSE(faults_.Blocked("127.10.0.2"));
+  EXPECT_FALSE(faults_.IsBlocked("127.10.0.2"));
 }
 
 }  // namespace
