--- a/src/base/checksum.h
+++ b/src/base/checksum.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Checksums of stored and sent bytes (XXH3, 64 bits).
+/// 64-bit XXH3 checksums of stored and transmitted bytes. Thread-safe.
 
 #include <cstdint>
 #include <string_view>
--- a/src/base/little_endian.h
+++ b/src/base/little_endian.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Little-endian numbers in stored bytes. Pure functions; any thread.
+/// Encoding and decoding of little-endian numbers in stored bytes. Pure functions; thread-safe.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,7 +17,7 @@
   }
 }
 
-/// @return the number stored in `bytes` (at most 8 of them).
+/// @return the number that `bytes` (at most 8) encode, lowest byte first.
 inline std::uint64_t ReadLittleEndian(std::string_view bytes) {
   constexpr unsigned kBitsPerByte = 8;
   std::uint64_t value = 0;
--- a/src/base/metrics.h
+++ b/src/base/metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
 /// Counters, gauges and histograms with labels, rendered in the Prometheus text format.
-/// prometheus-cpp is kept behind this header. All functions are thread-safe.
+/// This header hides prometheus-cpp. All functions are thread-safe.
 
 #include <initializer_list>
 #include <memory>
@@ -14,8 +14,8 @@
 /// One label of a metric, e.g. {"reason", "no_ready_replica"}.
 using MetricLabel = std::pair<std::string_view, std::string_view>;
 
-/// The metrics of one process. Names are snake_case with unit suffix (`_total`, `_seconds`,
-/// `_bytes`).
+/// The metrics of one process. Metric names are snake_case and end in their unit (`_total`,
+/// `_seconds`, `_bytes`).
 class Metrics {
  public:
   Metrics();
@@ -23,13 +23,14 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /// Adds `amount` to the counter `name` with `labels`, creating it at first use.
+  /// Adds `amount` to the counter `name` with `labels`, creating it on first use.
   void Increment(std::string_view name, std::initializer_list<MetricLabel> labels = {},
                  double amount = 1);
-  /// Sets the gauge `name` with `labels`.
+  /// Sets the gauge `name` with `labels` to `value`, creating it on first use.
   void SetGauge(std::string_view name, double value,
                 std::initializer_list<MetricLabel> labels = {});
-  /// Records `value_seconds` in the latency histogram `name`.
+  /// Records `value_seconds` in the latency histogram `name` with `labels`, creating it on first
+  /// use.
   void ObserveSeconds(std::string_view name, double value_seconds,
                       std::initializer_list<MetricLabel> labels = {});
   /// @return all metrics in the Prometheus text exposition format.
--- a/src/base/parse_number.h
+++ b/src/base/parse_number.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Numbers in text that comes from outside. Pure.
+/// Parsing of numbers in untrusted text. Pure functions; thread-safe.
 
 #include <charconv>
 #include <cstdint>
@@ -9,7 +9,8 @@
 
 namespace cloverbank {
 
-/// @return the number if all of `text` is an integer that fits, else nothing.
+/// @return the number if all of `text` is an unsigned decimal integer that fits into 64 bits,
+/// otherwise std::nullopt.
 inline std::optional<std::uint64_t> ParseInteger(std::string_view text) {
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
--- a/src/base/precompiled.h
+++ b/src/base/precompiled.h
@@ -1,5 +1,5 @@
 #pragma once
-// Standard headers that almost every translation unit needs, compiled once a target.
+// Standard headers that almost every translation unit needs, precompiled once per target.
 
 #include <algorithm>
 #include <chrono>
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Time as the cores see it. Leases and deadlines run on a clock that advances while the machine is
-/// suspended (CLOCK_BOOTTIME); the simulator supplies its own.
+/// Time types of the services. Leases and deadlines use a clock that advances while the machine is
+/// suspended (CLOCK_BOOTTIME); the simulator supplies its own time.
 
 #include <chrono>
 
@@ -9,13 +9,14 @@
 
 using Duration = std::chrono::nanoseconds;
 
-/// Tag clock: there is deliberately no `now()`. Read time through `Environment::Now()`.
+/// Tag type of `TimePoint`. It deliberately has no `now()`: read the time through
+/// `Environment::Now()`.
 struct BootClock {
   using duration = Duration;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<BootClock>;
-  // NOLINTNEXTLINE(readability-identifier-naming): the name that std::chrono asks for.
+  // NOLINTNEXTLINE(readability-identifier-naming): std::chrono requires this name.
   static constexpr bool is_steady = true;
 };
 
--- a/src/json/json.cc
+++ b/src/json/json.cc
@@ -13,7 +13,7 @@
   options.add_whitespace = pretty;
   std::string json;
   const auto status = google::protobuf::util::MessageToJsonString(message, &json, options);
-  return status.ok() ? json : "{}";  // Only malformed Any messages fail; the schemas have none.
+  return status.ok() ? json : "{}";  // Only malformed Any fields fail, and no .proto file has any.
 }
 
 bool IsBlank(const std::string& text) {
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// JSON of the HTTP interfaces: protobuf's own mapping with the field names of the schemas.
+/// JSON for the HTTP interfaces: protobuf's JSON mapping with the field names of the .proto files.
+/// Pure functions; thread-safe.
 
 #include <string>
 
@@ -12,14 +13,16 @@
 
 namespace cloverbank {
 
-/// @return `message` as JSON with schema field names (snake_case) and default values printed.
+/// @return `message` as one line of JSON with the field names of the .proto file (snake_case);
+/// primitive fields that have their default value are printed too.
 std::string ToJson(const google::protobuf::Message& message);
-/// The same over several indented lines, for people.
+/// @return the same JSON as `ToJson`, indented over several lines for people.
 std::string ToReadableJson(const google::protobuf::Message& message);
 
-/// What to do with JSON fields that the schema does not have.
+/// What `FromJson` does with JSON fields that the message type does not have.
 enum class UnknownFields { kRefuse, kIgnore };
-/// Reads JSON into `message`. @return kInvalidArgument with the position and what was expected.
+/// Parses `json` into `message`. @return OK, or kInvalidArgument with protobuf's description of the
+/// error (position and what was expected).
 Status FromJson(const std::string& json, google::protobuf::Message* message,
                 UnknownFields unknown_fields = UnknownFields::kRefuse);
 
--- a/src/net/asio_environment.cc
+++ b/src/net/asio_environment.cc
@@ -20,7 +20,8 @@
   return std::mt19937_64(seed);
 }
 
-/// The HTTP status is for people who read traces; the peer goes by the body.
+/// @return the HTTP status for `code`. It is only for people who read traces; the calling peer
+/// takes the code from the body.
 int ToHttpStatus(StatusCode code) {
   switch (code) {
     case StatusCode::kOk:
@@ -59,8 +60,8 @@
   return response;
 }
 
-/// Reads an answer that is not in the peer protocol: the peer's HTTP layer refused the request
-/// before any handler saw it.
+/// @return the failure for a response that is not in the peer protocol: the peer's HTTP layer
+/// refused the request before any handler received it.
 Status StatusFromTransportError(const HttpResponse& response) {
   const std::string reason = "peer answered HTTP " + std::to_string(response.status);
   switch (response.status) {
--- a/src/net/asio_environment.h
+++ b/src/net/asio_environment.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// The real `Environment`: boot clock, loop timers, and peer calls as HTTP. A call of "backup.Ping"
-/// is `POST /peer/backup.Ping` with a protobuf body; a refusal is a 4xx or 5xx answer whose body is
-/// a serialized `proto::Error`.
+/// The `Environment` of the daemon: boot clock, event loop timers, and peer calls over HTTP. A call
+/// of "backup.Ping" is `POST /peer/backup.Ping` with a protobuf body; a refusal is a 4xx or 5xx
+/// response whose body is a serialized `proto::Error`.
 ///
-/// Threads: the loop's thread only.
+/// Threads: use only on the event loop's thread.
 
 #include <functional>
 #include <memory>
@@ -22,9 +22,9 @@
 class AsioEnvironment : public Environment {
  public:
   /// @param client makes the outgoing calls.
-  /// @param peer_router serves this process's peer methods; outlived by this object's handlers only
-  /// as far as no request comes after its end.
-  /// @param peer_endpoint where others reach `peer_router`.
+  /// @param peer_router serves this process's peer methods. It keeps the handler registered here
+  /// when this object is destroyed; requests that arrive after that are answered with kUnavailable.
+  /// @param peer_endpoint where other processes reach `peer_router`.
   AsioEnvironment(EventLoop& loop, HttpClient& client, HttpRouter& peer_router,
                   Endpoint peer_endpoint, Metrics& metrics);
   ~AsioEnvironment() override;
@@ -50,7 +50,8 @@
   Endpoint peer_endpoint_;
   Metrics& metrics_;
   std::mt19937_64 random_;
-  std::shared_ptr<Methods> methods_;  ///< Shared with the handler that the router keeps.
+  std::shared_ptr<Methods>
+      methods_;  ///< Shared with the handler that the router keeps; emptied by the destructor.
 };
 
 }  // namespace cloverbank
--- a/src/net/beast_http_client.cc
+++ b/src/net/beast_http_client.cc
@@ -14,7 +14,7 @@
 BeastHttpClient::~BeastHttpClient() { CancelAll(); }
 
 void BeastHttpClient::CancelAll() {
-  // Dropping one call's callbacks may cancel others, so take them one by one.
+  // Destroying one call's callbacks may cancel other calls, so look up the next one each time.
   while (!shared_->active_calls.empty()) {
     (*shared_->active_calls.begin())->Cancel();
   }
--- a/src/net/beast_http_client.h
+++ b/src/net/beast_http_client.h
@@ -1,15 +1,17 @@
 #pragma once
 /// @file
 /// HTTP/1.1 client over Boost.Beast, with a pool of idle connections for each endpoint. Outgoing
-/// sockets are bound to the process's own address, so that a machine is known by its IP number.
+/// sockets are bound to the process's own address, because peers identify a machine by its IP
+/// address.
 ///
-/// What an outcome promises: kNotSent only if certainly no byte of the request was passed to the
-/// system; a call that ends at its deadline while it was being written is kUnknown. A pooled
-/// connection that turns out closed before the first byte is written is replaced by a fresh one,
-/// once. Answers that only end with the connection (neither length nor chunks) can not be told from
-/// cut ones and are kUnknown.
+/// Outcomes: a call is kNotSent only if certainly no byte of the request was passed to the
+/// operating system; a call that reaches its deadline while the request is being written is
+/// kUnknown. If a pooled connection proves closed before the first byte is written, the call opens
+/// a new connection, once. A close-delimited response (neither Content-Length nor chunked) cannot
+/// be distinguished from a truncated one and is kUnknown, unless the request sets
+/// `accept_unframed`.
 ///
-/// Threads: the loop's thread only.
+/// Threads: use only on the event loop's thread; callbacks run there.
 
 #include <cstdint>
 #include <memory>
@@ -22,14 +24,15 @@
 namespace cloverbank {
 
 struct HttpClientOptions {
-  std::string local_address = {};  ///< IP number to bind to; empty lets the system choose.
+  std::string local_address = {};  ///< IP address to bind to; empty lets the system choose.
   Duration connect_timeout = seconds(1);
-  /// Idle connections older than this are closed. Keep it below the servers' idle timeout.
+  /// Connections that were idle for longer are closed. Keep this below the servers' idle timeout.
   Duration idle_timeout = seconds(15);
   std::size_t maximum_idle_per_endpoint = 64;
-  std::size_t maximum_idle = 1024;  ///< Of all endpoints; further ones are closed after their call.
+  std::size_t maximum_idle =
+      1024;  ///< For all endpoints together; connections beyond it are closed after their call.
   std::uint32_t maximum_header_bytes = 64U << 10U;
-  /// Of complete responses; streamed ones are unbounded. A larger one ends as kUnknown.
+  /// Limit for responses of `Call`; a larger response ends as kUnknown. `Stream` has no limit.
   std::uint64_t maximum_body_bytes = 64ULL << 20U;
 };
 
@@ -39,21 +42,21 @@
  public:
   /// @param faults may be nullptr.
   BeastHttpClient(EventLoop& loop, HttpClientOptions options, const FaultInjector* faults);
-  /// Cancels the calls under way.
+  /// Cancels all calls in progress.
   ~BeastHttpClient() override;
   BeastHttpClient(const BeastHttpClient&) = delete;
   BeastHttpClient& operator=(const BeastHttpClient&) = delete;
 
   std::shared_ptr<HttpCall> Call(const Endpoint& to, HttpRequest request, Duration deadline,
                                  std::function<void(HttpOutcome)> done) override;
-  /// The idle limit also covers the wait for the head of the answer.
+  /// `idle_limit` also applies to the wait for the response's headers.
   std::shared_ptr<HttpCall> Stream(const Endpoint& to, HttpRequest request, Duration deadline,
                                    Duration idle_limit, HttpStreamCallbacks callbacks) override;
 
-  /// Cancels the calls under way: none of their callbacks runs any more.
+  /// Cancels all calls in progress; none of their callbacks runs afterwards.
   void CancelAll();
 
-  /// @return connections kept open for later calls.
+  /// @return the number of connections kept open for later calls.
   std::size_t idle_connection_count() const;
 
  private:
--- a/src/net/beast_http_server.cc
+++ b/src/net/beast_http_server.cc
@@ -15,16 +15,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// Pause after a failed accept (out of file descriptors), so that the loop is not kept busy.
+/// Delay after a failed accept (e.g. out of file descriptors), so that the loop does not spin.
 constexpr Duration kAcceptRetryDelay = milliseconds(100);
-/// Connections beyond the limit that are told so; further ones are closed without a word.
+/// How many connections beyond the limit get a 503 response at a time; further ones are closed
+/// without a response.
 constexpr std::size_t kMaximumRefusalsInProgress = 256;
 
 Status IoError(const std::string& action, const Endpoint& endpoint, const error_code& error) {
   return {StatusCode::kIoError, action + " " + endpoint.ToString() + ": " + error.message()};
 }
 
-/// @return a copy, since closing a connection takes it out of the set.
+/// @return a copy of the set, because closing a connection removes it from the set.
 std::vector<ServerConnection*> OpenConnections(const HttpServerShared& shared) {
   return {shared.connections.begin(), shared.connections.end()};
 }
@@ -85,11 +86,12 @@
     socket.set_option(tcp::no_delay(true), error);
     const tcp::endpoint peer = socket.remote_endpoint(error);
     if (error) {
-      return;  // The caller has left already.
+      return;  // The client has already disconnected.
     }
     const std::size_t limit = shared->options.maximum_connections;
     if (shared->connections.size() >= limit && !shared->idle.empty()) {
-      // Callers that are gone leave their connections behind: the longest idle one makes room.
+      // Idle connections may belong to clients that no longer exist: close the longest idle one to
+      // make room.
       shared->metrics.Increment("http_server_idle_connections_closed_total", {});
       shared->idle.front()->Close();
     }
--- a/src/net/beast_http_server.h
+++ b/src/net/beast_http_server.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// HTTP/1.1 server over Boost.Beast. Bounds what one client can use: connections, header and body
-/// sizes, and the time a slow reader or writer may hold a connection.
+/// HTTP/1.1 server over Boost.Beast. It limits the number of connections, the sizes of headers and
+/// bodies, and how long a client that reads or writes slowly can hold a connection.
 ///
-/// Threads: the loop's thread only.
+/// Threads: use only on the event loop's thread; handlers and callbacks run there.
 
 #include <cstdint>
 #include <functional>
@@ -22,17 +22,19 @@
   std::size_t maximum_connections = 4096;
   std::uint32_t maximum_header_bytes = 16U << 10U;
   std::uint64_t maximum_body_bytes = 4ULL << 20U;
-  Duration idle_timeout = seconds(75);  ///< Between two requests of a connection.
+  Duration idle_timeout = seconds(75);  ///< Longest time between two requests of a connection.
   Duration header_timeout =
-      seconds(10);                       ///< From a request's first byte to the end of its headers.
-  Duration body_timeout = seconds(30);   ///< For the rest of a request.
-  Duration write_timeout = seconds(30);  ///< For the client to read what was written.
-  /// For a caller with an idle connection to send a request that crosses the beginning of a drain:
-  /// it is answered with a close, instead of finding its connection closed.
+      seconds(10);  ///< From a request's first byte to the end of its headers.
+  Duration body_timeout =
+      seconds(30);  ///< From the end of a request's headers to the end of its body.
+  Duration write_timeout =
+      seconds(30);  ///< For one write: how long the client may take to read it.
+  /// How long `Drain` leaves idle connections open, so that a request that a client sends just as
+  /// the drain begins gets a response with "Connection: close" instead of a closed connection.
   Duration drain_idle_grace = milliseconds(300);
 };
 
-/// Bounds on the requests of one client; zero leaves a bound unchanged.
+/// Limits for each client's requests; a field that is zero leaves that limit unchanged.
 struct CallerBounds {
   std::uint32_t maximum_header_bytes = 0;
   std::uint64_t maximum_body_bytes = 0;
@@ -54,23 +56,27 @@
 
   void Handle(std::string_view method, std::string_view pattern, HttpHandler handler) override;
 
-  /// Serves every request that no pattern matches, or whose target is not a well-formed path. Only
-  /// the raw target of such a request is certain to be set.
+  /// Sets the handler for every request that no pattern matches or whose target is not a
+  /// well-formed path. `path` and `query` of a request with a malformed target are empty; `target`
+  /// is always set.
   void HandleOther(HttpHandler handler);
-  /// Replaces what bounds one caller, for requests that begin from now on.
+  /// Replaces the limits for requests that begin from now on.
   void SetBounds(const CallerBounds& bounds);
 
-  /// Begins to accept. @return kIoError if the address can not be listened on.
+  /// Starts to accept connections. @return kInvalidArgument if the host is not an IP address,
+  /// kIoError if listening on it fails.
   Status Listen();
-  /// @return where it listens, with the real port.
+  /// @return the endpoint the server listens on, with the port that the system chose for port 0.
   const Endpoint& endpoint() const;
 
-  /// Closes each connection after the current or the next response; keeps accepting.
+  /// Makes the server close each connection after the response in progress or the next one. It
+  /// still accepts connections.
   void EndConnections();
-  /// Stops accepting, lets responses in progress complete and closes idle connections after
-  /// `drain_idle_grace`; `idle` runs once there are no answers under way after it.
+  /// Stops accepting connections, lets responses in progress complete and closes idle connections
+  /// after `drain_idle_grace`. `idle` runs once on the loop, when that time has passed and no
+  /// response is in progress.
   void Drain(std::function<void()> idle);
-  /// @return requests whose answers are not complete.
+  /// @return the number of requests whose responses are not complete.
   std::size_t calls_in_progress() const;
 
  private:
@@ -79,11 +85,12 @@
   std::shared_ptr<Listener> listener_;
 };
 
-/// The servers of a gateway's front interfaces, apart from its own; each may be nullptr.
+/// The servers of a gateway's front interfaces, besides the gateway's own server; each may be
+/// nullptr.
 struct FrontServers {
-  BeastHttpServer* calls = nullptr;    ///< Callers.
-  BeastHttpServer* ready = nullptr;    ///< Readiness checks of the platform.
-  BeastHttpServer* control = nullptr;  ///< Operators.
+  BeastHttpServer* calls = nullptr;    ///< Serves callers.
+  BeastHttpServer* ready = nullptr;    ///< Serves the platform's readiness checks.
+  BeastHttpServer* control = nullptr;  ///< Serves operators.
 };
 
 }  // namespace cloverbank
--- a/src/net/beast_message.h
+++ b/src/net/beast_message.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Conversions between this project's HTTP types and Beast's. Internal to net/.
+/// Conversions between the HTTP types of http_types.h and those of Beast. Internal to net/. Pure.
 
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
@@ -10,14 +10,14 @@
 
 namespace cloverbank {
 
-/// @return all headers, in order.
+/// @return all headers of `fields`, in order.
 HttpHeaders ToHttpHeaders(const boost::beast::http::fields& fields);
 
-/// Adds `headers` to `fields`. Headers that would break the message (control characters) or that
-/// the transport sets itself (Connection, Content-Length, Transfer-Encoding) are left out.
+/// Adds `headers` to `fields`. Skips headers that would corrupt the message (control characters)
+/// and those that the transport sets itself (Connection, Content-Length, Transfer-Encoding).
 void AddHeaders(const HttpHeaders& headers, boost::beast::http::fields* fields);
 
-/// @return the bytes of a response's head.
+/// @return the serialized status line and headers of a response.
 std::string SerializeResponseHead(const boost::beast::http::response_header<>& head);
 
 }  // namespace cloverbank
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -25,7 +25,7 @@
 constexpr unsigned kHttp11 = 11;
 constexpr int kFirstFinalStatus = 200;
 constexpr std::uint64_t kUnbounded = std::numeric_limits<std::uint64_t>::max();
-constexpr std::size_t kChunkBytes = 16U << 10U;  ///< One read of a body of unknown length.
+constexpr std::size_t kChunkBytes = 16U << 10U;  ///< Size of one read of a body of unknown length.
 constexpr std::size_t kMaximumChunkBytes = 256U << 10U;
 
 http::request<http::string_body> ToBeast(const Endpoint& to, HttpRequest request) {
@@ -49,8 +49,9 @@
   return message;
 }
 
-/// Opens `socket` for `to` and binds it to `local_address`. The port is chosen at connect, so that
-/// connections to different peers can share it.
+/// Opens `socket` for `to` and binds it to `local_address`, unless that is empty. The system
+/// chooses the local port only at connect (IP_BIND_ADDRESS_NO_PORT), so that connections to
+/// different peers can share a port.
 error_code OpenAndBind(const tcp::endpoint& to, const std::string& local_address,
                        tcp::socket& socket) {
   error_code error;
@@ -115,7 +116,7 @@
 
 void ClientCall::Begin() {
   if (shared_->IsBlocked(to_)) {
-    may_have_sent_ = true;  // As if the bytes were lost on the way.
+    may_have_sent_ = true;  // Behave as if the bytes were lost in the network.
     return;
   }
   connection_ = shared_->pool.Take(to_);
@@ -163,10 +164,11 @@
 }
 
 void ClientCall::Write() {
-  const auto check = can_send_;  // Kept for the question: `Cancel` within it drops the member.
+  const auto check =
+      can_send_;  // A copy, because `Cancel` from within the check clears the member.
   const bool allowed = !check || check();
   if (!callbacks_) {
-    return;  // Cancelled from within the question.
+    return;  // The check cancelled the call.
   }
   if (!allowed) {
     Finish(HttpOutcomeKind::kNotSent, "the right to send has ended");
@@ -174,7 +176,7 @@
   }
   may_have_sent_ = true;
   if (shared_->IsBlocked(to_)) {
-    return;  // Cut off since `Begin`.
+    return;  // Fault injection blocked the peer after `Begin`.
   }
   http::async_write(connection_->socket, request_,
                     [self = shared_from_this()](const error_code& error, std::size_t size) {
@@ -191,12 +193,12 @@
     return;
   }
   if (size > 0) {
-    ReadHead();  // The peer may have answered before it had the whole request.
+    ReadHead();  // The peer may have responded before it received the whole request.
     return;
   }
   may_have_sent_ = false;
   if (connection_->reused) {
-    Connect();  // The peer had closed the idle connection.
+    Connect();  // The peer closed the connection while it was idle in the pool.
   } else {
     Finish(HttpOutcomeKind::kNotSent, "write failed: " + error.message());
   }
@@ -207,7 +209,7 @@
 void ClientCall::ReadHead() {
   parser_.emplace();
   parser_->header_limit(shared_->options.maximum_header_bytes);
-  // Not boost::none: this version of Beast takes any stated length to be above it.
+  // Not boost::none: this version of Beast would take any Content-Length as exceeding it.
   parser_->body_limit(limits_.maximum_body > 0 ? limits_.maximum_body : kUnbounded);
   parser_->skip(request_.method() == http::verb::head);
   ArmStepTimer(limits_.idle_limit, [this] { FailAfterSending("no answer within the idle limit"); });
@@ -253,7 +255,8 @@
   if (chunk_.empty()) {
     const auto length = parser_->content_length();
     chunk_.resize(length ? std::min<std::uint64_t>(*length, kMaximumChunkBytes) : kChunkBytes);
-    connection_->buffer.reserve(chunk_.size());  // Beast reads no more at once than fits in it.
+    connection_->buffer.reserve(
+        chunk_.size());  // Beast reads at most as much at a time as fits in it.
   }
   auto& body = parser_->get().body();
   body.data = chunk_.data();
@@ -289,7 +292,7 @@
   });
 }
 
-// ---- Ends ----
+// ---- Completion ----
 
 void ClientCall::FailAfterSending(const std::string& reason) {
   if (shared_->IsBlocked(to_)) {
@@ -350,7 +353,7 @@
 }
 
 void ClientCall::CloseConnection() {
-  // The object stays: a pending operation of the socket still refers to it.
+  // Keep the object: a pending operation of the socket still refers to it.
   if (connection_) {
     error_code ignored;
     connection_->socket.close(ignored);
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -1,6 +1,8 @@
 #pragma once
 /// @file
-/// One outgoing call of `BeastHttpClient`. Internal to net/: it shows Boost types.
+/// One outgoing call of `BeastHttpClient`. Internal to net/, because it exposes Boost types.
+///
+/// Threads: use only on the event loop's thread; callbacks run there.
 
 #include <boost/beast/http/buffer_body.hpp>
 #include <boost/beast/http/message.hpp>
@@ -17,11 +19,12 @@
 
 namespace cloverbank {
 
-/// Limits of one call.
+/// Time and size limits of one call.
 struct ClientCallLimits {
-  Duration deadline{};
-  Duration idle_limit{};           ///< Zero: only the deadline counts.
-  std::uint64_t maximum_body = 0;  ///< Zero: unbounded.
+  Duration deadline{};  ///< For the whole call, from `Start`.
+  Duration
+      idle_limit{};  ///< Longest wait for bytes of the response; zero: only the deadline applies.
+  std::uint64_t maximum_body = 0;  ///< Largest response body in bytes; zero: unlimited.
 };
 
 class ClientCall : public HttpCall, public std::enable_shared_from_this<ClientCall> {
@@ -29,7 +32,8 @@
   ClientCall(std::shared_ptr<HttpClientShared> shared, Endpoint to, HttpRequest request,
              ClientCallLimits limits, HttpStreamCallbacks callbacks);
 
-  /// Begins on the next turn of the loop. `can_send` of the request is asked right before writing.
+  /// Begins the call in a later action of the loop. The request's `can_send` is called immediately
+  /// before the request is written.
   void Start();
   void Cancel() override;
 
@@ -46,7 +50,8 @@
   void ReadBody();
   void OnBody(const boost::system::error_code& error);
   void ContinueBody();
-  /// Ends with kUnknown, unless the peer is cut off: then nothing is heard until the deadline.
+  /// Ends the call with kUnknown. If fault injection blocks the peer, does nothing: the call then
+  /// ends at its deadline.
   void FailAfterSending(const std::string& reason);
   void Finish(HttpOutcomeKind kind, std::string reason);
   void OnDeadline();
@@ -61,17 +66,17 @@
   std::function<bool()> can_send_;
   bool accept_close_delimited_ = false;
   Duration connect_timeout_;
-  /// Null once the call is over.
+  /// Null once the call has ended.
   std::shared_ptr<HttpStreamCallbacks> callbacks_;
 
   std::unique_ptr<ClientConnection> connection_;
   std::optional<Parser> parser_;
   std::vector<char> chunk_;
   int status_ = 0;
-  bool may_have_sent_ = false;  ///< A byte of the request may have left.
-  bool waiting_for_receiver_ = false;
+  bool may_have_sent_ = false;         ///< A byte of the request may have left this process.
+  bool waiting_for_receiver_ = false;  ///< `on_bytes` ran and its `more` was not called yet.
   TimerId deadline_timer_ = 0;
-  TimerId step_timer_ = 0;  ///< Of connecting, or of an idle peer.
+  TimerId step_timer_ = 0;  ///< Connect timeout, later the idle limit.
 };
 
 }  // namespace cloverbank
--- a/src/net/connection_pool.cc
+++ b/src/net/connection_pool.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-/// @return whether the peer has neither closed the connection nor sent anything unasked.
+/// @return whether the peer has neither closed the connection nor sent unsolicited bytes.
 bool IsReusable(ClientConnection& connection) {
   char byte = 0;
   const ssize_t received =
--- a/src/net/connection_pool.h
+++ b/src/net/connection_pool.h
@@ -1,6 +1,9 @@
 #pragma once
 /// @file
-/// Idle connections of `BeastHttpClient`. Internal to net/: it shows Boost types.
+/// Pool of the idle connections of `BeastHttpClient`. Internal to net/, because it exposes Boost
+/// types.
+///
+/// Threads: use only on the event loop's thread.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -19,7 +22,7 @@
   boost::asio::ip::tcp::socket socket;
   boost::beast::flat_buffer buffer;
   TimePoint idle_since;
-  bool reused = false;  ///< Came out of the pool.
+  bool reused = false;  ///< Was in the pool before.
 };
 
 class ConnectionPool {
@@ -30,14 +33,17 @@
         maximum_idle_per_endpoint_(maximum_idle_per_endpoint),
         maximum_idle_(maximum_idle) {}
 
-  /// @return the connection to `endpoint` used last that the peer has not closed, or nullptr.
+  /// Removes and returns the most recently used connection to `endpoint` that has not expired and
+  /// that the peer has not closed, or returns nullptr.
   std::unique_ptr<ClientConnection> Take(const Endpoint& endpoint);
-  /// Adds a connection whose last call ended in a complete response.
+  /// Adds a connection whose last call ended with a complete response, unless the pool is full.
+  /// If the endpoint then has too many idle connections, closes the one that is idle longest.
   void Put(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
   /// Closes the idle connections to `endpoint`, after a call to it timed out.
   void CloseConnectionsTo(const Endpoint& endpoint) { idle_.erase(endpoint); }
-  /// Closes connections that were idle for too long.
+  /// Closes connections that were idle for the idle timeout.
   void Sweep();
+  /// @return the number of idle connections to all endpoints.
   std::size_t size() const;
 
  private:
@@ -47,7 +53,7 @@
   std::unordered_map<Endpoint, std::deque<std::unique_ptr<ClientConnection>>> idle_;
 };
 
-/// What the calls of one client share.
+/// State that all calls of one client share.
 struct HttpClientShared : std::enable_shared_from_this<HttpClientShared> {
   HttpClientShared(EventLoop& loop_, HttpClientOptions options_, const FaultInjector* faults_)
       : loop(loop_),
@@ -61,14 +67,15 @@
   bool IsBlocked(const Endpoint& endpoint) const {
     return faults != nullptr && faults->IsBlocked(endpoint.host);
   }
-  /// Puts a connection back and sees to it that the pool is swept while it holds any.
+  /// Puts a connection back into the pool and schedules `Sweep`, which repeats as long as the pool
+  /// holds any connection.
   void ReturnToPool(const Endpoint& endpoint, std::unique_ptr<ClientConnection> connection);
 
   EventLoop& loop;
   HttpClientOptions options;
   const FaultInjector* faults;
   ConnectionPool pool;
-  std::unordered_set<HttpCall*> active_calls;  ///< Started and not over.
+  std::unordered_set<HttpCall*> active_calls;  ///< Calls that were started and have not ended.
   TimerId sweep_timer = 0;
 
  private:
--- a/src/net/event_loop.cc
+++ b/src/net/event_loop.cc
@@ -34,7 +34,8 @@
 struct EventLoop::State {
   State() : timer_descriptor(context, OpenTimerDescriptor()), signals(context) {}
 
-  /// Sets the descriptor to wake the loop at the earliest timer.
+  /// Makes the timer descriptor wake the loop at the earliest timer, unless it is already set to
+  /// that time or an earlier one.
   void ArmTimerDescriptor() {
     if (timers.empty() || timers.begin()->first.first >= armed_time) {
       return;
@@ -92,12 +93,13 @@
     }
   }
 
-  // Declared before the context: handlers destroyed with it may still cancel timers.
+  // Declared before the context, because handlers that the context destroys may still cancel
+  // timers.
   std::map<std::pair<TimePoint, TimerId>, std::function<void()>> timers;
   std::unordered_map<TimerId, TimePoint> due_times;
   TimerId last_timer = 0;
   TimePoint armed_time = TimePoint::max();
-  /// Set while the loop is torn down: what destructors ask for then is dropped.
+  /// Set while the loop is destroyed: actions and timers that destructors add then are dropped.
   std::atomic<bool> destroying = false;
   boost::asio::io_context context{1};
   boost::asio::posix::stream_descriptor timer_descriptor;
@@ -111,7 +113,8 @@
 
 EventLoop::~EventLoop() {
   state_->destroying = true;
-  // Actions may own objects that cancel timers expiry destroyed, so empty the map by moving it out.
+  // Actions may own objects that cancel timers when destroyed, so move the actions out of the map
+  // first.
   auto timers = std::move(state_->timers);
   state_->timers.clear();
   timers.clear();
@@ -156,7 +159,8 @@
   const auto entry = state_->timers.find(std::pair(due->second, timer));
   state_->due_times.erase(due);
   if (entry != state_->timers.end()) {
-    // The action is destroyed after the map is consistent again, since it may own what cancels.
+    // Destroy the action only when the map is consistent again, because the action may own objects
+    // that cancel timers.
     const auto removed = state_->timers.extract(entry);
   }
 }
--- a/src/net/event_loop.h
+++ b/src/net/event_loop.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// The one event loop of a process: actions, timers on the boot clock, and stop signals.
+/// The event loop of a process: posted actions, timers on the boot clock, and signals.
 
 #include <functional>
 #include <memory>
@@ -14,8 +14,8 @@
 
 namespace cloverbank {
 
-/// Runs on the thread that calls `Run`; everything but `Post` and `Stop` belongs to that thread.
-/// It must outlive every server, client and environment built on it.
+/// Runs on the thread that calls `Run`. Call everything except `Post` and `Stop` on that thread
+/// only. The loop must outlive every server, client and environment that uses it.
 class EventLoop {
  public:
   EventLoop();
@@ -25,25 +25,26 @@
 
   /// Runs actions until `Stop`. May be called again afterwards.
   void Run();
-  /// Makes `Run` return after the action under way. Thread-safe.
+  /// Makes `Run` return after the action that is running. Thread-safe.
   void Stop();
-  /// Runs `action` soon on the loop, never from within this call. Thread-safe.
+  /// Queues `action` to run on the loop, never within this call. Thread-safe.
   void Post(std::function<void()> action);
 
-  /// @return CLOCK_BOOTTIME, which advances while the machine is suspended.
+  /// @return the time on CLOCK_BOOTTIME, which advances while the machine is suspended.
   static TimePoint Now();
-  /// Runs `action` once after `delay`, measured on the boot clock.
+  /// Runs `action` once on the loop after `delay`, measured on the boot clock. @return the timer's
+  /// id for `CancelTimer`.
   TimerId ScheduleAfter(Duration delay, std::function<void()> action);
   /// Cancels a pending timer; does nothing if it has run or is 0.
   void CancelTimer(TimerId timer);
 
-  /// Runs `action(signal)` at each SIGTERM and SIGINT, instead of their default effect.
+  /// Runs `action(signal)` on the loop at each SIGTERM and SIGINT, instead of their default effect.
   void OnStopSignal(std::function<void(int signal)> action);
 
-  /// Runs `action` at each SIGHUP, instead of its default effect.
+  /// Runs `action` on the loop at each SIGHUP, instead of its default effect.
   void OnReloadSignal(std::function<void()> action);
 
-  /// For the other adapters in net/ only.
+  /// Only for the other classes of net/.
   boost::asio::io_context& io_context();
 
  private:
--- a/src/net/fault_injector.h
+++ b/src/net/fault_injector.h
@@ -1,10 +1,10 @@
 #pragma once
 /// @file
-/// Cuts this process off from chosen IP numbers, for tests of splits and isolation on one machine.
-/// Traffic from and to a blocked number is swallowed without a sign: incoming requests are never
-/// answered, outgoing calls time out at their deadline.
+/// Blocks traffic between this process and chosen IP addresses, for tests of network partitions and
+/// isolation on one machine. Traffic from and to a blocked address is silently dropped: incoming
+/// requests are never answered, outgoing calls time out at their deadline.
 ///
-/// Threads: the owner's event loop only.
+/// Threads: use only on the event loop's thread.
 
 #include <set>
 #include <string>
@@ -17,14 +17,14 @@
 
 class FaultInjector {
  public:
-  /// Replaces the list of blocked IP numbers.
+  /// Replaces the set of blocked IP addresses.
   void SetBlocked(const std::vector<std::string>& addresses);
   bool IsBlocked(std::string_view address) const {
     return blocked_.find(address) != blocked_.end();
   }
 
-  /// Serves GET and POST /admin/faults (FaultSettings as JSON). Only for daemons that were started
-  /// with --allow-fault-injection. The injector must outlive the router.
+  /// Registers GET and POST /admin/faults (FaultSettings as JSON) on `router`. Only for daemons
+  /// that were started with --allow-fault-injection. The injector must outlive the router.
   void ServeAdmin(HttpRouter& router);
 
  private:
--- a/src/net/http_error.h
+++ b/src/net/http_error.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Responses that the transport itself sends, in the JSON form of all errors (ErrorBody).
+/// Error responses that the HTTP layer itself sends, in the JSON form that all errors have
+/// (ErrorBody). Pure.
 
 #include <string_view>
 
@@ -9,9 +10,10 @@
 
 namespace cloverbank {
 
-/// @return a JSON answer with an ErrorBody.
+/// @return a JSON response with an ErrorBody.
 /// @param code stable snake_case name of the error.
-/// @param executed what the caller may assume of its request.
+/// @param message for people.
+/// @param executed whether the caller's request was executed, as far as known.
 HttpResponse MakeErrorResponse(int http_status, std::string_view code, std::string_view message,
                                proto::Executed executed);
 
--- a/src/net/http_headers.cc
+++ b/src/net/http_headers.cc
@@ -28,7 +28,7 @@
   return text.substr(first, text.find_last_not_of(" \t") - first + 1);
 }
 
-/// @return the names that the "Connection" headers list.
+/// @return the header names that the "Connection" headers list.
 std::vector<std::string_view> NamesInConnectionHeaders(const HttpHeaders& headers) {
   std::vector<std::string_view> names;
   for (const auto& [name, value] : headers) {
--- a/src/net/http_headers.h
+++ b/src/net/http_headers.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which headers of a message go along when it is passed on. Pure.
+/// Selects the headers that a proxy forwards with a message. Pure functions; thread-safe.
 ///
 /// Source: RFC 9110 section 7.6.1 (Connection), RFC 9112 section 6 (message body length).
 
@@ -11,11 +11,11 @@
 
 namespace cloverbank {
 
-/// Whether two header names, or hosts, are the same.
+/// @return whether two header names or hosts are equal, ignoring case.
 bool EqualIgnoringCase(std::string_view left, std::string_view right);
 
-/// @return the headers without those that concern one connection only, those that "Connection"
-/// names, and `additional_names` (any case).
+/// @return `headers` without the hop-by-hop headers, Content-Length, those that "Connection" lists,
+/// and `additional_names` (in any case).
 HttpHeaders EndToEndHeaders(const HttpHeaders& headers,
                             std::initializer_list<std::string_view> additional_names);
 
--- a/src/net/http_status.h
+++ b/src/net/http_status.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Status codes of HTTP by name (RFC 9110 section 15).
+/// Named HTTP status codes (RFC 9110 section 15).
 
 namespace cloverbank {
 
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// HTTP as the adapters see it, free of any library's types. Implemented in net/ over Boost.Beast
-/// and by fakes in tests. All functions and callbacks belong to one event loop.
+/// HTTP types and interfaces that use no library's types. net/ implements them over Boost.Beast,
+/// tests use fakes. Call all functions on the thread of one event loop; callbacks run there too.
 
 #include <cstdint>
 #include <functional>
@@ -24,22 +24,24 @@
 
 struct HttpRequest {
   std::string method;  ///< "GET", "POST", ...
-  std::string path;    ///< Without the query, decoded.
-  HttpHeaders query;   ///< Decoded query parameters, in order.
-  /// The request target exactly as it came, or is to be sent. Outgoing calls: empty builds it from
-  /// `path` and `query`. A "Host" among the headers of a call with a target is sent as it is.
+  std::string path;    ///< Percent-decoded, without the query.
+  HttpHeaders query;   ///< Percent-decoded query parameters, in order.
+  /// The request target exactly as it was received or is to be sent. Outgoing calls: if empty, it
+  /// is built from `path` and `query`. A "Host" header of a call that sets `target` is sent
+  /// unchanged.
   std::string target = {};
   HttpHeaders headers;
   std::string body;
-  std::string peer_address;  ///< IP number of the caller.
-  /// Outgoing calls: asked once, immediately before the first byte leaves (the connection stands by
-  /// then). False ends the call as kNotSent. Empty means always. It lets a right that ran out while
-  /// the connection was being made, or while the process was frozen, stop the call.
+  std::string peer_address;  ///< IP address of the caller.
+  /// Outgoing calls: called immediately before the request is written, when the connection is
+  /// established; called again if a pooled connection proved closed and the call opens a new one.
+  /// False ends the call as kNotSent; an empty function permits every call. It stops the call if a
+  /// lease expired while the connection was being established or the process was frozen.
   std::function<bool()> can_send;
-  /// Outgoing calls: whether an answer may be ended by its connection (neither length nor chunks).
-  /// A connection that is reset still makes it kUnknown.
+  /// Outgoing calls: whether to accept a close-delimited response (neither Content-Length nor
+  /// chunked). If the connection is reset, the call is still kUnknown.
   bool accept_unframed = false;
-  /// Outgoing calls: longest wait for a connection; zero takes the client's own.
+  /// Outgoing calls: longest wait for the connection; zero uses the client's default.
   Duration connect_timeout{};
 };
 
@@ -49,29 +51,30 @@
   std::string body;
 };
 
-/// Writes the response to one request. Owned by its handler; a call after the client disconnected
-/// is ignored. Exactly one of `Send` and `StartStream` is used.
+/// Writes the response to one request. The handler owns it and uses exactly one of `Send` and
+/// `StartStream`. Calls after the client disconnected are ignored.
 class HttpResponder {
  public:
   virtual ~HttpResponder() = default;
   /// Sends a complete response.
   virtual void Send(HttpResponse response) = 0;
-  /// Sends the head of a chunked answer.
+  /// Sends the status and headers of a chunked response.
   virtual void StartStream(int status, HttpHeaders headers) = 0;
-  /// Sends one chunk. `written` runs when the caller's socket took it (back-pressure), with false
-  /// if the client has disconnected.
+  /// Sends one chunk. `written` runs on the loop, with true when the socket has accepted the chunk
+  /// (back-pressure) and with false if the client has disconnected.
   virtual void WriteChunk(std::string chunk, std::function<void(bool alive)> written) = 0;
-  /// Ends the chunked answer in the regular way.
+  /// Completes the chunked response.
   virtual void FinishStream() = 0;
-  /// Breaks the connection, so that the client can not mistake the response for a complete one.
+  /// Closes the connection, so that the client cannot mistake the response for a complete one.
   virtual void Abort() = 0;
-  /// `on_disconnect` runs once if the client disconnects before the response is complete.
+  /// `on_disconnect` runs once on the loop if the client disconnects before the response is
+  /// complete.
   virtual void OnDisconnect(std::function<void()> on_disconnect) = 0;
 };
 
 using HttpHandler = std::function<void(HttpRequest, std::shared_ptr<HttpResponder>)>;
 
-/// Where adapters register what they serve.
+/// Registers the handlers of requests.
 class HttpRouter {
  public:
   virtual ~HttpRouter() = default;
@@ -83,30 +86,31 @@
 /// @return segment `index` (from 0) of a path: PathSegment("/v1/batches/7", 2) is "7".
 std::string_view PathSegment(std::string_view path, std::size_t index);
 
-/// How far an outgoing call got.
+/// How an outgoing call ended.
 enum class HttpOutcomeKind : std::uint8_t {
   kAnswered,  ///< A complete, well-formed response was received.
-  kNotSent,   ///< No byte of the request left this process: safe to try elsewhere.
-  kUnknown,   ///< Bytes were sent, no complete response came (timeout or reset).
+  kNotSent,   ///< No byte of the request left this process: safe to retry elsewhere.
+  kUnknown,   ///< Bytes were sent and no complete response came (timeout or reset).
 };
 
 struct HttpOutcome {
   HttpOutcomeKind kind = HttpOutcomeKind::kNotSent;
-  HttpResponse response;  ///< Set when answered (body empty for streamed answers).
-  std::string reason;     ///< For people and logs, e.g. "connect refused", "deadline".
+  HttpResponse response;  ///< Set for kAnswered; the body is empty for streamed responses.
+  std::string reason;     ///< For people and logs, e.g. "connect timed out", "deadline".
 };
 
-/// Callbacks of a streamed call. `on_head` runs at most once, before chunks; `on_end` exactly
-/// once.
+/// Callbacks of a streamed call; they run on the loop. `on_head` runs at most once, before any
+/// `on_bytes`; `on_end` runs exactly once, unless the call is cancelled.
 struct HttpStreamCallbacks {
   std::function<void(int status, const HttpHeaders& headers)> on_head;
-  /// One read's worth of body. `more` must be called to receive the next (back-pressure).
+  /// Receives the next bytes of the body. No further bytes are read until `more` is called
+  /// (back-pressure).
   std::function<void(std::string bytes, std::function<void()> more)> on_bytes;
-  /// kAnswered: the body ended regularly.
+  /// Receives the outcome; kAnswered means that the body is complete.
   std::function<void(HttpOutcome)> on_end;
 };
 
-/// A running outgoing call. Destroying it does not cancel.
+/// An outgoing call in progress. Dropping the pointer to it does not cancel it.
 class HttpCall {
  public:
   virtual ~HttpCall() = default;
@@ -114,15 +118,19 @@
   virtual void Cancel() = 0;
 };
 
-/// Makes outgoing calls from the process's own address. A connection whose call did not end in a
+/// Makes outgoing calls from the process's own address. A connection whose call did not end with a
 /// complete response is closed, never reused.
 class HttpClient {
  public:
   virtual ~HttpClient() = default;
+  /// Sends `request` to `to`. `done` runs exactly once on the loop with the outcome and the whole
+  /// body, unless the call is cancelled.
+  /// @param deadline for the whole call, from now.
   virtual std::shared_ptr<HttpCall> Call(const Endpoint& to, HttpRequest request, Duration deadline,
                                          std::function<void(HttpOutcome)> done) = 0;
-  /// @param deadline for the whole call.
-  /// @param idle_limit longest time between reads before the call ends as kUnknown.
+  /// Like `Call`, but passes on the body as it is received.
+  /// @param deadline for the whole call, from now.
+  /// @param idle_limit if no bytes arrive for this long, the call ends as kUnknown.
   virtual std::shared_ptr<HttpCall> Stream(const Endpoint& to, HttpRequest request,
                                            Duration deadline, Duration idle_limit,
                                            HttpStreamCallbacks callbacks) = 0;
--- a/src/net/route_table.cc
+++ b/src/net/route_table.cc
@@ -5,8 +5,8 @@
 namespace cloverbank {
 namespace {
 
-/// Calls `visit(segment)` for each segment of `path` while it returns true.
-/// @return whether every call did.
+/// Calls `visit(segment)` for each segment of `path` until it returns false.
+/// @return whether every call returned true.
 template <typename Visitor>
 bool VisitSegments(std::string_view path, Visitor visit) {
   if (!path.empty() && path.front() == '/') {
--- a/src/net/route_table.h
+++ b/src/net/route_table.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Which handler serves a request. Pure: no sockets.
+/// Finds the handler for a request's method and path. Uses no sockets.
 
 #include <deque>
 #include <string>
@@ -14,14 +14,16 @@
 class RouteTable {
  public:
   struct Match {
-    const HttpHandler* handler = nullptr;  ///< Stays valid as long as the table.
-    bool path_known = false;               ///< Whether some method is served on this path.
+    const HttpHandler* handler = nullptr;  ///< nullptr if none; valid as long as the table.
+    bool path_known = false;               ///< Whether any method is served on this path.
   };
 
-  /// Adds a handler; see `HttpRouter::Handle`. The first one added for a method and pattern wins.
+  /// Adds a handler; see `HttpRouter::Handle`. If a method and pattern are added twice, the first
+  /// handler is used.
   void Add(std::string_view method, std::string_view pattern, HttpHandler handler);
 
-  /// @return the handler for `method` on `path`. A pattern with more literal segments goes first.
+  /// @return the handler for `method` on `path`. Of several matching patterns, the one with the
+  /// most literal segments is used.
   Match Find(std::string_view method, std::string_view path) const;
 
  private:
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -21,7 +21,7 @@
 
 constexpr std::size_t kWatchBytes = 4096;
 constexpr std::size_t kMaximumReadBytes = 64U << 10U;
-/// A larger buffer is given back between requests.
+/// A larger read buffer is shrunk between requests.
 constexpr std::size_t kMaximumRetainedBufferBytes = 16U << 10U;
 constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
 
@@ -87,7 +87,8 @@
     buffer_.consume(buffer_.size());
     WatchForBytes();
   }
-  // While responding: these are bytes of the next request. They wait, and the watch ends.
+  // In kResponding the bytes belong to the next request: they stay in the buffer, and watching
+  // stops.
 }
 
 void ServerConnection::LeaveIdle() {
@@ -132,7 +133,7 @@
 }
 
 void ServerConnection::ReadBody() {
-  // Beast reads no more at once than fits in the buffer.
+  // Beast reads at most as much at a time as fits in the buffer.
   const std::uint64_t remaining = parser_->content_length_remaining().value_or(0);
   buffer_.reserve(buffer_.size() + std::min<std::uint64_t>(remaining, kMaximumReadBytes));
   http::async_read(socket_, buffer_, *parser_,
@@ -251,7 +252,7 @@
                                proto::EXECUTED_NO));
 }
 
-// ---- Timers and the end ----
+// ---- Timers and closing ----
 
 void ServerConnection::ArmTimer(Duration timeout) {
   DisarmTimer();
@@ -287,7 +288,7 @@
 }
 
 void ServerConnection::FailPendingWrites() {
-  // The bytes in flight stay: the socket's pending operation may still refer to them.
+  // Keep the bytes in flight: the socket's pending operation may still refer to them.
   for (auto* chunks : {&in_flight_, &queue_}) {
     for (OutgoingChunk& chunk : *chunks) {
       if (chunk.written) {
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -1,9 +1,12 @@
 #pragma once
 /// @file
-/// One accepted connection of `BeastHttpServer`. Internal to net/: it shows Boost types.
+/// One accepted connection of `BeastHttpServer`. Internal to net/, because it exposes Boost types.
 ///
 /// A connection reads one request at a time, passes it to its handler and writes the response.
-/// While the response is in progress it keeps a read pending, to notice a client that disconnects.
+/// While the response is in progress it keeps a read pending, to detect that the client
+/// disconnects.
+///
+/// Threads: use only on the event loop's thread.
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -26,7 +29,7 @@
 
 class ServerConnection;
 
-/// What the connections of one server share.
+/// State that all connections of one server share.
 struct HttpServerShared {
   HttpServerShared(EventLoop& loop_, HttpServerOptions options_, Metrics& metrics_,
                    const FaultInjector* faults_)
@@ -35,7 +38,8 @@
   bool IsBlocked(const std::string& address) const {
     return faults != nullptr && faults->IsBlocked(address);
   }
-  /// Runs the drain callback if nothing is left to wait for.
+  /// Posts the callback of `Drain` if the grace time for idle connections has passed and no
+  /// response is in progress.
   void NotifyIfIdle();
 
   EventLoop& loop;
@@ -45,9 +49,9 @@
   RouteTable routes;
   HttpHandler unmatched_handler;  ///< For requests that no route matches; may be empty.
   std::unordered_set<ServerConnection*> connections;
-  std::list<ServerConnection*> idle;  ///< Between requests; the longest idle one first.
+  std::list<ServerConnection*> idle;  ///< Connections between requests, the longest idle one first.
   std::size_t calls_in_progress = 0;
-  bool draining = false;            ///< Responses close their connections; none are accepted.
+  bool draining = false;  ///< Responses close their connections; no new ones are accepted.
   bool ending_connections = false;  ///< Responses close their connections.
   TimerId drain_timer = 0;
   std::function<void()> on_idle;
@@ -59,15 +63,15 @@
                    std::string peer_address);
 
   void Start();
-  /// Answers 503 and closes, without reading a request.
+  /// Responds with 503 and closes the connection, without reading a request.
   void RefuseAsOverloaded();
-  /// Closes now. Callbacks of a pending answer run later on the loop.
+  /// Closes the connection now. The callbacks of a response in progress run later on the loop.
   void Close();
-  /// Closes if it waits for a request.
+  /// Closes the connection if it is waiting for a request.
   void CloseIfIdle();
 
-  // Of the responder. `request_number` numbers the request; calls for any but the current one are
-  // ignored.
+  // Called by the responder. `request_number` counts the requests of this connection; calls for
+  // any request but the current one are ignored.
   void Send(std::uint64_t request_number, HttpResponse response);
   void StartStream(std::uint64_t request_number, int status, const HttpHeaders& headers);
   void WriteChunk(std::uint64_t request_number, const std::string& chunk,
@@ -75,16 +79,17 @@
   void FinishStream(std::uint64_t request_number);
   void Abort(std::uint64_t request_number);
   void OnDisconnect(std::uint64_t request_number, std::function<void()> on_disconnect);
-  /// The responder was destroyed: breaks the response if it is not complete.
+  /// Handles a destroyed responder: if the response was not started, sends 500; if it is
+  /// incomplete, closes the connection.
   void OnResponderDestroyed(std::uint64_t request_number);
 
  private:
   enum class State : std::uint8_t {
     kIdle,        ///< Between requests.
     kReading,     ///< A request is being received.
-    kResponding,  ///< A handler has it.
-    kLingering,   ///< Nothing left to write; waits for the client to close.
-    kBlackholed,  ///< Partitioned by fault injection: reads and discards.
+    kResponding,  ///< A handler has the request, or its response is being written.
+    kLingering,   ///< Everything is written; waits for the client to close.
+    kBlackholed,  ///< Fault injection blocks the client: reads and discards.
     kClosed,
   };
   using Parser = boost::beast::http::request_parser<boost::beast::http::string_body>;
@@ -94,6 +99,7 @@
   };
 
   bool IsCurrent(std::uint64_t request_number) const;
+  /// Starts a read whose completion shows either new bytes or that the client disconnected.
   void WatchForBytes();
   void OnWatched(const boost::system::error_code& error, std::size_t size);
   void ReadHead();
@@ -102,9 +108,9 @@
   void OnRequest(const boost::system::error_code& error);
   void RefuseRequest(const boost::system::error_code& error);
   void RefuseAndClose(int http_status, std::string_view code, std::string_view message);
-  /// Gives the complete request to its handler.
+  /// Passes the complete request to its handler.
   void Dispatch();
-  /// Moves the request out of the parser. @param target nothing if it is not well-formed.
+  /// Moves the request out of the parser. @param target std::nullopt if it is not well-formed.
   HttpRequest TakeRequest(std::optional<RequestTarget> target);
   void BeginResponse(bool keep_alive, bool head_request);
   void RefuseUnrouted(const HttpRequest& request, bool path_known);
@@ -127,18 +133,18 @@
   boost::beast::flat_buffer buffer_;
   std::optional<Parser> parser_;
   bool watching_ = false;  ///< A read is pending in `WatchForBytes`.
-  TimerId timer_ = 0;      ///< Closes the connection when its state lasts too long.
+  TimerId timer_ = 0;      ///< Closes the connection when its current state lasts too long.
 
   std::uint64_t request_number_ = 0;
   bool head_request_ = false;
   bool keep_alive_ = false;
   bool response_started_ = false;
-  bool response_complete_ = false;  ///< The response is queued to its end.
+  bool response_complete_ = false;  ///< The whole response is queued.
   std::function<void()> on_disconnect_;
 
   bool writing_ = false;
-  std::deque<OutgoingChunk> in_flight_;  ///< Handed to the socket.
-  std::deque<OutgoingChunk> queue_;
+  std::deque<OutgoingChunk> in_flight_;  ///< Passed to the socket.
+  std::deque<OutgoingChunk> queue_;      ///< Waits until `in_flight_` is written.
 };
 
 }  // namespace cloverbank
--- a/src/net/server_connection_answer.cc
+++ b/src/net/server_connection_answer.cc
@@ -1,4 +1,5 @@
-// The responding half of ServerConnection: what the responder asks for, and the write queue.
+// The part of ServerConnection that writes responses: the functions that the responder calls, and
+// the write queue.
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
 #include <boost/beast/core/buffers_to_string.hpp>
@@ -19,7 +20,7 @@
 using boost::system::error_code;
 
 constexpr unsigned kHttp11 = 11;
-/// How long a caller may take to close after the last answer of its connection.
+/// How long a client may take to close its connection after the last response.
 constexpr Duration kLingerTimeout = seconds(2);
 
 http::response<http::empty_body> MakeHead(int status, const HttpHeaders& headers, bool keep_alive) {
@@ -71,7 +72,7 @@
     }
     return;
   }
-  // An empty chunk would end the answer.
+  // An empty chunk would end the response, so encode it as no bytes.
   std::string encoded;
   if (!chunk.empty()) {
     encoded = boost::beast::buffers_to_string(http::make_chunk(asio::buffer(chunk)));
@@ -129,7 +130,7 @@
   in_flight_.swap(queue_);
   ArmTimer(shared_->options.write_timeout);
   if (shared_->IsBlocked(peer_address_)) {
-    return;  // Swallowed: as if the caller never took it, until the timer closes the connection.
+    return;  // Behave as if the client read nothing, until the timer closes the connection.
   }
   std::vector<asio::const_buffer> buffers;
   buffers.reserve(in_flight_.size());
--- a/src/net/server_responder.h
+++ b/src/net/server_responder.h
@@ -10,8 +10,8 @@
 
 class ServerConnection;
 
-/// @return a responder that answers request number `request_number` of `connection`. Dropping it
-/// without a complete response answers 500 if nothing was sent, and breaks the connection
+/// @return a responder for request number `request_number` of `connection`. If it is destroyed
+/// without a complete response, the server sends 500 if nothing was sent, and closes the connection
 /// otherwise.
 std::shared_ptr<HttpResponder> MakeServerResponder(std::shared_ptr<ServerConnection> connection,
                                                    std::uint64_t request_number);
--- a/src/net/url.cc
+++ b/src/net/url.cc
@@ -17,6 +17,7 @@
   return static_cast<unsigned>(value);
 }
 
+/// @return the decoded text; std::nullopt if a "%" is not followed by two hexadecimal digits.
 /// @param plus_is_space whether "+" stands for a space, as in queries.
 std::optional<std::string> PercentDecode(std::string_view text, bool plus_is_space) {
   std::string decoded;
--- a/src/runtime/node_methods.h
+++ b/src/runtime/node_methods.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Peer methods that every node agent serves, and that the coordinators call.
+/// Names of the peer methods that every node agent serves and the coordinators call.
 
 #include <string>
 
@@ -8,7 +8,8 @@
 
 namespace cloverbank {
 
-/// @return the method by which the leader sends the coordinators' endpoints to that role's agent.
+/// @return the method with which the leader sends the coordinators' endpoints to the node agent of
+/// `role`.
 inline std::string UpdateCoordinatorsMethod(proto::Role role) {
   return "node.TakeCoordinators." + std::to_string(static_cast<int>(role));
 }
--- a/src/runtime/typed_peer.h
+++ b/src/runtime/typed_peer.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Typed peer calls: protobuf messages over `Environment`'s byte strings.
+/// Peer calls with protobuf messages, on top of the byte strings of `Environment`.
 
 #include <functional>
 #include <string>
@@ -11,9 +11,10 @@
 
 namespace cloverbank {
 
-/// Calls `method` at `to` with `request`; `done` gets the decoded response or the typed failure.
-/// @param deadline after which the outcome is kUnknownOutcome (or kUnavailable if nothing was
-/// sent).
+/// Calls `method` at `to` with `request`. `done` runs once on the loop with the decoded response or
+/// the failure; a reply that cannot be decoded is kUnknownOutcome.
+/// @param deadline time from now after which the outcome is kUnknownOutcome (kUnavailable if
+/// nothing was sent).
 template <typename Response, typename Request>
 void CallPeer(Environment& environment, const Endpoint& to, std::string_view method,
               const Request& request, Duration deadline,
@@ -33,8 +34,9 @@
       });
 }
 
-/// Answers `method` with `handler(request, peer_address, reply)`; malformed bodies are refused
-/// here.
+/// Registers `handler(request, peer_address, reply)` for `method`. `handler` runs on the loop and
+/// must call `reply` exactly once. A body that cannot be decoded is refused with kInvalidArgument
+/// before `handler` runs.
 template <typename Request, typename Response>
 void ServePeer(Environment& environment, std::string_view method,
                std::function<void(const Request& request, const std::string& peer_address,
