--- a/src/net/asio_environment.cc
+++ b/src/net/asio_environment.cc
@@ -63,7 +63,8 @@
 /// @return the failure for a response that is not in the peer protocol: the peer's HTTP layer
 /// refused the request before any handler received it.
 Status StatusFromTransportError(const HttpResponse& response) {
-  const std::string reason = "peer answered HTTP " + std::to_string(response.status);
+  const std::string reason = "the peer sent HTTP status " + std::to_string(response.status) +
+                             " without a peer protocol body";
   switch (response.status) {
     case 413:
     case 431:
@@ -88,7 +89,9 @@
   const bool known_code =
       error.code() > 0 && error.code() <= static_cast<std::uint32_t>(StatusCode::kInternal);
   if (!parsed || !known_code) {
-    return {Status(StatusCode::kUnknownOutcome, "peer sent a malformed error"), {}};
+    return {Status(StatusCode::kUnknownOutcome,
+                   "the peer sent an error response with an invalid body or code"),
+            {}};
   }
   return {Status(static_cast<StatusCode>(error.code()), error.message(), error.detail()), {}};
 }
@@ -122,7 +125,7 @@
         const auto handler = methods->find(method);
         if (handler == methods->end()) {
           const Status not_served(StatusCode::kUnavailable,
-                                  "this process does not serve " + method);
+                                  "this process does not serve the peer method " + method);
           responder->Send(ToHttpResponse({not_served, {}}));
           return;
         }
--- a/src/net/beast_http_server.cc
+++ b/src/net/beast_http_server.cc
@@ -41,7 +41,8 @@
     error_code error;
     const auto address = asio::ip::make_address(listen.host, error);
     if (error) {
-      return {StatusCode::kInvalidArgument, "not an IP number: " + listen.host};
+      return {StatusCode::kInvalidArgument,
+              "the listen address is not an IP address: " + listen.host};
     }
     const tcp::endpoint endpoint(address, listen.port);
     acceptor.open(endpoint.protocol(), error);
@@ -55,7 +56,7 @@
       acceptor.listen(asio::socket_base::max_listen_connections, error);
     }
     if (error) {
-      return IoError("can not listen on", listen, error);
+      return IoError("cannot listen on", listen, error);
     }
     listen.port = acceptor.local_endpoint(error).port();
     return Status::Ok();
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -133,14 +133,14 @@
   error_code error;
   const auto address = asio::ip::make_address(to_.host, error);
   if (error) {
-    Finish(HttpOutcomeKind::kNotSent, "not an IP number: " + to_.host);
+    Finish(HttpOutcomeKind::kNotSent, "not an IP address: " + to_.host);
     return;
   }
   const tcp::endpoint endpoint(address, to_.port);
   connection_ = std::make_unique<ClientConnection>(shared_->loop.io_context());
   error = OpenAndBind(endpoint, shared_->options.local_address, connection_->socket);
   if (error) {
-    Finish(HttpOutcomeKind::kNotSent, "can not open a socket: " + error.message());
+    Finish(HttpOutcomeKind::kNotSent, "cannot open a socket: " + error.message());
     return;
   }
   ArmStepTimer(connect_timeout_,
@@ -171,7 +171,8 @@
     return;  // The check cancelled the call.
   }
   if (!allowed) {
-    Finish(HttpOutcomeKind::kNotSent, "the right to send has ended");
+    Finish(HttpOutcomeKind::kNotSent,
+           "the permission to send ended before the request was written");
     return;
   }
   may_have_sent_ = true;
@@ -212,7 +213,8 @@
   // Not boost::none: this version of Beast would take any Content-Length as exceeding it.
   parser_->body_limit(limits_.maximum_body > 0 ? limits_.maximum_body : kUnbounded);
   parser_->skip(request_.method() == http::verb::head);
-  ArmStepTimer(limits_.idle_limit, [this] { FailAfterSending("no answer within the idle limit"); });
+  ArmStepTimer(limits_.idle_limit,
+               [this] { FailAfterSending("no response within the idle limit"); });
   http::async_read_header(
       connection_->socket, connection_->buffer, *parser_,
       [self = shared_from_this()](const error_code& error, std::size_t) { self->OnHead(error); });
@@ -224,13 +226,14 @@
   }
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
   if (error || shared_->IsBlocked(to_)) {
-    FailAfterSending("reading the answer's head failed: " + error.message());
+    FailAfterSending("reading the response headers failed: " + error.message());
     return;
   }
   status_ = static_cast<int>(parser_->get().result_int());
   const bool close_delimited = parser_->need_eof() && !parser_->is_done();
   if (status_ < kFirstFinalStatus || (close_delimited && !accept_close_delimited_)) {
-    FailAfterSending("the answer has neither length nor chunks");
+    FailAfterSending(
+        "the response is informational (1xx) or has neither Content-Length nor chunked encoding");
     return;
   }
   const auto callbacks = callbacks_;
@@ -262,7 +265,8 @@
   body.data = chunk_.data();
   body.size = chunk_.size();
   body.more = true;
-  ArmStepTimer(limits_.idle_limit, [this] { FailAfterSending("silence within the answer"); });
+  ArmStepTimer(limits_.idle_limit,
+               [this] { FailAfterSending("no more bytes of the response within the idle limit"); });
   http::async_read_some(
       connection_->socket, connection_->buffer, *parser_,
       [self = shared_from_this()](const error_code& error, std::size_t) { self->OnBody(error); });
@@ -275,7 +279,7 @@
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
   const bool failed = error && error != http::error::need_buffer;
   if (failed || shared_->IsBlocked(to_)) {
-    FailAfterSending("reading the answer failed: " + error.message());
+    FailAfterSending("reading the response body failed: " + error.message());
     return;
   }
   const std::size_t received = chunk_.size() - parser_->get().body().size;
@@ -303,7 +307,7 @@
 
 void ClientCall::OnDeadline() {
   if (!may_have_sent_) {
-    Finish(HttpOutcomeKind::kNotSent, "deadline before a connection stood");
+    Finish(HttpOutcomeKind::kNotSent, "deadline before the connection was established");
     return;
   }
   shared_->pool.CloseConnectionsTo(to_);
--- a/src/net/server_connection.cc
+++ b/src/net/server_connection.cc
@@ -49,7 +49,7 @@
 
 void ServerConnection::RefuseAsOverloaded() {
   shared_->connections.insert(this);
-  RefuseAndClose(503, "too_many_connections", "the server is at its limit of connections");
+  RefuseAndClose(503, "too_many_connections", "the server has reached its connection limit");
 }
 
 void ServerConnection::CloseIfIdle() {
@@ -245,11 +245,12 @@
 void ServerConnection::RefuseUnrouted(const HttpRequest& request, bool path_known) {
   shared_->metrics.Increment("http_server_refusals_total", {{"reason", "no_route"}});
   Send(request_number_,
-       path_known
-           ? MakeErrorResponse(405, "method_not_allowed",
-                               "this path does not serve " + request.method, proto::EXECUTED_NO)
-           : MakeErrorResponse(404, "not_found", "nothing is served at " + request.path,
-                               proto::EXECUTED_NO));
+       path_known ? MakeErrorResponse(405, "method_not_allowed",
+                                      "this path does not support the method " + request.method,
+                                      proto::EXECUTED_NO)
+                  : MakeErrorResponse(404, "not_found",
+                                      "nothing is registered at the path " + request.path,
+                                      proto::EXECUTED_NO));
 }
 
 // ---- Timers and closing ----
--- a/src/net/server_connection_answer.cc
+++ b/src/net/server_connection_answer.cc
@@ -113,8 +113,8 @@
     Abort(request_number);
     return;
   }
-  Send(request_number,
-       MakeErrorResponse(500, "internal", "the server gave no answer", proto::EXECUTED_UNKNOWN));
+  Send(request_number, MakeErrorResponse(500, "internal", "the server produced no response",
+                                         proto::EXECUTED_UNKNOWN));
 }
 
 void ServerConnection::Enqueue(std::string bytes, std::function<void(bool alive)> written) {
