--- a/src/net/beast_http_server.cc
+++ b/src/net/beast_http_server.cc
@@ -15,16 +15,17 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-/// Pause after a failed accept (out of file descriptors), so that the loop is not kept busy.
+/// Delay after a failed accept (e.g. out of file descriptors), so that the loop does not spin.
 constexpr Duration kAcceptRetryDelay = milliseconds(100);
-/// Connections beyond the limit that are told so; further ones are closed without a word.
+/// How many connections beyond the limit get a 503 response at a time; further ones are closed
+/// without a response.
 constexpr std::size_t kMaximumRefusalsInProgress = 256;
 
-Status IoError(const std::string& what, const Endpoint& endpoint, const error_code& error) {
-  return {StatusCode::kIoError, what + " " + endpoint.ToString() + ": " + error.message()};
+Status IoError(const std::string& action, const Endpoint& endpoint, const error_code& error) {
+  return {StatusCode::kIoError, action + " " + endpoint.ToString() + ": " + error.message()};
 }
 
-/// @return a copy, since closing a connection takes it out of the set.
+/// @return a copy of the set, because closing a connection removes it from the set.
 std::vector<ServerConnection*> OpenConnections(const HttpServerShared& shared) {
   return {shared.connections.begin(), shared.connections.end()};
 }
@@ -40,7 +41,8 @@
     error_code error;
     const auto address = asio::ip::make_address(listen.host, error);
     if (error) {
-      return {StatusCode::kInvalidArgument, "not an IP number: " + listen.host};
+      return {StatusCode::kInvalidArgument,
+              "the listen address is not an IP address: " + listen.host};
     }
     const tcp::endpoint endpoint(address, listen.port);
     acceptor.open(endpoint.protocol(), error);
@@ -54,7 +56,7 @@
       acceptor.listen(asio::socket_base::max_listen_connections, error);
     }
     if (error) {
-      return IoError("can not listen on", listen, error);
+      return IoError("cannot listen on", listen, error);
     }
     listen.port = acceptor.local_endpoint(error).port();
     return Status::Ok();
@@ -85,11 +87,12 @@
     socket.set_option(tcp::no_delay(true), error);
     const tcp::endpoint peer = socket.remote_endpoint(error);
     if (error) {
-      return;  // The caller has left already.
+      return;  // The client has already disconnected.
     }
     const std::size_t limit = shared->options.maximum_connections;
     if (shared->connections.size() >= limit && !shared->idle.empty()) {
-      // Callers that are gone leave their connections behind: the longest idle one makes room.
+      // Idle connections may belong to clients that no longer exist: close the longest idle one to
+      // make room.
       shared->metrics.Increment("http_server_idle_connections_closed_total", {});
       shared->idle.front()->Close();
     }
@@ -136,7 +139,9 @@
   shared_->routes.Add(method, pattern, std::move(handler));
 }
 
-void BeastHttpServer::HandleOther(HttpHandler handler) { shared_->other = std::move(handler); }
+void BeastHttpServer::HandleOther(HttpHandler handler) {
+  shared_->unmatched_handler = std::move(handler);
+}
 
 void BeastHttpServer::SetBounds(const CallerBounds& bounds) {
   const auto replace = [](auto bound, auto* option) {
@@ -165,7 +170,7 @@
   shared_->draining = true;
   shared_->on_idle = std::move(idle);
   shared_->drain_timer =
-      shared_->loop.ScheduleAfter(shared_->options.drain_linger, [shared = shared_] {
+      shared_->loop.ScheduleAfter(shared_->options.drain_idle_grace, [shared = shared_] {
         shared->drain_timer = 0;
         for (ServerConnection* connection : OpenConnections(*shared)) {
           connection->CloseIfIdle();
