--- a/tests/scripts/check_evidence_test.py
+++ b/tests/scripts/check_evidence_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Tests of scripts/check-evidence on small pages and entries of its own."""
+"""Tests of scripts/check-evidence with small pages and journal entries."""
 import json
 import pathlib
 import tempfile
@@ -7,7 +7,6 @@
 
 from load_script import load_script
 
-
 ENDED = {"at": ["1", "2"], "ok": True, "error": None, "days": [{"name": "mix-1", "rules": {}}]}
 FAILED = {"at": ["1", "2"], "ok": False, "error": "crash loop", "days": [{"name": "trouble-1"}]}
 BROKEN = {"at": ["1", "2"], "ok": True, "error": None, "days": [{"name": "mix-2", "rules": {"LOST": 3}}]}
@@ -30,39 +29,39 @@
         (self.root / "docs/page.md").write_text(page)
         return load_script("check-evidence").check(self.root)
 
-    def test_an_ended_entry_carries_its_claim(self):
+    def test_accepts_a_claim_with_an_ended_entry(self):
         self.assertEqual(self.problems("A hunt of 8 days: 0 broken (journal aaaaaaaa).\n"), [])
         self.assertEqual(self.problems("As journal 20260101T000000 shows.\n"), [])
         self.assertEqual(self.problems("As journal 20260101T000000-aaaaaaaa shows.\n"), [])
 
-    def test_an_entry_that_did_not_finish_carries_nothing(self):
+    def test_rejects_a_claim_with_an_unfinished_entry(self):
         found = self.problems("A hunt of 8 days: 0 broken (journal cccccccc).\n")
         self.assertEqual(found, ["docs/page.md:1: journal cccccccc: the run did not finish"])
 
-    def test_an_entry_of_a_failed_gate_shows_that_and_nothing_better(self):
+    def test_entry_of_a_failed_gate_confirms_only_a_failed_gate(self):
         self.assertEqual(self.problems("Score 0.5, gate failed (journal eeeeeeee).\n"), [])
         self.assertEqual(self.problems("Score 0.5, gate passed (journal eeeeeeee).\n"),
                          ["docs/page.md:1: journal eeeeeeee: crash loop"])
 
-    def test_one_unfinished_entry_beside_an_ended_one_is_found(self):
+    def test_reports_an_unfinished_entry_next_to_an_ended_one(self):
         found = self.problems("Hunts: no rule broken (journal aaaaaaaa,\njournal cccccccc).\n")
         self.assertEqual(found, ["docs/page.md:1: journal cccccccc: the run did not finish"])
 
-    def test_an_entry_that_is_not_there_is_found(self):
+    def test_reports_a_missing_entry(self):
         self.assertEqual(len(self.problems("See journal dddddddd.\n")), 1)
-        self.assertEqual(len(self.problems("See journal 20260101T00.\n")), 0, "no name of an entry")
+        self.assertEqual(len(self.problems("See journal 20260101T00.\n")), 0, "not the name of an entry")
 
-    def test_a_claim_needs_an_entry(self):
+    def test_rejects_a_claim_without_an_entry(self):
         for claim in ("A hunt of 8 days: nothing broken.", "The hunts broke LOST twice.",
                       "| site | hunted | no rule broken |", "Score 0.7, gate passed."):
             self.assertEqual(len(self.problems(f"Text.\n\n{claim}\n")), 1, claim)
 
-    def test_a_claim_of_nothing_broken_is_held_against_the_days(self):
+    def test_rejects_nothing_broken_if_a_day_broke_a_rule(self):
         found = self.problems("Hunt: nothing broken (journal bbbbbbbb).\n")
         self.assertEqual(found, ["docs/page.md:1: journal bbbbbbbb: rules were broken on mix-2"])
         self.assertEqual(self.problems("Hunt: 1 of 8 broken (journal bbbbbbbb).\n"), [])
 
-    def test_each_row_and_item_stands_for_itself(self):
+    def test_checks_each_table_row_and_list_item_separately(self):
         page = "| hunt | 0 broken | journal aaaaaaaa |\n| hunt | 0 broken | |\n"
         self.assertEqual(len(self.problems(page)), 1)
         page = "- a hunt: 0 broken (journal aaaaaaaa)\n- a hunt: 0 broken\n"
--- a/tests/scripts/check_pages_test.py
+++ b/tests/scripts/check_pages_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Tests of scripts/check-operations and scripts/check-glossary on small trees of their own."""
+"""Tests of scripts/check-operations and scripts/check-glossary with small source trees."""
 import pathlib
 import tempfile
 import unittest
@@ -37,14 +37,14 @@
             (root / "src/node/node.cc").write_text(code)
             return OPERATIONS.problems(root)
 
-    def test_accepts_a_page_that_lists_everything(self):
+    def test_accepts_a_page_that_lists_all_names(self):
         self.assertEqual(self.problems(PAGE, CODE), [])
 
-    def test_names_an_event_that_is_not_on_the_page(self):
+    def test_reports_an_event_missing_from_the_page(self):
         found = self.problems(PAGE, CODE + 'Log(LogLevel::kError, "raft_stopped");\n')
         self.assertEqual(found, ["Log events: `raft_stopped` is not on the page"])
 
-    def test_names_a_metric_that_is_not_in_the_code(self):
+    def test_reports_a_metric_missing_from_the_code(self):
         found = self.problems(PAGE, CODE.replace("raft_term", "raft_index"))
         self.assertEqual(found, ["Metrics: `raft_index` is not on the page",
                                  "Metrics: `raft_term` is not in the code"])
@@ -62,21 +62,21 @@
             (root / "src/leader/lease_table.h").write_text("class LeaseTable { void Grant(); };\n")
             return GLOSSARY.problems(root)
 
-    def test_accepts_names_files_and_folders_that_exist(self):
+    def test_accepts_existing_identifiers_files_and_folders(self):
         self.assertEqual(self.problems("`LeaseTable`, `LeaseTable::Grant`, `src/leader`, `lease_table.h`"), [])
 
-    def test_leaves_words_and_addresses_alone(self):
+    def test_ignores_plain_words_and_url_paths(self):
         self.assertEqual(self.problems("`idle`, `/v1`, `GET /ready`"), [])
 
-    def test_names_an_identifier_that_is_gone(self):
+    def test_reports_an_identifier_missing_from_the_code(self):
         self.assertEqual(self.problems("`LeaseTable::Revoke`"),
                          ["docs/GLOSSARY.md:1: `LeaseTable::Revoke` is not in the code"])
 
-    def test_names_a_type_that_the_design_page_has_and_the_code_has_not(self):
+    def test_reports_a_type_on_the_design_page_missing_from_the_code(self):
         self.assertEqual(self.problems("", design="`LeaseTable`, `openSegment`, `LeaseBook`"),
                          ["docs/DESIGN.md:1: `LeaseBook` is not in the code"])
 
-    def test_names_a_folder_that_is_gone(self):
+    def test_reports_a_missing_folder(self):
         self.assertEqual(self.problems("`src/node`"), ["docs/GLOSSARY.md:1: `src/node` is not in the code"])
 
 
--- a/tests/scripts/load_script.py
+++ b/tests/scripts/load_script.py
@@ -1,4 +1,4 @@
-"""Loads a script of the project, which has no file name that Python could import."""
+"""Loads a script of the project as a module. The scripts have no .py extension, so `import` cannot load them."""
 import importlib.machinery
 import importlib.util
 import pathlib
--- a/tests/scripts/mixed_fleet_test.py
+++ b/tests/scripts/mixed_fleet_test.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Checks that scripts/mixed-fleet fails on each kind of loss, against a fleet that answers from tables."""
+"""Tests that the checks of scripts/mixed-fleet fail on each kind of loss, with a fake fleet."""
 import unittest
 
 from load_script import load_script
@@ -11,48 +11,48 @@
     return {"position": str(index + 1), "custom_id": f"item-{index}", "outcome": outcome}
 
 
-class TableFleet:
-    """Answers what a test put in."""
+class FakeFleet:
+    """Returns the results and the count of successes that a test passed in."""
 
     def __init__(self, results, succeeded=None):
-        self.results_of_batch = results
+        self.batch_results = results
         self.succeeded = len(results) if succeeded is None else succeeded
 
     def wait_finished(self, batch_id):
         return {"batch_id": batch_id, "state": "BATCH_STATE_FINISHED", "succeeded": self.succeeded}
 
     def results(self, batch_id):
-        return self.results_of_batch
+        return self.batch_results
 
 
 class CheckBatchTest(unittest.TestCase):
-    def test_accepts_one_success_for_each_item(self):
-        mixed_fleet.check_batch(TableFleet([result(0), result(1)]), "1-a", 2)
+    def test_accepts_one_success_per_item(self):
+        mixed_fleet.check_batch(FakeFleet([result(0), result(1)]), "1-a", 2)
 
     def test_fails_on_a_missing_result(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, "1 results of 1 items, 2 were submitted"):
-            mixed_fleet.check_batch(TableFleet([result(0)]), "1-a", 2)
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "1 results of 1 items, 2 were submitted"):
+            mixed_fleet.check_batch(FakeFleet([result(0)]), "1-a", 2)
 
     def test_fails_on_a_result_listed_twice(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, "2 results of 1 items"):
-            mixed_fleet.check_batch(TableFleet([result(0), result(0)]), "1-a", 2)
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "2 results of 1 items"):
+            mixed_fleet.check_batch(FakeFleet([result(0), result(0)]), "1-a", 2)
 
     def test_fails_on_an_item_without_success(self):
-        failed = TableFleet([result(0), result(1, "ITEM_OUTCOME_UNKNOWN")])
-        with self.assertRaisesRegex(mixed_fleet.Lost, "1 items failed"):
+        failed = FakeFleet([result(0), result(1, "ITEM_OUTCOME_UNKNOWN")])
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "1 items failed"):
             mixed_fleet.check_batch(failed, "1-a", 2)
 
     def test_fails_on_a_status_that_counts_fewer_successes(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, "status"):
-            mixed_fleet.check_batch(TableFleet([result(0), result(1)], succeeded=1), "1-a", 2)
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "status"):
+            mixed_fleet.check_batch(FakeFleet([result(0), result(1)], succeeded=1), "1-a", 2)
 
 
 class CompareTest(unittest.TestCase):
     def test_accepts_equal_snapshots(self):
         mixed_fleet.compare({"history": [1]}, {"history": [1]}, "front-1")
 
-    def test_names_the_part_and_the_machine_that_differ(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, r"front-1: history was \[1\], is \[2\]"):
+    def test_failure_names_the_machine_and_the_differing_part(self):
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, r"front-1: history was \[1\], is \[2\]"):
             mixed_fleet.compare({"history": [1]}, {"history": [2]}, "front-1")
 
 
@@ -66,11 +66,11 @@
         self.call(['{"text": "a"}', '{"sequence": "1", "end": true}'])
 
     def test_fails_on_a_missing_chunk(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, "incomplete"):
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "incomplete"):
             self.call(['{"text": "a"}', '{"sequence": "2", "end": true}'])
 
     def test_fails_on_a_stream_without_an_end(self):
-        with self.assertRaisesRegex(mixed_fleet.Lost, "incomplete"):
+        with self.assertRaisesRegex(mixed_fleet.CheckFailure, "incomplete"):
             self.call(['{"text": "a"}'])
 
 
