--- a/cmake/compiler.cmake
+++ b/cmake/compiler.cmake
@@ -14,7 +14,7 @@
 endif()
 
 if(CLOVERBANK_SANITIZE)
-  # GCC reports false uninitialised uses in the code that the sanitizers add.
+  # GCC gives false maybe-uninitialized warnings for the code that the sanitizers add.
   add_compile_options(-Wno-maybe-uninitialized -fsanitize=address,undefined -fno-sanitize-recover=undefined
                       -fno-omit-frame-pointer)
   add_link_options(-fsanitize=address,undefined)
--- a/cmake/targets.cmake
+++ b/cmake/targets.cmake
@@ -1,7 +1,7 @@
-# One library a folder under src/, one program a folder under apps/, one test
-# program a folder under tests/: adding a source file needs no change here.
+# Each folder under src/ is one library, each folder under apps/ one program and each folder under tests/ one
+# test program. All source files of a folder are found by glob, so a new file needs no change here.
 
-# cloverbank_library(NAME [DEPENDS target...])
+# cloverbank_library(NAME [DEPENDS target...]): library cb_NAME from NAME/*.cc
 function(cloverbank_library NAME)
   cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
   file(GLOB SOURCES CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/${NAME}/*.cc)
@@ -19,7 +19,7 @@
   endif()
 endfunction()
 
-# cloverbank_program(NAME FOLDER [DEPENDS target...])
+# cloverbank_program(NAME FOLDER [DEPENDS target...]): program NAME from FOLDER/*.cc
 function(cloverbank_program NAME FOLDER)
   cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
   file(GLOB SOURCES CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/${FOLDER}/*.cc)
@@ -35,7 +35,7 @@
   endif()
 endfunction()
 
-# cloverbank_tests(FOLDER [DEPENDS target...]): tests/FOLDER/*_test.cc
+# cloverbank_tests(FOLDER [DEPENDS target...]): test program test_FOLDER from FOLDER/*.cc, run by the test FOLDER
 function(cloverbank_tests FOLDER)
   cmake_parse_arguments(ARG "" "" "DEPENDS" ${ARGN})
   file(GLOB SOURCES CONFIGURE_DEPENDS ${CMAKE_CURRENT_SOURCE_DIR}/${FOLDER}/*.cc)
--- a/tests/stored_data/stored_backup.cc
+++ b/tests/stored_data/stored_backup.cc
@@ -7,23 +7,23 @@
 constexpr std::uint64_t kSecondPartition = 1;
 constexpr std::int64_t kAcceptedAtMs = 1'700'000'000'000;
 
-proto::LogEntry EntryOf(std::uint64_t partition, std::uint64_t sequence) {
+proto::LogEntry MakeEntry(std::uint64_t partition, std::uint64_t sequence) {
   proto::LogEntry entry;
   entry.set_partition_tag(partition + 1);
   entry.set_sequence(sequence);
   return entry;
 }
 
-proto::LogEntry PartitionRecord(std::uint64_t partition, std::uint64_t next_sequence) {
+proto::LogEntry MakeWatermark(std::uint64_t partition, std::uint64_t next_sequence) {
   proto::LogEntry entry;
   entry.set_partition_tag(partition + 1);
   entry.mutable_partition_watermark()->set_next_sequence(next_sequence);
   return entry;
 }
 
-proto::LogEntry Items(std::uint64_t partition, std::uint64_t sequence, const std::string& batch,
-                      int count) {
-  proto::LogEntry entry = EntryOf(partition, sequence);
+proto::LogEntry MakeItems(std::uint64_t partition, std::uint64_t sequence, const std::string& batch,
+                          int count) {
+  proto::LogEntry entry = MakeEntry(partition, sequence);
   entry.mutable_batch_items()->set_batch_id(batch);
   for (int index = 0; index < count; ++index) {
     proto::BatchItem& item = *entry.mutable_batch_items()->add_items();
@@ -38,9 +38,9 @@
   return entry;
 }
 
-proto::LogEntry Accepted(std::uint64_t partition, std::uint64_t sequence, const std::string& batch,
-                         std::uint64_t count, bool idempotent) {
-  proto::LogEntry entry = EntryOf(partition, sequence);
+proto::LogEntry MakeAccepted(std::uint64_t partition, std::uint64_t sequence,
+                             const std::string& batch, std::uint64_t count, bool idempotent) {
+  proto::LogEntry entry = MakeEntry(partition, sequence);
   proto::BatchAccepted& accepted = *entry.mutable_batch_accepted();
   accepted.set_batch_id(batch);
   accepted.set_tenant("studio");
@@ -53,17 +53,18 @@
   return entry;
 }
 
-proto::LogEntry Started(std::uint64_t partition, std::uint64_t sequence, const std::string& batch,
-                        std::uint64_t index) {
-  proto::LogEntry entry = EntryOf(partition, sequence);
+proto::LogEntry MakeStarted(std::uint64_t partition, std::uint64_t sequence,
+                            const std::string& batch, std::uint64_t index) {
+  proto::LogEntry entry = MakeEntry(partition, sequence);
   entry.mutable_item_started()->set_batch_id(batch);
   entry.mutable_item_started()->set_item_index(index);
   return entry;
 }
 
-proto::LogEntry Finished(std::uint64_t partition, std::uint64_t sequence, const std::string& batch,
-                         std::uint64_t index, proto::ItemOutcome outcome) {
-  proto::LogEntry entry = EntryOf(partition, sequence);
+proto::LogEntry MakeFinished(std::uint64_t partition, std::uint64_t sequence,
+                             const std::string& batch, std::uint64_t index,
+                             proto::ItemOutcome outcome) {
+  proto::LogEntry entry = MakeEntry(partition, sequence);
   proto::ItemFinished& finished = *entry.mutable_item_finished();
   finished.set_batch_id(batch);
   finished.set_item_index(index);
@@ -77,38 +78,38 @@
   return entry;
 }
 
-std::vector<proto::LogEntry> EntriesOfClosedSegment() {
+std::vector<proto::LogEntry> ClosedSegmentEntries() {
   std::vector<proto::LogEntry> entries;
-  entries.push_back(PartitionRecord(kFirstPartition, 1));
-  entries.push_back(PartitionRecord(kSecondPartition, 1));
-  entries.push_back(Items(kFirstPartition, 1, "0-1", 2));
-  entries.push_back(Accepted(kFirstPartition, 2, "0-1", 2, false));
-  entries.push_back(Started(kFirstPartition, 3, "0-1", 0));
-  entries.push_back(Finished(kFirstPartition, 4, "0-1", 0, proto::ITEM_OUTCOME_SUCCEEDED));
-  entries.push_back(Items(kSecondPartition, 1, "1-1", 3));
-  entries.push_back(Accepted(kSecondPartition, 2, "1-1", 3, true));
+  entries.push_back(MakeWatermark(kFirstPartition, 1));
+  entries.push_back(MakeWatermark(kSecondPartition, 1));
+  entries.push_back(MakeItems(kFirstPartition, 1, "0-1", 2));
+  entries.push_back(MakeAccepted(kFirstPartition, 2, "0-1", 2, false));
+  entries.push_back(MakeStarted(kFirstPartition, 3, "0-1", 0));
+  entries.push_back(MakeFinished(kFirstPartition, 4, "0-1", 0, proto::ITEM_OUTCOME_SUCCEEDED));
+  entries.push_back(MakeItems(kSecondPartition, 1, "1-1", 3));
+  entries.push_back(MakeAccepted(kSecondPartition, 2, "1-1", 3, true));
   return entries;
 }
 
-std::vector<proto::LogEntry> EntriesOfOpenSegment() {
+std::vector<proto::LogEntry> OpenSegmentEntries() {
   std::vector<proto::LogEntry> entries;
-  entries.push_back(PartitionRecord(kFirstPartition, 5));
-  entries.push_back(PartitionRecord(kSecondPartition, 3));
-  entries.push_back(Started(kFirstPartition, 5, "0-1", 1));
-  entries.push_back(Finished(kFirstPartition, 6, "0-1", 1, proto::ITEM_OUTCOME_FAILED));
-  entries.push_back(Finished(kSecondPartition, 3, "1-1", 2, proto::ITEM_OUTCOME_SUCCEEDED));
-  proto::LogEntry cancelled = EntryOf(kSecondPartition, 4);
+  entries.push_back(MakeWatermark(kFirstPartition, 5));
+  entries.push_back(MakeWatermark(kSecondPartition, 3));
+  entries.push_back(MakeStarted(kFirstPartition, 5, "0-1", 1));
+  entries.push_back(MakeFinished(kFirstPartition, 6, "0-1", 1, proto::ITEM_OUTCOME_FAILED));
+  entries.push_back(MakeFinished(kSecondPartition, 3, "1-1", 2, proto::ITEM_OUTCOME_SUCCEEDED));
+  proto::LogEntry cancelled = MakeEntry(kSecondPartition, 4);
   cancelled.mutable_batch_cancelled()->set_batch_id("1-1");
   cancelled.mutable_batch_cancelled()->set_cancelled_at_ms(kAcceptedAtMs + 60);
   entries.push_back(cancelled);
-  proto::LogEntry completed = EntryOf(kSecondPartition, 5);
+  proto::LogEntry completed = MakeEntry(kSecondPartition, 5);
   completed.mutable_batch_cancellation_completed()->set_batch_id("1-1");
   completed.mutable_batch_cancellation_completed()->set_completed_at_ms(kAcceptedAtMs + 70);
   entries.push_back(completed);
-  entries.push_back(Items(kFirstPartition, 7, "0-2", 1));
-  entries.push_back(Accepted(kFirstPartition, 8, "0-2", 1, true));
-  entries.push_back(Finished(kFirstPartition, 9, "0-2", 0, proto::ITEM_OUTCOME_SUCCEEDED));
-  proto::LogEntry removed = EntryOf(kFirstPartition, 10);
+  entries.push_back(MakeItems(kFirstPartition, 7, "0-2", 1));
+  entries.push_back(MakeAccepted(kFirstPartition, 8, "0-2", 1, true));
+  entries.push_back(MakeFinished(kFirstPartition, 9, "0-2", 0, proto::ITEM_OUTCOME_SUCCEEDED));
+  proto::LogEntry removed = MakeEntry(kFirstPartition, 10);
   removed.mutable_batch_removed()->set_batch_id("0-2");
   entries.push_back(removed);
   return entries;
@@ -116,29 +117,29 @@
 
 void WriteSegment(BackupWorld& backup, std::uint64_t segment, std::uint64_t epoch) {
   ASSERT_EQ(backup.Open(segment, epoch), StatusCode::kOk);
-  const std::string bytes = BytesOfSegment(backup.node, segment);
+  const std::string bytes = SegmentBytes(backup.node, segment);
   ASSERT_EQ(backup.Write(segment, 0, bytes, epoch), StatusCode::kOk);
 }
 
 }  // namespace
 
-std::vector<proto::LogEntry> EntriesOfSegment(std::uint64_t segment) {
+std::vector<proto::LogEntry> SegmentEntries(std::uint64_t segment) {
   if (segment == kClosedSegment) {
-    return EntriesOfClosedSegment();
+    return ClosedSegmentEntries();
   }
   if (segment == kOpenSegment) {
-    return EntriesOfOpenSegment();
+    return OpenSegmentEntries();
   }
   return {};
 }
 
-std::string BytesOfSegment(std::uint64_t owner, std::uint64_t segment) {
+std::string SegmentBytes(std::uint64_t owner, std::uint64_t segment) {
   std::vector<std::uint64_t> digest{segment};
   if (segment == kOpenSegment) {
     digest.insert(digest.begin(), kClosedSegment);
   }
   std::string bytes = SegmentStart(owner, segment, digest);
-  for (const proto::LogEntry& entry : EntriesOfSegment(segment)) {
+  for (const proto::LogEntry& entry : SegmentEntries(segment)) {
     bytes += Framed(segment, entry);
   }
   return bytes;
@@ -150,7 +151,7 @@
   ASSERT_TRUE(backup.StartReading().ok());
   backup.node = kOwner;
   WriteSegment(backup, kClosedSegment, 1);
-  const std::string closed = BytesOfSegment(kOwner, kClosedSegment);
+  const std::string closed = SegmentBytes(kOwner, kClosedSegment);
   ASSERT_EQ(backup.Close(kClosedSegment, closed.size()), StatusCode::kOk);
   WriteSegment(backup, kOpenSegment, 1);
   ASSERT_EQ(backup.SetEpoch(kOpenSegment, kOpenEpoch), StatusCode::kOk);
--- a/tests/stored_data/stored_backup_test.cc
+++ b/tests/stored_data/stored_backup_test.cc
@@ -1,5 +1,5 @@
-/// Opens a backup's data folder that release 335d412 wrote, and checks that today's code finds in
-/// it what was written, and would write the same bytes.
+/// Opens a backup's data folder that release 335d412 wrote. Checks that the current code reads the
+/// content that was written, and that it writes the same bytes.
 
 #include "stored_data/stored_backup.h"
 
@@ -19,7 +19,7 @@
 
 class StoredBackupTest : public testing::Test {
  protected:
-  /// A backup that starts on the stored folder.
+  /// Restarts the backup with the stored folder as its disk content.
   void StartOnStoredData() {
     backup_.machine.Kill();
     backup_.machine.LoseDisk();
@@ -32,7 +32,7 @@
   BackupWorld backup_;
 };
 
-/// @return the batches that a new owner of the partition has after a recovery from the backup.
+/// @return the batches of the partition after a new owner has recovered them from the backup.
 BatchStore Recover(BackupWorld& backup, std::uint64_t partition) {
   PartitionReplay replay;
   for (const std::uint64_t segment : {kClosedSegment, kOpenSegment}) {
@@ -64,12 +64,12 @@
   const auto closed = backup_.Read(kClosedSegment);
   ASSERT_TRUE(closed.ok()) << closed.status().ToString();
   EXPECT_TRUE(closed->closed());
-  EXPECT_EQ(closed->data(), BytesOfSegment(kOwner, kClosedSegment));
+  EXPECT_EQ(closed->data(), SegmentBytes(kOwner, kClosedSegment));
   const auto open = backup_.Read(kOpenSegment);
   ASSERT_TRUE(open.ok()) << open.status().ToString();
   EXPECT_FALSE(open->closed());
   EXPECT_EQ(open->epoch(), kOpenEpoch);
-  EXPECT_EQ(open->data(), BytesOfSegment(kOwner, kOpenSegment));
+  EXPECT_EQ(open->data(), SegmentBytes(kOwner, kOpenSegment));
   const auto list = backup_.List();
   ASSERT_TRUE(list.ok());
   EXPECT_EQ(list->replicas_size(), 3);
@@ -105,11 +105,11 @@
   EXPECT_TRUE(cancelled->AllFinished());
 }
 
-TEST_F(StoredBackupTest, TodaysCodeWritesTheSameBytes) {
+TEST_F(StoredBackupTest, CurrentCodeWritesTheSameBytes) {
   WriteBackupData(backup_);
   FolderContent written = ReadDataFolder(backup_.machine.disk(), kSegments);
   FolderContent stored = stored_;
-  // Random for each disk.
+  // The disk id is random for each disk.
   EXPECT_EQ(written.erase(kDiskIdFile), 1U);
   EXPECT_EQ(stored.erase(kDiskIdFile), 1U);
   EXPECT_EQ(written, stored);
--- a/tests/stored_data/stored_coordinator.cc
+++ b/tests/stored_data/stored_coordinator.cc
@@ -6,7 +6,7 @@
 constexpr std::uint64_t kNoOpIndex = 9;
 constexpr std::uint64_t kMembershipIndex = 10;
 
-std::string Register(proto::Role role, const std::string& machine, std::uint64_t incarnation) {
+std::string MakeRegister(proto::Role role, const std::string& machine, std::uint64_t incarnation) {
   proto::ControlCommand command;
   proto::Server& server = *command.mutable_register_server()->mutable_server();
   server.set_role(role);
@@ -21,7 +21,7 @@
   return command.SerializeAsString();
 }
 
-std::string ApplyTransaction() {
+std::string MakeApplyTransaction() {
   proto::ControlCommand command;
   proto::ApplyTransactionCommand& apply = *command.mutable_apply_transaction();
   apply.set_wall_ms(1'700'000'000'000);
@@ -36,14 +36,14 @@
   return command.SerializeAsString();
 }
 
-std::string RecordInForce() {
+std::string MakeRecordInForce() {
   proto::ControlCommand command;
   command.mutable_record_in_force()->set_version(1);
   command.mutable_record_in_force()->set_wall_ms(1'700'000'000'100);
   return command.SerializeAsString();
 }
 
-std::string Assign(std::uint64_t node, std::uint64_t first, std::uint64_t second) {
+std::string MakeAssign(std::uint64_t node, std::uint64_t first, std::uint64_t second) {
   proto::ControlCommand command;
   command.mutable_assign_partitions()->set_queue_node_id(node);
   command.mutable_assign_partitions()->add_partition_ids(first);
@@ -51,7 +51,7 @@
   return command.SerializeAsString();
 }
 
-std::string CommitHead(std::uint64_t node, std::uint64_t backup) {
+std::string MakeCommitHead(std::uint64_t node, std::uint64_t backup) {
   proto::ControlCommand command;
   proto::LogHead& head = *command.mutable_commit_head()->mutable_head();
   head.set_node_id(node);
@@ -61,20 +61,20 @@
   return command.SerializeAsString();
 }
 
-std::string RetireMachine() {
+std::string MakeRetireMachine() {
   proto::ControlCommand command;
   command.mutable_retire_machine()->set_machine("store-2");
   return command.SerializeAsString();
 }
 
-std::string DeclareDead(std::uint64_t node) {
+std::string MakeDeclareDead(std::uint64_t node) {
   proto::ControlCommand command;
   command.mutable_declare_server_dead()->set_node_id(node);
   command.mutable_declare_server_dead()->set_reason("silent");
   return command.SerializeAsString();
 }
 
-proto::RaftMember Member(std::uint64_t id, bool learner, std::uint64_t replaces) {
+proto::RaftMember MakeMember(std::uint64_t id, bool learner, std::uint64_t replaces) {
   proto::RaftMember member;
   member.set_member_id(id);
   member.mutable_endpoint()->set_host("member-" + std::to_string(id));
@@ -84,15 +84,15 @@
   return member;
 }
 
-proto::RaftConfiguration FirstGroup() {
+proto::RaftConfiguration InitialGroup() {
   proto::RaftConfiguration group;
-  *group.add_members() = Member(kMember, false, 0);
-  *group.add_members() = Member(12, false, 0);
-  *group.add_members() = Member(kReplacedMember, false, 0);
+  *group.add_members() = MakeMember(kMember, false, 0);
+  *group.add_members() = MakeMember(12, false, 0);
+  *group.add_members() = MakeMember(kReplacedMember, false, 0);
   return group;
 }
 
-proto::RaftEntry EntryAt(std::uint64_t index) {
+proto::RaftEntry MakeEntry(std::uint64_t index) {
   proto::RaftEntry entry;
   entry.set_index(index);
   entry.set_term(index < kNoOpIndex ? kTerm - 1 : kTerm);
@@ -106,15 +106,15 @@
   return entry;
 }
 
-std::vector<proto::RaftEntry> EntriesBetween(std::uint64_t first, std::uint64_t last) {
+std::vector<proto::RaftEntry> MakeEntries(std::uint64_t first, std::uint64_t last) {
   std::vector<proto::RaftEntry> entries;
   for (std::uint64_t index = first; index <= last; ++index) {
-    entries.push_back(EntryAt(index));
+    entries.push_back(MakeEntry(index));
   }
   return entries;
 }
 
-RaftWrite MetadataWrite(std::uint64_t term) {
+RaftWrite MakeMetadataWrite(std::uint64_t term) {
   RaftWrite write;
   write.metadata.emplace().set_member_id(kMember);
   write.metadata->set_cluster_id(kClusterId);
@@ -123,7 +123,7 @@
   return write;
 }
 
-std::shared_ptr<const proto::RaftSnapshot> Snapshot() {
+std::shared_ptr<const proto::RaftSnapshot> MakeSnapshot() {
   ControlState state(kPartitions);
   for (std::uint64_t index = 1; index <= kSnapshotIndex; ++index) {
     state.Apply(index, Commands()[index - 1]);
@@ -131,7 +131,7 @@
   auto snapshot = std::make_shared<proto::RaftSnapshot>();
   snapshot->set_last_included_index(kSnapshotIndex);
   snapshot->set_last_included_term(kTerm - 1);
-  *snapshot->mutable_configuration() = FirstGroup();
+  *snapshot->mutable_configuration() = InitialGroup();
   snapshot->set_state(state.TakeSnapshot());
   return snapshot;
 }
@@ -141,38 +141,38 @@
 std::vector<std::string> Commands() {
   proto::ControlCommand initialize;
   initialize.mutable_initialize()->set_partition_count(kPartitions);
-  // The state machine gives out node ids from 1 in the order of registration.
+  // The state machine assigns node ids from 1 in the order of registration.
   return {initialize.SerializeAsString(),
-          Register(proto::ROLE_QUEUE, "store-1", 101),
-          Register(proto::ROLE_BACKUP, "store-1", 101),
-          Register(proto::ROLE_QUEUE, "store-2", 102),
-          ApplyTransaction(),
-          RecordInForce(),
-          Assign(1, 0, 1),
-          CommitHead(1, 2),
+          MakeRegister(proto::ROLE_QUEUE, "store-1", 101),
+          MakeRegister(proto::ROLE_BACKUP, "store-1", 101),
+          MakeRegister(proto::ROLE_QUEUE, "store-2", 102),
+          MakeApplyTransaction(),
+          MakeRecordInForce(),
+          MakeAssign(1, 0, 1),
+          MakeCommitHead(1, 2),
           "",
           "",
-          RetireMachine(),
-          DeclareDead(1)};
+          MakeRetireMachine(),
+          MakeDeclareDead(1)};
 }
 
 proto::RaftConfiguration ChangedGroup() {
-  proto::RaftConfiguration group = FirstGroup();
-  *group.add_members() = Member(kNewMember, true, kReplacedMember);
+  proto::RaftConfiguration group = InitialGroup();
+  *group.add_members() = MakeMember(kNewMember, true, kReplacedMember);
   return group;
 }
 
 std::vector<RaftWrite> CoordinatorWrites() {
   std::vector<RaftWrite> writes(5);
-  writes[0] = MetadataWrite(kTerm - 1);
-  writes[1].entries = EntriesBetween(1, kSnapshotIndex);
-  writes[2].snapshot = Snapshot();
-  writes[3] = MetadataWrite(kTerm);
+  writes[0] = MakeMetadataWrite(kTerm - 1);
+  writes[1].entries = MakeEntries(1, kSnapshotIndex);
+  writes[2].snapshot = MakeSnapshot();
+  writes[3] = MakeMetadataWrite(kTerm);
   writes[3].replaces_log = true;
   writes[3].base_index = kSnapshotIndex;
   writes[3].base_term = kTerm - 1;
-  writes[3].entries = EntriesBetween(kSnapshotIndex + 1, kMembershipIndex);
-  writes[4].entries = EntriesBetween(kMembershipIndex + 1, kLastIndex);
+  writes[3].entries = MakeEntries(kSnapshotIndex + 1, kMembershipIndex);
+  writes[4].entries = MakeEntries(kMembershipIndex + 1, kLastIndex);
   for (std::size_t index = 0; index < writes.size(); ++index) {
     writes[index].id = index + 1;
   }
--- a/tests/stored_data/stored_coordinator.h
+++ b/tests/stored_data/stored_coordinator.h
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// The content of the stored coordinator data: what release 335d412 was told to write into
-/// `tests/data/335d412/coordinator`.
+/// The expected content of `tests/data/335d412/coordinator`, which release 335d412 wrote.
 
 #include <memory>
 #include <vector>
@@ -16,20 +15,21 @@
 inline constexpr std::uint64_t kNewMember = 14;
 inline constexpr std::uint64_t kClusterId = 7;
 inline constexpr std::uint64_t kTerm = 3;
-/// The last entry that the snapshot holds.
+/// Index of the last entry in the snapshot.
 inline constexpr std::uint64_t kSnapshotIndex = 8;
-/// The last entry of the log.
+/// Index of the last entry in the log.
 inline constexpr std::uint64_t kLastIndex = 12;
 inline constexpr std::uint32_t kPartitions = 4;
 
-/// @return commands of the state machine by index from 1: those up to `kSnapshotIndex` are in the
-/// snapshot, later ones in the log. An empty one stands where the log holds another kind of entry.
+/// @return the commands of the state machine in order of their log index, which starts at 1. The
+/// snapshot covers those up to `kSnapshotIndex`; later ones are in the log. A command is empty
+/// where the log has an entry of another type.
 std::vector<std::string> Commands();
 
-/// @return the group after a membership change that replaces one voter by a learner.
+/// @return the group after a membership change that adds a learner to replace a voter.
 proto::RaftConfiguration ChangedGroup();
 
-/// @return the writes in order, as a member's core asks for them.
+/// @return the writes in the order in which a member's Raft core requests them.
 std::vector<RaftWrite> CoordinatorWrites();
 
 }  // namespace cloverbank::stored_data
--- a/tests/stored_data/stored_coordinator_test.cc
+++ b/tests/stored_data/stored_coordinator_test.cc
@@ -1,5 +1,5 @@
-/// Opens a coordinator's data folder that release 335d412 wrote, and checks that today's code finds
-/// in it what was written, and would write the same bytes.
+/// Opens a coordinator's data folder that release 335d412 wrote. Checks that the current code reads
+/// the content that was written, and that it writes the same bytes.
 
 #include "stored_data/stored_coordinator.h"
 
@@ -15,7 +15,7 @@
 constexpr const char* kFolder = CLOVERBANK_SOURCE_FOLDER "/tests/data/335d412/coordinator";
 constexpr const char* kConsensus = "consensus";
 
-/// A member's storage on a simulated machine.
+/// Runs a group member's storage on a simulated machine.
 class StoredCoordinatorTest : public testing::Test {
  protected:
   StoredCoordinatorTest() {
@@ -61,7 +61,7 @@
   EXPECT_EQ(entry.configuration().members(3).replaces(), kReplacedMember);
 }
 
-TEST_F(StoredCoordinatorTest, RestoresTheControlStateAndGoesOn) {
+TEST_F(StoredCoordinatorTest, RestoresTheSnapshotAndAppliesTheLog) {
   StartOnStoredData();
   ASSERT_NE(loaded_->snapshot, nullptr);
   ControlState state(kPartitions);
@@ -86,7 +86,7 @@
   }());
 }
 
-TEST_F(StoredCoordinatorTest, TodaysCodeWritesTheSameBytes) {
+TEST_F(StoredCoordinatorTest, CurrentCodeWritesTheSameBytes) {
   machine_.Start();
   storage_->Start();
   for (RaftWrite& write : CoordinatorWrites()) {
--- a/tests/stored_data/stored_folder.cc
+++ b/tests/stored_data/stored_folder.cc
@@ -40,10 +40,10 @@
   return content;
 }
 
-FolderContent ReadDataFolder(DataFolder& data, const std::string& folders) {
+FolderContent ReadDataFolder(DataFolder& data, const std::string& subfolder) {
   FolderContent content;
   AddFiles(data, "", &content);
-  AddFiles(data, folders, &content);
+  AddFiles(data, subfolder, &content);
   return content;
 }
 
--- a/tests/stored_data/stored_folder.h
+++ b/tests/stored_data/stored_folder.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// Moves the files of a data folder between a real folder and a simulated machine's disk.
+/// Reads the files of data folders on the real file system and on a simulated machine's disk, and
+/// writes them to a simulated disk.
 
 #include <filesystem>
 #include <map>
@@ -10,14 +11,15 @@
 
 namespace cloverbank::stored_data {
 
-/// File name within the data folder -> its bytes.
+/// Map from the path of a file, relative to the data folder, to its bytes.
 using FolderContent = std::map<std::string, std::string>;
 
-/// @return all files below `folder`, one level of sub-folders included.
+/// @return all files below `folder`, including those in its subfolders.
 FolderContent ReadRealFolder(const std::filesystem::path& folder);
-/// @return all files of the folder, whose sub-folders are `folders`.
-FolderContent ReadDataFolder(DataFolder& data, const std::string& folders);
-/// Writes `content` into an empty simulated disk.
+/// @return the files at the top level of `data` and in its folder `subfolder`. A failed read fails
+/// the running test.
+FolderContent ReadDataFolder(DataFolder& data, const std::string& subfolder);
+/// Writes `content` to an empty simulated disk. A failed write fails the running test.
 void FillDataFolder(const FolderContent& content, DataFolder& data);
 
 }  // namespace cloverbank::stored_data
