--- a/src/net/asio_environment.cc
+++ b/src/net/asio_environment.cc
@@ -63,8 +63,8 @@
 /// @return the failure for a response that is not in the peer protocol: the peer's HTTP layer
 /// refused the request before any handler received it.
 Status StatusFromTransportError(const HttpResponse& response) {
-  const std::string reason = "the peer sent HTTP status " + std::to_string(response.status) +
-                             " without a peer protocol body";
+  const std::string reason =
+      "the response is not in the peer protocol, HTTP status " + std::to_string(response.status);
   switch (response.status) {
     case 413:
     case 431:
