--- a/src/net/asio_environment.h
+++ b/src/net/asio_environment.h
@@ -50,8 +50,8 @@
   Endpoint peer_endpoint_;
   Metrics& metrics_;
   std::mt19937_64 random_;
-  std::shared_ptr<Methods>
-      methods_;  ///< Shared with the handler that the router keeps; emptied by the destructor.
+  /// Shared with the handler that the router keeps; the destructor empties it.
+  std::shared_ptr<Methods> methods_;
 };
 
 }  // namespace cloverbank
--- a/src/net/beast_http_client.h
+++ b/src/net/beast_http_client.h
@@ -29,8 +29,8 @@
   /// Connections that were idle for longer are closed. Keep this below the servers' idle timeout.
   Duration idle_timeout = seconds(15);
   std::size_t maximum_idle_per_endpoint = 64;
-  std::size_t maximum_idle =
-      1024;  ///< For all endpoints together; connections beyond it are closed after their call.
+  /// For all endpoints together; connections beyond it are closed after their call.
+  std::size_t maximum_idle = 1024;
   std::uint32_t maximum_header_bytes = 64U << 10U;
   /// Limit for responses of `Call`; a larger response ends as kUnknown. `Stream` has no limit.
   std::uint64_t maximum_body_bytes = 64ULL << 20U;
--- a/src/net/beast_http_server.h
+++ b/src/net/beast_http_server.h
@@ -23,12 +23,12 @@
   std::uint32_t maximum_header_bytes = 16U << 10U;
   std::uint64_t maximum_body_bytes = 4ULL << 20U;
   Duration idle_timeout = seconds(75);  ///< Longest time between two requests of a connection.
-  Duration header_timeout =
-      seconds(10);  ///< From a request's first byte to the end of its headers.
-  Duration body_timeout =
-      seconds(30);  ///< From the end of a request's headers to the end of its body.
-  Duration write_timeout =
-      seconds(30);  ///< For one write: how long the client may take to read it.
+  /// From a request's first byte to the end of its headers.
+  Duration header_timeout = seconds(10);
+  /// From the end of a request's headers to the end of its body.
+  Duration body_timeout = seconds(30);
+  /// For one write: how long the client may take to read it.
+  Duration write_timeout = seconds(30);
   /// How long `Drain` leaves idle connections open, so that a request that a client sends just as
   /// the drain begins gets a response with "Connection: close" instead of a closed connection.
   Duration drain_idle_grace = milliseconds(300);
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -164,8 +164,8 @@
 }
 
 void ClientCall::Write() {
-  const auto check =
-      can_send_;  // A copy, because `Cancel` from within the check clears the member.
+  // A copy, because `Cancel` from within the check clears the member.
+  const auto check = can_send_;
   const bool allowed = !check || check();
   if (!callbacks_) {
     return;  // The check cancelled the call.
@@ -258,8 +258,8 @@
   if (chunk_.empty()) {
     const auto length = parser_->content_length();
     chunk_.resize(length ? std::min<std::uint64_t>(*length, kMaximumChunkBytes) : kChunkBytes);
-    connection_->buffer.reserve(
-        chunk_.size());  // Beast reads at most as much at a time as fits in it.
+    // Beast reads at most as much at a time as fits in the buffer.
+    connection_->buffer.reserve(chunk_.size());
   }
   auto& body = parser_->get().body();
   body.data = chunk_.data();
--- a/src/net/client_call.h
+++ b/src/net/client_call.h
@@ -22,8 +22,8 @@
 /// Time and size limits of one call.
 struct ClientCallLimits {
   Duration deadline{};  ///< For the whole call, from `Start`.
-  Duration
-      idle_limit{};  ///< Longest wait for bytes of the response; zero: only the deadline applies.
+  /// Longest wait for bytes of the response; zero: only the deadline applies.
+  Duration idle_limit{};
   std::uint64_t maximum_body = 0;  ///< Largest response body in bytes; zero: unlimited.
 };
 
--- a/src/net/http_types.h
+++ b/src/net/http_types.h
@@ -33,10 +33,11 @@
   HttpHeaders headers;
   std::string body;
   std::string peer_address;  ///< IP address of the caller.
-  /// Outgoing calls: called immediately before the request is written, when the connection is
-  /// established; called again if a pooled connection proved closed and the call opens a new one.
-  /// False ends the call as kNotSent; an empty function permits every call. It stops the call if a
-  /// lease expired while the connection was being established or the process was frozen.
+  /// Outgoing calls: called once for each connection that the call uses, when the connection is
+  /// established and immediately before the first byte is written (a second time only if a pooled
+  /// connection proved closed). False ends the call as kNotSent; an empty function permits every
+  /// call. It stops the call if a lease expired while the connection was being established or the
+  /// process was frozen.
   std::function<bool()> can_send;
   /// Outgoing calls: whether to accept a close-delimited response (neither Content-Length nor
   /// chunked). If the connection is reset, the call is still kUnknown.
