--- a/tests/base/status_test.cc
+++ b/tests/base/status_test.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-TEST(StatusTest, NamesEveryCodeOnce) {
+TEST(StatusTest, EveryCodeHasDistinctName) {
   std::set<std::string_view> names;
   for (int code = 0; code <= static_cast<int>(StatusCode::kInternal); ++code) {
     names.insert(StatusCodeName(static_cast<StatusCode>(code)));
--- a/tests/net/event_loop_test.cc
+++ b/tests/net/event_loop_test.cc
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-TEST(EventLoopTest, RunsTimersInOrderOfTheirTimes) {
+TEST(EventLoopTest, RunsTimersInOrderOfDueTime) {
   EventLoop loop;
   std::string order;
   loop.ScheduleAfter(milliseconds(20), [&] {
@@ -32,7 +32,7 @@
   EXPECT_FALSE(ran);
 }
 
-TEST(EventLoopTest, TimerNeverRunsBeforeItsTime) {
+TEST(EventLoopTest, TimerNeverRunsBeforeItsDueTime) {
   EventLoop loop;
   const TimePoint start = EventLoop::Now();
   TimePoint ran;
@@ -44,14 +44,14 @@
   EXPECT_GE(ran - start, milliseconds(15));
 }
 
-TEST(EventLoopTest, PostsFromAnotherThread) {
+TEST(EventLoopTest, PostFromAnotherThreadRunsAction) {
   EventLoop loop;
   std::thread poster([&] { loop.Post([&] { loop.Stop(); }); });
   loop.Run();
   poster.join();
 }
 
-TEST(EventLoopTest, StopSignalRunsTheAction) {
+TEST(EventLoopTest, StopSignalRunsRegisteredAction) {
   EventLoop loop;
   int received = 0;
   loop.OnStopSignal([&](int signal) {
@@ -63,7 +63,7 @@
   EXPECT_EQ(received, SIGTERM);
 }
 
-TEST(EventLoopTest, PendingActionsAreDroppedWithTheLoop) {
+TEST(EventLoopTest, DestructorDropsPendingActions) {
   auto captured = std::make_shared<int>(0);
   {
     EventLoop loop;
--- a/tests/net/http_call_test.cc
+++ b/tests/net/http_call_test.cc
@@ -1,4 +1,4 @@
-// Whole calls: answers, and what each way of failing lets the caller assume.
+// Calls with complete responses, and the outcome that each kind of failure reports to the caller.
 #include <future>
 
 #include "net/net_fixture.h"
@@ -10,7 +10,8 @@
 
 class HttpCallTest : public NetFixture {
  protected:
-  /// Serves GET / by keeping the responder, and stops the loop when the caller leaves.
+  /// Serves GET / without a response, keeps the responder and stops the loop when the client
+  /// disconnects.
   void HoldCalls() {
     server_->Handle("GET", "/", [this](const HttpRequest&, ResponderPointer responder) {
       held_ = std::move(responder);
@@ -25,7 +26,7 @@
   bool client_disconnected_ = false;
 };
 
-TEST_F(HttpCallTest, CarriesRequestAndAnswerWhole) {
+TEST_F(HttpCallTest, TransfersCompleteRequestAndResponse) {
   HttpRequest seen;
   server_->Handle("POST", "/v1/echo/{name}",
                   [&](HttpRequest request, const ResponderPointer& responder) {
@@ -47,7 +48,7 @@
   EXPECT_EQ(seen.peer_address, kClientHost);
 }
 
-TEST_F(HttpCallTest, ReusesAConnectionAfterACompleteAnswer) {
+TEST_F(HttpCallTest, ReusesConnectionAfterCompleteResponse) {
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "ok"});
   });
@@ -57,7 +58,7 @@
   }
 }
 
-TEST_F(HttpCallTest, AHeldCallDoesNotBlockOthers) {
+TEST_F(HttpCallTest, UnansweredCallDoesNotBlockOtherCalls) {
   HoldCalls();
   server_->Handle("GET", "/quick", [&](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "quick"});
@@ -75,7 +76,7 @@
   EXPECT_EQ(order, "quick held");
 }
 
-TEST_F(HttpCallTest, RefusesUnknownPathsAndDroppedHandlers) {
+TEST_F(HttpCallTest, UnknownPathMethodOrDroppedResponderGetsError) {
   server_->Handle("GET", "/dropped", [](const HttpRequest&, const ResponderPointer&) {});
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/none")).response.status, 404);
   EXPECT_EQ(CallAndWait(server_->endpoint(), Post("/dropped", "")).response.status, 405);
@@ -84,12 +85,12 @@
   EXPECT_NE(dropped.response.body.find("EXECUTED_UNKNOWN"), std::string::npos);
 }
 
-TEST_F(HttpCallTest, RefusedConnectIsNotSent) {
+TEST_F(HttpCallTest, RefusedConnectionIsNotSent) {
   const Endpoint unused_endpoint = RawListener().endpoint();
   EXPECT_EQ(CallAndWait(unused_endpoint, Get("/")).kind, HttpOutcomeKind::kNotSent);
 }
 
-TEST_F(HttpCallTest, ExpiredPermissionSendsNothing) {
+TEST_F(HttpCallTest, SendsNothingWhenCanSendIsFalse) {
   HoldCalls();
   HttpRequest request = Get("/");
   request.can_send = [] { return false; };
@@ -97,7 +98,7 @@
   EXPECT_EQ(held_, nullptr);
 }
 
-TEST_F(HttpCallTest, CancelWithinThePermissionCheckSendsNothing) {
+TEST_F(HttpCallTest, CancelWithinCanSendSendsNothing) {
   HoldCalls();
   std::shared_ptr<HttpCall> call;
   HttpRequest request = Get("/");
@@ -106,8 +107,9 @@
     loop_.ScheduleAfter(milliseconds(20), [this] { loop_.Stop(); });
     return *keep == 0;
   };
-  call = client_->Call(server_->endpoint(), request, seconds(20),
-                       [](const HttpOutcome&) { ADD_FAILURE() << "a cancelled call ended"; });
+  call = client_->Call(server_->endpoint(), request, seconds(20), [](const HttpOutcome&) {
+    ADD_FAILURE() << "the callback of a cancelled call ran";
+  });
   request.can_send = nullptr;
   RunUntilStopped();
   EXPECT_EQ(held_, nullptr);
@@ -125,7 +127,7 @@
   held_->Send({200, {}, "too late"});
 }
 
-TEST_F(HttpCallTest, CancelClosesConnectionWithoutCallback) {
+TEST_F(HttpCallTest, CancelClosesConnectionAndRunsNoCallback) {
   HoldCalls();
   bool done = false;
   const auto call = client_->Call(server_->endpoint(), Get("/"), seconds(20),
@@ -138,7 +140,7 @@
   EXPECT_FALSE(done);
 }
 
-TEST_F(HttpCallTest, IncompleteAnswersAreUnknown) {
+TEST_F(HttpCallTest, IncompleteResponsesAreUnknown) {
   for (const char* answer :
        {"", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nshort\r\n",
@@ -148,14 +150,14 @@
   EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
-TEST_F(HttpCallTest, NeverReusesAConnectionWithExtraBytes) {
+TEST_F(HttpCallTest, DoesNotReuseConnectionWithUnreadBytes) {
   const HttpOutcome outcome =
       CallCannedPeer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n");
   EXPECT_EQ(outcome.response.body, "ok");
   EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
-TEST_F(HttpCallTest, ReplacesAClosedIdleConnection) {
+TEST_F(HttpCallTest, ReplacesIdleConnectionClosedByPeer) {
   const RawListener listener;
   std::promise<void> first_closed;
   std::thread peer([&] {
--- a/tests/net/http_limits_test.cc
+++ b/tests/net/http_limits_test.cc
@@ -1,4 +1,4 @@
-// What one caller can take from the server at most, and how the server stops.
+// Limits of what a client can use of the server, and how the server drains.
 #include "net/net_fixture.h"
 
 namespace cloverbank {
@@ -7,7 +7,7 @@
 using ResponderPointer = std::shared_ptr<HttpResponder>;
 class HttpLimitsTest : public NetFixture {
  protected:
-  ResponderPointer kept_;  ///< Of a request that is not answered.
+  ResponderPointer kept_;  ///< Of a request that gets no response.
 };
 
 TEST_F(HttpLimitsTest, RefusesOversizedHeadersAndBodies) {
@@ -36,7 +36,7 @@
   EXPECT_EQ(FindHeader(refused.response.headers, "Retry-After"), "1");
 }
 
-TEST_F(HttpLimitsTest, ClosesTheLongestIdleConnectionAtTheLimit) {
+TEST_F(HttpLimitsTest, ClosesLongestIdleConnectionAtTheLimit) {
   RestartServer({.maximum_connections = 2});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "served"});
@@ -47,14 +47,15 @@
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).response.status, 200);
   std::thread reader([&] {
     EXPECT_NE(used_connection->ReadUntil("served"), "");
-    EXPECT_EQ(idle_connection->ReadUntil(""), "") << "closed without a byte";
+    EXPECT_EQ(idle_connection->ReadUntil(""), "")
+        << "received bytes before the connection was closed";
     loop_.Stop();
   });
   RunUntilStopped();
   reader.join();
 }
 
-TEST_F(HttpLimitsTest, KeepsAtMostTheAllowedIdleConnections) {
+TEST_F(HttpLimitsTest, ClientKeepsAtMostMaximumIdleConnections) {
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, ""});
   });
@@ -79,7 +80,7 @@
   EXPECT_EQ(received, "");
 }
 
-TEST_F(HttpLimitsTest, ClosesConnectionsThatNeverRead) {
+TEST_F(HttpLimitsTest, ClosesConnectionOfClientThatNeverReads) {
   RestartServer({.write_timeout = milliseconds(50)});
   server_->Handle("GET", "/", [this](const HttpRequest&, const ResponderPointer& responder) {
     responder->OnDisconnect([this] { loop_.Stop(); });
@@ -91,7 +92,7 @@
   EXPECT_EQ(server_->calls_in_progress(), 0U);
 }
 
-TEST_F(HttpLimitsTest, AsksForABodyThatWaitsToBeAskedFor) {
+TEST_F(HttpLimitsTest, SendsContinueWhenClientExpectsIt) {
   server_->Handle("POST", "/", [](const HttpRequest& request, const ResponderPointer& responder) {
     responder->Send({200, {}, request.body});
   });
@@ -127,7 +128,7 @@
   EXPECT_NE(answers.find("/second"), std::string::npos);
 }
 
-TEST_F(HttpLimitsTest, DrainLetsAnswersUnderWayComeToTheirEnd) {
+TEST_F(HttpLimitsTest, DrainCompletesResponsesInProgress) {
   std::string events;
   const auto record_event = [&](const std::string& event) {
     events += event;
@@ -145,12 +146,12 @@
   client_->Call(server_->endpoint(), Get("/"), seconds(20),
                 [&](const HttpOutcome& outcome) { record_event(outcome.response.body); });
   RunUntilStopped();
-  EXPECT_EQ(events.front(), 's') << "idle before the answer was sent";
+  EXPECT_EQ(events.front(), 's') << "Drain reported idle before the response was sent";
   EXPECT_NE(events.find('a'), std::string::npos);
   EXPECT_EQ(CallAndWait(server_->endpoint(), Get("/")).kind, HttpOutcomeKind::kNotSent);
 }
 
-TEST_F(HttpLimitsTest, DrainAnswersACrossingRequestAndCloses) {
+TEST_F(HttpLimitsTest, DrainServesRequestOnIdleConnectionThenClosesIt) {
   RestartServer({.drain_idle_grace = milliseconds(200)});
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({200, {}, "ok"});
--- a/tests/net/http_stream_test.cc
+++ b/tests/net/http_stream_test.cc
@@ -1,4 +1,4 @@
-// Streamed answers: order, back-pressure, and ends that are not regular.
+// Streamed responses: order, back-pressure, and incomplete responses.
 #include "net/net_fixture.h"
 
 namespace cloverbank {
@@ -8,7 +8,7 @@
 
 class HttpStreamTest : public NetFixture {
  protected:
-  /// Serves GET / by handing the responder, with its head sent, to `serve`.
+  /// Serves GET / by sending the response headers and passing the responder to `serve`.
   void ServeStream(std::function<void(const ResponderPointer&)> serve) {
     server_->Handle(
         "GET", "/",
@@ -18,7 +18,7 @@
         });
   }
 
-  /// Streams GET / and runs the loop to the end of the answer.
+  /// Streams GET / and runs the loop until the response ends.
   void StreamAndWait(Duration idle_limit = seconds(20)) {
     HttpStreamCallbacks callbacks;
     callbacks.on_head = [this](int status, const HttpHeaders& headers) {
@@ -61,7 +61,7 @@
   EXPECT_EQ(client_->idle_connection_count(), 1U);
 }
 
-TEST_F(HttpStreamTest, TakesAnAnswerOfStatedLength) {
+TEST_F(HttpStreamTest, ReceivesResponseWithContentLength) {
   server_->Handle("GET", "/", [](const HttpRequest&, const ResponderPointer& responder) {
     responder->Send({503, {{"X-Kind", "refusal"}}, std::string(100'000, 'r')});
   });
@@ -72,7 +72,7 @@
   EXPECT_EQ(body_.size(), 100'000U);
 }
 
-TEST_F(HttpStreamTest, AReaderThatStopsHoldsTheWriterBack) {
+TEST_F(HttpStreamTest, WriterWaitsWhenReaderStopsReading) {
   constexpr std::size_t kChunkBytes = 1U << 20U;
   constexpr int kChunks = 64;
   int written = 0;
@@ -101,7 +101,7 @@
   callbacks.on_end = [&](const HttpOutcome&) { loop_.Stop(); };
   client_->Stream(server_->endpoint(), Get("/"), seconds(30), seconds(30), callbacks);
   RunUntilStopped();
-  EXPECT_LT(written, kChunks) << "the writer ran ahead of a reader that took nothing";
+  EXPECT_LT(written, kChunks) << "the writer did not wait for a reader that had stopped reading";
   held_more();
   RunUntilStopped();
   EXPECT_EQ(received, kChunks * kChunkBytes);
@@ -117,7 +117,7 @@
   EXPECT_EQ(client_->idle_connection_count(), 0U);
 }
 
-TEST_F(HttpStreamTest, SilenceWithinTheStreamIsUnknown) {
+TEST_F(HttpStreamTest, StreamWithoutBytesWithinIdleLimitIsUnknown) {
   ResponderPointer held;
   ServeStream([&](const ResponderPointer& responder) {
     held = responder;
@@ -128,13 +128,13 @@
   EXPECT_EQ(outcome_.kind, HttpOutcomeKind::kUnknown);
 }
 
-TEST_F(HttpStreamTest, WriterLearnsThatTheReaderLeft) {
+TEST_F(HttpStreamTest, WriterIsToldThatReaderDisconnected) {
   bool reader_disconnected = false;
   std::shared_ptr<HttpCall> call;
   ServeStream([&](const ResponderPointer& responder) {
     responder->OnDisconnect([&, responder] {
       reader_disconnected = true;
-      responder->WriteChunk("into the void", [this](bool alive) {
+      responder->WriteChunk("after disconnect", [this](bool alive) {
         EXPECT_FALSE(alive);
         loop_.Stop();
       });
@@ -143,7 +143,9 @@
   });
   HttpStreamCallbacks callbacks;
   callbacks.on_bytes = [&](const std::string&, const std::function<void()>&) { call->Cancel(); };
-  callbacks.on_end = [](const HttpOutcome&) { ADD_FAILURE() << "a cancelled call ended"; };
+  callbacks.on_end = [](const HttpOutcome&) {
+    ADD_FAILURE() << "the callback of a cancelled call ran";
+  };
   call = client_->Stream(server_->endpoint(), Get("/"), seconds(20), seconds(20), callbacks);
   RunUntilStopped();
   EXPECT_TRUE(reader_disconnected);
--- a/tests/net/net_fixture.h
+++ b/tests/net/net_fixture.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// What the tests of net/ share: a loop with a server and a client on loopback addresses, and raw
-/// sockets for peers that misbehave.
+/// Test fixture of net/: an event loop with a server and a client on loopback addresses, and raw
+/// sockets for peers that violate the protocol.
 
 #include <arpa/inet.h>
 #include <gtest/gtest.h>
@@ -33,7 +33,7 @@
   return address;
 }
 
-/// A blocking TCP socket.
+/// Owns a blocking TCP socket.
 class RawSocket {
  public:
   explicit RawSocket(int descriptor) : descriptor_(descriptor) {}
@@ -46,7 +46,8 @@
     EXPECT_EQ(send(descriptor_, bytes.data(), bytes.size(), MSG_NOSIGNAL),
               static_cast<ssize_t>(bytes.size()));
   }
-  /// Reads until `end` was seen (if not empty) or the peer closed.
+  /// Reads until the received bytes contain `end` (if not empty) or the peer closes the connection.
+  /// @return all bytes received.
   std::string ReadUntil(std::string_view end) const {
     std::string received;
     char bytes[4096];
@@ -64,6 +65,7 @@
   int descriptor_;
 };
 
+/// @return a socket connected to `to`.
 inline std::unique_ptr<RawSocket> RawConnect(const Endpoint& to) {
   auto raw = std::make_unique<RawSocket>(socket(AF_INET, SOCK_STREAM, 0));
   const sockaddr_in address = ToSocketAddress(to);
@@ -98,7 +100,7 @@
  protected:
   NetFixture() { RestartServer({}); }
 
-  /// Starts a server with `options` (on a free port) in place of the former one.
+  /// Replaces the server by a new one with `options`, on a free port.
   void RestartServer(HttpServerOptions options) {
     server_.reset();
     options.listen = {kServerHost, 0};
@@ -107,7 +109,7 @@
     ASSERT_TRUE(listening.ok()) << listening.ToString();
   }
 
-  /// Runs the loop until a callback stops it. The watchdog only keeps a broken test from hanging.
+  /// Runs the loop until a callback stops it. The watchdog timer fails a test that would hang.
   void RunUntilStopped() {
     const TimerId watchdog = loop_.ScheduleAfter(seconds(30), [this] {
       ADD_FAILURE() << "the loop was not stopped";
@@ -130,7 +132,7 @@
     return request;
   }
 
-  /// Makes a call and runs the loop until its outcome.
+  /// Makes a call, runs the loop until the call ends and returns the outcome.
   HttpOutcome CallAndWait(const Endpoint& to, HttpRequest request,
                           Duration deadline = seconds(20)) {
     HttpOutcome result;
@@ -142,7 +144,7 @@
     return result;
   }
 
-  /// Calls a peer that answers with `answer` and closes.
+  /// Calls a peer that sends `answer` after the request's headers and closes the connection.
   HttpOutcome CallCannedPeer(const std::string& answer) {
     const RawListener listener;
     std::thread peer([&] {
--- a/tests/net/peer_test.cc
+++ b/tests/net/peer_test.cc
@@ -1,4 +1,4 @@
-// Peer calls over sockets, and the fault injector that swallows them.
+// Peer calls over sockets, and how the fault injector drops them.
 #include "net/asio_environment.h"
 #include "net/net_fixture.h"
 #include "proto/common.pb.h"
@@ -58,11 +58,11 @@
   }
 }
 
-TEST_F(PeerTest, MethodsThatAreNotServedAreUnavailable) {
+TEST_F(PeerTest, UnregisteredMethodIsUnavailable) {
   EXPECT_EQ(CallAndWaitPeer("test.None", "").status.code(), StatusCode::kUnavailable);
 }
 
-TEST_F(PeerTest, TimeoutIsUnknownRefusalIsUnavailable) {
+TEST_F(PeerTest, TimeoutIsUnknownAndRefusedConnectionIsUnavailable) {
   PeerReplyCallback held;
   environment_.RegisterPeerMethod(
       "test.Hold", [&](const PeerRequest&, PeerReplyCallback reply) { held = std::move(reply); });
@@ -78,7 +78,7 @@
   EXPECT_EQ(refused.code(), StatusCode::kUnavailable);
 }
 
-TEST_F(PeerTest, CallsToABlockedAddressTimeOut) {
+TEST_F(PeerTest, CallToBlockedAddressTimesOut) {
   bool served = false;
   environment_.RegisterPeerMethod("test.Serve",
                                   [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -93,7 +93,7 @@
   EXPECT_EQ(CallAndWaitPeer("test.Serve", "").body, "answer");
 }
 
-TEST_F(PeerTest, ServesNothingFromABlockedAddress) {
+TEST_F(PeerTest, RequestsFromBlockedAddressAreNotServed) {
   bool served = false;
   environment_.RegisterPeerMethod("test.Serve",
                                   [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -108,7 +108,7 @@
   EXPECT_FALSE(served);
 }
 
-TEST_F(PeerTest, PartitionSwallowsPendingAnswers) {
+TEST_F(PeerTest, BlockingDropsPendingResponses) {
   for (const char* blocked : {kClientHost, kServerHost}) {
     environment_.RegisterPeerMethod("test.Serve",
                                     [&](const PeerRequest&, const PeerReplyCallback& reply) {
@@ -121,7 +121,7 @@
   }
 }
 
-TEST_F(PeerTest, PartitionAfterConnectSwallowsTheRequest) {
+TEST_F(PeerTest, BlockingAfterConnectDropsTheRequest) {
   bool served = false;
   server_->Handle("GET", "/", [&](const HttpRequest&, const std::shared_ptr<HttpResponder>&) {
     served = true;
@@ -136,7 +136,7 @@
   EXPECT_FALSE(served);
 }
 
-TEST_F(PeerTest, FaultsAreSetOverTheAdminInterface) {
+TEST_F(PeerTest, AdminInterfaceSetsBlockedAddresses) {
   faults_.ServeAdmin(*server_);
   const HttpOutcome set =
       CallAndWait(server_->endpoint(), Post("/admin/faults", R"({"blocked":["127.10.0.2"]})"));
--- a/tests/net/routing_test.cc
+++ b/tests/net/routing_test.cc
@@ -7,19 +7,19 @@
 namespace cloverbank {
 namespace {
 
-TEST(HttpTypesTest, FindsHeadersInAnyCase) {
+TEST(HttpTypesTest, FindsHeadersIgnoringCase) {
   const HttpHeaders headers = {{"Content-Type", "a"}, {"content-type", "b"}};
   EXPECT_EQ(FindHeader(headers, "CONTENT-TYPE"), "a");
   EXPECT_EQ(FindHeader(headers, "Content"), "");
 }
 
-TEST(HttpTypesTest, ReadsPathSegments) {
+TEST(HttpTypesTest, ReturnsPathSegmentByIndex) {
   EXPECT_EQ(PathSegment("/v1/batches/7", 2), "7");
   EXPECT_EQ(PathSegment("/v1/batches/7", 0), "v1");
   EXPECT_EQ(PathSegment("/v1/batches/7", 3), "");
 }
 
-TEST(UrlTest, TargetsSurviveARoundTrip) {
+TEST(UrlTest, FormattedTargetParsesToSamePathAndQuery) {
   const HttpHeaders query = {{"cursor", "a+b&c=d %"}, {"empty", ""}};
   const auto parsed = ParseRequestTarget(FormatRequestTarget("/v1/é x", query));
   ASSERT_TRUE(parsed.has_value());
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(RouteTableTest, PrefersLiteralSegmentsThenMethods) {
+TEST(RouteTableTest, PrefersLiteralSegmentsAndMatchesMethod) {
   RouteTable routes;
   int chosen = 0;
   const auto choose = [&chosen](int number) {
