--- a/src/base/metrics.cc
+++ b/src/base/metrics.cc
@@ -19,6 +19,7 @@
   return converted;
 }
 
+/// @return the upper bounds of the histogram buckets, in seconds.
 prometheus::Histogram::BucketBoundaries LatencyBuckets() {
   return {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30};
 }
--- a/src/net/fault_injector.h
+++ b/src/net/fault_injector.h
@@ -19,6 +19,7 @@
  public:
   /// Replaces the set of blocked IP addresses.
   void SetBlocked(const std::vector<std::string>& addresses);
+  /// @return whether traffic from and to `address` is dropped.
   bool IsBlocked(std::string_view address) const {
     return blocked_.find(address) != blocked_.end();
   }
--- a/src/net/server_connection.h
+++ b/src/net/server_connection.h
@@ -98,6 +98,7 @@
     std::function<void(bool alive)> written;
   };
 
+  /// @return whether `request_number` is the current request and its response is not complete.
   bool IsCurrent(std::uint64_t request_number) const;
   /// Starts a read whose completion shows either new bytes or that the client disconnected.
   void WatchForBytes();
@@ -106,6 +107,8 @@
   void OnHead(const boost::system::error_code& error);
   void ReadBody();
   void OnRequest(const boost::system::error_code& error);
+  /// Responds with 400, 413 or 431 if the parser rejected the request; otherwise closes the
+  /// connection.
   void RefuseRequest(const boost::system::error_code& error);
   void RefuseAndClose(int http_status, std::string_view code, std::string_view message);
   /// Passes the complete request to its handler.
@@ -120,7 +123,9 @@
   void FinishResponse();
   void BecomeIdle();
   void LeaveIdle();
+  /// Ends the sending side and waits for the client to close, so that it can read the response.
   void Linger();
+  /// Posts the `written` callbacks of all unwritten chunks with false.
   void FailPendingWrites();
   void ArmTimer(Duration timeout);
   void DisarmTimer();
