--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -16,25 +16,25 @@
 /// Longer than most recoveries of a queue node.
 constexpr Duration kChangeDeadline = seconds(10);
 constexpr Duration kRetryAfter = seconds(1);
-constexpr LimitRange kPageLimit = {.standard = 100, .largest = 1000};
+constexpr LimitRange kPageSizeRange = {.default_limit = 100, .maximum = 1000};
 constexpr std::size_t kBatchIdSegment = 2;  // /v1/batches/{id}
 
 /// Sets a field from the header that may be sent instead. @return kInvalidArgument if they differ.
 Status MergeHeader(const HttpRequest& request, std::string_view header, const std::string& field,
                    std::string* value) {
-  const std::string_view given = FindHeader(request.headers, header);
-  if (given.empty()) {
+  const std::string_view header_value = FindHeader(request.headers, header);
+  if (header_value.empty()) {
     return Status::Ok();
   }
-  if (!value->empty() && *value != given) {
+  if (!value->empty() && *value != header_value) {
     return {StatusCode::kInvalidArgument, "the header " + std::string(header) + " and the field " +
                                               field + " differ; send one of them"};
   }
-  *value = std::string(given);
+  *value = std::string(header_value);
   return Status::Ok();
 }
 
-Status ReadSubmission(const HttpRequest& request, proto::SubmitBatch* batch) {
+Status ParseSubmission(const HttpRequest& request, proto::SubmitBatch* batch) {
   Status status = FromJson(request.body, batch);
   if (status.ok()) {
     status = MergeHeader(request, "X-Tenant", "tenant", batch->mutable_tenant());
@@ -70,7 +70,7 @@
 
 /// Reads change nothing, so their failures always say "not run".
 void SendReadFailure(HttpResponder& responder, const Status& status) {
-  SendStatus(responder, ReadFailure(status), proto::EXECUTED_NO);
+  SendStatus(responder, ToReadFailure(status), proto::EXECUTED_NO);
 }
 
 /// @param advice what the client should do if the outcome is unknown.
@@ -135,18 +135,18 @@
   return true;
 }
 
-bool BatchApi::ReadBatchId(const HttpRequest& request, HttpResponder& responder,
-                           std::string* batch_id, PartitionId* partition) {
+bool BatchApi::ParseBatchId(const HttpRequest& request, HttpResponder& responder,
+                            std::string* batch_id, PartitionId* partition) {
   if (!CheckServing(responder)) {
     return false;
   }
   *batch_id = std::string(PathSegment(request.path, kBatchIdSegment));
-  const Result<PartitionId> found = ParseBatchPartition(*batch_id, agent_.partition_count());
-  if (!found.ok()) {
-    SendStatus(responder, found.status(), proto::EXECUTED_NO);
+  const Result<PartitionId> parsed = ParseBatchPartition(*batch_id, agent_.partition_count());
+  if (!parsed.ok()) {
+    SendStatus(responder, parsed.status(), proto::EXECUTED_NO);
     return false;
   }
-  *partition = *found;
+  *partition = *parsed;
   return true;
 }
 
@@ -156,10 +156,10 @@
   }
   proto::SubmitBatchRequest submit;
   proto::SubmitBatch& batch = *submit.mutable_batch();
-  const Status read = ReadSubmission(request, &batch);
-  if (!read.ok()) {
+  const Status parsed = ParseSubmission(request, &batch);
+  if (!parsed.ok()) {
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "malformed"}});
-    SendStatus(*responder, read, proto::EXECUTED_NO);
+    SendStatus(*responder, parsed, proto::EXECUTED_NO);
     return;
   }
   const std::vector<std::string> problems = FindBatchProblems(batch, agent_.configuration());
@@ -188,14 +188,14 @@
     return;
   }
   std::string tenant(FindHeader(request.query, "tenant"));
-  Status read = MergeHeader(request, "X-Tenant", "tenant", &tenant);
-  const Result<std::uint32_t> limit = ReadLimit(request.query, kPageLimit);
-  if (read.ok() && tenant.empty()) {
-    read = Status(StatusCode::kInvalidArgument,
-                  "the tenant is missing: send the header X-Tenant or the parameter tenant");
+  Status parsed = MergeHeader(request, "X-Tenant", "tenant", &tenant);
+  const Result<std::uint32_t> limit = ParseLimit(request.query, kPageSizeRange);
+  if (parsed.ok() && tenant.empty()) {
+    parsed = Status(StatusCode::kInvalidArgument,
+                    "the tenant is missing: send the header X-Tenant or the parameter tenant");
   }
-  if (!read.ok() || !limit.ok()) {
-    SendStatus(*responder, read.ok() ? limit.status() : read, proto::EXECUTED_NO);
+  if (!parsed.ok() || !limit.ok()) {
+    SendStatus(*responder, parsed.ok() ? limit.status() : parsed, proto::EXECUTED_NO);
     return;
   }
   proto::ListBatchesRequest list;
@@ -211,7 +211,7 @@
 void BatchApi::Get(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
   proto::GetBatchRequest get;
@@ -224,10 +224,10 @@
 void BatchApi::ListResults(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
-  const Result<std::uint32_t> limit = ReadLimit(request.query, kPageLimit);
+  const Result<std::uint32_t> limit = ParseLimit(request.query, kPageSizeRange);
   if (!limit.ok()) {
     SendStatus(*responder, limit.status(), proto::EXECUTED_NO);
     return;
@@ -245,7 +245,7 @@
 void BatchApi::Cancel(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
   proto::CancelBatchRequest cancel;
--- a/src/gateway/batch_api.h
+++ b/src/gateway/batch_api.h
@@ -40,8 +40,8 @@
   /// @return whether this gateway has a lease and knows the partitions; else an error was sent.
   bool CheckServing(HttpResponder& responder);
   /// @return whether the path's batch id names a partition; else an error was sent.
-  bool ReadBatchId(const HttpRequest& request, HttpResponder& responder, std::string* batch_id,
-                   PartitionId* partition);
+  bool ParseBatchId(const HttpRequest& request, HttpResponder& responder, std::string* batch_id,
+                    PartitionId* partition);
 
   Environment& environment_;
   NodeAgent& agent_;
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -8,7 +8,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kCheckInterval = milliseconds(50);
+constexpr Duration kPollInterval = milliseconds(50);
 constexpr Duration kRetryDelay = milliseconds(100);
 
 /// What a reply means for the call.
@@ -40,29 +40,29 @@
 
 }  // namespace
 
-void BatchOwnerCall::Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> owner,
+void BatchOwnerCall::Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> caller,
                            OwnerCallOptions options, PeerReplyCallback done) {
-  std::make_shared<BatchOwnerCall>(environment, agent, std::move(owner), std::move(options),
+  std::make_shared<BatchOwnerCall>(environment, agent, std::move(caller), std::move(options),
                                    std::move(done))
-      ->Check();
+      ->Poll();
 }
 
 BatchOwnerCall::BatchOwnerCall(Environment& environment, NodeAgent& agent,
-                               std::weak_ptr<void> owner, OwnerCallOptions options,
+                               std::weak_ptr<void> caller, OwnerCallOptions options,
                                PeerReplyCallback done)
     : environment_(environment),
       agent_(agent),
-      owner_(std::move(owner)),
+      caller_(std::move(caller)),
       options_(std::move(options)),
       done_(std::move(done)),
-      end_(environment.Now() + options_.deadline) {}
+      deadline_(environment.Now() + options_.deadline) {}
 
-void BatchOwnerCall::Check() {
-  if (owner_.expired() || done_ == nullptr) {
+void BatchOwnerCall::Poll() {
+  if (caller_.expired() || done_ == nullptr) {
     return;
   }
   const TimePoint now = environment_.Now();
-  if (now >= end_) {
+  if (now >= deadline_) {
     const bool unknown = outcome_unknown_ || current_node_.valid();
     std::string message = unknown ? "the batch's queue node gave no answer in time"
                                   : "the batch's queue node can not be reached";
@@ -74,12 +74,12 @@
     return;
   }
   const proto::Server* server = agent_.fleet().OwnerOf(options_.partition);
-  const bool changed = server != nullptr && NodeId(server->node_id()) != current_node_;
-  if (changed && (current_node_.valid() || now >= retry_at_)) {
+  const bool owner_changed = server != nullptr && NodeId(server->node_id()) != current_node_;
+  if (owner_changed && (current_node_.valid() || now >= retry_at_)) {
     SendTo(*server);
   }
-  environment_.ScheduleAfter(std::min(kCheckInterval, end_ - now),
-                             [self = shared_from_this()] { self->Check(); });
+  environment_.ScheduleAfter(std::min(kPollInterval, deadline_ - now),
+                             [self = shared_from_this()] { self->Poll(); });
 }
 
 void BatchOwnerCall::SendTo(const proto::Server& server) {
@@ -89,9 +89,9 @@
   ++attempt_;
   const Endpoint endpoint{server.peer_endpoint().host(),
                           static_cast<std::uint16_t>(server.peer_endpoint().port())};
-  environment_.CallPeer(endpoint, options_.method, options_.body, end_ - environment_.Now(),
+  environment_.CallPeer(endpoint, options_.method, options_.body, deadline_ - environment_.Now(),
                         [self = shared_from_this(), attempt = attempt_](PeerReply reply) {
-                          if (!self->owner_.expired() && self->done_ != nullptr) {
+                          if (!self->caller_.expired() && self->done_ != nullptr) {
                             self->HandleReply(attempt, std::move(reply));
                           }
                         });
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -27,24 +27,24 @@
   /// Starts a call that keeps itself alive until `done` has run; `done` does not run once `owner`
   /// is gone. At the deadline the status is kUnavailable if no owner can have carried it out, else
   /// kUnknownOutcome.
-  static void Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> owner,
+  static void Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> caller,
                     OwnerCallOptions options, PeerReplyCallback done);
 
-  BatchOwnerCall(Environment& environment, NodeAgent& agent, std::weak_ptr<void> owner,
+  BatchOwnerCall(Environment& environment, NodeAgent& agent, std::weak_ptr<void> caller,
                  OwnerCallOptions options, PeerReplyCallback done);
 
  private:
-  void Check();
+  void Poll();
   void SendTo(const proto::Server& server);
   void HandleReply(std::uint64_t attempt, PeerReply reply);
   void Finish(PeerReply reply);
 
   Environment& environment_;
   NodeAgent& agent_;
-  std::weak_ptr<void> owner_;
+  std::weak_ptr<void> caller_;
   OwnerCallOptions options_;
   PeerReplyCallback done_;
-  TimePoint end_;
+  TimePoint deadline_;
   TimePoint retry_at_;
   NodeId current_node_;        ///< The node that is being called; invalid if none.
   std::uint64_t attempt_ = 0;  ///< Number of the current one; of earlier ones only success counts.
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -12,13 +12,13 @@
 constexpr Duration kChangeDeadline = milliseconds(2500);
 /// Part of a route's target time that a submission may wait for capacity.
 constexpr double kSubmissionWaitRatio = 0.5;
-constexpr std::uint32_t kLargestPage = 1000;
+constexpr std::uint32_t kMaximumPageSize = 1000;
 
 /// Cursor of a list of results; see queue/list_cursor.h.
-std::string CursorAt(std::uint64_t position) { return "p" + std::to_string(position); }
+std::string FormatCursor(std::uint64_t position) { return "p" + std::to_string(position); }
 
 /// The target of a submission, and its size.
-struct SubmissionTiming {
+struct SubmissionInfo {
   std::string route;
   Duration target{};  ///< Until it is accepted; zero: none.
   int items = 0;
@@ -26,21 +26,21 @@
 };
 
 /// Counts and logs a submission that was accepted late or not accepted.
-void RecordSubmission(Environment& environment, const SubmissionTiming& timing, Duration taken,
+void RecordSubmission(Environment& environment, const SubmissionInfo& info, Duration elapsed,
                       const Status& status) {
-  const bool late = timing.target > Duration::zero() && taken > timing.target;
+  const bool late = info.target > Duration::zero() && elapsed > info.target;
   if (status.ok() && !late) {
     return;
   }
   const std::string outcome(status.ok() ? "late" : StatusCodeName(status.code()));
   environment.metrics().Increment("gateway_submissions_late_or_refused_total",
-                                  {{"route", timing.route}, {"outcome", outcome}});
+                                  {{"route", info.route}, {"outcome", outcome}});
   Log(LogLevel::kInfo, "submission_late_or_refused",
-      {{"route", timing.route},
+      {{"route", info.route},
        {"outcome", outcome},
-       {"taken_ms", std::chrono::duration_cast<milliseconds>(taken).count()},
-       {"items", timing.items},
-       {"bytes", timing.bytes},
+       {"taken_ms", std::chrono::duration_cast<milliseconds>(elapsed).count()},
+       {"items", info.items},
+       {"bytes", info.bytes},
        {"detail", status.message()}});
 }
 
@@ -100,11 +100,12 @@
   }
   owners_.Call<proto::SubmitBatchResponse>(
       "queue.SubmitBatch", request, kChangeDeadline,
-      [this, sent = environment_.Now(), name = route.name(), target = route.target_ms(),
+      [this, sent_at = environment_.Now(), route_name = route.name(), target = route.target_ms(),
        items = request.batch().items_size(), bytes = request.ByteSizeLong(),
        done = std::move(done)](Result<proto::SubmitBatchResponse> result) {
-        RecordSubmission(environment_, SubmissionTiming{name, milliseconds(target), items, bytes},
-                         environment_.Now() - sent, result.status());
+        RecordSubmission(environment_,
+                         SubmissionInfo{route_name, milliseconds(target), items, bytes},
+                         environment_.Now() - sent_at, result.status());
         if (result.ok()) {
           done(std::move(*result->mutable_status()));
         } else {
@@ -122,8 +123,8 @@
   proto::ListResultsRequest request;
   request.set_partition_id(FindPartition(host, batch_id));
   request.set_batch_id(batch_id);
-  request.set_cursor(CursorAt(position));
-  request.set_limit(kLargestPage);
+  request.set_cursor(FormatCursor(position));
+  request.set_limit(kMaximumPageSize);
   owners_.Call<proto::ListResultsResponse>(
       "queue.ListResults", request, kReadDeadline,
       [position, done = std::move(done)](Result<proto::ListResultsResponse> result) {
--- a/src/gateway/client_call.cc
+++ b/src/gateway/client_call.cc
@@ -61,10 +61,10 @@
 }
 
 void ClientCall::RecordOutcome(const std::string& outcome) {
-  const Duration time = environment().Now() - started_at_;
+  const Duration elapsed = environment().Now() - started_at_;
   Metrics& metrics = environment().metrics();
   metrics.Increment("gateway_calls_total", {{"route", route_}, {"outcome", outcome}});
-  metrics.ObserveSeconds("gateway_call_seconds", std::chrono::duration<double>(time).count(),
+  metrics.ObserveSeconds("gateway_call_seconds", std::chrono::duration<double>(elapsed).count(),
                          {{"route", route_}});
 }
 
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -32,8 +32,8 @@
 ForwardingService::ForwardingService(const CallContext& context, const GatewayOptions& options)
     : context_(context),
       options_(options),
-      waiting_(context.attempt.environment,
-               [this](HttpResponder& responder) { RefuseWithoutConfiguration(responder); }) {}
+      wait_queue_(context.attempt.environment,
+                  [this](HttpResponder& responder) { RefuseWithoutConfiguration(responder); }) {}
 
 ForwardingService::~ForwardingService() = default;
 
@@ -49,7 +49,7 @@
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
   if (CanServe()) {
     Admit(std::move(call), responder);
-  } else if (waiting_.size() < options_.calls.maximum_waiting_for_configuration) {
+  } else if (wait_queue_.size() < options_.calls.maximum_waiting_for_configuration) {
     WaitForConfiguration(std::move(call), responder);
   } else {
     RefuseWithoutConfiguration(*responder);
@@ -59,14 +59,14 @@
 void ForwardingService::WaitForConfiguration(IncomingCall call, const Responder& responder) {
   const Duration timeout = call.timeout.value_or(options_.calls.default_deadline);
   const Duration wait = std::min(options_.calls.configuration_wait, timeout / 2);
-  waiting_.Add(std::move(call), responder, wait, timeout);
+  wait_queue_.Add(std::move(call), responder, wait, timeout);
 }
 
 void ForwardingService::OnConfiguration() {
   if (!CanServe()) {
     return;
   }
-  for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
+  for (ConfigurationWaitQueue::Entry& entry : wait_queue_.TakeAll()) {
     entry.call.timeout = entry.deadline - context_.attempt.environment.Now();
     Admit(std::move(entry.call), entry.responder);
   }
@@ -109,19 +109,19 @@
 void ForwardingService::StartCall(IncomingCall call, const Responder& responder,
                                   const proto::Route& route) {
   CallSpec spec = MakeSpec(route, call);
-  const std::uint64_t number = next_call_++;
-  auto live = std::make_shared<LiveForward>(
+  const std::uint64_t number = next_call_number_++;
+  auto forward = std::make_shared<LiveForward>(
       context_, responder, [this, number, name = route.name()] { OnCallFinished(number, name); });
-  calls_.emplace(number, live);
-  live->Start(std::move(spec), MakeForwardCall(std::move(call), route),
-              options_.replica_header_names);
+  calls_.emplace(number, forward);
+  forward->Start(std::move(spec), MakeForwardCall(std::move(call), route),
+                 options_.replica_header_names);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
   const TimePoint now = context_.attempt.environment.Now();
-  Duration longest = milliseconds(route.deadline_ms());
+  Duration timeout = milliseconds(route.deadline_ms());
   if (call.timeout) {
-    longest = std::min(longest, *call.timeout);
+    timeout = std::min(timeout, *call.timeout);
   }
   CallSpec spec;
   spec.route = route.name();
@@ -129,7 +129,7 @@
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
   spec.maximum_attempts = route.attempts();
-  spec.deadline = now + longest;
+  spec.deadline = now + timeout;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
   return spec;
 }
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -55,8 +55,8 @@
   CallContext context_;
   const GatewayOptions& options_;
   std::unordered_map<std::uint64_t, std::shared_ptr<LiveForward>> calls_;
-  ConfigurationWaitQueue waiting_;
-  std::uint64_t next_call_ = 1;
+  ConfigurationWaitQueue wait_queue_;
+  std::uint64_t next_call_number_ = 1;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -26,12 +26,12 @@
 class AgentServingPermission final : public ServingPermission {
  public:
   AgentServingPermission(const Environment& environment, const NodeAgent& agent,
-                         Duration longest_without)
-      : environment_(environment), agent_(agent), longest_without_(longest_without) {}
+                         Duration serve_without_control)
+      : environment_(environment), agent_(agent), serve_without_control_(serve_without_control) {}
   bool IsValid() const override {
     // An id that was fenced leaves no lease behind; its end counts all the same.
     last_lease_end_ = std::max(last_lease_end_, agent_.lease_end());
-    return agent_.HasValidLease() || environment_.Now() < last_lease_end_ + longest_without_;
+    return agent_.HasValidLease() || environment_.Now() < last_lease_end_ + serve_without_control_;
   }
   const proto::RoutingConfiguration& configuration() const override {
     return agent_.configuration();
@@ -40,7 +40,7 @@
  private:
   const Environment& environment_;
   const NodeAgent& agent_;
-  const Duration longest_without_;
+  const Duration serve_without_control_;
   mutable TimePoint last_lease_end_{};
 };
 
@@ -50,10 +50,11 @@
   if (!options.replica_list.shared) {
     return options;
   }
-  const ReplicaListOptions own = options.replica_list;
-  options.replica_list.make_reader = [&environment, &agent, own](HttpClient& client) {
+  const ReplicaListOptions platform_options = options.replica_list;
+  options.replica_list.make_reader = [&environment, &agent, platform_options](HttpClient& client) {
     return std::make_unique<SharedListReader>(
-        environment, [&agent] { return agent.list_sources(); }, MakeReplicaListReader(client, own));
+        environment, [&agent] { return agent.list_sources(); },
+        MakeReplicaListReader(client, platform_options));
   };
   return options;
 }
@@ -75,7 +76,7 @@
                 queue,
                 retry_budget,
                 options.retry},
-        live(context, options),
+        live_calls(context, options),
         forwarding(context, options),
         batch_caller(context, options.replica_header_names),
         batch_worker(environment, agent, batch_caller),
@@ -85,23 +86,23 @@
             [this](const std::string& replica, std::uint32_t tokens, std::uint64_t key) {
               pool.OnRemotePrompt(replica, tokens, key);
             }),
-        batches(environment, router, agent),
-        operators(router, agent),
-        status(environment, router, agent) {
-    live.Register(router);
+        batch_api(environment, router, agent),
+        operator_api(router, agent),
+        status_api(environment, router, agent) {
+    live_calls.Register(router);
     UpdateRank();
   }
 
   ~State() { environment.CancelTimer(cleanup_timer); }
 
   void UpdateRank() {
-    const GatewayRank place = agent.gateway_rank();
-    pool.SetQuota({options.zone, place.index, place.count});
+    const GatewayRank rank = agent.gateway_rank();
+    pool.SetQuota({options.zone, rank.index, rank.count});
   }
 
-  void RemoveIdle() {
+  void RemoveIdleLimits() {
     queue.admission().RemoveIdle(agent.configuration(), environment.Now());
-    cleanup_timer = environment.ScheduleAfter(kCleanupInterval, [this] { RemoveIdle(); });
+    cleanup_timer = environment.ScheduleAfter(kCleanupInterval, [this] { RemoveIdleLimits(); });
   }
 
   Environment& environment;
@@ -112,15 +113,15 @@
   CallQueue queue;
   RetryBudget retry_budget;
   CallContext context;
-  LiveCallHandler live;
+  LiveCallHandler live_calls;
   ForwardingService forwarding;
   ReplicaBackendCaller batch_caller;
   BatchWorker batch_worker;
   BatchService batch_service;
   PrefillAnnouncer prefill_announcer;
-  BatchApi batches;
-  OperatorApi operators;
-  StatusApi status;
+  BatchApi batch_api;
+  OperatorApi operator_api;
+  StatusApi status_api;
   TimerId cleanup_timer = 0;
   bool draining = false;
   /// Observers of the agent outlive this service; they act only while it lives.
@@ -156,12 +157,12 @@
 void GatewayService::Start() {
   state_->pool.Start();
   state_->batch_worker.Start();
-  state_->RemoveIdle();
+  state_->RemoveIdleLimits();
 }
 
 void GatewayService::Drain() {
   state_->draining = true;
-  state_->live.Drain();
+  state_->live_calls.Drain();
   state_->batch_worker.Drain();
 }
 
@@ -171,7 +172,7 @@
   return state_->draining && batches_finished && calls_in_flight() == 0;
 }
 
-bool GatewayService::Ready(std::string* why) const {
+bool GatewayService::Ready(std::string* reason) const {
   const char* missing = nullptr;
   if (state_->draining) {
     missing = "the gateway is stopping";
@@ -182,14 +183,14 @@
   } else if (!state_->pool.list_usable()) {
     missing = "no list of replicas yet";
   }
-  if (missing != nullptr && why != nullptr) {
-    *why = missing;
+  if (missing != nullptr && reason != nullptr) {
+    *reason = missing;
   }
   return missing == nullptr;
 }
 
 std::size_t GatewayService::calls_in_flight() const {
-  return state_->live.calls_in_flight() + state_->forwarding.calls_in_flight();
+  return state_->live_calls.calls_in_flight() + state_->forwarding.calls_in_flight();
 }
 
 BackendCaller& GatewayService::backend_caller() { return state_->batch_caller; }
--- a/src/gateway/gateway_service.h
+++ b/src/gateway/gateway_service.h
@@ -33,8 +33,9 @@
   void Drain();
   /// @return whether everything that was under way when `Drain` came has ended and is reported.
   bool Drained() const;
-  /// @return whether live calls are served now; if not, `why` (may be null) says what is missing.
-  bool Ready(std::string* why) const;
+  /// @return whether live calls are served now; if not, `reason` (may be null) says what is
+  /// missing.
+  bool Ready(std::string* reason) const;
   /// Live calls that were admitted and have not ended.
   std::size_t calls_in_flight() const;
   BackendCaller& backend_caller();
--- a/src/gateway/http_query.h
+++ b/src/gateway/http_query.h
@@ -11,15 +11,15 @@
 
 /// Bounds of a `limit` parameter.
 struct LimitRange {
-  std::uint32_t standard = 0;  ///< When it is not given.
-  std::uint32_t largest = 0;
+  std::uint32_t default_limit = 0;  ///< When it is not given.
+  std::uint32_t maximum = 0;
 };
 
 /// @return the `limit` parameter, or kInvalidArgument saying what is expected.
-Result<std::uint32_t> ReadLimit(const HttpHeaders& query, LimitRange range);
+Result<std::uint32_t> ParseLimit(const HttpHeaders& query, LimitRange range);
 
 /// @return the status of a failed read: nothing was changed, so an unknown outcome becomes
 /// kUnavailable.
-Status ReadFailure(const Status& status);
+Status ToReadFailure(const Status& status);
 
 }  // namespace cloverbank
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -73,10 +73,10 @@
 }
 
 LiveCall::LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder,
-                   Options options, IdempotencyCache& cached, FinishedHandler on_finished)
+                   Options options, IdempotencyCache& cache, FinishedHandler on_finished)
     : ClientCall(context, std::move(responder), std::move(on_finished)),
       options_(std::move(options)),
-      idempotency_cache_(cached) {}
+      idempotency_cache_(cache) {}
 
 void LiveCall::Start(CallSpec spec, proto::CallRequest body) {
   call_id_ = body.call_id();
@@ -108,14 +108,14 @@
   if (options_.idempotency_key.empty() || !collecting_) {
     return;
   }
-  streamed_.set_run_id(chunk.run_id());
-  streamed_.mutable_text()->append(chunk.text());
-  collecting_ = streamed_.text().size() <= kMaximumCachedStreamBytes;
+  streamed_response_.set_run_id(chunk.run_id());
+  streamed_response_.mutable_text()->append(chunk.text());
+  collecting_ = streamed_response_.text().size() <= kMaximumCachedStreamBytes;
 }
 
 void LiveCall::OnDone(const CallResult& result) {
   if (result.succeeded) {
-    answer_ = exchange_->TakeResponse();
+    response_ = exchange_->TakeResponse();
   }
   CacheResponse(result);
   RecordOutcome(result.succeeded ? "succeeded" : result.error.code());
@@ -129,7 +129,7 @@
   if (options_.stream && (stream_started() || result.succeeded)) {
     FinishStream(result);
   } else if (result.succeeded) {
-    SendResponse(responder(), answer_);
+    SendResponse(responder(), response_);
   } else {
     SendError(responder(), result.http_status, result.error);
   }
@@ -137,16 +137,16 @@
 
 void LiveCall::FinishStream(const CallResult& result) {
   if (!stream_started()) {  // A service's complete response to a request for a stream.
-    SendAsStream(responder(), answer_);
+    SendAsStream(responder(), response_);
     return;
   }
   if (!result.succeeded) {
-    proto::StreamChunk last;
-    last.set_run_id(run_id_);
-    last.set_call_id(call_id_);
-    last.set_sequence(next_sequence_);
-    *last.mutable_error() = result.error;
-    responder().WriteChunk(ToLine(last), [](bool) {});
+    proto::StreamChunk error_chunk;
+    error_chunk.set_run_id(run_id_);
+    error_chunk.set_call_id(call_id_);
+    error_chunk.set_sequence(next_sequence_);
+    *error_chunk.mutable_error() = result.error;
+    responder().WriteChunk(ToLine(error_chunk), [](bool) {});
   }
   responder().FinishStream();
 }
@@ -156,13 +156,13 @@
     return;  // The client may request the response under the same key.
   }
   const proto::Executed executed = CancelRunner();
-  CallResult left;
-  left.error.set_code("caller_left");
-  left.error.set_message("the first request under this key was withdrawn by its caller");
-  left.error.set_executed(executed);
-  left.error.set_call_id(call_id_);
-  left.http_status = HttpStatusForExecuted(executed);
-  CacheResponse(left);
+  CallResult disconnected;
+  disconnected.error.set_code("caller_left");
+  disconnected.error.set_message("the first request under this key was withdrawn by its caller");
+  disconnected.error.set_executed(executed);
+  disconnected.error.set_call_id(call_id_);
+  disconnected.http_status = HttpStatusForExecuted(executed);
+  CacheResponse(disconnected);
   Finish();
 }
 
@@ -170,13 +170,13 @@
   if (options_.idempotency_key.empty()) {
     return;
   }
-  CachedResponse cached = ToCachedResponse(result, answer_);
+  CachedResponse cached = ToCachedResponse(result, response_);
   if (!result.succeeded && result.error.executed() == proto::EXECUTED_NO) {
     idempotency_cache_.Forget(options_.idempotency_key, cached);
     return;
   }
   if (result.succeeded && stream_started()) {
-    cached.answer = streamed_;
+    cached.answer = streamed_response_;
     cached.answer.set_call_id(call_id_);
     cached.text_cached = collecting_;
   }
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -28,7 +28,7 @@
   };
 
   LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder, Options options,
-           IdempotencyCache& cached, FinishedHandler on_finished);
+           IdempotencyCache& cache, FinishedHandler on_finished);
 
   /// @param spec lacks its exchange, which is made of `body`.
   void Start(CallSpec spec, proto::CallRequest body);
@@ -47,11 +47,11 @@
   Options options_;
   IdempotencyCache& idempotency_cache_;
   std::shared_ptr<JsonExchange> exchange_;
-  proto::CallAnswer answer_;  ///< Of a call that succeeded.
+  proto::CallAnswer response_;  ///< Of a call that succeeded.
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  proto::CallAnswer streamed_;  ///< Text that was sent, within the limit of the cache.
+  proto::CallAnswer streamed_response_;  ///< Text that was sent, within the limit of the cache.
   bool collecting_ = true;
 };
 
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -17,7 +17,7 @@
 constexpr int kHttpTooLarge = 413;
 constexpr int kHttpKeyReused = 422;
 constexpr std::size_t kRouteSegment = 2;  // Of /v1/call/{route}.
-constexpr std::size_t kLargestKey = 256;
+constexpr std::size_t kMaximumKeyBytes = 256;
 constexpr Duration kRetryAfter = milliseconds(500);
 constexpr int kHexDigits = 16;
 
@@ -49,13 +49,13 @@
 }
 
 std::string CacheKey(std::string_view tenant, std::string_view route, std::string_view key) {
-  std::string joined;
+  std::string cache_key;
   for (const std::string_view part : {tenant, route, key}) {
-    joined += std::to_string(part.size());
-    joined += ':';
-    joined += part;
+    cache_key += std::to_string(part.size());
+    cache_key += ':';
+    cache_key += part;
   }
-  return joined;
+  return cache_key;
 }
 
 }  // namespace
@@ -64,7 +64,7 @@
     : context_(context),
       options_(options),
       idempotency_cache_(options.idempotency),
-      id_prefix_(context.attempt.environment.Random()) {}
+      call_id_prefix_(context.attempt.environment.Random()) {}
 
 LiveCallHandler::~LiveCallHandler() = default;
 
@@ -76,7 +76,7 @@
 }
 
 void LiveCallHandler::Handle(const HttpRequest& request, const Responder& responder) {
-  const proto::Route* route = CheckServing(request, *responder);
+  const proto::Route* route = FindRouteOrRefuse(request, *responder);
   if (route == nullptr) {
     return;
   }
@@ -118,16 +118,16 @@
     return RequestProblem{kHttpBadRequest, "invalid_deadline",
                           "X-Deadline-Ms must be a whole number of milliseconds above 0"};
   }
-  if (headers.idempotency_key.size() > kLargestKey) {
+  if (headers.idempotency_key.size() > kMaximumKeyBytes) {
     return RequestProblem{
         kHttpBadRequest, "invalid_idempotency_key",
-        "Idempotency-Key must be at most " + std::to_string(kLargestKey) + " bytes"};
+        "Idempotency-Key must be at most " + std::to_string(kMaximumKeyBytes) + " bytes"};
   }
   return std::nullopt;
 }
 
-const proto::Route* LiveCallHandler::CheckServing(const HttpRequest& request,
-                                                  HttpResponder& responder) {
+const proto::Route* LiveCallHandler::FindRouteOrRefuse(const HttpRequest& request,
+                                                       HttpResponder& responder) {
   if (draining_) {
     Refuse(responder, kHttpUnavailable, "gateway_stopping",
            "this gateway is stopping; try another one", kRetryAfter);
@@ -165,19 +165,19 @@
 CallSpec LiveCallHandler::MakeSpec(const proto::Route& route,
                                    const LiveCallHeaders& headers) const {
   const TimePoint now = context_.attempt.environment.Now();
-  Duration longest = options_.calls.default_deadline;
+  Duration timeout = options_.calls.default_deadline;
   if (route.deadline_ms() != 0) {
-    longest = milliseconds(route.deadline_ms());
+    timeout = milliseconds(route.deadline_ms());
   }
-  if (headers.deadline && *headers.deadline < longest) {
-    longest = *headers.deadline;
+  if (headers.deadline && *headers.deadline < timeout) {
+    timeout = *headers.deadline;
   }
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
-  spec.deadline = now + longest;
+  spec.deadline = now + timeout;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
   return spec;
 }
@@ -229,7 +229,9 @@
   SendError(responder, http_status, error);
 }
 
-std::string LiveCallHandler::NewCallId() { return ToHex(id_prefix_) + "-" + ToHex(next_call_++); }
+std::string LiveCallHandler::NewCallId() {
+  return ToHex(call_id_prefix_) + "-" + ToHex(next_call_number_++);
+}
 
 void LiveCallHandler::OnCallFinished(const std::string& call_id, const std::string& route) {
   context_.queue.admission().Finish(route);
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -56,7 +56,7 @@
 
   void Handle(const HttpRequest& request, const Responder& responder);
   /// @return the route, or nullptr after the refusal was sent.
-  const proto::Route* CheckServing(const HttpRequest& request, HttpResponder& responder);
+  const proto::Route* FindRouteOrRefuse(const HttpRequest& request, HttpResponder& responder);
   /// @return what is wrong with the request apart from its body's content.
   std::optional<RequestProblem> FindProblem(const HttpRequest& request,
                                             const LiveCallHeaders& headers) const;
@@ -79,8 +79,8 @@
   const GatewayOptions& options_;
   IdempotencyCache idempotency_cache_;
   std::unordered_map<std::string, std::shared_ptr<LiveCall>> calls_;  ///< By call id.
-  std::uint64_t id_prefix_;
-  std::uint64_t next_call_ = 1;
+  std::uint64_t call_id_prefix_;
+  std::uint64_t next_call_number_ = 1;
   bool draining_ = false;
 };
 
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -17,7 +17,7 @@
 
 /// Statuses that tell the client that nothing ran: a replica's failure must not be forwarded as one
 /// of them.
-bool PromisesNotRun(int status) {
+bool ImpliesNotRun(int status) {
   return status == kHttpRequestTimeout || status == kHttpMisdirected ||
          status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
@@ -40,10 +40,12 @@
   HttpResponse response;
   response.status = http_status;
   response.headers.emplace_back("Content-Type", "application/json");
-  const bool come_back = http_status == kHttpTooManyRequests || http_status == kHttpUnavailable;
+  const bool is_retry_status =
+      http_status == kHttpTooManyRequests || http_status == kHttpUnavailable;
   const bool not_run = error.executed() == proto::EXECUTED_NO;
-  const std::uint32_t standard = come_back && not_run ? kDefaultRetryAfterMs : 0;
-  const std::uint32_t wait_ms = error.retry_after_ms() > 0 ? error.retry_after_ms() : standard;
+  const std::uint32_t default_wait_ms = is_retry_status && not_run ? kDefaultRetryAfterMs : 0;
+  const std::uint32_t wait_ms =
+      error.retry_after_ms() > 0 ? error.retry_after_ms() : default_wait_ms;
   if (wait_ms > 0) {
     response.headers.emplace_back("Retry-After", FormatSeconds(wait_ms));
   }
@@ -91,7 +93,7 @@
     return;
   }
   const std::optional<HttpResponse>& failure = exchange_->failure();
-  if (failure && !PromisesNotRun(failure->status)) {
+  if (failure && !ImpliesNotRun(failure->status)) {
     responder().Send(*failure);
     return;
   }
@@ -118,9 +120,9 @@
        {"call_id", exchange_->call_id()},
        {"cause", cause},
        {"target_ms", ToMilliseconds(exchange_->call().first_byte_target)},
-       {"first_ms", ToMilliseconds(timing_->first_after())},
+       {"first_ms", ToMilliseconds(timing_->first_response_delay())},
        {"longest_pause_ms", ToMilliseconds(timing_->longest_pause())},
-       {"pause_from_ms", ToMilliseconds(timing_->longest_pause_from())},
+       {"pause_from_ms", ToMilliseconds(timing_->longest_pause_start())},
        {"events", timing_->events()},
        {"prompt_tokens", exchange_->call().prompt.prompt_tokens},
        {"replica", exchange_->last_replica()}});
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -13,8 +13,8 @@
 /// Operators wait rather than retry at another gateway.
 constexpr OperatorTimeouts kTimeouts{.read = seconds(3), .order = seconds(10)};
 constexpr std::uint32_t kNoHistory = 0;
-constexpr std::uint32_t kDefaultHistory = 50;
-constexpr std::uint32_t kMaximumHistory = 1000;
+constexpr std::uint32_t kDefaultHistoryLength = 50;
+constexpr std::uint32_t kMaximumHistoryLength = 1000;
 constexpr std::uint32_t kResendAfterMs = 1000;
 constexpr std::size_t kMachineSegment = 2;  // /v1/stores/{machine}/retire
 
@@ -82,7 +82,8 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(HttpRouter& router, NodeAgent& agent) : orders_(agent, kTimeouts) {
+OperatorApi::OperatorApi(HttpRouter& router, NodeAgent& agent)
+    : operator_client_(agent, kTimeouts) {
   router.Handle("GET", "/v1/config", [this](const HttpRequest&, const Responder& responder) {
     GetConfiguration(responder);
   });
@@ -101,10 +102,10 @@
 }
 
 void OperatorApi::GetConfiguration(const Responder& responder) {
-  orders_.ReadConfiguration(
+  operator_client_.ReadConfiguration(
       kNoHistory, [responder](Result<proto::GetConfigurationResponse> result) {
         if (!result.ok()) {
-          SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
+          SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
           return;
         }
         result->mutable_configuration();  // Present in the JSON even while there is none.
@@ -113,20 +114,21 @@
 }
 
 void OperatorApi::GetHistory(const HttpRequest& request, const Responder& responder) {
-  const Result<std::uint32_t> limit =
-      ReadLimit(request.query, {.standard = kDefaultHistory, .largest = kMaximumHistory});
+  const Result<std::uint32_t> limit = ParseLimit(
+      request.query, {.default_limit = kDefaultHistoryLength, .maximum = kMaximumHistoryLength});
   if (!limit.ok()) {
     SendStatus(*responder, limit.status(), proto::EXECUTED_NO);
     return;
   }
-  orders_.ReadConfiguration(*limit, [responder](Result<proto::GetConfigurationResponse> result) {
-    if (!result.ok()) {
-      SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
-      return;
-    }
-    result->clear_configuration();
-    SendJson(*responder, 200, *result);
-  });
+  operator_client_.ReadConfiguration(
+      *limit, [responder](Result<proto::GetConfigurationResponse> result) {
+        if (!result.ok()) {
+          SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
+          return;
+        }
+        result->clear_configuration();
+        SendJson(*responder, 200, *result);
+      });
 }
 
 void OperatorApi::SubmitTransaction(const HttpRequest& request, const Responder& responder) {
@@ -141,8 +143,8 @@
     SendStatus(*responder, read, proto::EXECUTED_NO);
     return;
   }
-  orders_.Submit(transaction, [responder, operation_id = transaction.operation_id()](
-                                  const Result<proto::SubmitTransactionResponse>& result) {
+  operator_client_.Submit(transaction, [responder, operation_id = transaction.operation_id()](
+                                           const Result<proto::SubmitTransactionResponse>& result) {
     if (result.ok()) {
       SendResult(*responder, result->result());
     } else if (IsRefusal(result.status().code())) {
@@ -165,7 +167,7 @@
     return;
   }
   retire.set_cancel(cancel == "true");
-  orders_.Retire(retire, [responder](const Result<proto::RetireServerResponse>& result) {
+  operator_client_.Retire(retire, [responder](const Result<proto::RetireServerResponse>& result) {
     if (result.ok()) {
       SendJson(*responder, 200, *result);
       return;
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -28,7 +28,7 @@
   void SubmitTransaction(const HttpRequest& request, const Responder& responder);
   void Retire(const HttpRequest& request, const Responder& responder);
 
-  OperatorClient orders_;
+  OperatorClient operator_client_;
 };
 
 }  // namespace cloverbank
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -20,9 +20,9 @@
 }
 
 /// The batch worker's handle of a running item, which continues if the handle is destroyed.
-class BatchCall final : public BackendCall {
+class BatchItemCall final : public BackendCall {
  public:
-  explicit BatchCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
+  explicit BatchItemCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
   void Cancel() override {
     if (const auto cancel = std::exchange(cancel_, nullptr)) {
       cancel();
@@ -99,7 +99,7 @@
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, OutcomeReader read_outcome,
                                                        std::function<void(BackendOutcome)> done) {
-  const std::uint64_t id = next_item_++;
+  const std::uint64_t id = next_item_id_++;
   const auto finish = [this, id, read_outcome = std::move(read_outcome),
                        done = std::move(done)](CallResult result) {
     BackendOutcome outcome = ToOutcome(std::move(result));
@@ -111,7 +111,7 @@
   const auto runner = std::make_shared<CallRunner>(context_, std::move(spec), finish);
   running_.emplace(id, runner);
   runner->Start();
-  return std::make_shared<BatchCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
+  return std::make_shared<BatchItemCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
       running_.erase(id);  // The destructor cancels the call.
     }
@@ -120,8 +120,8 @@
 
 bool ReplicaBackendCaller::CanStartBatches(const std::string& backend) const {
   const bool paused = context_.permission.configuration().batch().paused();
-  const bool live_waits = context_.queue.Waiting(backend) > 0;
-  return !paused && !live_waits && context_.permission.IsValid() &&
+  const bool live_calls_wait = context_.queue.Waiting(backend) > 0;
+  return !paused && !live_calls_wait && context_.permission.IsValid() &&
          context_.attempt.pool.list_usable();
 }
 
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -44,7 +44,7 @@
 
   CallContext context_;
   const ReplicaHeaderNames& names_;
-  std::uint64_t next_item_ = 1;
+  std::uint64_t next_item_id_ = 1;
   std::unordered_map<std::uint64_t, std::shared_ptr<CallRunner>> running_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/src/gateway/response_timing.cc
+++ b/src/gateway/response_timing.cc
@@ -18,10 +18,10 @@
 
 void ResponseTiming::OnEvent(TimePoint now) {
   if (events_ == 0) {
-    first_after_ = now - started_;
+    first_response_delay_ = now - started_;
   } else if (now - last_event_ > longest_pause_) {
     longest_pause_ = now - last_event_;
-    longest_pause_from_ = last_event_ - started_;
+    longest_pause_start_ = last_event_ - started_;
   }
   last_event_ = now;
   ++events_;
@@ -29,16 +29,17 @@
 
 void ResponseTiming::OnComplete(TimePoint now) {
   complete_ = true;
-  first_after_ = now - started_;
+  first_response_delay_ = now - started_;
 }
 
 Lateness ResponseTiming::lateness() const {
-  const bool has_target = targets_.target > Duration::zero();
-  if (has_target && first_after_ > targets_.target) {
+  const bool has_response_target = targets_.first_response > Duration::zero();
+  if (has_response_target && first_response_delay_ > targets_.first_response) {
     return complete_ ? Lateness::kCompleteResponse : Lateness::kFirstChunk;
   }
-  const bool has_pause = targets_.longest_pause > Duration::zero();
-  return has_pause && longest_pause_ > targets_.longest_pause ? Lateness::kPause : Lateness::kNone;
+  const bool has_pause_target = targets_.longest_pause > Duration::zero();
+  return has_pause_target && longest_pause_ > targets_.longest_pause ? Lateness::kPause
+                                                                     : Lateness::kNone;
 }
 
 }  // namespace cloverbank
--- a/src/gateway/response_timing.h
+++ b/src/gateway/response_timing.h
@@ -24,8 +24,8 @@
 
 /// A route's targets for a response; zero: none.
 struct ResponseTargets {
-  Duration target{};         ///< Until the first event, or until a response in one piece.
-  Duration longest_pause{};  ///< Between two events.
+  Duration first_response{};  ///< Until the first event, or until a response in one piece.
+  Duration longest_pause{};   ///< Between two events.
 };
 
 class ResponseTiming {
@@ -41,19 +41,19 @@
   /// @return the first cause that makes the response late so far.
   Lateness lateness() const;
   /// @return time until the first event or the complete response; zero before.
-  Duration first_after() const { return first_after_; }
+  Duration first_response_delay() const { return first_response_delay_; }
   /// @return the longest time between two events so far, and when it began, after the start.
   Duration longest_pause() const { return longest_pause_; }
-  Duration longest_pause_from() const { return longest_pause_from_; }
+  Duration longest_pause_start() const { return longest_pause_start_; }
   std::uint32_t events() const { return events_; }
 
  private:
   ResponseTargets targets_;
   TimePoint started_;
   TimePoint last_event_{};
-  Duration first_after_{};
+  Duration first_response_delay_{};
   Duration longest_pause_{};
-  Duration longest_pause_from_{};
+  Duration longest_pause_start_{};
   std::uint32_t events_ = 0;
   bool complete_ = false;
 };
--- a/src/gateway/status_api.cc
+++ b/src/gateway/status_api.cc
@@ -30,7 +30,7 @@
         if (result.ok()) {
           SendJson(*responder, 200, *result);
         } else {
-          SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
+          SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
         }
       });
 }
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -96,9 +96,9 @@
     AddRoute("live-only", false);
     world.AddMachine("g", "10.0.0.1")
         .SetProgram([this, options](Environment& environment, DataFolder&) {
-          auto made = std::make_shared<BatchGateway>(environment, options);
-          gateway = made.get();
-          return made;
+          auto created = std::make_shared<BatchGateway>(environment, options);
+          gateway = created.get();
+          return created;
         });
     world.machine("g").Start();
     SetOwner(101);
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -14,117 +14,120 @@
 constexpr int kSteps = 4000;
 constexpr int kPeriod = 1000;  ///< Steps of faults and then of calm.
 /// Poll interval, its deadline, and the time to connect.
-constexpr Duration kDrainingSeenWithin = milliseconds(1000);
+constexpr Duration kMaximumDrainingDelay = milliseconds(1000);
 
 class DataPlaneFaultsTest : public ::testing::TestWithParam<int> {
  protected:
   struct Caller {
     std::shared_ptr<FakeResponder> responder;
-    bool left = false;
+    bool disconnected = false;
   };
 
   DataPlaneFaultsTest() {
-    h_.options.sharing = SharingOptions();
-    h_.AddRoute("ask", proto::BACKEND_KIND_MODEL, true);
-    h_.AddRoute("once", proto::BACKEND_KIND_MODEL, false);
-    h_.AddRoute("serve", proto::BACKEND_KIND_SERVICE, true);
-    h_.AddRoute("unlock", proto::BACKEND_KIND_SERVICE, false);
+    harness_.options.sharing = SharingOptions();
+    harness_.AddRoute("ask", proto::BACKEND_KIND_MODEL, true);
+    harness_.AddRoute("once", proto::BACKEND_KIND_MODEL, false);
+    harness_.AddRoute("serve", proto::BACKEND_KIND_SERVICE, true);
+    harness_.AddRoute("unlock", proto::BACKEND_KIND_SERVICE, false);
     for (int index = 0; index < 9; ++index) {
       const bool model = index < 6;
-      h_.AddReplica("r" + std::to_string(index), std::string(1, static_cast<char>('a' + index % 3)),
-                    3, model ? proto::BACKEND_KIND_MODEL : proto::BACKEND_KIND_SERVICE);
+      harness_.AddReplica("r" + std::to_string(index),
+                          std::string(1, static_cast<char>('a' + index % 3)), 3,
+                          model ? proto::BACKEND_KIND_MODEL : proto::BACKEND_KIND_SERVICE);
     }
-    h_.on_arrival = [this](const FakeReplica& replica) { CheckArrival(replica); };
-    h_.StartWarm();
-    h_.AddPlane();
-    h_.AddPlane();
+    harness_.on_arrival = [this](const FakeReplica& replica) { CheckArrival(replica); };
+    harness_.StartWarm();
+    harness_.AddPlane();
+    harness_.AddPlane();
   }
 
   void CheckArrival(const FakeReplica& replica) {
-    EXPECT_TRUE(h_.permission.valid) << "a call left without a lease";
-    const proto::Zone* zone = FindZone(h_.permission.stored, replica.entry.zone());
+    EXPECT_TRUE(harness_.permission.valid) << "a call left without a lease";
+    const proto::Zone* zone = FindZone(harness_.permission.stored, replica.entry.zone());
     EXPECT_EQ(zone->state(), proto::ZONE_STATE_OPEN);
     const auto drained = drained_at_.find(replica.entry.id());
     if (drained != drained_at_.end()) {
-      EXPECT_LE(h_.world.Now() - drained->second, kDrainingSeenWithin) << replica.entry.id();
+      EXPECT_LE(harness_.world.Now() - drained->second, kMaximumDrainingDelay)
+          << replica.entry.id();
     }
   }
 
   void Call() {
-    const std::string route = kRoutes.at(h_.world.RandomBelow(kRoutes.size()));
-    const std::string stream = h_.world.RandomBelow(2) == 0 ? "true" : "false";
+    const std::string route = kRoutes.at(harness_.world.RandomBelow(kRoutes.size()));
+    const std::string stream = harness_.world.RandomBelow(2) == 0 ? "true" : "false";
     Caller caller{std::make_shared<FakeResponder>()};
-    HttpHeaders headers = {{"X-Deadline-Ms", std::to_string(200 + h_.world.RandomBelow(4000))}};
+    HttpHeaders headers = {
+        {"X-Deadline-Ms", std::to_string(200 + harness_.world.RandomBelow(4000))}};
     // The prompt tells the replicas' record which route it was.
-    h_.planes[h_.world.RandomBelow(3)]->router.Post(
+    harness_.planes[harness_.world.RandomBelow(3)]->router.Post(
         "/v1/call/" + route, R"({"prompt":")" + route + R"(","stream":)" + stream + "}", headers,
         caller.responder);
     callers_.push_back(std::move(caller));
   }
 
   void ChangeReplica(FakeReplica& replica) {
-    switch (h_.world.RandomBelow(4)) {
+    switch (harness_.world.RandomBelow(4)) {
       case 0:
-        replica.mode = static_cast<FakeReplica::Mode>(h_.world.RandomBelow(4));
+        replica.mode = static_cast<FakeReplica::Mode>(harness_.world.RandomBelow(4));
         break;
       case 1:
-        h_.SetState(replica, proto::REPLICA_STATE_DRAINING);
-        drained_at_.emplace(replica.entry.id(), h_.world.Now());
+        harness_.SetState(replica, proto::REPLICA_STATE_DRAINING);
+        drained_at_.emplace(replica.entry.id(), harness_.world.Now());
         break;
       case 2:
-        h_.SetState(replica, proto::REPLICA_STATE_READY);
+        harness_.SetState(replica, proto::REPLICA_STATE_READY);
         drained_at_.erase(replica.entry.id());
         break;
       default:
-        replica.entry.set_instance_id(std::to_string(h_.world.Random()));
-        ++h_.list_version;
+        replica.entry.set_instance_id(std::to_string(harness_.world.Random()));
+        ++harness_.list_version;
         break;
     }
   }
 
-  void Fault() {
-    switch (h_.world.RandomBelow(8)) {
+  void InjectFault() {
+    switch (harness_.world.RandomBelow(8)) {
       case 0: {
-        proto::Zone* zone =
-            h_.permission.stored.mutable_zones(static_cast<int>(h_.world.RandomBelow(3)));
+        proto::Zone* zone = harness_.permission.stored.mutable_zones(
+            static_cast<int>(harness_.world.RandomBelow(3)));
         const bool open = zone->state() == proto::ZONE_STATE_OPEN;
         zone->set_state(open ? proto::ZONE_STATE_DRAINED : proto::ZONE_STATE_OPEN);
-        for (const auto& plane : h_.planes) {
+        for (const auto& plane : harness_.planes) {
           plane->pool->OnConfiguration();
         }
         break;
       }
       case 1:
-        h_.permission.valid = !h_.permission.valid;
+        harness_.permission.valid = !harness_.permission.valid;
         break;
       case 2:
-        h_.client->connect_time = milliseconds(1 + h_.world.RandomBelow(100));
+        harness_.client->connect_time = milliseconds(1 + harness_.world.RandomBelow(100));
         break;
       case 3: {
-        Caller& caller = callers_[h_.world.RandomBelow(callers_.size())];
+        Caller& caller = callers_[harness_.world.RandomBelow(callers_.size())];
         if (!caller.responder->complete && caller.responder->disconnect) {
-          caller.left = true;
+          caller.disconnected = true;
           caller.responder->disconnect();
         }
         break;
       }
       default:
-        ChangeReplica(h_.replicas["r" + std::to_string(h_.world.RandomBelow(9))]);
+        ChangeReplica(harness_.replicas["r" + std::to_string(harness_.world.RandomBelow(9))]);
         break;
     }
   }
 
-  void Heal() {
-    h_.permission.valid = true;
+  void ClearFaults() {
+    harness_.permission.valid = true;
     drained_at_.clear();
-    for (auto& [id, replica] : h_.replicas) {
+    for (auto& [id, replica] : harness_.replicas) {
       replica.mode = FakeReplica::Mode::kServe;
-      h_.SetState(replica, proto::REPLICA_STATE_READY);
+      harness_.SetState(replica, proto::REPLICA_STATE_READY);
     }
-    for (proto::Zone& zone : *h_.permission.stored.mutable_zones()) {
+    for (proto::Zone& zone : *harness_.permission.stored.mutable_zones()) {
       zone.set_state(proto::ZONE_STATE_OPEN);
     }
-    for (const auto& plane : h_.planes) {
+    for (const auto& plane : harness_.planes) {
       plane->pool->OnConfiguration();
     }
   }
@@ -150,24 +153,24 @@
 
   void CheckCallers() {
     std::map<std::string, int> runs;
-    for (const auto& [id, replica] : h_.replicas) {
-      for (const proto::CallRequest& request : replica.ran) {
+    for (const auto& [id, replica] : harness_.replicas) {
+      for (const proto::CallRequest& request : replica.executed) {
         const int count = ++runs[request.call_id()];
-        const bool once = request.prompt() == "once" || request.prompt() == "unlock";
-        EXPECT_TRUE(!once || count == 1) << request.call_id() << " ran twice";
+        const bool non_idempotent = request.prompt() == "once" || request.prompt() == "unlock";
+        EXPECT_TRUE(!non_idempotent || count == 1) << request.call_id() << " ran twice";
       }
     }
     for (const Caller& caller : callers_) {
       const FakeResponder& responder = *caller.responder;
-      ASSERT_EQ(responder.answers, caller.left ? responder.answers : 1);
+      ASSERT_EQ(responder.answers, caller.disconnected ? responder.answers : 1);
       const std::string call_id(FindHeader(responder.headers, "X-Call-Id"));
       if (responder.status == 200) {
         ++served_;
         EXPECT_GE(runs[call_id], 1);
       } else if (responder.complete) {
         const proto::CallError error = GatewayHarness::ErrorIn(responder);
-        const bool promised = error.executed() == proto::EXECUTED_NO;
-        EXPECT_TRUE(!promised || runs[error.call_id()] == 0) << error.code();
+        const bool reported_not_run = error.executed() == proto::EXECUTED_NO;
+        EXPECT_TRUE(!reported_not_run || runs[error.call_id()] == 0) << error.code();
         EXPECT_NE(error.executed(), proto::EXECUTED_UNSPECIFIED);
       }
       if (responder.chunks > 0 && responder.complete) {
@@ -176,7 +179,7 @@
     }
   }
 
-  GatewayHarness h_{static_cast<std::uint64_t>(GetParam())};
+  GatewayHarness harness_{static_cast<std::uint64_t>(GetParam())};
   std::map<std::string, TimePoint> drained_at_;
   std::vector<Caller> callers_;
   int served_ = 0;
@@ -187,20 +190,20 @@
     Call();
     const bool calm = step % kPeriod >= kPeriod / 2;
     if (step % kPeriod == kPeriod / 2) {
-      Heal();
+      ClearFaults();
     }
-    if (!calm && h_.world.RandomBelow(20) == 0) {
-      Fault();
+    if (!calm && harness_.world.RandomBelow(20) == 0) {
+      InjectFault();
     }
-    h_.world.RunFor(kStep);
-    for (const auto& plane : h_.planes) {
-      ASSERT_LE(plane->queue->Waiting("model"), h_.options.admission.queue_length);
+    harness_.world.RunFor(kStep);
+    for (const auto& plane : harness_.planes) {
+      ASSERT_LE(plane->queue->Waiting("model"), harness_.options.admission.queue_length);
     }
   }
-  h_.world.RunFor(seconds(30));
+  harness_.world.RunFor(seconds(30));
   CheckCallers();
   EXPECT_GT(served_, kSteps / 20);  // The run was not spent refusing.
-  for (const auto& plane : h_.planes) {
+  for (const auto& plane : harness_.planes) {
     EXPECT_EQ(plane->live->calls_in_flight(), 0U);
     for (const auto& [id, load] : plane->pool->loads()) {
       EXPECT_EQ(load.own(), 0U) << id;
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -33,12 +33,12 @@
     return route;
   }
 
-  /// Adds a replica whose calls are recorded in `arrived`; the test responds to them.
+  /// Adds a replica whose calls are recorded in `received_calls`; the test responds to them.
   void AddHttpReplica(const std::string& id, const std::string& zone) {
     FakeReplica& replica = AddReplica(id, zone, 8, proto::BACKEND_KIND_HTTP);
     client->scripts[EndpointFor(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
-      arrived.push_back(exchange);
-      arrived_at.push_back(id);
+      received_calls.push_back(exchange);
+      receiving_replicas.push_back(id);
     };
   }
 
@@ -48,7 +48,7 @@
         std::make_unique<CallContext>(CallContext{{*environment, *client, *pool, options.calls},
                                                   permission,
                                                   *queue,
-                                                  first->budget,
+                                                  first_plane->budget,
                                                   options.retry});
     service = std::make_unique<ForwardingService>(*context, options);
   }
@@ -75,22 +75,24 @@
   }
 
   /// The replica that received call number `index` sends a complete response.
-  void Answer(std::size_t index, HttpResponse response) {
-    arrived[index]->Answer(std::move(response));
+  void Respond(std::size_t index, HttpResponse response) {
+    received_calls[index]->Answer(std::move(response));
     world.RunFor(milliseconds(5));
   }
-  void Bytes(std::size_t index, const std::string& bytes) {
-    arrived[index]->Bytes(bytes);
+  void SendBytes(std::size_t index, const std::string& bytes) {
+    received_calls[index]->Bytes(bytes);
     world.RunFor(milliseconds(5));
   }
 
-  static HttpHeaders Echo(const std::string& id) { return {{"X-Call-Id", id}, {"Stamp", "s"}}; }
+  static HttpHeaders EchoHeaders(const std::string& id) {
+    return {{"X-Call-Id", id}, {"Stamp", "s"}};
+  }
   static std::string Event(int id) {
     return "id: " + std::to_string(id) + "\ndata: d" + std::to_string(id) + "\n\n";
   }
 
-  std::vector<ExchangePtr> arrived;
-  std::vector<std::string> arrived_at;  ///< Replica ids.
+  std::vector<ExchangePtr> received_calls;
+  std::vector<std::string> receiving_replicas;  ///< Replica ids.
   std::unique_ptr<CallContext> context;
   std::unique_ptr<ForwardingService> service;
 };
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -23,11 +23,11 @@
 struct FakeReplica {
   proto::Replica entry;
   std::uint32_t running = 0;
-  std::uint32_t most_running = 0;
-  std::uint32_t report_running = 0;         ///< Calls of others that it reports.
-  std::vector<std::string> received;        ///< Ids of received calls, in order.
-  std::vector<proto::CallRequest> ran;      ///< Requests that it may have carried out.
-  std::vector<std::uint32_t> running_then;  ///< Calls running when each was received.
+  std::uint32_t max_running = 0;
+  std::uint32_t external_running = 0;             ///< Calls of others that it reports.
+  std::vector<std::string> received;              ///< Ids of received calls, in order.
+  std::vector<proto::CallRequest> executed;       ///< Requests that it may have carried out.
+  std::vector<std::uint32_t> running_at_arrival;  ///< Calls running when each was received.
   std::uint32_t probes = 0;
   Duration work_time = milliseconds(50);
   enum class Mode : std::uint8_t {
@@ -147,11 +147,11 @@
 
   /// Builds the data plane and lets it learn the list and probe everyone.
   void Start(Duration settle = seconds(1)) {
-    first = &AddPlane();
-    pool = first->pool.get();
-    queue = first->queue.get();
-    live = first->live.get();
-    batch = first->batch.get();
+    first_plane = &AddPlane();
+    pool = first_plane->pool.get();
+    queue = first_plane->queue.get();
+    live = first_plane->live.get();
+    batch = first_plane->batch.get();
     world.RunFor(settle);
   }
   /// One more gateway before the same replicas.
@@ -163,29 +163,29 @@
   /// Starts before replicas that are at work already, hence warm.
   void StartWarm() {
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 1;
+      replica.external_running = 1;
     }
     Start();
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 0;
+      replica.external_running = 0;
     }
     world.RunFor(seconds(2));
   }
   /// Has every replica seen at work by others for longer than slow start takes.
   void WarmUp() {
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 1;
+      replica.external_running = 1;
     }
     world.RunFor(options.health.slow_start_time + seconds(3));
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 0;
+      replica.external_running = 0;
     }
     world.RunFor(seconds(2));
   }
 
   std::shared_ptr<FakeResponder> Call(const std::string& route, const std::string& body = "{}",
                                       HttpHeaders headers = {}) {
-    return first->router.Post("/v1/call/" + route, body, std::move(headers));
+    return first_plane->router.Post("/v1/call/" + route, body, std::move(headers));
   }
   static proto::CallError ErrorIn(const FakeResponder& responder) {
     proto::ErrorBody body;
@@ -204,7 +204,7 @@
   Duration list_delay{};                               ///< How long the platform takes to answer.
   std::function<void(const FakeReplica&)> on_arrival;  ///< A call has reached a replica.
   std::vector<std::unique_ptr<GatewayPlane>> planes;
-  GatewayPlane* first = nullptr;
+  GatewayPlane* first_plane = nullptr;
   ReplicaPool* pool = nullptr;  ///< Of the first plane, as the next three.
   CallQueue* queue = nullptr;
   LiveCallHandler* live = nullptr;
@@ -212,10 +212,10 @@
 
  private:
   void ServeList(const ExchangePtr& exchange) {
-    environment->ScheduleAfter(list_delay, [this, exchange] { AnswerList(exchange); });
+    environment->ScheduleAfter(list_delay, [this, exchange] { RespondWithList(exchange); });
   }
 
-  void AnswerList(const ExchangePtr& exchange) {
+  void RespondWithList(const ExchangePtr& exchange) {
     const std::string etag = "\"" + std::to_string(list_version) + "\"";
     if (!list_readable) {
       exchange->Answer({500, {}, "broken"});
@@ -234,8 +234,8 @@
   }
 
   HttpHeaders LoadHeaders(const FakeReplica& replica) const {
-    return {{"x-cloverbank-load", std::to_string(replica.running + replica.report_running) + "/0/" +
-                                      std::to_string(replica.entry.capacity())}};
+    return {{"x-cloverbank-load", std::to_string(replica.running + replica.external_running) +
+                                      "/0/" + std::to_string(replica.entry.capacity())}};
   }
 
   void Serve(FakeReplica& replica, const ExchangePtr& exchange) {
@@ -245,11 +245,11 @@
     if (!probe) {
       EXPECT_TRUE(FromJson(exchange->request.body, &request, UnknownFields::kIgnore).ok());
       replica.received.push_back(request.call_id());
-      replica.running_then.push_back(replica.running);
+      replica.running_at_arrival.push_back(replica.running);
       replica.exchanges.push_back(exchange);
       const bool full = replica.running >= replica.entry.capacity();
       if (replica.mode != FakeReplica::Mode::kRefuse && !full) {
-        replica.ran.push_back(request);
+        replica.executed.push_back(request);
       }
       if (on_arrival) {
         on_arrival(replica);
@@ -271,17 +271,17 @@
     if (probe) {
       exchange->Answer({200, LoadHeaders(replica), "{}"});
     } else if (replica.mode == FakeReplica::Mode::kServe) {
-      Work(replica, exchange, replica.received.back());
+      RunCall(replica, exchange, replica.received.back());
     }
   }
 
-  void Work(FakeReplica& replica, const ExchangePtr& exchange, const std::string& call_id) {
+  void RunCall(FakeReplica& replica, const ExchangePtr& exchange, const std::string& call_id) {
     if (replica.running >= replica.entry.capacity()) {
       exchange->Answer({429, LoadHeaders(replica), ""});
       return;
     }
     ++replica.running;
-    replica.most_running = std::max(replica.most_running, replica.running);
+    replica.max_running = std::max(replica.max_running, replica.running);
     environment->ScheduleAfter(replica.work_time, [this, &replica, exchange, call_id] {
       const HttpHeaders load = LoadHeaders(replica);
       --replica.running;
--- a/tests/gateway/gateway_service_test.cc
+++ b/tests/gateway/gateway_service_test.cc
@@ -61,7 +61,7 @@
         exchange->Answer({200, {{"x-cloverbank-load", "1/0/8"}}, ""});
         return;
       }
-      ++carried_out_;
+      ++executed_calls_;
       const std::string call_id(FindHeader(exchange->request.headers, "X-Call-Id"));
       exchange->Answer({200, {}, R"({"call_id":")" + call_id + R"(","text":"open"})"});
     };
@@ -83,11 +83,11 @@
     world_.RunFor(milliseconds(500));
     return caller->status;
   }
-  std::string WhyNot() const {
-    std::string why;
-    const bool ready = service_->Ready(&why);
-    EXPECT_EQ(ready, why.empty());
-    return why;
+  std::string ReasonNotReady() const {
+    std::string reason;
+    const bool ready = service_->Ready(&reason);
+    EXPECT_EQ(ready, reason.empty());
+    return reason;
   }
 
   SimulatedWorld world_{3};
@@ -97,21 +97,21 @@
   FakeRouter router_;
   std::unique_ptr<NodeAgent> agent_;
   std::unique_ptr<GatewayService> service_;
-  int carried_out_ = 0;
+  int executed_calls_ = 0;
 };
 
 TEST_F(GatewayServiceTest, ServesOnlyWithALease) {
   world_.RunFor(seconds(1));
-  EXPECT_EQ(WhyNot(), "");
+  EXPECT_EQ(ReasonNotReady(), "");
   EXPECT_EQ(Call(), 200);
   world_.Isolate("c1");
   world_.RunFor(seconds(4));
-  EXPECT_EQ(WhyNot(), "no lease from the coordinators");
+  EXPECT_EQ(ReasonNotReady(), "no lease from the coordinators");
   EXPECT_EQ(Call(), 503);
   world_.HealAll();
   world_.RunFor(seconds(2));
   EXPECT_EQ(Call(), 200);
-  EXPECT_EQ(carried_out_, 2);
+  EXPECT_EQ(executed_calls_, 2);
 }
 
 TEST_F(GatewayServiceTest, AppliesADrainedZoneAtTheNextHeartbeat) {
@@ -121,7 +121,7 @@
   world_.RunFor(milliseconds(100));
   EXPECT_EQ(agent_->configuration().version(), 3U);
   EXPECT_EQ(Call(), 503);
-  EXPECT_EQ(carried_out_, 1);
+  EXPECT_EQ(executed_calls_, 1);
 }
 
 TEST_F(GatewayServiceTest, HasNoPermissionAfterAFreeze) {
@@ -133,7 +133,7 @@
   EXPECT_EQ(caller->status, 503);  // Refused before anything of the wake-up could run.
   world_.machine("g").Wake();
   world_.RunFor(seconds(2));
-  EXPECT_EQ(carried_out_, 1);
+  EXPECT_EQ(executed_calls_, 1);
   EXPECT_EQ(Call(), 200);
 }
 
@@ -141,12 +141,12 @@
   world_.RunFor(seconds(1));
   ASSERT_EQ(Call(), 200);
   client_->connect_time = milliseconds(50);
-  const auto under_way = router_.Post("/v1/call/unlock", "{}");
+  const auto running = router_.Post("/v1/call/unlock", "{}");
   service_->Drain();
-  EXPECT_EQ(WhyNot(), "the gateway is stopping");
+  EXPECT_EQ(ReasonNotReady(), "the gateway is stopping");
   EXPECT_FALSE(service_->Drained());
   EXPECT_EQ(Call(), 503);
-  EXPECT_EQ(under_way->status, 200);
+  EXPECT_EQ(running->status, 200);
   EXPECT_TRUE(service_->Drained());
 }
 
--- a/tests/gateway/operator_api_test.cc
+++ b/tests/gateway/operator_api_test.cc
@@ -33,9 +33,9 @@
     options.coordinators = AddFakeCoordinators(world, control);
     world.AddMachine("g", "10.0.0.1")
         .SetProgram([this, options](Environment& environment, DataFolder&) {
-          auto made = std::make_shared<OperatorGateway>(environment, options);
-          gateway = made.get();
-          return made;
+          auto created = std::make_shared<OperatorGateway>(environment, options);
+          gateway = created.get();
+          return created;
         });
     world.machine("g").Start();
     world.RunUntil([this] { return gateway->agent.HasValidLease(); }, seconds(5));
--- a/tests/gateway/response_timing_test.cc
+++ b/tests/gateway/response_timing_test.cc
@@ -13,7 +13,7 @@
   timing.OnEvent(kStart + milliseconds(300));
   timing.OnEvent(kStart + milliseconds(500));
   EXPECT_EQ(timing.lateness(), Lateness::kNone);
-  EXPECT_EQ(timing.first_after(), milliseconds(300));
+  EXPECT_EQ(timing.first_response_delay(), milliseconds(300));
   EXPECT_EQ(timing.events(), 2U);
 }
 
@@ -24,7 +24,7 @@
   timing.OnEvent(kStart + milliseconds(400));
   EXPECT_EQ(timing.lateness(), Lateness::kPause);
   EXPECT_EQ(timing.longest_pause(), milliseconds(201));
-  EXPECT_EQ(timing.longest_pause_from(), milliseconds(100));
+  EXPECT_EQ(timing.longest_pause_start(), milliseconds(100));
 }
 
 TEST(ResponseTimingTest, PrefersALateFirstEventToALatePause) {
