--- a/src/gateway/admission_response.h
+++ b/src/gateway/admission_response.h
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// How a refusal of `AdmissionControl` looks to a client. Pure.
+/// Maps refusals of `AdmissionControl` to HTTP statuses. Pure.
 
 #include "admission/admission_control.h"
 #include "net/http_status.h"
 
 namespace cloverbank {
 
-/// @return 429 where the tenant is over its own limit, else 503.
+/// @return 429 if the tenant exceeds its own rate limit, else 503.
 inline int HttpStatusForRefusal(Refusal refusal) {
   return refusal == Refusal::kTenantRate ? kHttpTooManyRequests : kHttpUnavailable;
 }
--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -13,13 +13,14 @@
 namespace {
 
 constexpr Duration kReadDeadline = seconds(5);
-/// Longer than most recoveries of a queue node.
+/// Longer than most recoveries of a queue node, so that most changes outlast one.
 constexpr Duration kChangeDeadline = seconds(10);
 constexpr Duration kRetryAfter = seconds(1);
 constexpr LimitRange kPageSizeRange = {.default_limit = 100, .maximum = 1000};
 constexpr std::size_t kBatchIdSegment = 2;  // /v1/batches/{id}
 
-/// Sets a field from the header that may be sent instead. @return kInvalidArgument if they differ.
+/// Sets `value`, the content of `field`, from the header that may be sent instead of the field.
+/// @return kInvalidArgument if both were sent and differ.
 Status MergeHeader(const HttpRequest& request, std::string_view header, const std::string& field,
                    std::string* value) {
   const std::string_view header_value = FindHeader(request.headers, header);
@@ -68,12 +69,13 @@
   SendError(responder, 422, error);
 }
 
-/// Reads change nothing, so their failures always say "not run".
+/// A read changes nothing, so its failure is always reported as not executed.
 void SendReadFailure(HttpResponder& responder, const Status& status) {
   SendStatus(responder, ToReadFailure(status), proto::EXECUTED_NO);
 }
 
-/// @param advice what the client should do if the outcome is unknown.
+/// Sends the failure of a submission or cancellation.
+/// @param advice what the client should do if the outcome is unknown; appended to the message.
 void SendChangeFailure(HttpResponder& responder, const Status& status, const std::string& advice) {
   const int http_status = HttpStatusFor(status.code());
   const bool refused = http_status < 500 || status.code() == StatusCode::kUnavailable;
@@ -89,7 +91,7 @@
   SendError(responder, http_status, error);
 }
 
-/// @return a handler that sends the part `body` of a read's response.
+/// @return a handler that sends the field `body` of a read's response, or the read's failure.
 template <typename Response, typename Body>
 auto RespondToRead(const std::shared_ptr<HttpResponder>& responder,
                    const Body& (Response::*body)() const) {
--- a/src/gateway/batch_api.h
+++ b/src/gateway/batch_api.h
@@ -1,13 +1,13 @@
 #pragma once
 /// @file
-/// Adapter: the batch clients' HTTP interface (docs/API.md). Any gateway serves it by calling the
-/// owner of the tenant's partition.
+/// Adapter: the HTTP interface for batch clients (docs/API.md). Any gateway serves it by calling
+/// the queue node that owns the partition of the tenant or of the batch.
 ///
-///     POST /v1/batches                 submits a batch: 201, or 200 if it was accepted before
-///     GET  /v1/batches                 a tenant's batches in order of acceptance
-///     GET  /v1/batches/{id}            one batch
-///     GET  /v1/batches/{id}/results    its results in order of completion
-///     POST /v1/batches/{id}/cancel     starts nothing more of it
+///     POST /v1/batches                 submits a batch: 201, or 200 if it was already accepted
+///     GET  /v1/batches                 lists a tenant's batches in order of acceptance
+///     GET  /v1/batches/{id}            returns the status of one batch
+///     GET  /v1/batches/{id}/results    lists its results in order of completion
+///     POST /v1/batches/{id}/cancel     cancels it: no further item is started
 ///
 /// Threads: the owner's event loop only.
 
@@ -25,7 +25,8 @@
 
 class BatchApi {
  public:
-  /// Registers the handlers. `router` must not serve any more once this or `agent` is gone.
+  /// Registers the handlers. `router` must not call them after this object or `agent` is
+  /// destroyed.
   BatchApi(Environment& environment, HttpRouter& router, NodeAgent& agent);
 
  private:
@@ -37,9 +38,11 @@
   void ListResults(const HttpRequest& request, const Responder& responder);
   void Cancel(const HttpRequest& request, const Responder& responder);
 
-  /// @return whether this gateway has a lease and knows the partitions; else an error was sent.
+  /// @return whether this gateway has a valid lease and knows the number of partitions; if not, an
+  /// error was sent.
   bool CheckServing(HttpResponder& responder);
-  /// @return whether the path's batch id names a partition; else an error was sent.
+  /// Checks serving, and reads the batch id of the path and the partition that it names.
+  /// @return false if an error was sent instead.
   bool ParseBatchId(const HttpRequest& request, HttpResponder& responder, std::string* batch_id,
                     PartitionId* partition);
 
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -13,9 +13,9 @@
 
 /// What a reply means for the call.
 enum class ReplyOutcome : std::uint8_t {
-  kFinal,  ///< The owner's reply.
-  kNotCarriedOut,
-  kMaybeCarriedOut,
+  kFinal,            ///< The owner's result, which ends the call.
+  kNotCarriedOut,    ///< Not executed; the call is retried.
+  kMaybeCarriedOut,  ///< Possibly executed; the call is retried.
 };
 
 ReplyOutcome ClassifyReply(const Status& status) {
@@ -84,7 +84,7 @@
 
 void BatchOwnerCall::SendTo(const proto::Server& server) {
   outcome_unknown_ =
-      outcome_unknown_ || current_node_.valid();  // The earlier node may still carry it out.
+      outcome_unknown_ || current_node_.valid();  // The earlier node may still execute it.
   current_node_ = NodeId(server.node_id());
   ++attempt_;
   const Endpoint endpoint{server.peer_endpoint().host(),
@@ -100,7 +100,7 @@
 void BatchOwnerCall::HandleReply(std::uint64_t attempt, PeerReply reply) {
   const ReplyOutcome outcome = ClassifyReply(reply.status);
   const bool current = attempt == attempt_;
-  // A late success of an earlier owner counts; its refusals do not.
+  // A late success of an earlier owner ends the call; its failures are ignored.
   if (reply.status.ok() || (outcome == ReplyOutcome::kFinal && current)) {
     Finish(std::move(reply));
     return;
--- a/src/gateway/batch_owner_call.h
+++ b/src/gateway/batch_owner_call.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// One call to the owner of a batch partition: waits while the partition has none, and repeats the
-/// call at a new owner. Only for idempotent methods. Threads: the owner's event loop only.
+/// One call to the queue node that owns a batch partition: waits while the partition has no owner,
+/// and repeats the call when the owner changes. Only for idempotent methods. Threads: the owner's
+/// event loop only.
 
 #include <functional>
 #include <memory>
@@ -16,17 +17,17 @@
 namespace cloverbank {
 
 struct OwnerCallOptions {
-  std::string method;
-  std::string body;
+  std::string method;  ///< Peer method, for example "queue.SubmitBatch".
+  std::string body;    ///< Serialized request.
   PartitionId partition;
-  Duration deadline{};
+  Duration deadline{};  ///< Time for the whole call, retries included, from its start.
 };
 
 class BatchOwnerCall : public std::enable_shared_from_this<BatchOwnerCall> {
  public:
-  /// Starts a call that keeps itself alive until `done` has run; `done` does not run once `owner`
-  /// is gone. At the deadline the status is kUnavailable if no owner can have carried it out, else
-  /// kUnknownOutcome.
+  /// Starts a call that keeps itself alive until it ends. `done` runs once, with the owner's reply,
+  /// or at the deadline with kUnavailable if no owner can have executed the call, else with
+  /// kUnknownOutcome. It never runs after `caller` has expired.
   static void Start(Environment& environment, NodeAgent& agent, std::weak_ptr<void> caller,
                     OwnerCallOptions options, PeerReplyCallback done);
 
@@ -45,10 +46,10 @@
   OwnerCallOptions options_;
   PeerReplyCallback done_;
   TimePoint deadline_;
-  TimePoint retry_at_;
-  NodeId current_node_;        ///< The node that is being called; invalid if none.
-  std::uint64_t attempt_ = 0;  ///< Number of the current one; of earlier ones only success counts.
-  bool outcome_unknown_ = false;
+  TimePoint retry_at_;            ///< No attempt after a failed one is sent before this time.
+  NodeId current_node_;           ///< The node whose reply is pending; invalid if none.
+  std::uint64_t attempt_ = 0;     ///< Number of the current attempt; older ones only count if OK.
+  bool outcome_unknown_ = false;  ///< An earlier attempt may have been executed.
   Status last_failure_;
 };
 
--- a/src/gateway/batch_owner_client.h
+++ b/src/gateway/batch_owner_client.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Typed calls to the owners of batch partitions, for one service. Threads: the owner's event loop
-/// only.
+/// Calls to the owners of batch partitions with typed requests and responses. Threads: the owner's
+/// event loop only.
 
 #include <functional>
 #include <memory>
@@ -15,12 +15,13 @@
 
 class BatchOwnerClient {
  public:
-  /// @param malformed what a response that can not be parsed is reported as.
+  /// @param malformed the status reported for a response that cannot be parsed.
   BatchOwnerClient(Environment& environment, NodeAgent& agent, Status malformed)
       : environment_(environment), agent_(agent), malformed_(std::move(malformed)) {}
 
-  /// Calls `method` at the owner of the partition that `request` names. `done` does not run once
-  /// the client is gone.
+  /// Calls `method` at the owner of the partition that `request` names. `done` runs once, unless
+  /// this client is destroyed before; see `BatchOwnerCall::Start` for the errors.
+  /// @param deadline time for the whole call, retries included, from now.
   template <typename Response, typename Request>
   void Call(std::string_view method, const Request& request, Duration deadline,
             std::function<void(Result<Response>)> done) const {
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -10,17 +10,17 @@
 
 constexpr Duration kReadDeadline = milliseconds(900);
 constexpr Duration kChangeDeadline = milliseconds(2500);
-/// Part of a route's target time that a submission may wait for capacity.
+/// Fraction of a route's target time that a submission may wait for capacity.
 constexpr double kSubmissionWaitRatio = 0.5;
 constexpr std::uint32_t kMaximumPageSize = 1000;
 
-/// Cursor of a list of results; see queue/list_cursor.h.
+/// @return the cursor of a list of results that starts at `position`; see queue/list_cursor.h.
 std::string FormatCursor(std::uint64_t position) { return "p" + std::to_string(position); }
 
-/// The target of a submission, and its size.
+/// What is recorded about a submission: its route, its target and its size.
 struct SubmissionInfo {
   std::string route;
-  Duration target{};  ///< Until it is accepted; zero: none.
+  Duration target{};  ///< Time until it is accepted; zero: none.
   int items = 0;
   std::size_t bytes = 0;
 };
--- a/src/gateway/batch_service.h
+++ b/src/gateway/batch_service.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Batches of the HTTP routes: client-chosen ids, items that are forwarded unchanged, positions
-/// from 0. Any gateway serves them by calling the owner of the batch's partition. Batches of a host
-/// are spread over all partitions; the queue nodes enforce the limit of a route's open tokens
-/// together.
+/// Batches of the HTTP routes: the client chooses their ids, their items are forwarded unchanged,
+/// and positions of results count from 0. Any gateway serves them by calling the queue node that
+/// owns the batch's partition. Batches of a host are spread over all partitions; the queue nodes
+/// jointly enforce the limit of a route's open tokens.
 ///
 /// Threads: the owner's event loop only.
 
@@ -25,7 +25,7 @@
 /// A batch that a client submits.
 struct BatchSubmission {
   std::string host;
-  std::string batch_id;  ///< Chosen by the client; the same one again is the same batch.
+  std::string batch_id;  ///< Chosen by the client; a submission with the same id is the same batch.
   std::vector<proto::BatchItem> items;
 };
 
@@ -38,23 +38,25 @@
 
 /// Part of a batch's results, in order of completion.
 struct BatchResults {
-  std::uint64_t total = 0;  ///< Items of the batch.
-  std::uint64_t next = 0;   ///< Position after the last result here.
+  std::uint64_t total = 0;  ///< Number of items of the batch.
+  std::uint64_t next = 0;   ///< Position after the last result of this part.
   std::vector<BatchResult> results;
 };
 
 class BatchService {
  public:
+  /// Receives the result of a call, once, unless the service is destroyed before.
   template <typename Value>
   using Done = std::function<void(Result<Value>)>;
 
   BatchService(Environment& environment, NodeAgent& agent);
 
-  /// Submits a batch of `route`, which is accepted completely or not at all. Errors:
-  /// kResourceExhausted: too many open tokens; kUnavailable: not accepted; kUnknownOutcome: may be
-  /// accepted; kInvalidArgument, kConflict.
+  /// Submits a batch to `route`; the queue node accepts it completely or not at all. Errors:
+  /// kResourceExhausted: too many open tokens; kUnavailable: not accepted; kUnknownOutcome: may
+  /// have been accepted; kInvalidArgument and kConflict: the queue node refused it.
   void Submit(const proto::Route& route, BatchSubmission submission, Done<proto::BatchStatus> done);
-  /// Reads results from `position` (from 0) on. kNotFound only if there certainly is no such batch.
+  /// Reads results from `position` (counted from 0) on. kNotFound only if there certainly is no
+  /// such batch.
   void Read(const std::string& host, const std::string& batch_id, std::uint64_t position,
             Done<BatchResults> done);
   /// Reads an item that has no result yet.
@@ -64,7 +66,8 @@
   void End(const std::string& host, const std::string& batch_id, Done<proto::BatchStatus> done);
 
  private:
-  /// Whether this gateway has a lease and knows the partitions.
+  /// @return OK if this gateway has a valid lease and knows the number of partitions, else
+  /// kUnavailable.
   Status CheckServing() const;
   std::uint64_t FindPartition(std::string_view host, std::string_view batch_id) const;
 
--- a/src/gateway/client_call.h
+++ b/src/gateway/client_call.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// What live calls of both HTTP interfaces have in common: runs the call, writes a stream to the
-/// client under back-pressure, ends the call when the client disconnects, and counts its outcome.
-/// Threads: the owner's event loop only.
+/// Base class of the live calls of both HTTP interfaces: runs the call, writes a stream to the
+/// client with back-pressure, reports when the client disconnects, and records the outcome in
+/// metrics. Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -15,7 +15,7 @@
 
 class ClientCall : public std::enable_shared_from_this<ClientCall> {
  public:
-  /// Runs once, after the response was sent or the client disconnected.
+  /// Runs once, when `Finish` is called: after the response was sent or the client disconnected.
   using FinishedHandler = std::function<void()>;
 
   ClientCall(const ClientCall&) = delete;
@@ -26,20 +26,23 @@
              FinishedHandler on_finished);
   virtual ~ClientCall() = default;
 
-  /// The call ended; its client may have disconnected before.
+  /// Runs when the call has ended; its client may have disconnected before.
   virtual void OnDone(const CallResult& result) = 0;
-  /// The client disconnected while the call was running. Runs at most once.
+  /// Runs when the client disconnects while the call is running, at most once.
   virtual void OnClientDisconnected() = 0;
 
   /// Starts the call.
   void Run(CallSpec spec);
-  /// Cancels the call. @return whether it may have run.
+  /// Cancels the call. @return whether it was executed, as far as is known.
   proto::Executed CancelRunner() { return runner_->Cancel(); }
+  /// Sends the head of a streamed response, and records the time since the call began.
   void StartStream(int status, HttpHeaders headers);
-  /// @param more runs when the client's socket has taken `bytes`, so that the replica is read no
-  /// faster than the client reads.
+  /// @param more runs when the client's socket has taken `bytes`, so that the gateway reads from
+  /// the replica no faster than the client reads. Does not run if the client has disconnected.
   void WriteChunk(std::string bytes, std::function<void()> more);
+  /// Records the outcome and the duration of the call in metrics.
   void RecordOutcome(const std::string& outcome);
+  /// Releases the runner and runs the `FinishedHandler`, which may destroy this object.
   void Finish();
 
   HttpResponder& responder() { return *responder_; }
--- a/src/gateway/configuration_wait_queue.h
+++ b/src/gateway/configuration_wait_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Calls that were received before this gateway had a configuration or a lease wait here for a
-/// short time. Threads: the owner's event loop only.
+/// Holds, for a short time, calls that were received while this gateway had no configuration or no
+/// valid lease. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 class ConfigurationWaitQueue {
  public:
   using Responder = std::shared_ptr<HttpResponder>;
-  /// The wait of a call ended without a configuration: the client must get a response now.
+  /// Runs when a call has waited for its longest time; must respond to the client.
   using TimeoutHandler = std::function<void(HttpResponder&)>;
 
   ConfigurationWaitQueue(Environment& environment, TimeoutHandler on_timeout);
@@ -30,19 +30,20 @@
     std::uint64_t number = 0;
     IncomingCall call;
     Responder responder;
-    TimePoint deadline;  ///< Of the client.
+    TimePoint deadline;  ///< When the client's timeout ends.
     TimerId timer = 0;
   };
 
+  /// Queues a call. It leaves the queue if its client disconnects.
   /// @param wait longest time in the queue. @param timeout how long the client waits in all.
   void Add(IncomingCall call, const Responder& responder, Duration wait, Duration timeout);
-  /// @return all calls in order of arrival; they wait no longer.
+  /// Empties the queue. @return all its calls in order of arrival.
   std::list<Entry> TakeAll();
   std::size_t size() const { return entries_.size(); }
 
  private:
   void HandleTimeout(std::uint64_t number);
-  /// @return the responder of a call that still waited, or nullptr.
+  /// @return the responder of the removed call, or nullptr if the call is not in the queue.
   Responder Remove(std::uint64_t number);
 
   Environment& environment_;
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -89,8 +89,8 @@
     return;
   }
   if (route->accepts_batches()) {
-    // Received before the configuration that shows it is a batch: it must not be forwarded as a
-    // call.
+    // The request was received before the configuration by which it is a batch; it must not be
+    // forwarded as a call.
     Refuse(*responder, kHttpUnavailable, "batch_route",
            "this route takes batches; hand the batch in again", kBatchRetryAfter);
     return;
--- a/src/gateway/forwarding_service.h
+++ b/src/gateway/forwarding_service.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Live calls of the HTTP routes: finds the route of a request by host and path, admits it, and
-/// runs it by a `CallRunner`. The platform's client interface parses requests to typed calls.
+/// Live calls of the HTTP routes: finds the route of a request by host and path, admits the call,
+/// and runs it with a `CallRunner`. The platform's client interface parses the requests.
 ///
 /// Threads: the owner's event loop only.
 
@@ -28,10 +28,12 @@
   ForwardingService(const ForwardingService&) = delete;
   ForwardingService& operator=(const ForwardingService&) = delete;
 
-  /// Responds with a replica's response, or with an error that says whether the request ran.
+  /// Runs a call, and responds with a replica's response or with an error that says whether the
+  /// request was executed. A call that arrives without a configuration or a valid lease waits for
+  /// them for a short time.
   void Handle(IncomingCall call, const std::shared_ptr<HttpResponder>& responder);
 
-  /// A configuration applies: calls that waited for it are admitted.
+  /// Runs when a new configuration is in use: admits the calls that waited for one.
   void OnConfiguration();
 
   /// @return the route of `host` and `path`, or nullptr.
@@ -42,12 +44,15 @@
  private:
   using Responder = std::shared_ptr<HttpResponder>;
 
+  /// Whether this gateway has a labelled configuration and may serve by it.
   bool CanServe() const;
   void WaitForConfiguration(IncomingCall call, const Responder& responder);
   void RefuseWithoutConfiguration(HttpResponder& responder);
   void Admit(IncomingCall call, const Responder& responder);
   void StartCall(IncomingCall call, const Responder& responder, const proto::Route& route);
   CallSpec MakeSpec(const proto::Route& route, const IncomingCall& call) const;
+  /// Sends an error of a request that was not executed. @param retry_after zero: the default of
+  /// `SendRefusal`.
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
   void OnCallFinished(std::uint64_t number, const std::string& route);
--- a/src/gateway/gateway_service.cc
+++ b/src/gateway/gateway_service.cc
@@ -22,14 +22,16 @@
 
 constexpr Duration kCleanupInterval = seconds(10);
 
-/// The node agent's lease and configuration.
+/// Permission by the node agent's lease and configuration. It lasts for `serve_without_control`
+/// after the end of the last lease.
 class AgentServingPermission final : public ServingPermission {
  public:
   AgentServingPermission(const Environment& environment, const NodeAgent& agent,
                          Duration serve_without_control)
       : environment_(environment), agent_(agent), serve_without_control_(serve_without_control) {}
   bool IsValid() const override {
-    // An id that was fenced leaves no lease behind; its end counts all the same.
+    // When the coordinators fence this node's id the agent drops its lease, but the time without
+    // control still counts from the end of that lease.
     last_lease_end_ = std::max(last_lease_end_, agent_.lease_end());
     return agent_.HasValidLease() || environment_.Now() < last_lease_end_ + serve_without_control_;
   }
@@ -44,7 +46,8 @@
   mutable TimePoint last_lease_end_{};
 };
 
-/// @return the options with a list reader that asks other gateways first, if that is wanted.
+/// @return the options, with a list reader that asks other gateways before the platform if
+/// `replica_list.shared` is set.
 GatewayOptions EnableListSharing(Environment& environment, NodeAgent& agent,
                                  GatewayOptions options) {
   if (!options.replica_list.shared) {
@@ -124,7 +127,8 @@
   StatusApi status_api;
   TimerId cleanup_timer = 0;
   bool draining = false;
-  /// Observers of the agent outlive this service; they act only while it lives.
+  /// Expires with this service, since the agent keeps this service's observers for longer; they do
+  /// nothing after that.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
--- a/src/gateway/gateway_service.h
+++ b/src/gateway/gateway_service.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The gateway of one process: ties the data plane and the batch worker to the node agent and
-/// registers everything it serves (live calls, batches, operators, status). Threads: the owner's
+/// The gateway of one process: connects the data plane and the batch worker to the node agent, and
+/// registers the HTTP interfaces (live calls, batches, operators, status). Threads: the owner's
 /// event loop only.
 
 #include <memory>
@@ -20,28 +20,29 @@
 
 class GatewayService {
  public:
-  /// @param router must not serve any more once this is gone.
+  /// @param router must not call the registered handlers after this object is destroyed.
   GatewayService(Environment& environment, HttpClient& client, HttpRouter& router, NodeAgent& agent,
                  GatewayOptions options);
   ~GatewayService();
   GatewayService(const GatewayService&) = delete;
   GatewayService& operator=(const GatewayService&) = delete;
 
-  /// Begins to read the list of replicas, to probe them and to ask for batch work.
+  /// Starts to read the list of replicas, to probe them and to request batch work.
   void Start();
-  /// Refuses new calls and batch items; those under way go on. For a clean stop.
+  /// Refuses new calls and batch items while running ones continue, for a graceful stop.
   void Drain();
-  /// @return whether everything that was under way when `Drain` came has ended and is reported.
+  /// @return whether `Drain` was called and every call and batch item has ended, with the results
+  /// of the items reported.
   bool Drained() const;
   /// @return whether live calls are served now; if not, `reason` (may be null) says what is
   /// missing.
   bool Ready(std::string* reason) const;
-  /// Live calls that were admitted and have not ended.
+  /// @return the number of live calls that were admitted and have not ended.
   std::size_t calls_in_flight() const;
   BackendCaller& backend_caller();
-  /// Live calls of the HTTP routes, for front interfaces.
+  /// Live calls of the HTTP routes, for the platform's client interface.
   ForwardingService& forwarding();
-  /// Batches of the HTTP routes, for front interfaces.
+  /// Batches of the HTTP routes, for the platform's client interface.
   BatchService& batches();
 
  private:
--- a/src/gateway/incoming_call.h
+++ b/src/gateway/incoming_call.h
@@ -22,7 +22,7 @@
   PromptShape prompt;
   std::optional<Duration> timeout;  ///< The client's timeout; unset: unknown.
   proto::ForwardedRequest request;
-  /// Runs instead of the call if its route accepts batches; unset: the call is refused.
+  /// Runs instead of the call if its route accepts batches; if unset, such a call is refused.
   std::function<void(const proto::Route&)> on_batch_route;
 };
 
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -24,7 +24,7 @@
   responder.Send(std::move(response));
 }
 
-/// Sends a complete response as a stream of one text chunk and the last one.
+/// Sends a complete response as a stream of two chunks: the text and the end.
 void SendAsStream(HttpResponder& responder, const proto::CallAnswer& answer) {
   proto::StreamChunk text;
   text.set_run_id(answer.run_id());
@@ -136,7 +136,7 @@
 }
 
 void LiveCall::FinishStream(const CallResult& result) {
-  if (!stream_started()) {  // A service's complete response to a request for a stream.
+  if (!stream_started()) {  // A service sent a complete response instead of a stream.
     SendAsStream(responder(), response_);
     return;
   }
@@ -153,7 +153,7 @@
 
 void LiveCall::OnClientDisconnected() {
   if (!options_.idempotency_key.empty() && !options_.stream) {
-    return;  // The client may request the response under the same key.
+    return;  // The client may ask again for the response with the same key.
   }
   const proto::Executed executed = CancelRunner();
   CallResult disconnected;
--- a/src/gateway/live_call.h
+++ b/src/gateway/live_call.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A live call of the JSON interface: responds with one body or a stream of lines. Threads: the
-/// owner's event loop only.
+/// A live call of the JSON interface: responds with one JSON body or with a stream of JSON lines.
+/// Threads: the owner's event loop only.
 
 #include <functional>
 #include <memory>
@@ -15,22 +15,23 @@
 
 namespace cloverbank {
 
-/// Sends the cached response of a request, or of one that was joined.
+/// Sends a cached response: of a repeated request, or of a running one that this request joined.
+/// @param stream whether the request asked for a stream.
 void SendCached(HttpResponder& responder, const CachedResponse& cached, bool stream);
-/// @return the cache entry of a finished call. @param answer of a call that succeeded.
+/// @return the cache entry of a finished call. @param answer its response, if it succeeded.
 CachedResponse ToCachedResponse(const CallResult& result, const proto::CallAnswer& answer);
 
 class LiveCall final : public ClientCall {
  public:
   struct Options {
     bool stream = false;
-    std::string idempotency_key;  ///< Complete cache key; empty: none.
+    std::string idempotency_key;  ///< Key in the idempotency cache; empty: none.
   };
 
   LiveCall(const CallContext& context, std::shared_ptr<HttpResponder> responder, Options options,
            IdempotencyCache& cache, FinishedHandler on_finished);
 
-  /// @param spec lacks its exchange, which is made of `body`.
+  /// Starts the call. @param spec without its exchange, which is made from `body`.
   void Start(CallSpec spec, proto::CallRequest body);
 
  private:
@@ -47,12 +48,12 @@
   Options options_;
   IdempotencyCache& idempotency_cache_;
   std::shared_ptr<JsonExchange> exchange_;
-  proto::CallAnswer response_;  ///< Of a call that succeeded.
+  proto::CallAnswer response_;  ///< Set when the call succeeded.
   std::string call_id_;
   std::string run_id_;
   std::uint64_t next_sequence_ = 0;
-  proto::CallAnswer streamed_response_;  ///< Text that was sent, within the limit of the cache.
-  bool collecting_ = true;
+  proto::CallAnswer streamed_response_;  ///< Text streamed so far, for the cache.
+  bool collecting_ = true;               ///< False once the text exceeds the limit for the cache.
 };
 
 }  // namespace cloverbank
--- a/src/gateway/live_call_handler.h
+++ b/src/gateway/live_call_handler.h
@@ -42,7 +42,7 @@
   LiveCallHandler& operator=(const LiveCallHandler&) = delete;
 
   void Register(HttpRouter& router);
-  /// Refuses new calls from now on; running ones continue.
+  /// Refuses new calls from now on; running calls continue.
   void Drain() { draining_ = true; }
   std::size_t calls_in_flight() const { return calls_.size(); }
 
@@ -55,21 +55,27 @@
   };
 
   void Handle(const HttpRequest& request, const Responder& responder);
-  /// @return the route, or nullptr after the refusal was sent.
+  /// Checks that this gateway may serve now.
+  /// @return the route that the path names, or nullptr if a refusal was sent.
   const proto::Route* FindRouteOrRefuse(const HttpRequest& request, HttpResponder& responder);
-  /// @return what is wrong with the request apart from its body's content.
+  /// @return what is wrong with the size of the body or with a header; nothing if both are valid.
   std::optional<RequestProblem> FindProblem(const HttpRequest& request,
                                             const LiveCallHeaders& headers) const;
-  /// @return whether the call is a new one; else its response was sent, or will be.
+  /// Reserves a key in the idempotency cache for a new call.
+  /// @param fingerprint checksum of the body.
+  /// @return whether the call is new; if not, this function has sent a response, or the running
+  /// call with the same key will provide it.
   bool ReserveKey(const std::string& key, std::uint64_t fingerprint, bool stream,
                   const Responder& responder);
-  /// @param key reserved in the idempotency cache, or empty. @return false after the refusal was
-  /// sent.
+  /// @param key reserved in the idempotency cache, or empty.
+  /// @return false if a refusal was sent and the key was released.
   bool Admit(const proto::Route& route, std::string_view tenant_name, const std::string& key,
              HttpResponder& responder);
   CallSpec MakeSpec(const proto::Route& route, const LiveCallHeaders& headers) const;
   void StartCall(const Responder& responder, CallSpec spec, LiveCall::Options options,
                  proto::CallRequest body);
+  /// Sends an error of a request that was not executed.
+  /// @param retry_after sent with random variation; not sent if less than 1 ms.
   void Refuse(HttpResponder& responder, int http_status, const std::string& code,
               const std::string& message, Duration retry_after);
   std::string NewCallId();
@@ -79,7 +85,7 @@
   const GatewayOptions& options_;
   IdempotencyCache idempotency_cache_;
   std::unordered_map<std::string, std::shared_ptr<LiveCall>> calls_;  ///< By call id.
-  std::uint64_t call_id_prefix_;
+  std::uint64_t call_id_prefix_;  ///< Random, so that ids of different gateways differ.
   std::uint64_t next_call_number_ = 1;
   bool draining_ = false;
 };
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -12,11 +12,11 @@
 namespace {
 
 constexpr std::uint32_t kMillisecondsPerSecond = 1000;
-/// Retry-After of a request that did not run, unless the error has one.
+/// Retry-After of a request that was not executed, if the error does not set one.
 constexpr std::uint32_t kDefaultRetryAfterMs = 400;
 
-/// Statuses that tell the client that nothing ran: a replica's failure must not be forwarded as one
-/// of them.
+/// Whether `status` tells the client that the request was not executed. A replica's failure must
+/// not be forwarded with such a status.
 bool ImpliesNotRun(int status) {
   return status == kHttpRequestTimeout || status == kHttpMisdirected ||
          status == kHttpTooManyRequests || status == kHttpUnavailable;
@@ -89,7 +89,7 @@
 
 void LiveForward::SendFailure(const CallResult& result) {
   if (stream_started()) {
-    responder().Abort();  // Must not look complete.
+    responder().Abort();  // The truncated stream must not look complete.
     return;
   }
   const std::optional<HttpResponse>& failure = exchange_->failure();
--- a/src/gateway/live_forward.h
+++ b/src/gateway/live_forward.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A forwarded live call: responds with a replica's response as it is, or with an error. Threads:
+/// A forwarded live call: responds with a replica's unchanged response, or with an error. Threads:
 /// the owner's event loop only.
 
 #include <functional>
@@ -15,7 +15,8 @@
 
 namespace cloverbank {
 
-/// Sends an error body with Retry-After in seconds with fractions.
+/// Sends an error body. Retry-After, if it is sent, is in seconds with three decimals; 429 and 503
+/// have a default for it if the request was not executed.
 void SendRefusal(HttpResponder& responder, int http_status, const proto::CallError& error);
 
 class LiveForward final : public ClientCall, public ForwardSink {
@@ -24,7 +25,7 @@
               FinishedHandler on_finished)
       : ClientCall(context, std::move(responder), std::move(on_finished)) {}
 
-  /// @param spec lacks its exchange, which is made of `call`.
+  /// Starts the call. @param spec without its exchange, which is made from `call`.
   void Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names);
 
   // ForwardSink
@@ -38,11 +39,11 @@
   void OnClientDisconnected() override;
 
   void SendFailure(const CallResult& result);
-  /// Counts and logs a late response with its cause.
+  /// Counts and logs the response with the cause of its lateness, if it is late.
   void RecordLateness();
 
   std::shared_ptr<ForwardExchange> exchange_;
-  std::optional<ResponseTiming> timing_;  ///< From the start on.
+  std::optional<ResponseTiming> timing_;  ///< Set by `Start`.
 };
 
 }  // namespace cloverbank
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -10,7 +10,8 @@
 namespace cloverbank {
 namespace {
 
-/// Operators wait rather than retry at another gateway.
+/// Longer than the defaults, since clients of this interface wait instead of retrying at another
+/// gateway.
 constexpr OperatorTimeouts kTimeouts{.read = seconds(3), .order = seconds(10)};
 constexpr std::uint32_t kNoHistory = 0;
 constexpr std::uint32_t kDefaultHistoryLength = 50;
@@ -18,8 +19,8 @@
 constexpr std::uint32_t kResendAfterMs = 1000;
 constexpr std::size_t kMachineSegment = 2;  // /v1/stores/{machine}/retire
 
-/// The outcome of a transaction without a response is unknown; its operation id identifies it in a
-/// retry.
+/// Reports that the outcome of a transaction is unknown because no response to it was received. The
+/// operation id identifies the transaction when the client submits it again.
 void SendLostTransaction(HttpResponder& responder, const Status& status,
                          const std::string& operation_id) {
   proto::CallError error;
@@ -74,7 +75,7 @@
   }
 }
 
-/// Refusals that are certainly decided before any change.
+/// Whether `code` is a refusal that is certainly decided before any change is made.
 bool IsRefusal(StatusCode code) {
   return code == StatusCode::kInvalidArgument || code == StatusCode::kConflict ||
          code == StatusCode::kResourceExhausted;
@@ -108,7 +109,7 @@
           SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
           return;
         }
-        result->mutable_configuration();  // Present in the JSON even while there is none.
+        result->mutable_configuration();  // So that the JSON has the field even if it is empty.
         SendJson(*responder, 200, *result);
       });
 }
--- a/src/gateway/operator_api.h
+++ b/src/gateway/operator_api.h
@@ -1,12 +1,12 @@
 #pragma once
 /// @file
-/// Adapter: the operators' HTTP interface (docs/API.md). Any gateway serves it, even without a
-/// lease, by calling the coordinator leader.
+/// Adapter: the HTTP interface for operators (docs/API.md). Any gateway serves it, even without a
+/// valid lease, by calling the coordinator leader.
 ///
-///     GET  /v1/config                    configuration and the version in force
-///     GET  /v1/config/history?limit=N    newest transactions
-///     POST /v1/config/transactions       several changes under one expected version
-///     POST /v1/stores/{machine}/retire   drains a store machine; ?cancel=true stops that
+///     GET  /v1/config                    returns the configuration and the version in force
+///     GET  /v1/config/history?limit=N    lists the newest N transactions
+///     POST /v1/config/transactions       applies changes if the expected version is current
+///     POST /v1/stores/{machine}/retire   drains a store machine; ?cancel=true cancels that
 ///
 /// Threads: the owner's event loop only.
 
@@ -17,7 +17,8 @@
 
 class OperatorApi {
  public:
-  /// Registers the handlers. `router` must not serve any more once `agent` is gone.
+  /// Registers the handlers. `router` must not call them after this object or `agent` is
+  /// destroyed.
   OperatorApi(HttpRouter& router, NodeAgent& agent);
 
  private:
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -19,7 +19,7 @@
   return outcome;
 }
 
-/// The batch worker's handle of a running item, which continues if the handle is destroyed.
+/// The batch worker's handle of a running item. Destroying the handle does not cancel the item.
 class BatchItemCall final : public BackendCall {
  public:
   explicit BatchItemCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
@@ -92,7 +92,7 @@
         if (outcome->succeeded) {
           outcome->answer.set_text(collector->TakeText());
         } else if (outcome->executed == proto::EXECUTED_YES && !exchange->IsFailureLimitReached()) {
-          outcome->executed = proto::EXECUTED_UNKNOWN;  // Attempts are left.
+          outcome->executed = proto::EXECUTED_UNKNOWN;  // The item may be attempted again.
         }
       }};
 }
@@ -104,7 +104,7 @@
                        done = std::move(done)](CallResult result) {
     BackendOutcome outcome = ToOutcome(std::move(result));
     read_outcome(&outcome);
-    const auto report = done;  // The next line may destroy this function.
+    const auto report = done;  // `erase` may destroy this lambda.
     running_.erase(id);
     report(std::move(outcome));
   };
@@ -113,7 +113,7 @@
   runner->Start();
   return std::make_shared<BatchItemCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
-      running_.erase(id);  // The destructor cancels the call.
+      running_.erase(id);  // The runner's destructor cancels the call.
     }
   });
 }
--- a/src/gateway/replica_backend_caller.h
+++ b/src/gateway/replica_backend_caller.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// Runs batch items at replicas: never waits for capacity, and never uses capacity that a live call
-/// waits for. Threads: the owner's event loop only.
+/// Runs batch items at replicas. It never waits for capacity, and never uses capacity that a live
+/// call waits for. Threads: the owner's event loop only.
 
 #include <cstdint>
 #include <functional>
@@ -16,7 +16,7 @@
 
 class ReplicaBackendCaller final : public BackendCaller {
  public:
-  /// @param names of the headers of forwarded items; must outlive the caller.
+  /// @param names header names for forwarded items; must outlive this object.
   ReplicaBackendCaller(const CallContext& context, const ReplicaHeaderNames& names)
       : context_(context), names_(names) {}
 
@@ -27,14 +27,16 @@
                                             std::function<void(BackendOutcome)> done) override;
 
  private:
-  /// Completes the outcome of a call that ended.
+  /// Fills in the outcome of a call that has ended with the content of its response.
   using OutcomeReader = std::function<void(BackendOutcome*)>;
-  /// The exchange of one item, and how its result becomes an outcome.
+  /// The exchange of one item, and the function that reads the outcome from it.
   struct ItemExchange {
     std::shared_ptr<CallExchange> exchange;
     OutcomeReader read_outcome;
   };
 
+  /// Whether batch items may start now: they are not paused, no live call of `backend` waits, and
+  /// this gateway has permission to serve and a usable list of replicas.
   bool CanStartBatches(const std::string& backend) const;
   static ItemExchange MakeJsonExchange(const proto::CallRequest& request);
   ItemExchange MakeForwardExchange(const proto::Route& route,
--- a/src/gateway/response_timing.h
+++ b/src/gateway/response_timing.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// Compares the times at which parts of a response were received with its route's targets, and
-/// names the cause of a late one. Pure. Times count from the admission of the call at this gateway;
-/// earlier network time and attempts are not included.
+/// Compares the times at which the parts of a response were received with its route's targets, and
+/// determines why a late response is late. Pure. Times count from the admission of the call at this
+/// gateway; earlier network time and attempts are not included.
 
 #include <cstdint>
 #include <string_view>
@@ -14,9 +14,9 @@
 /// Why a response is late.
 enum class Lateness : std::uint8_t {
   kNone,
-  kFirstChunk,        ///< The first event of a stream came after the target.
+  kFirstChunk,        ///< The first event of a stream was received after the target.
   kPause,             ///< The pause between two events exceeded the target.
-  kCompleteResponse,  ///< A response in one piece came after the target.
+  kCompleteResponse,  ///< A response in one piece was received after the target.
 };
 
 /// @return the stable snake_case name, for metrics and logs.
@@ -33,17 +33,18 @@
   ResponseTiming(ResponseTargets targets, TimePoint started)
       : targets_(targets), started_(started) {}
 
-  /// An event of a stream was received.
+  /// Records that an event of a stream was received.
   void OnEvent(TimePoint now);
-  /// A response in one piece was received.
+  /// Records that a response in one piece was received.
   void OnComplete(TimePoint now);
 
-  /// @return the first cause that makes the response late so far.
+  /// @return why the response is late so far; a late first event is reported before a long pause.
   Lateness lateness() const;
   /// @return time until the first event or the complete response; zero before.
   Duration first_response_delay() const { return first_response_delay_; }
-  /// @return the longest time between two events so far, and when it began, after the start.
+  /// @return the longest time between two events so far; zero before the second event.
   Duration longest_pause() const { return longest_pause_; }
+  /// @return when that pause began, as time since the start.
   Duration longest_pause_start() const { return longest_pause_start_; }
   std::uint32_t events() const { return events_; }
 
--- a/src/gateway/status_api.h
+++ b/src/gateway/status_api.h
@@ -1,9 +1,9 @@
 #pragma once
 /// @file
-/// Adapter: what operators and monitoring see of the fleet and of this gateway.
+/// Adapter: the HTTP interface for the status of the fleet and of this gateway.
 ///
-///     GET /v1/status   the fleet as the coordinator leader knows it, with what is degraded
-///     GET /healthz     this gateway: 200 while it may serve, else 503
+///     GET /v1/status   the fleet's status and problems, from the coordinator leader
+///     GET /healthz     this gateway's health: 200 with a valid lease, else 503
 ///     GET /metrics     this process's metrics in the Prometheus text format
 ///
 /// Threads: the owner's event loop only.
@@ -16,7 +16,8 @@
 
 class StatusApi {
  public:
-  /// Registers the handlers. `router` must not serve any more once `agent` is gone.
+  /// Registers the handlers. `router` must not call them after this object or `agent` is
+  /// destroyed.
   StatusApi(Environment& environment, HttpRouter& router, NodeAgent& agent);
 
  private:
