--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -13,26 +13,26 @@
 
 /// What a reply means for the call.
 enum class ReplyOutcome : std::uint8_t {
-  kFinal,            ///< The owner's result, which ends the call.
-  kNotCarriedOut,    ///< Not executed; the call is retried.
-  kMaybeCarriedOut,  ///< Possibly executed; the call is retried.
+  kFinal,          ///< The owner's result, which ends the call.
+  kNotExecuted,    ///< Not executed; the call is retried.
+  kMaybeExecuted,  ///< Possibly executed; the call is retried.
 };
 
 ReplyOutcome ClassifyReply(const Status& status) {
   switch (status.code()) {
     case StatusCode::kUnavailable:
     case StatusCode::kNotLeader:
-      return ReplyOutcome::kNotCarriedOut;
+      return ReplyOutcome::kNotExecuted;
     case StatusCode::kConflict:
       return status.detail() == kNotOwnerDetail || status.detail() == kQuotaOwnerUnavailableDetail
-                 ? ReplyOutcome::kNotCarriedOut
+                 ? ReplyOutcome::kNotExecuted
                  : ReplyOutcome::kFinal;
     case StatusCode::kUnknownOutcome:
     case StatusCode::kFenced:
     case StatusCode::kStaleEpoch:
     case StatusCode::kLeaseExpired:
     case StatusCode::kCancelled:
-      return ReplyOutcome::kMaybeCarriedOut;
+      return ReplyOutcome::kMaybeExecuted;
     default:
       return ReplyOutcome::kFinal;
   }
@@ -113,7 +113,7 @@
   if (unreachable) {
     agent_.ReportSuspect(current_node_);
   }
-  outcome_unknown_ = outcome_unknown_ || outcome == ReplyOutcome::kMaybeCarriedOut;
+  outcome_unknown_ = outcome_unknown_ || outcome == ReplyOutcome::kMaybeExecuted;
   last_failure_ = reply.status;
   current_node_ = NodeId();
   retry_at_ = environment_.Now() + kRetryDelay;
