--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -51,7 +51,7 @@
   if (status.ok() && batch->idempotency_key().empty()) {
     return {StatusCode::kInvalidArgument,
             "the idempotency key is missing: send the header Idempotency-Key or the field "
-            "idempotency_key, and keep it when resending, so that the batch is accepted once"};
+            "idempotency_key, and keep it when resending, so that the batch is accepted only once"};
   }
   return status;
 }
@@ -60,8 +60,8 @@
   proto::CallError error;
   error.set_code("invalid_batch");
   error.set_message(
-      "this submission is refused whole; mend every problem listed. If it resends one "
-      "whose answer was lost, look for that one in GET /v1/batches first");
+      "no item of this batch was accepted; correct every problem listed. If this submission "
+      "repeats one whose response was lost, first look for its batch in GET /v1/batches");
   error.set_executed(proto::EXECUTED_NO);
   for (const std::string& problem : problems) {
     error.add_problems(problem);
@@ -109,7 +109,8 @@
 BatchApi::BatchApi(Environment& environment, HttpRouter& router, NodeAgent& agent)
     : environment_(environment),
       agent_(agent),
-      owners_(environment, agent, Status(StatusCode::kInternal, "malformed queue node answer")) {
+      owners_(environment, agent,
+              Status(StatusCode::kInternal, "the response of the queue node cannot be parsed")) {
   const auto handle = [this, &router](
                           std::string_view method, std::string_view pattern,
                           void (BatchApi::*handler)(const HttpRequest&, const Responder&)) {
@@ -130,7 +131,8 @@
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "node_lease"}});
     SendStatus(responder,
                Status(StatusCode::kLeaseExpired,
-                      "this gateway has lost touch with control; try another one, or again later"),
+                      "this gateway has no valid lease from the coordinators, or does not know the "
+                      "batch partitions yet; try another gateway, or retry later"),
                proto::EXECUTED_NO);
     return false;
   }
@@ -180,7 +182,7 @@
         } else {
           SendChangeFailure(*responder, result.status(),
                             "send the same batch again with the same idempotency key, to any "
-                            "gateway: it is accepted once");
+                            "gateway: it is accepted only once");
         }
       });
 }
@@ -259,7 +261,8 @@
         if (result.ok()) {
           SendJson(*responder, 200, result->status());
         } else {
-          SendChangeFailure(*responder, result.status(), "send the cancel again, to any gateway");
+          SendChangeFailure(*responder, result.status(),
+                            "send the cancellation again, to any gateway");
         }
       });
 }
--- a/src/gateway/batch_owner_call.cc
+++ b/src/gateway/batch_owner_call.cc
@@ -64,10 +64,13 @@
   const TimePoint now = environment_.Now();
   if (now >= deadline_) {
     const bool unknown = outcome_unknown_ || current_node_.valid();
-    std::string message = unknown ? "the batch's queue node gave no answer in time"
-                                  : "the batch's queue node can not be reached";
+    std::string message =
+        unknown ? "the owner of batch partition " : "no owner of batch partition ";
+    message += std::to_string(options_.partition.value()) +
+               (unknown ? " did not respond to " : " executed ") + options_.method +
+               " before the deadline";
     if (!last_failure_.ok()) {
-      message += "; last: " + last_failure_.ToString();
+      message += "; last error: " + last_failure_.ToString();
     }
     const StatusCode code = unknown ? StatusCode::kUnknownOutcome : StatusCode::kUnavailable;
     Finish({Status(code, std::move(message)), {}});
--- a/src/gateway/batch_service.cc
+++ b/src/gateway/batch_service.cc
@@ -65,14 +65,17 @@
 BatchService::BatchService(Environment& environment, NodeAgent& agent)
     : environment_(environment),
       agent_(agent),
-      owners_(environment, agent, Status(StatusCode::kUnknownOutcome, "malformed owner's answer")) {
-}
+      owners_(
+          environment, agent,
+          Status(StatusCode::kUnknownOutcome, "the response of the queue node cannot be parsed")) {}
 
 Status BatchService::CheckServing() const {
   if (agent_.HasValidLease() && agent_.partition_count() > 0) {
     return Status::Ok();
   }
-  return {StatusCode::kUnavailable, "this gateway has lost touch with control; try another one"};
+  return {StatusCode::kUnavailable,
+          "this gateway has no valid lease from the coordinators, or does not know the batch "
+          "partitions yet; try another gateway"};
 }
 
 std::uint64_t BatchService::FindPartition(std::string_view host, std::string_view batch_id) const {
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -74,13 +74,15 @@
 
 void ForwardingService::RefuseWithoutConfiguration(HttpResponder& responder) {
   Refuse(responder, kHttpUnavailable, "no_configuration",
-         "this gateway has no configuration from control now; try another one", kRetryAfter);
+         "this gateway has no configuration or no valid lease from the coordinators; try another "
+         "gateway",
+         kRetryAfter);
 }
 
 void ForwardingService::Admit(IncomingCall call, const Responder& responder) {
   const proto::Route* route = FindRouteFor(call.host, call.path);
   if (route == nullptr) {
-    Refuse(*responder, kHttpNotFound, "unknown_route", "no route takes this host and path",
+    Refuse(*responder, kHttpNotFound, "unknown_route", "no route matches this host and path",
            Duration::zero());
     return;
   }
@@ -92,14 +94,14 @@
     // The request was received before the configuration by which it is a batch; it must not be
     // forwarded as a call.
     Refuse(*responder, kHttpUnavailable, "batch_route",
-           "this route takes batches; hand the batch in again", kBatchRetryAfter);
+           "this route accepts batches; submit the batch again", kBatchRetryAfter);
     return;
   }
   const auto refusal =
       context_.queue.admission().Admit(*route, nullptr, context_.attempt.environment.Now());
   if (refusal) {
     Refuse(*responder, HttpStatusForRefusal(refusal->refusal),
-           std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
+           std::string(RefusalName(refusal->refusal)), "too many calls; retry later",
            refusal->retry_after);
     return;
   }
--- a/src/gateway/live_call.cc
+++ b/src/gateway/live_call.cc
@@ -50,7 +50,7 @@
   if (!cached.text_cached) {
     proto::CallError error;
     error.set_code("answer_not_kept");
-    error.set_message("this request was answered before; the answer was too large to keep");
+    error.set_message("this request was already executed; its response was too large to be cached");
     error.set_executed(proto::EXECUTED_YES);
     error.set_call_id(cached.answer.call_id());
     SendError(responder, kHttpConflict, error);
@@ -158,7 +158,8 @@
   const proto::Executed executed = CancelRunner();
   CallResult disconnected;
   disconnected.error.set_code("caller_left");
-  disconnected.error.set_message("the first request under this key was withdrawn by its caller");
+  disconnected.error.set_message(
+      "the client of the first request with this key disconnected before the response");
   disconnected.error.set_executed(executed);
   disconnected.error.set_call_id(call_id_);
   disconnected.http_status = HttpStatusForExecuted(executed);
--- a/src/gateway/live_call_handler.cc
+++ b/src/gateway/live_call_handler.cc
@@ -111,17 +111,18 @@
     const HttpRequest& request, const LiveCallHeaders& headers) const {
   if (request.body.size() > options_.calls.maximum_request_bytes) {
     return RequestProblem{kHttpTooLarge, "request_too_large",
-                          "the body is larger than " +
-                              std::to_string(options_.calls.maximum_request_bytes) + " bytes"};
+                          "the body has " + std::to_string(request.body.size()) +
+                              " bytes, expected at most " +
+                              std::to_string(options_.calls.maximum_request_bytes)};
   }
   if (headers.has_deadline && !headers.deadline) {
     return RequestProblem{kHttpBadRequest, "invalid_deadline",
                           "X-Deadline-Ms must be a whole number of milliseconds above 0"};
   }
   if (headers.idempotency_key.size() > kMaximumKeyBytes) {
-    return RequestProblem{
-        kHttpBadRequest, "invalid_idempotency_key",
-        "Idempotency-Key must be at most " + std::to_string(kMaximumKeyBytes) + " bytes"};
+    return RequestProblem{kHttpBadRequest, "invalid_idempotency_key",
+                          "Idempotency-Key has " + std::to_string(headers.idempotency_key.size()) +
+                              " bytes, expected at most " + std::to_string(kMaximumKeyBytes)};
   }
   return std::nullopt;
 }
@@ -130,12 +131,13 @@
                                                        HttpResponder& responder) {
   if (draining_) {
     Refuse(responder, kHttpUnavailable, "gateway_stopping",
-           "this gateway is stopping; try another one", kRetryAfter);
+           "this gateway is stopping; try another gateway", kRetryAfter);
     return nullptr;
   }
   if (!context_.permission.IsValid()) {
     Refuse(responder, kHttpUnavailable, "lease_expired",
-           "this gateway has lost touch with control; try another one", kRetryAfter);
+           "this gateway has no valid lease from the coordinators; try another gateway",
+           kRetryAfter);
     return nullptr;
   }
   const std::string_view name = PathSegment(request.path, kRouteSegment);
@@ -157,7 +159,7 @@
   }
   idempotency_cache_.Forget(key, {});
   Refuse(responder, HttpStatusForRefusal(refusal->refusal),
-         std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
+         std::string(RefusalName(refusal->refusal)), "too many calls; retry later",
          refusal->retry_after);
   return false;
 }
@@ -209,7 +211,7 @@
       return false;
     case KeyState::kMismatch:
       Refuse(*responder, kHttpKeyReused, "idempotency_key_reused",
-             "this Idempotency-Key was used for another body; choose a new one", Duration::zero());
+             "this Idempotency-Key was used with another body; choose a new key", Duration::zero());
       return false;
   }
   return false;
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -25,7 +25,7 @@
                          const std::string& operation_id) {
   proto::CallError error;
   error.set_code("outcome_unknown");
-  error.set_message("the coordinators gave no answer (" + status.message() +
+  error.set_message("the outcome of this transaction is unknown (" + status.message() +
                     "); send the same transaction again with operation_id \"" + operation_id +
                     "\", to any gateway, to learn its outcome");
   error.set_executed(proto::EXECUTED_UNKNOWN);
@@ -38,7 +38,7 @@
   error.set_code("version_conflict");
   error.set_message("expected_version is not the current version " +
                     std::to_string(result.version()) +
-                    "; read the configuration again, and send the changes made against it under "
+                    "; read the configuration again, base the changes on it and send them under "
                     "a new operation_id");
   error.set_executed(proto::EXECUTED_NO);
   error.set_current_version(result.version());
@@ -50,7 +50,7 @@
   proto::CallError error;
   error.set_code("invalid_transaction");
   error.set_message(
-      "the transaction is refused whole; mend every problem listed and send it under "
+      "no change of the transaction was applied; correct every problem listed and send it under "
       "a new operation_id");
   error.set_executed(proto::EXECUTED_NO);
   error.set_current_version(result.version());
@@ -70,7 +70,7 @@
       SendInvalid(responder, result);
       return;
     default:
-      SendLostTransaction(responder, Status(StatusCode::kInternal, "answer without an outcome"),
+      SendLostTransaction(responder, Status(StatusCode::kInternal, "the response has no outcome"),
                           result.operation_id());
   }
 }
@@ -138,7 +138,7 @@
   if (read.ok() && transaction.operation_id().empty()) {
     read = Status(StatusCode::kInvalidArgument,
                   "operation_id is missing: choose an id for this transaction and keep it when "
-                  "resending, so that it is carried out once");
+                  "resending, so that it is applied only once");
   }
   if (!read.ok()) {
     SendStatus(*responder, read, proto::EXECUTED_NO);
