--- a/tests/gateway/adapter_harness.h
+++ b/tests/gateway/adapter_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Drives HTTP adapters in tests without sockets.
+/// Calls the handlers of HTTP adapters in tests without sockets.
 
 #include <memory>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace cloverbank {
 
-/// Records the response to a request.
+/// Records the complete response to a request; streams are ignored.
 struct RecordedResponse : HttpResponder {
   void Send(HttpResponse sent) override {
     ++count;
@@ -22,7 +22,7 @@
   void Abort() override {}
   void OnDisconnect(std::function<void()> /*on_disconnect*/) override {}
 
-  /// @return the body read as a `Message`, or an empty one.
+  /// @return the body parsed as a `Message`; the test fails if that is not possible.
   template <typename Message>
   Message Body() const {
     Message message;
@@ -38,7 +38,7 @@
   HttpResponse response;
 };
 
-/// Routes requests as the server does, synchronously.
+/// Finds the handler of a request as the server does, and calls it synchronously.
 class AdapterHarness : public HttpRouter {
  public:
   void Handle(std::string_view method, std::string_view pattern, HttpHandler handler) override {
--- a/tests/gateway/batch_api_test.cc
+++ b/tests/gateway/batch_api_test.cc
@@ -13,12 +13,12 @@
 
 using testing::HasSubstr;
 
-/// What one queue node received, and how it responds.
+/// What a queue node has received, and how it responds.
 struct FakeOwner {
   std::vector<proto::SubmitBatchRequest> submissions;
   std::vector<std::string> cancelled;
-  Status refusal;       ///< Of everything, if not OK.
-  bool silent = false;  ///< Carries out, but never answers.
+  Status refusal;       ///< If not OK, the response to every request.
+  bool silent = false;  ///< Executes requests but never responds.
   bool resent = false;
 };
 
@@ -120,7 +120,7 @@
     control.changes.back().mutable_set_route()->set_accepts_batches(accepts_batches);
     control.changes.back().mutable_set_route()->set_idempotent(true);
   }
-  /// Assigns every partition to `node`; 0: none. Waits until the gateway knows.
+  /// Assigns every partition to `node` (0: to none), and waits until the gateway knows it.
   void SetOwner(std::uint64_t node) {
     control.fleet.clear_partitions();
     for (std::uint64_t id = 0; id < 12; ++id) {
@@ -267,7 +267,7 @@
   EXPECT_EQ(Finish(gateway->http.Send("GET", "/v1/batches/3-1f"))->response.status, 404);
 }
 
-TEST_F(BatchApiTest, ListsPagesAndCancels) {
+TEST_F(BatchApiTest, ListsBatchesAndResultsAndCancels) {
   const auto list = Finish(gateway->http.Send(
       "GET", "/v1/batches", "", {}, {{"tenant", "depot"}, {"cursor", "p9"}, {"limit", "3"}}));
   EXPECT_EQ(list->Body<proto::BatchList>().next_cursor(), "p9+3");
--- a/tests/gateway/batch_call_test.cc
+++ b/tests/gateway/batch_call_test.cc
@@ -8,7 +8,7 @@
 
 using Mode = FakeReplica::Mode;
 
-constexpr std::uint32_t kBatchLimit = 5;  // 70 in 100 of 8.
+constexpr std::uint32_t kBatchLimit = 5;  // 70 % of a capacity of 8, rounded down.
 
 class BatchCallTest : public ::testing::Test {
  protected:
@@ -51,7 +51,7 @@
   Run();
   harness.world.RunFor(seconds(1));
   harness.permission.stored.mutable_batch()->set_paused(false);
-  replica.external_running = 6;  // Above 70 in 100 of 8.
+  replica.external_running = 6;  // Above 70 % of 8.
   harness.world.RunFor(seconds(2));
   EXPECT_EQ(harness.batch->FreeBatchSlots("model"), 0U);
   Run();
@@ -65,7 +65,7 @@
   for (const BackendOutcome& outcome : outcomes_) {
     EXPECT_EQ(outcome.executed, proto::EXECUTED_NO) << outcome.error.code();
   }
-  EXPECT_EQ(replica.received.size(), 1U);  // Only the one that the replica refused.
+  EXPECT_EQ(replica.received.size(), 1U);  // Only the item that the replica refused.
 }
 
 TEST_F(BatchCallTest, DoesNotRetryWithoutAResponse) {
@@ -105,15 +105,16 @@
   ASSERT_EQ(harness.queue->Waiting("model"), 1U);
   EXPECT_EQ(harness.batch->FreeBatchSlots("model"), 0U);
   harness.permission.stored.mutable_routes(0)->clear_zones();
-  Run();  // In the same turn of the event loop, before the waiting call is dispatched.
+  Run();  // In the same event loop iteration, before the waiting call is dispatched.
   harness.world.RunFor(seconds(1));
   ASSERT_EQ(outcomes_.size(), 1U);
   EXPECT_EQ(outcomes_[0].executed, proto::EXECUTED_NO);
   EXPECT_EQ(harness.queue->Waiting("model"), 0U);
 }
 
-/// Twelve gateways with endless batch work that do not know each other: the reserve stays mostly
-/// free, the capacity is used, and live calls are served immediately.
+/// Guards against gateways that together use the capacity reserved for live calls: twelve gateways
+/// with unlimited batch work that do not know of each other leave the reserve mostly free, use the
+/// rest of the capacity, and serve every live call.
 TEST_F(BatchCallTest, ManyGatewaysLeaveTheReserveFree) {
   harness.options.sharing = SharingOptions();
   for (const char* id : {"m1", "m2", "m3"}) {
--- a/tests/gateway/data_plane_faults_test.cc
+++ b/tests/gateway/data_plane_faults_test.cc
@@ -1,4 +1,5 @@
-// Seeded faults on everything around three gateways, and the promises that must hold through them.
+// Injects seeded faults into everything that three gateways depend on, and checks the guarantees
+// that must hold during the faults.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -12,8 +13,9 @@
 constexpr std::array<const char*, 4> kRoutes = {"ask", "once", "serve", "unlock"};
 constexpr Duration kStep = milliseconds(10);
 constexpr int kSteps = 4000;
-constexpr int kPeriod = 1000;  ///< Steps of faults and then of calm.
-/// Poll interval, its deadline, and the time to connect.
+constexpr int kPeriod = 1000;  ///< Steps; the first half with faults, the second without.
+/// Longest time until gateways send nothing more to a draining replica: the poll interval, the
+/// poll's deadline and the time to connect.
 constexpr Duration kMaximumDrainingDelay = milliseconds(1000);
 
 class DataPlaneFaultsTest : public ::testing::TestWithParam<int> {
@@ -42,7 +44,7 @@
   }
 
   void CheckArrival(const FakeReplica& replica) {
-    EXPECT_TRUE(harness_.permission.valid) << "a call left without a lease";
+    EXPECT_TRUE(harness_.permission.valid) << "a call was sent without a valid lease";
     const proto::Zone* zone = FindZone(harness_.permission.stored, replica.entry.zone());
     EXPECT_EQ(zone->state(), proto::ZONE_STATE_OPEN);
     const auto drained = drained_at_.find(replica.entry.id());
@@ -58,7 +60,7 @@
     Caller caller{std::make_shared<FakeResponder>()};
     HttpHeaders headers = {
         {"X-Deadline-Ms", std::to_string(200 + harness_.world.RandomBelow(4000))}};
-    // The prompt tells the replicas' record which route it was.
+    // The prompt names the route in the requests that the replicas record.
     harness_.planes[harness_.world.RandomBelow(3)]->router.Post(
         "/v1/call/" + route, R"({"prompt":")" + route + R"(","stream":)" + stream + "}", headers,
         caller.responder);
@@ -132,7 +134,8 @@
     }
   }
 
-  /// Pieces of one run from 0 on, closed by an end or by an error.
+  /// Checks that the body consists of the chunks of one run, numbered from 0, and that the last one
+  /// is an end or an error.
   void CheckStream(const std::string& body) {
     std::string run;
     std::uint64_t expected = 0;
@@ -202,7 +205,7 @@
   }
   harness_.world.RunFor(seconds(30));
   CheckCallers();
-  EXPECT_GT(served_, kSteps / 20);  // The run was not spent refusing.
+  EXPECT_GT(served_, kSteps / 20);  // Guards against a run that refuses almost every call.
   for (const auto& plane : harness_.planes) {
     EXPECT_EQ(plane->live->calls_in_flight(), 0U);
     for (const auto& [id, load] : plane->pool->loads()) {
--- a/tests/gateway/forward_harness.h
+++ b/tests/gateway/forward_harness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// A gateway whose HTTP routes are served by scripted replicas: for tests of requests that are
+/// A gateway whose HTTP routes are served by scripted replicas, for tests of requests that are
 /// forwarded unchanged.
 
 #include <map>
@@ -33,7 +33,7 @@
     return route;
   }
 
-  /// Adds a replica whose calls are recorded in `received_calls`; the test responds to them.
+  /// Adds a replica that records its calls in `received_calls`; the test sends the responses.
   void AddHttpReplica(const std::string& id, const std::string& zone) {
     FakeReplica& replica = AddReplica(id, zone, 8, proto::BACKEND_KIND_HTTP);
     client->scripts[EndpointFor(replica).ToString()] = [this, id](const ExchangePtr& exchange) {
@@ -74,16 +74,18 @@
     return responder;
   }
 
-  /// The replica that received call number `index` sends a complete response.
+  /// Sends a complete response from the replica that received call number `index`.
   void Respond(std::size_t index, HttpResponse response) {
     received_calls[index]->Answer(std::move(response));
     world.RunFor(milliseconds(5));
   }
+  /// Sends bytes of a streamed response from the replica that received call number `index`.
   void SendBytes(std::size_t index, const std::string& bytes) {
     received_calls[index]->Bytes(bytes);
     world.RunFor(milliseconds(5));
   }
 
+  /// @return response headers that echo the call id, as replicas must, and a header of their own.
   static HttpHeaders EchoHeaders(const std::string& id) {
     return {{"X-Call-Id", id}, {"Stamp", "s"}};
   }
@@ -92,7 +94,7 @@
   }
 
   std::vector<ExchangePtr> received_calls;
-  std::vector<std::string> receiving_replicas;  ///< Replica ids.
+  std::vector<std::string> receiving_replicas;  ///< Ids of the replicas that received them.
   std::unique_ptr<CallContext> context;
   std::unique_ptr<ForwardingService> service;
 };
--- a/tests/gateway/forwarding_test.cc
+++ b/tests/gateway/forwarding_test.cc
@@ -1,5 +1,4 @@
-// Requests that are forwarded unchanged: what replicas receive, what clients receive, and what is
-// retried.
+// Requests that are forwarded unchanged: what replicas and clients receive, and what is retried.
 #include <gtest/gtest.h>
 
 #include "forward_harness.h"
@@ -146,10 +145,10 @@
   EXPECT_EQ(safe->status, 200);
   EXPECT_EQ(once->answers, 0);
   harness.world.RunFor(seconds(4));
-  EXPECT_EQ(once->status, 504);  // Its only response, at its deadline.
+  EXPECT_EQ(once->status, 504);  // Its only response, sent at its deadline.
 }
 
-TEST_F(ForwardingTest, SendsNothingToAFormerBackEnd) {
+TEST_F(ForwardingTest, SendsNothingToReplicasOfAFormerBackEnd) {
   harness.permission.stored.mutable_routes(1)->set_backend("elsewhere");
   const auto client = harness.Forward("/safe/x", "c1");
   harness.world.RunFor(seconds(1));
@@ -179,7 +178,7 @@
   EXPECT_TRUE(harness.received_calls.empty());
 }
 
-TEST_F(ForwardingTest, RefusesABatchThatWaitedAsACall) {
+TEST_F(ForwardingTest, RefusesAWaitingCallWhoseRouteAcceptsBatches) {
   harness.permission.stored.mutable_routes(1)->set_accepts_batches(true);
   harness.permission.stored.set_label(0);
   const auto client = harness.Forward("/safe/batch", "batch-1");
@@ -203,7 +202,7 @@
   harness.world.RunFor(milliseconds(100));
   EXPECT_EQ(submitted, std::vector<std::string>{"safe"});
   EXPECT_TRUE(harness.received_calls.empty());
-  EXPECT_EQ(client->answers, 0) << "the taker answers";
+  EXPECT_EQ(client->answers, 0) << "the batch handler responds";
 }
 
 TEST_F(ForwardingTest, DropsAWaitingCallOnDisconnect) {
@@ -216,8 +215,8 @@
   EXPECT_TRUE(harness.received_calls.empty());
 }
 
-/// The permission to start must be checked immediately before the first byte, however long the
-/// connection took.
+/// Guards against sending an item whose work lease ended while the connection was being made: the
+/// gateway must check `can_start` immediately before the first byte.
 TEST_F(ForwardingTest, DoesNotSendAnItemWhoseLeaseEnds) {
   harness.client->connect_time = milliseconds(150);
   bool can_start = true;
@@ -245,7 +244,7 @@
   harness.permission.stored.mutable_routes(2)->set_attempts(3);
   proto::CallRequest request;
   request.set_call_id("item");
-  request.set_failed_runs(2);  // Under earlier leases.
+  request.set_failed_runs(2);  // Reported under earlier work leases.
   request.mutable_forwarded()->set_method("POST");
   request.mutable_forwarded()->set_target("/tale/item");
   BackendOutcome outcome;
@@ -261,7 +260,7 @@
   EXPECT_EQ(outcome.failed_runs, 3U);
 }
 
-TEST_F(ForwardingTest, LeavesAnItemUnknownWithAttemptsLeft) {
+TEST_F(ForwardingTest, ReportsUnknownWhileAnItemHasAttemptsLeft) {
   harness.permission.stored.mutable_routes(2)->set_attempts(2);
   proto::CallRequest request;
   request.set_call_id("item");
@@ -274,7 +273,7 @@
   harness.world.RunFor(milliseconds(50));
   harness.Respond(0, {500, ForwardHarness::EchoHeaders("item"), ""});
   harness.world.RunFor(seconds(4));
-  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // The queue node grants it again.
+  EXPECT_EQ(outcome.executed, proto::EXECUTED_UNKNOWN);  // The queue node grants the item again.
   EXPECT_EQ(outcome.failed_runs, 1U);
 }
 
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A data plane on simulated time: scripted replicas, the platform's list, a lease that a test can
-/// revoke, and clients.
+/// A data plane on simulated time, with scripted replicas, the platform's list of replicas, a lease
+/// that a test can revoke, and clients.
 
 #include <map>
 #include <memory>
@@ -24,9 +24,9 @@
   proto::Replica entry;
   std::uint32_t running = 0;
   std::uint32_t max_running = 0;
-  std::uint32_t external_running = 0;             ///< Calls of others that it reports.
+  std::uint32_t external_running = 0;             ///< Calls of other clients that it reports.
   std::vector<std::string> received;              ///< Ids of received calls, in order.
-  std::vector<proto::CallRequest> executed;       ///< Requests that it may have carried out.
+  std::vector<proto::CallRequest> executed;       ///< Requests that it may have executed.
   std::vector<std::uint32_t> running_at_arrival;  ///< Calls running when each was received.
   std::uint32_t probes = 0;
   Duration work_time = milliseconds(50);
@@ -37,7 +37,7 @@
     kFail,
     kScripted
   } mode = Mode::kServe;
-  std::vector<ExchangePtr> exchanges;  ///< Of calls; answered by the test in kScripted.
+  std::vector<ExchangePtr> exchanges;  ///< Of its calls; in kScripted the test responds to them.
 };
 
 class FakeServingPermission : public ServingPermission {
@@ -94,7 +94,7 @@
     client = std::make_unique<FakeHttpClient>(*environment);
     options.zone = "a";
     options.replica_list.endpoint = {"127.0.0.9", 80};
-    options.sharing.initial_slow_start_quota = 1;  // Most tests have one gateway only.
+    options.sharing.initial_slow_start_quota = 1;  // Most tests have only one gateway.
     for (const char* name : {"a", "b", "c"}) {
       proto::Zone* zone = permission.stored.add_zones();
       zone->set_name(name);
@@ -106,7 +106,7 @@
         [this](const ExchangePtr& exchange) { ServeList(exchange); };
   }
 
-  /// Must be added in the order of names, as the configuration keeps them sorted.
+  /// Routes must be added in the order of their names, since the configuration is sorted by them.
   proto::Route& AddRoute(const std::string& name, proto::BackendKind kind, bool idempotent) {
     proto::Route* route = permission.stored.add_routes();
     route->set_name(name);
@@ -145,7 +145,7 @@
     ++list_version;
   }
 
-  /// Builds the data plane and lets it learn the list and probe everyone.
+  /// Builds the data plane, and lets it read the list and probe all replicas.
   void Start(Duration settle = seconds(1)) {
     first_plane = &AddPlane();
     pool = first_plane->pool.get();
@@ -154,13 +154,13 @@
     batch = first_plane->batch.get();
     world.RunFor(settle);
   }
-  /// One more gateway before the same replicas.
+  /// Adds one more gateway that uses the same replicas.
   GatewayPlane& AddPlane() {
     planes.push_back(std::make_unique<GatewayPlane>(*environment, *client, permission, options));
     planes.back()->pool->Start();
     return *planes.back();
   }
-  /// Starts before replicas that are at work already, hence warm.
+  /// Starts while all replicas report running calls, so that they are not in slow start.
   void StartWarm() {
     for (auto& [id, replica] : replicas) {
       replica.external_running = 1;
@@ -171,7 +171,7 @@
     }
     world.RunFor(seconds(2));
   }
-  /// Has every replica seen at work by others for longer than slow start takes.
+  /// Lets every replica report running calls of other clients for longer than slow start takes.
   void WarmUp() {
     for (auto& [id, replica] : replicas) {
       replica.external_running = 1;
@@ -201,11 +201,11 @@
   std::map<std::string, FakeReplica> replicas;
   std::uint64_t list_version = 0;
   bool list_readable = true;
-  Duration list_delay{};                               ///< How long the platform takes to answer.
-  std::function<void(const FakeReplica&)> on_arrival;  ///< A call has reached a replica.
+  Duration list_delay{};                               ///< How long the platform takes to respond.
+  std::function<void(const FakeReplica&)> on_arrival;  ///< Runs when a replica receives a call.
   std::vector<std::unique_ptr<GatewayPlane>> planes;
   GatewayPlane* first_plane = nullptr;
-  ReplicaPool* pool = nullptr;  ///< Of the first plane, as the next three.
+  ReplicaPool* pool = nullptr;  ///< Of the first plane, like the next three.
   CallQueue* queue = nullptr;
   LiveCallHandler* live = nullptr;
   ReplicaBackendCaller* batch = nullptr;
--- a/tests/gateway/gateway_service_test.cc
+++ b/tests/gateway/gateway_service_test.cc
@@ -9,7 +9,7 @@
 namespace cloverbank {
 namespace {
 
-/// A gateway under one fake coordinator, before one replica of a plain service.
+/// A gateway with one fake coordinator and one replica of a service.
 class GatewayServiceTest : public ::testing::Test {
  protected:
   GatewayServiceTest() {
@@ -124,20 +124,20 @@
   EXPECT_EQ(executed_calls_, 1);
 }
 
-TEST_F(GatewayServiceTest, HasNoPermissionAfterAFreeze) {
+TEST_F(GatewayServiceTest, RefusesCallsAfterAFreeze) {
   world_.RunFor(seconds(1));
   ASSERT_EQ(Call(), 200);
   world_.machine("g").Freeze();
   world_.RunFor(seconds(20));
   const auto caller = router_.Post("/v1/call/unlock", "{}");
-  EXPECT_EQ(caller->status, 503);  // Refused before anything of the wake-up could run.
+  EXPECT_EQ(caller->status, 503);  // Refused before any event after the wake-up ran.
   world_.machine("g").Wake();
   world_.RunFor(seconds(2));
   EXPECT_EQ(executed_calls_, 1);
   EXPECT_EQ(Call(), 200);
 }
 
-TEST_F(GatewayServiceTest, DrainRefusesNewCallsAndEnds) {
+TEST_F(GatewayServiceTest, DrainRefusesNewCallsAndFinishesRunningOnes) {
   world_.RunFor(seconds(1));
   ASSERT_EQ(Call(), 200);
   client_->connect_time = milliseconds(50);
--- a/tests/gateway/live_call_test.cc
+++ b/tests/gateway/live_call_test.cc
@@ -139,7 +139,7 @@
   harness.client->connect_time = milliseconds(200);
   const auto connecting = harness.Call("once");
   harness.world.RunFor(milliseconds(100));
-  harness.permission.valid = false;  // Runs out while the connection is being made.
+  harness.permission.valid = false;  // Expires while the connection is being made.
   harness.world.RunFor(seconds(1));
   EXPECT_EQ(connecting->status, 503);
   EXPECT_EQ(harness.ErrorIn(*connecting).executed(), proto::EXECUTED_NO);
@@ -163,7 +163,8 @@
   const std::uint32_t probes_before = leaving.probes;
   for (int step = 0; step < 300; ++step) {
     harness.Call("ask");
-    harness.list_readable = step < 100;  // A list that can not be read changes nothing.
+    harness.list_readable =
+        step < 100;  // While the list cannot be read, the last one stays in use.
     harness.world.RunFor(milliseconds(10));
   }
   EXPECT_EQ(leaving.received.size(), before);
@@ -187,7 +188,7 @@
   EXPECT_EQ(away.received.size(), 2U);
 }
 
-TEST_F(LiveCallTest, ManyGatewaysDoNotFloodAWarmingReplica) {
+TEST_F(LiveCallTest, ManyGatewaysDoNotOverloadAReplicaInSlowStart) {
   for (const char* id : {"m1", "m2", "m3"}) {
     harness.AddReplica(id, "a", 8).work_time = milliseconds(400);
   }
@@ -202,7 +203,7 @@
   std::vector<std::uint32_t> maximum_by_second;
   for (int second = 0; second < 12; ++second) {
     cold.max_running = 0;
-    for (int step = 0; step < 50; ++step) {  // 120 calls a second over all gateways: a crowd.
+    for (int step = 0; step < 50; ++step) {  // 120 calls per second over all gateways.
       for (std::size_t turn = 0; turn < 2; ++turn) {
         const std::size_t gateway = harness.world.RandomBelow(harness.planes.size());
         harness.planes[gateway]->router.Post("/v1/call/ask", "{}");
@@ -211,12 +212,12 @@
     }
     maximum_by_second.push_back(cold.max_running);
   }
-  EXPECT_LE(maximum_by_second[0], 4U);  // Half of its capacity, while it is coldest.
+  EXPECT_LE(maximum_by_second[0], 4U);  // Half of its capacity, early in slow start.
   EXPECT_LE(maximum_by_second[1], 4U);
   EXPECT_EQ(maximum_by_second[11], 8U);
 }
 
-TEST_F(LiveCallTest, RejectsCrossedResponses) {
+TEST_F(LiveCallTest, RejectsResponsesToOtherCalls) {
   FakeReplica& model = harness.AddReplica("m1", "a", 4);
   FakeReplica& service = harness.AddReplica("s1", "a", 4, proto::BACKEND_KIND_SERVICE);
   model.mode = Mode::kScripted;
@@ -276,7 +277,7 @@
   harness.world.RunFor(milliseconds(100));
   EXPECT_EQ(slow->chunks, 2);
   EXPECT_TRUE(slow->complete);
-  EXPECT_EQ(harness.pool->loads().at("m1").own(), 1U);  // Until the body has ended.
+  EXPECT_EQ(harness.pool->loads().at("m1").own(), 1U);  // Counted until the body has ended.
   model.exchanges[0]->End(HttpOutcomeKind::kAnswered);
   harness.world.RunFor(milliseconds(100));
   EXPECT_EQ(harness.pool->loads().at("m1").own(), 0U);
@@ -330,7 +331,7 @@
   EXPECT_EQ(joined->body, first->body);
   EXPECT_EQ(later->body, first->body);
   EXPECT_EQ(Received(), 1U);
-  service.mode = Mode::kScripted;  // Silence under a key is remembered too.
+  service.mode = Mode::kScripted;  // A missing response is cached under its key too.
   const HttpHeaders other = {{"Idempotency-Key", "k2"}, {"X-Deadline-Ms", "500"}};
   const auto silent = harness.Call("unlock", "{}", other);
   harness.world.RunFor(seconds(1));
@@ -366,7 +367,7 @@
   FakeReplica& model = harness.AddReplica("m1", "a", 4);
   harness.StartWarm();
   std::vector<std::shared_ptr<FakeResponder>> clients;
-  for (int step = 0; step < 400; ++step) {  // 4,000 a second where 80 are served.
+  for (int step = 0; step < 400; ++step) {  // 4,000 calls per second; the replica serves 80.
     for (int call = 0; call < 40; ++call) {
       clients.push_back(harness.Call("once"));
     }
@@ -380,7 +381,7 @@
     served += client->status == 200 ? 1U : 0U;
   }
   EXPECT_EQ(served, model.received.size());
-  EXPECT_GE(served, 300U);  // Of 320 that the replica could serve in 4 seconds.
+  EXPECT_GE(served, 300U);  // Of the 320 that the replica can serve in 4 seconds.
   EXPECT_EQ(harness.live->calls_in_flight(), 0U);
 }
 
--- a/tests/gateway/response_timing_test.cc
+++ b/tests/gateway/response_timing_test.cc
@@ -8,7 +8,7 @@
 constexpr TimePoint kStart{seconds(100)};
 constexpr ResponseTargets kTargets{milliseconds(300), milliseconds(200)};
 
-TEST(ResponseTimingTest, StreamWithinBothTargetsIsInTime) {
+TEST(ResponseTimingTest, StreamWithinBothTargetsIsNotLate) {
   ResponseTiming timing(kTargets, kStart);
   timing.OnEvent(kStart + milliseconds(300));
   timing.OnEvent(kStart + milliseconds(500));
