--- a/src/gateway/batch_api.cc
+++ b/src/gateway/batch_api.cc
@@ -13,28 +13,29 @@
 namespace {
 
 constexpr Duration kReadDeadline = seconds(5);
-/// Longer than most recoveries of a queue node.
+/// Longer than most recoveries of a queue node, so that most changes outlast one.
 constexpr Duration kChangeDeadline = seconds(10);
 constexpr Duration kRetryAfter = seconds(1);
-constexpr LimitRange kPageLimit = {.standard = 100, .largest = 1000};
+constexpr LimitRange kPageSizeRange = {.default_limit = 100, .maximum = 1000};
 constexpr std::size_t kBatchIdSegment = 2;  // /v1/batches/{id}
 
-/// Sets a field from the header that may be sent instead. @return kInvalidArgument if they differ.
+/// Sets `value`, the content of `field`, from the header that may be sent instead of the field.
+/// @return kInvalidArgument if both were sent and differ.
 Status MergeHeader(const HttpRequest& request, std::string_view header, const std::string& field,
                    std::string* value) {
-  const std::string_view given = FindHeader(request.headers, header);
-  if (given.empty()) {
+  const std::string_view header_value = FindHeader(request.headers, header);
+  if (header_value.empty()) {
     return Status::Ok();
   }
-  if (!value->empty() && *value != given) {
+  if (!value->empty() && *value != header_value) {
     return {StatusCode::kInvalidArgument, "the header " + std::string(header) + " and the field " +
                                               field + " differ; send one of them"};
   }
-  *value = std::string(given);
+  *value = std::string(header_value);
   return Status::Ok();
 }
 
-Status ReadSubmission(const HttpRequest& request, proto::SubmitBatch* batch) {
+Status ParseSubmission(const HttpRequest& request, proto::SubmitBatch* batch) {
   Status status = FromJson(request.body, batch);
   if (status.ok()) {
     status = MergeHeader(request, "X-Tenant", "tenant", batch->mutable_tenant());
@@ -50,7 +51,7 @@
   if (status.ok() && batch->idempotency_key().empty()) {
     return {StatusCode::kInvalidArgument,
             "the idempotency key is missing: send the header Idempotency-Key or the field "
-            "idempotency_key, and keep it when resending, so that the batch is accepted once"};
+            "idempotency_key, and keep it when resending, so that the batch is accepted only once"};
   }
   return status;
 }
@@ -59,8 +60,8 @@
   proto::CallError error;
   error.set_code("invalid_batch");
   error.set_message(
-      "this submission is refused whole; mend every problem listed. If it resends one "
-      "whose answer was lost, look for that one in GET /v1/batches first");
+      "no item of this batch was accepted; correct every problem listed. If this submission "
+      "repeats one whose response was lost, first look for its batch in GET /v1/batches");
   error.set_executed(proto::EXECUTED_NO);
   for (const std::string& problem : problems) {
     error.add_problems(problem);
@@ -68,12 +69,13 @@
   SendError(responder, 422, error);
 }
 
-/// Reads change nothing, so their failures always say "not run".
+/// A read changes nothing, so its failure is always reported as not executed.
 void SendReadFailure(HttpResponder& responder, const Status& status) {
-  SendStatus(responder, ReadFailure(status), proto::EXECUTED_NO);
+  SendStatus(responder, ToReadFailure(status), proto::EXECUTED_NO);
 }
 
-/// @param advice what the client should do if the outcome is unknown.
+/// Sends the failure of a submission or cancellation.
+/// @param advice what the client should do if the outcome is unknown; appended to the message.
 void SendChangeFailure(HttpResponder& responder, const Status& status, const std::string& advice) {
   const int http_status = HttpStatusFor(status.code());
   const bool refused = http_status < 500 || status.code() == StatusCode::kUnavailable;
@@ -89,7 +91,7 @@
   SendError(responder, http_status, error);
 }
 
-/// @return a handler that sends the part `body` of a read's response.
+/// @return a handler that sends the field `body` of a read's response, or the read's failure.
 template <typename Response, typename Body>
 auto RespondToRead(const std::shared_ptr<HttpResponder>& responder,
                    const Body& (Response::*body)() const) {
@@ -107,7 +109,8 @@
 BatchApi::BatchApi(Environment& environment, HttpRouter& router, NodeAgent& agent)
     : environment_(environment),
       agent_(agent),
-      owners_(environment, agent, Status(StatusCode::kInternal, "malformed queue node answer")) {
+      owners_(environment, agent,
+              Status(StatusCode::kInternal, "the response of the queue node cannot be parsed")) {
   const auto handle = [this, &router](
                           std::string_view method, std::string_view pattern,
                           void (BatchApi::*handler)(const HttpRequest&, const Responder&)) {
@@ -128,25 +131,26 @@
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "node_lease"}});
     SendStatus(responder,
                Status(StatusCode::kLeaseExpired,
-                      "this gateway has lost touch with control; try another one, or again later"),
+                      "this gateway has no valid lease from the coordinators, or does not know the "
+                      "batch partitions yet; try another gateway, or retry later"),
                proto::EXECUTED_NO);
     return false;
   }
   return true;
 }
 
-bool BatchApi::ReadBatchId(const HttpRequest& request, HttpResponder& responder,
-                           std::string* batch_id, PartitionId* partition) {
+bool BatchApi::ParseBatchId(const HttpRequest& request, HttpResponder& responder,
+                            std::string* batch_id, PartitionId* partition) {
   if (!CheckServing(responder)) {
     return false;
   }
   *batch_id = std::string(PathSegment(request.path, kBatchIdSegment));
-  const Result<PartitionId> found = ParseBatchPartition(*batch_id, agent_.partition_count());
-  if (!found.ok()) {
-    SendStatus(responder, found.status(), proto::EXECUTED_NO);
+  const Result<PartitionId> parsed = ParseBatchPartition(*batch_id, agent_.partition_count());
+  if (!parsed.ok()) {
+    SendStatus(responder, parsed.status(), proto::EXECUTED_NO);
     return false;
   }
-  *partition = *found;
+  *partition = *parsed;
   return true;
 }
 
@@ -156,10 +160,10 @@
   }
   proto::SubmitBatchRequest submit;
   proto::SubmitBatch& batch = *submit.mutable_batch();
-  const Status read = ReadSubmission(request, &batch);
-  if (!read.ok()) {
+  const Status parsed = ParseSubmission(request, &batch);
+  if (!parsed.ok()) {
     environment_.metrics().Increment("batch_request_refused_total", {{"reason", "malformed"}});
-    SendStatus(*responder, read, proto::EXECUTED_NO);
+    SendStatus(*responder, parsed, proto::EXECUTED_NO);
     return;
   }
   const std::vector<std::string> problems = FindBatchProblems(batch, agent_.configuration());
@@ -178,7 +182,7 @@
         } else {
           SendChangeFailure(*responder, result.status(),
                             "send the same batch again with the same idempotency key, to any "
-                            "gateway: it is accepted once");
+                            "gateway: it is accepted only once");
         }
       });
 }
@@ -188,14 +192,14 @@
     return;
   }
   std::string tenant(FindHeader(request.query, "tenant"));
-  Status read = MergeHeader(request, "X-Tenant", "tenant", &tenant);
-  const Result<std::uint32_t> limit = ReadLimit(request.query, kPageLimit);
-  if (read.ok() && tenant.empty()) {
-    read = Status(StatusCode::kInvalidArgument,
-                  "the tenant is missing: send the header X-Tenant or the parameter tenant");
+  Status parsed = MergeHeader(request, "X-Tenant", "tenant", &tenant);
+  const Result<std::uint32_t> limit = ParseLimit(request.query, kPageSizeRange);
+  if (parsed.ok() && tenant.empty()) {
+    parsed = Status(StatusCode::kInvalidArgument,
+                    "the tenant is missing: send the header X-Tenant or the parameter tenant");
   }
-  if (!read.ok() || !limit.ok()) {
-    SendStatus(*responder, read.ok() ? limit.status() : read, proto::EXECUTED_NO);
+  if (!parsed.ok() || !limit.ok()) {
+    SendStatus(*responder, parsed.ok() ? limit.status() : parsed, proto::EXECUTED_NO);
     return;
   }
   proto::ListBatchesRequest list;
@@ -211,7 +215,7 @@
 void BatchApi::Get(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
   proto::GetBatchRequest get;
@@ -224,10 +228,10 @@
 void BatchApi::ListResults(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
-  const Result<std::uint32_t> limit = ReadLimit(request.query, kPageLimit);
+  const Result<std::uint32_t> limit = ParseLimit(request.query, kPageSizeRange);
   if (!limit.ok()) {
     SendStatus(*responder, limit.status(), proto::EXECUTED_NO);
     return;
@@ -245,7 +249,7 @@
 void BatchApi::Cancel(const HttpRequest& request, const Responder& responder) {
   std::string batch_id;
   PartitionId partition;
-  if (!ReadBatchId(request, *responder, &batch_id, &partition)) {
+  if (!ParseBatchId(request, *responder, &batch_id, &partition)) {
     return;
   }
   proto::CancelBatchRequest cancel;
@@ -257,7 +261,8 @@
         if (result.ok()) {
           SendJson(*responder, 200, result->status());
         } else {
-          SendChangeFailure(*responder, result.status(), "send the cancel again, to any gateway");
+          SendChangeFailure(*responder, result.status(),
+                            "send the cancellation again, to any gateway");
         }
       });
 }
