--- a/tests/platform/batch_format_test.cc
+++ b/tests/platform/batch_format_test.cc
@@ -13,7 +13,7 @@
          body + R"(","tokens":940}]})";
 }
 
-TEST(BatchFormatTest, ItemsBecomeRequestsToPassOn) {
+TEST(BatchFormatTest, ReadsItemsIntoForwardedRequests) {
   const auto items = ReadItems(OneItem("q83vEg=="), "a.example");
   ASSERT_TRUE(items.ok()) << items.status().ToString();
   const proto::BatchItem& item = items->front();
@@ -28,7 +28,7 @@
   EXPECT_EQ(item.forwarded().headers(1).value(), "i1");
 }
 
-TEST(BatchFormatTest, BodiesOfEveryLengthAreEchoed) {
+TEST(BatchFormatTest, DecodesBodiesOfEveryPaddingLength) {
   EXPECT_EQ(ReadItems(OneItem(""), "h")->front().forwarded().body(), "");
   EXPECT_EQ(ReadItems(OneItem("YQ=="), "h")->front().forwarded().body(), "a");
   EXPECT_EQ(ReadItems(OneItem("YWI="), "h")->front().forwarded().body(), "ab");
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(BatchFormatTest, ResultsSayWhatWasGivenUp) {
+TEST(BatchFormatTest, FormatsFailedItemsAsDeadLetter) {
   BatchResults results;
   results.total = 3;
   results.next = 2;
@@ -54,7 +54,7 @@
             R"({"id":"b","state":"dead_letter","text":""}],"total":3})");
 }
 
-TEST(PromptHeadersTest, TheLastPartIsTheRequestsOwn) {
+TEST(PromptHeadersTest, ExcludesLastSegmentFromSharedPrefix) {
   const Prompt prompt = ReadPrompt("1460,80", "5c:800,91:410,e4:250");
   EXPECT_EQ(prompt.shape.prompt_tokens, 1460U);
   EXPECT_EQ(prompt.shape.shared_tokens, 1210U);
--- a/tests/platform/configuration_document_test.cc
+++ b/tests/platform/configuration_document_test.cc
@@ -21,7 +21,7 @@
               {"name":"y","health_path":"/h","max_conns":130}],
   "limits":{"header_bytes":16384,"idle_timeout_ms":15000}})";
 
-TEST(ConfigurationDocumentTest, IsReadIntoTypedChangesAndKeptAsItCame) {
+TEST(ConfigurationDocumentTest, ReadsTypedChangesAndKeepsSourceText) {
   const auto read = ReadDocument(kDocument, 5);
   ASSERT_TRUE(read.ok()) << read.status().ToString();
   EXPECT_EQ(read->label(), 7U);
@@ -71,7 +71,7 @@
   }
 }
 
-TEST(ConfigurationDocumentTest, APatchKeepsOrderAndUnknownFields) {
+TEST(ConfigurationDocumentTest, PatchKeepsOrderAndUnknownFields) {
   const auto merged = MergePatch(
       kDocument, R"({"version":9,"upsert":{"routes":[{"name":"r-b","new":1},{"name":"r-d"}]},)"
                  R"("remove":{"routes":["r-a"],"services":["y"]}})");
