--- a/apps/cloverbankd/gateway_role.cc
+++ b/apps/cloverbankd/gateway_role.cc
@@ -17,7 +17,7 @@
   options.probe.enabled = settings.probe_replicas;
   options.serve_without_control = settings.serve_without_control;
   if (settings.platform_adapter) {
-    platform::Adapt(&options);
+    platform::ConfigureGatewayOptions(&options);
   }
   return options;
 }
