--- a/tests/cloverbankd/daemon_process.h
+++ b/tests/cloverbankd/daemon_process.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Real `cloverbankd` processes on loopback addresses, for tests.
+/// Starts real `cloverbankd` processes on loopback addresses, for tests.
 
 #include <fcntl.h>
 #include <gtest/gtest.h>
@@ -22,7 +22,8 @@
 
 inline constexpr std::uint16_t kClientPort = 7400;
 
-/// @return the address of a machine. Different test processes at a time get different ones.
+/// @return the loopback address of a machine. It depends on the process id, so that test processes
+/// that run at the same time get different addresses.
 inline std::string MachineAddress(int number) {
   constexpr int kFirstNetwork = 32;
   constexpr int kNetworks = 64;
@@ -41,7 +42,7 @@
   return "[" + list + "]";
 }
 
-/// One machine with the roles coordinator, queue and backup. Killed when it goes out of scope.
+/// A process with the roles coordinator, queue and backup. The destructor kills it.
 class DaemonProcess {
  public:
   /// @param number from 1; also the last part of the machine's address.
@@ -80,7 +81,7 @@
     posix_spawn_file_actions_destroy(&actions);
   }
   void Signal(int signal) const { kill(pid_, signal); }
-  /// Waits for the process's end. @return its exit code, or -1 if a signal ended it.
+  /// Waits until the process has ended. @return its exit code, or -1 if a signal ended it.
   int Wait() {
     int status = 0;
     waitpid(std::exchange(pid_, 0), &status, 0);
@@ -91,8 +92,8 @@
     return http_.Call({address_, kClientPort}, MakeRequest(method, path, std::move(body)),
                       seconds(2));
   }
-  /// Waits until GET /ready answers `status` with `text` in its body. The limit only keeps a broken
-  /// test from hanging.
+  /// Waits until GET /ready returns `status` with `text` in its body; fails the test after 400
+  /// attempts, 50 ms apart. The limit only keeps a broken test from hanging.
   void AwaitReadiness(int status, const std::string& text = {}) {
     std::string last;
     for (int attempt = 0; attempt < 400; ++attempt) {
--- a/tests/cloverbankd/daemon_test.cc
+++ b/tests/cloverbankd/daemon_test.cc
@@ -1,4 +1,5 @@
-// The daemon as its supervisors see it: exit codes, readiness, clean stop, restart, isolation.
+// Tests the daemon as a process: exit codes, readiness, graceful stop, restart and isolation from
+// the other machines.
 #include <memory>
 
 #include "cloverbankd/daemon_process.h"
@@ -61,7 +62,7 @@
   }
 }
 
-TEST_F(DaemonTest, ComesBackAfterAllMachinesWereKilled) {
+TEST_F(DaemonTest, BecomesReadyAfterAllMachinesWereKilled) {
   StartAll();
   for (const auto& machine : machines_) {
     machine->Signal(SIGKILL);
@@ -70,13 +71,13 @@
   StartAll();
 }
 
-TEST_F(DaemonTest, SaysItIsNotReadyWhileItIsAlone) {
+TEST_F(DaemonTest, ReportsNotReadyWithoutOtherMachines) {
   machines_[0]->Start();
   machines_[0]->AwaitReadiness(503, "no leader of the coordinator group is known");
   machines_[0]->AwaitReadiness(503, "not registered with the coordinators");
 }
 
-TEST_F(DaemonTest, IsolatedMachineLosesItsLeaseUntilHealed) {
+TEST_F(DaemonTest, IsolatedMachineHasNoLeaseUntilHealed) {
   StartAll({"--allow-fault-injection"});
   const std::string blocked =
       R"({"blocked":[")" + machines_[1]->address() + R"(",")" + machines_[2]->address() + R"("]})";
