--- a/apps/cloverbankd/backup_role.cc
+++ b/apps/cloverbankd/backup_role.cc
@@ -1,4 +1,5 @@
-// Assembly of the backup: its service, and the agent that registers it with its disk.
+// The backup role: the backup service, and the agent that registers the node and its disk with the
+// coordinators.
 #include "backup/backup_service.h"
 #include "cloverbankd/node_readiness.h"
 #include "cloverbankd/role.h"
@@ -32,7 +33,7 @@
     return loaded;
   }
 
-  std::optional<std::string> NotReadyReason() const override { return LeaseMissing(*agent_); }
+  std::optional<std::string> NotReadyReason() const override { return MissingLeaseReason(*agent_); }
 
  private:
   void ReportLoad() {
@@ -42,7 +43,7 @@
 
   RoleContext context_;
   BackupService service_;
-  std::unique_ptr<NodeAgent> agent_;  ///< Made once the disk's id is known.
+  std::unique_ptr<NodeAgent> agent_;  ///< Created in Start, because it needs the disk's id.
   TimerId timer_ = 0;
 };
 
--- a/apps/cloverbankd/coordinator_role.cc
+++ b/apps/cloverbankd/coordinator_role.cc
@@ -1,4 +1,4 @@
-// Assembly of the coordinator: control state, replicated log, service.
+// The coordinator role: control state, replicated log and service.
 #include "cloverbankd/role.h"
 #include "consensus/raft_node.h"
 #include "control_state/control_state.h"
@@ -7,17 +7,18 @@
 namespace cloverbank {
 namespace {
 
-/// Heartbeats within one election timeout, so that a lost one starts no election.
+/// Number of heartbeats within one election timeout, so that the loss of one starts no election.
 constexpr int kHeartbeatsPerElectionTimeout = 4;
 
-/// A majority is left after `losses` of so many voters.
-std::size_t VotersToBear(std::size_t losses) { return losses == 0 ? 0 : 2 * losses + 1; }
+/// @return the number of voters of which a majority remains after `failures` of them failed; 0 if
+/// `failures` is 0.
+std::size_t VotersToTolerate(std::size_t failures) { return failures == 0 ? 0 : 2 * failures + 1; }
 
 RaftNodeOptions MakeRaftOptions(const RoleContext& context) {
   RaftNodeOptions options;
   options.seeds = context.settings.seeds;
   options.replace_unresponsive_after = context.settings.replace_unresponsive_after;
-  options.wanted_voters = VotersToBear(context.settings.losses_borne);
+  options.wanted_voters = VotersToTolerate(context.settings.losses_borne);
   options.can_bootstrap = context.settings.form_group;
   options.election_timeout = context.settings.election_timeout;
   options.heartbeat_interval = context.settings.election_timeout / kHeartbeatsPerElectionTimeout;
--- a/apps/cloverbankd/daemon.cc
+++ b/apps/cloverbankd/daemon.cc
@@ -41,7 +41,7 @@
                                                      metrics_)) {}
 
 Daemon::~Daemon() {
-  // Callbacks of calls under way refer to the roles: drop them before the roles go.
+  // Callbacks of calls in flight refer to the roles, so they must be destroyed before the roles.
   front_calls_.reset();
   front_ready_.reset();
   front_control_.reset();
@@ -100,7 +100,7 @@
     Log(LogLevel::kWarning, "settings_reload_failed", {{"reason", read.status().message()}});
     return;
   }
-  // Addresses and roles are of one process life; what may change within it is the logging.
+  // Addresses and roles stay the same until the process ends; only the logging can be reloaded.
   LoggingOptions logging = read->logging;
   logging.node_name = settings_.machine;
   ConfigureLogging(logging);
@@ -174,7 +174,8 @@
   for (const auto& role : roles_) {
     role->Drain();
   }
-  // The front interfaces take new callers until the platform sends them elsewhere.
+  // The front interfaces accept new connections for `stop_linger`, until the platform sends new
+  // connections elsewhere.
   servers_draining_ = CallerServers().size();
   loop_.ScheduleAfter(settings_.stop_linger, [this] { DrainServers(); });
   StopWhenDrained();
--- a/apps/cloverbankd/daemon.h
+++ b/apps/cloverbankd/daemon.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// One process of the serving tier: an event loop, servers on the client and peer endpoints, and
-/// the roles that the settings name.
+/// One process of the serving tier: an event loop, servers on the client, peer and front endpoints,
+/// and the roles that the settings name. Threads: `Start`, `Run` and all callbacks on one thread.
 
 #include <memory>
 #include <string>
@@ -21,8 +21,9 @@
 namespace cloverbank {
 
 struct DaemonOptions {
+  /// Whether the client port serves /admin/faults; for test fleets only.
   bool allow_fault_injection = false;
-  /// Path of the settings file, for a reload at SIGHUP; empty if there is none.
+  /// Path of the settings file, which the daemon reads again at SIGHUP; empty if there is none.
   std::string settings_path = {};
 };
 
@@ -33,29 +34,31 @@
   Daemon(const Daemon&) = delete;
   Daemon& operator=(const Daemon&) = delete;
 
-  /// Opens the data folder, starts the roles, then listens.
+  /// Opens the data folder, starts the roles, then listens. @return the first error.
   Status Start();
-  /// Runs until a stop signal or a fatal failure. @return the process's exit code.
+  /// Runs the event loop until a stop has completed or a role failed fatally. @return the process's
+  /// exit code: 0 after a stop, 1 after a failure.
   int Run();
-  /// Begins a graceful shutdown, as at SIGTERM: accepts no new work, lets calls in flight end
-  /// within the grace period. A second request stops at once.
+  /// Begins a graceful shutdown, as at SIGTERM: the roles accept no new work, and calls in flight
+  /// may end within the grace period. A second call stops the process at once.
   void RequestStop();
 
  private:
   Status OpenDataFolder();
   Status StartRoles();
   Status ListenAll();
-  /// @return the servers that exist, those of the front interfaces first.
+  /// @return the existing servers for callers, those of the front interfaces first; without the
+  /// peer server and the readiness server.
   std::vector<BeastHttpServer*> CallerServers() const;
   void DrainServers();
   void ReloadSettings();
   void Fail(const Status& status);
   void StopWhenDrained();
-  /// @return what a clean stop still waits for; empty when nothing is left.
+  /// @return the components that a clean stop still waits for, separated by commas; empty if none.
   std::string UndrainedComponents() const;
   proto::ReadinessReport Readiness() const;
 
-  // In order of dependence: what comes later is destroyed earlier.
+  // In order of dependence: members are destroyed in reverse order.
   const Settings settings_;
   const DaemonOptions options_;
   Metrics metrics_;
@@ -64,7 +67,7 @@
   std::unique_ptr<BeastHttpClient> client_;
   std::unique_ptr<BeastHttpServer> client_server_;
   std::unique_ptr<BeastHttpServer> peer_server_;
-  /// Front interfaces; null where the settings name none.
+  /// Servers of the front interfaces; null where the settings name none.
   std::unique_ptr<BeastHttpServer> front_calls_;
   std::unique_ptr<BeastHttpServer> front_ready_;
   std::unique_ptr<BeastHttpServer> front_control_;
@@ -73,7 +76,7 @@
   std::vector<std::unique_ptr<Role>> roles_;
 
   bool stopping_ = false;
-  std::size_t servers_draining_ = 0;  ///< Servers of callers with answers under way.
+  std::size_t servers_draining_ = 0;  ///< Servers of callers that have not finished draining.
   TimePoint stop_deadline_;
   int exit_code_ = 0;
 };
--- a/apps/cloverbankd/gateway_role.cc
+++ b/apps/cloverbankd/gateway_role.cc
@@ -1,4 +1,5 @@
-// Assembly of the gateway: its agent and its service on the client port.
+// The gateway role: its agent, its service on the client port and, if the settings ask for it, the
+// platform adapter.
 #include "cloverbankd/node_readiness.h"
 #include "cloverbankd/role.h"
 #include "control_client/coordinator_referral.h"
@@ -34,13 +35,15 @@
     if (context.settings.platform_adapter) {
       adapter_ = std::make_unique<platform::Adapter>(
           context.environment, service_, agent_, context.front,
-          [this, taking = context.taking_callers] { return taking() && service_.Ready(nullptr); },
+          [this, accepts = context.accepts_new_clients] {
+            return accepts() && service_.Ready(nullptr);
+          },
           context.settings.zone_regions);
     }
     if (!context.settings.roles.coordinator) {
       referral_ = std::make_unique<CoordinatorReferral>(context.environment, agent_);
     }
-    agent_.OnConfiguration([this] { TakeLimits(); });
+    agent_.OnConfiguration([this] { ApplyCallerLimits(); });
   }
 
   std::string_view name() const override { return "gateway"; }
@@ -52,7 +55,7 @@
   }
 
   std::optional<std::string> NotReadyReason() const override {
-    if (auto missing = LeaseMissing(agent_)) {
+    if (auto missing = MissingLeaseReason(agent_)) {
       return missing;
     }
     std::string reason;
@@ -73,8 +76,8 @@
   }
 
  private:
-  /// What callers may send is part of the configuration.
-  void TakeLimits() {
+  /// Sets the bounds on callers' requests to those of the current configuration.
+  void ApplyCallerLimits() {
     if (front_.calls == nullptr || !agent_.configuration().document().has_limits()) {
       return;
     }
--- a/apps/cloverbankd/main.cc
+++ b/apps/cloverbankd/main.cc
@@ -1,4 +1,4 @@
-// cloverbankd: one daemon whose settings name its roles.
+// cloverbankd: the daemon of the serving tier; its settings name the roles that it runs.
 #include <CLI/CLI.hpp>
 #include <exception>
 #include <iostream>
@@ -13,9 +13,9 @@
 namespace cloverbank {
 namespace {
 
-constexpr int kStartFailed = 1;
+constexpr int kExitStartFailed = 1;
 constexpr std::uint32_t kMsPerSecond = 1000;
-constexpr int kWrongSettings = 2;
+constexpr int kExitInvalidSettings = 2;
 
 struct CommandLine {
   std::string settings_path;
@@ -24,23 +24,23 @@
   DaemonOptions daemon;
 };
 
-/// @return the exit code if the process is to end now (help, wrong flags), else nothing.
+/// @return the exit code if the process must end now (help, invalid flags); otherwise nothing.
 std::optional<int> ParseCommandLine(int argc, char** argv, CommandLine* line) {
   CLI::App app{"cloverbankd: gateway, queue, backup and coordinator roles of a cloverbank fleet"};
   std::optional<std::uint32_t> grace_seconds;
   app.add_option("--config", line->settings_path, "Settings file (TOML)")
       ->envname("CLOVERBANK_CONFIG")
       ->required();
-  app.add_option("--set", line->overrides, "Override of one setting: section.key=value");
+  app.add_option("--set", line->overrides, "Override one setting: section.key=value");
   app.add_flag("--check-only", line->check_only, "Check the settings and exit");
   app.add_flag("--allow-fault-injection", line->daemon.allow_fault_injection,
                "Serve /admin/faults on the client port; for test fleets only");
   app.add_option("--stop-grace-seconds", grace_seconds,
-                 "How long a clean stop waits for calls under way; in place of node.stop_grace_ms");
+                 "Seconds a graceful stop waits for calls in flight; overrides node.stop_grace_ms");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& error) {
-    return app.exit(error) == 0 ? 0 : kWrongSettings;
+    return app.exit(error) == 0 ? 0 : kExitInvalidSettings;
   }
   if (grace_seconds) {
     line->overrides.push_back("node.stop_grace_ms=" +
@@ -54,8 +54,8 @@
   std::vector<SettingsOverride> overrides;
   for (const std::string& text : texts) {
     const std::size_t equals = text.find('=');
-    const bool whole = equals != std::string::npos;
-    overrides.push_back({text.substr(0, equals), whole ? text.substr(equals + 1) : ""});
+    const bool has_value = equals != std::string::npos;
+    overrides.push_back({text.substr(0, equals), has_value ? text.substr(equals + 1) : ""});
   }
   return overrides;
 }
@@ -65,7 +65,7 @@
       LoadSettings(line.settings_path, SplitOverrides(line.overrides), nullptr);
   if (!settings.ok()) {
     std::cerr << settings.status().message() << '\n';
-    return kWrongSettings;
+    return kExitInvalidSettings;
   }
   if (line.check_only) {
     std::cout << line.settings_path << ": the settings are valid\n";
@@ -78,7 +78,7 @@
   const Status started = daemon.Start();
   if (!started.ok()) {
     Log(LogLevel::kError, "start_failed", {{"status", started.ToString()}});
-    return kStartFailed;
+    return kExitStartFailed;
   }
   return daemon.Run();
 }
@@ -95,6 +95,6 @@
     return cloverbank::RunDaemon(line);
   } catch (const std::exception& error) {
     std::cerr << "cloverbankd: " << error.what() << '\n';
-    return cloverbank::kStartFailed;
+    return cloverbank::kExitStartFailed;
   }
 }
--- a/apps/cloverbankd/node_readiness.cc
+++ b/apps/cloverbankd/node_readiness.cc
@@ -10,13 +10,13 @@
   options.client_endpoint = settings.client;
   options.coordinators = settings.seeds;
   if (settings.roles.coordinator) {
-    // Seeds may name others by now.
+    // The seeds may no longer name this machine.
     options.coordinators.push_back(settings.peer);
   }
   return options;
 }
 
-std::optional<std::string> LeaseMissing(const NodeAgent& agent) {
+std::optional<std::string> MissingLeaseReason(const NodeAgent& agent) {
   if (!agent.node_id().valid()) {
     return "not registered with the coordinators";
   }
--- a/apps/cloverbankd/node_readiness.h
+++ b/apps/cloverbankd/node_readiness.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// What roles that hold a node lease have in common.
+/// Helpers for the roles whose node holds a lease from the coordinators.
 
 #include <optional>
 #include <string>
@@ -10,10 +10,10 @@
 
 namespace cloverbank {
 
-/// @return options of an agent for `role` on the machine of `settings`.
+/// @return the options of a node agent for `role` on the machine that `settings` describe.
 NodeAgentOptions MakeAgentOptions(const Settings& settings, proto::Role role);
 
-/// @return what keeps `agent` from acting; nothing if it may.
-std::optional<std::string> LeaseMissing(const NodeAgent& agent);
+/// @return why `agent` holds no valid lease; nothing if it holds one.
+std::optional<std::string> MissingLeaseReason(const NodeAgent& agent);
 
 }  // namespace cloverbank
--- a/apps/cloverbankd/process_status.h
+++ b/apps/cloverbankd/process_status.h
@@ -1,9 +1,10 @@
 #pragma once
 /// @file
-/// Adapter: what supervisors and monitoring ask of any daemon, whatever its roles.
+/// Adapter: the HTTP interface for supervisors and monitoring, which every daemon serves whatever
+/// its roles.
 ///
-///     GET /health    200 as long as the event loop turns
-///     GET /ready     200 when every role does its work, else 503 with the reasons
+///     GET /health    200 as long as the event loop runs
+///     GET /ready     200 when every role is ready, else 503 with the reasons
 ///     GET /metrics   the process's metrics in the Prometheus text format
 
 #include <functional>
@@ -14,8 +15,9 @@
 
 namespace cloverbank {
 
-/// Registers the handlers. `metrics` and what `report` refers to must outlive the router's
-/// requests.
+/// Registers the handlers.
+/// @param metrics must outlive the router's requests.
+/// @param report called for each GET /ready; what it refers to must outlive the router's requests.
 void ServeProcessStatus(HttpRouter& router, const Metrics& metrics,
                         std::function<proto::ReadinessReport()> report);
 
--- a/apps/cloverbankd/queue_role.cc
+++ b/apps/cloverbankd/queue_role.cc
@@ -1,4 +1,4 @@
-// Assembly of the queue node: its agent and its service.
+// The queue role: its agent and its service.
 #include "cloverbankd/node_readiness.h"
 #include "cloverbankd/role.h"
 #include "queue/queue_service.h"
@@ -28,7 +28,7 @@
     return Status::Ok();
   }
 
-  std::optional<std::string> NotReadyReason() const override { return LeaseMissing(agent_); }
+  std::optional<std::string> NotReadyReason() const override { return MissingLeaseReason(agent_); }
 
  private:
   NodeAgent agent_;
--- a/apps/cloverbankd/role.h
+++ b/apps/cloverbankd/role.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// What the daemon knows of a role: how to start it, whether it is ready, how to stop it cleanly.
+/// The interface between the daemon and a role: starts it, asks whether it is ready, and drains it
+/// before a stop.
 /// Threads: the daemon's event loop only.
 
 #include <functional>
@@ -18,17 +19,17 @@
 
 namespace cloverbank {
 
-/// What every role is built from. All of it outlives the roles.
+/// What the daemon passes to every role. All of it outlives the roles.
 struct RoleContext {
   const Settings& settings;
   Environment& environment;
   HttpClient& client;
-  HttpRouter& client_router;  ///< Of the client port.
-  FrontServers front;         ///< Of the front interfaces that the settings name.
+  HttpRouter& client_router;  ///< Routes requests on the client port.
+  FrontServers front;         ///< Servers of the front interfaces that the settings name.
   /// Whether the process accepts new clients: false from the start of a graceful shutdown.
-  std::function<bool()> taking_callers;
+  std::function<bool()> accepts_new_clients;
   DataFolder* data_folder;  ///< Null if the settings name none.
-  /// Ends the process: the role can not go on.
+  /// Ends the process with an error; a role calls it when it cannot continue.
   std::function<void(const Status&)> on_fatal;
 };
 
@@ -37,13 +38,13 @@
   virtual ~Role() = default;
 
   virtual std::string_view name() const = 0;
-  /// Reads the disk and begins to serve. Called once.
+  /// Loads the role's data from disk and begins to serve. Called once.
   virtual Status Start() = 0;
-  /// @return what is missing until the role does its work; nothing when it is ready.
+  /// @return why the role is not ready; nothing if it is ready.
   virtual std::optional<std::string> NotReadyReason() const = 0;
-  /// Accepts no new work; what is in flight continues.
+  /// Stops accepting new work; work in flight continues.
   virtual void Drain() {}
-  /// @return whether everything that was in flight at `Drain` has ended.
+  /// @return whether all work that was in flight at `Drain` has ended.
   virtual bool Drained() const { return true; }
 };
 
--- a/apps/cloverbankd/server_options.h
+++ b/apps/cloverbankd/server_options.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Bounds of the daemon's servers and of its outgoing calls.
+/// Options and limits of the daemon's HTTP servers and of its outgoing calls.
 
 #include "net/beast_http_client.h"
 #include "net/beast_http_server.h"
@@ -12,7 +12,7 @@
 inline constexpr std::uint64_t kMaximumPeerBodyBytes = 96ULL << 20U;
 
 HttpServerOptions ClientServerOptions(const Settings& settings);
-/// Of the front interface at `listen`.
+/// @return the options of the front interface's server at `listen`.
 HttpServerOptions FrontServerOptions(const Settings& settings, const Endpoint& listen);
 HttpServerOptions PeerServerOptions(const Settings& settings);
 HttpClientOptions OutgoingCallOptions(const Settings& settings);
