--- a/apps/cloverbank/batch_commands.cc
+++ b/apps/cloverbank/batch_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// batch submit|list|status|watch|results|cancel.
+/// The commands batch submit|list|status|watch|results|cancel.
 
 #include <unistd.h>
 
@@ -15,9 +15,9 @@
 namespace cloverbank {
 namespace {
 
-constexpr auto kWatchPause = milliseconds(500);
+constexpr auto kWatchInterval = milliseconds(500);
 constexpr int kProgressWidth = 40;
-constexpr int kResultPage = 1000;
+constexpr int kResultsPerPage = 1000;
 
 struct BatchArguments {
   std::string file;
@@ -28,7 +28,7 @@
   std::string cursor;
 };
 
-std::uint64_t Finished(const proto::BatchStatus& status) {
+std::uint64_t FinishedItems(const proto::BatchStatus& status) {
   return status.succeeded() + status.failed() + status.unknown() + status.cancelled();
 }
 
@@ -42,7 +42,7 @@
       "%llu cancelled\n",
       status.batch_id().c_str(), status.route().c_str(),
       proto::BatchState_Name(status.state()).substr(sizeof("BATCH_STATE")).c_str(),
-      static_cast<unsigned long long>(Finished(status)),
+      static_cast<unsigned long long>(FinishedItems(status)),
       static_cast<unsigned long long>(status.total()),
       static_cast<unsigned long long>(status.succeeded()),
       static_cast<unsigned long long>(status.failed()),
@@ -50,12 +50,13 @@
       static_cast<unsigned long long>(status.cancelled()));
 }
 
-/// Reads one item a line; names the line of each mistake.
+/// Reads one JSON item per line of `text` into `batch`; prints the file and line of each error.
+/// @return whether every line could be read.
 bool ReadItems(const std::string& text, const std::string& file, proto::SubmitBatch* batch) {
   std::istringstream lines(text);
   std::string line;
   int number = 0;
-  bool good = true;
+  bool valid = true;
   while (std::getline(lines, line)) {
     ++number;
     if (line.find_first_not_of(" \t\r") == std::string::npos) {
@@ -64,10 +65,10 @@
     if (Status status = FromJson(line, batch->add_items()); !status.ok()) {
       std::fprintf(stderr, "cloverbank: %s:%d: %s\n", file.c_str(), number,
                    status.message().c_str());
-      good = false;
+      valid = false;
     }
   }
-  return good;
+  return valid;
 }
 
 int Submit(CommandContext& context, const BatchArguments& arguments) {
@@ -87,7 +88,7 @@
   proto::BatchStatus status;
   ApiError error;
   if (!client.Call("POST", "/v1/batches", ToJson(batch), Repeat::kSafe, &status, &error)) {
-    std::fprintf(stderr, "cloverbank: send it again with --key %s\n",
+    std::fprintf(stderr, "cloverbank: to retry the submission, use --key %s\n",
                  batch.idempotency_key().c_str());
     return PrintError(error);
   }
@@ -113,11 +114,11 @@
 
 void DrawProgress(const proto::BatchStatus& status) {
   const std::uint64_t total = std::max<std::uint64_t>(1, status.total());
-  const int filled = static_cast<int>(Finished(status) * kProgressWidth / total);
+  const int filled = static_cast<int>(FinishedItems(status) * kProgressWidth / total);
   std::string bar(static_cast<std::size_t>(filled), '#');
   bar.resize(kProgressWidth, '.');
   std::fprintf(stderr, "\r[%s] %llu/%llu", bar.c_str(),
-               static_cast<unsigned long long>(Finished(status)),
+               static_cast<unsigned long long>(FinishedItems(status)),
                static_cast<unsigned long long>(status.total()));
 }
 
@@ -136,7 +137,7 @@
     if (status.state() != proto::BATCH_STATE_RUNNING) {
       break;
     }
-    std::this_thread::sleep_for(kWatchPause);
+    std::this_thread::sleep_for(kWatchInterval);
   }
   if (terminal) {
     std::fprintf(stderr, "\n");
@@ -152,9 +153,11 @@
   proto::ResultList page;
   do {
     const std::string path = "/v1/batches/" + arguments.batch_id +
-                             "/results?limit=" + std::to_string(kResultPage) + "&cursor=" + cursor;
+                             "/results?limit=" + std::to_string(kResultsPerPage) +
+                             "&cursor=" + cursor;
     if (!client.Call("GET", path, {}, Repeat::kSafe, &page, &error)) {
-      std::fprintf(stderr, "cloverbank: go on later with --cursor '%s'\n", cursor.c_str());
+      std::fprintf(stderr, "cloverbank: to continue from here, use --cursor '%s'\n",
+                   cursor.c_str());
       return PrintError(error);
     }
     for (const proto::ItemResult& result : page.results()) {
@@ -198,31 +201,32 @@
 }  // namespace
 
 void AddBatchCommands(CLI::App& app, CommandContext& context, int& exit_code) {
-  auto* batch = app.add_subcommand("batch", "Hand in, watch and fetch batches");
+  auto* batch = app.add_subcommand("batch", "Submit batches, watch them and fetch results");
   batch->require_subcommand(1);
   auto arguments = std::make_shared<BatchArguments>();
-  auto* submit = batch->add_subcommand("submit", "Hand in a file of items, one JSON object a line");
+  auto* submit =
+      batch->add_subcommand("submit", "Submit a file of items, one JSON object per line");
   submit->add_option("file", arguments->file, "JSONL file (- is standard input)")->required();
   submit->add_option("--tenant", arguments->tenant)->required();
   submit->add_option("--route", arguments->route)->required();
   submit->add_option("--key", arguments->key,
-                     "Idempotency key: the same key never makes a second batch");
+                     "Idempotency key: the same key never creates a second batch");
   submit->callback([&, arguments] { exit_code = Submit(context, *arguments); });
-  auto* list = batch->add_subcommand("list", "List a tenant's batches in their one order");
+  auto* list = batch->add_subcommand("list", "List a tenant's batches in a fixed order");
   list->add_option("--tenant", arguments->tenant)->required();
   list->add_option("--cursor", arguments->cursor);
   list->callback([&, arguments] { exit_code = List(context, *arguments); });
   using Action = int (*)(CommandContext&, const BatchArguments&);
   const std::tuple<const char*, const char*, Action> by_id[] = {
-      {"status", "Say how far a batch is", &ShowStatus},
+      {"status", "Show the progress of a batch", &ShowStatus},
       {"watch", "Wait until a batch is finished", &Watch},
-      {"results", "Print the results so far, one JSON object a line", &Results},
+      {"results", "Print the results so far, one JSON object per line", &Results},
       {"cancel", "Start no further items of a batch", &Cancel}};
   for (const auto& [name, description, action] : by_id) {
     auto* command = batch->add_subcommand(name, description);
     command->add_option("batch_id", arguments->batch_id)->required();
     if (std::string_view(name) == "results") {
-      command->add_option("--cursor", arguments->cursor, "Go on from here");
+      command->add_option("--cursor", arguments->cursor, "Continue from this cursor");
     }
     command->callback(
         [&exit_code, &context, arguments, run = action] { exit_code = run(context, *arguments); });
--- a/apps/cloverbank/call_command.cc
+++ b/apps/cloverbank/call_command.cc
@@ -1,5 +1,5 @@
 /// @file
-/// call: one live call.
+/// The command call: makes one live call.
 
 #include <cstdio>
 #include <memory>
@@ -10,7 +10,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kDeadline = seconds(60);
+constexpr Duration kStreamDeadline = seconds(60);
 
 struct CallArguments {
   std::string route;
@@ -23,7 +23,7 @@
   HttpRequest request = MakeRequest("POST", "/v1/call/" + arguments.route, ToJson(arguments.call));
   request.headers.emplace_back("x-tenant", arguments.tenant);
   const HttpOutcome outcome = client.http().Stream(
-      context.gateways.front(), request, kDeadline, [](const std::string& bytes) {
+      context.gateways.front(), request, kStreamDeadline, [](const std::string& bytes) {
         std::fwrite(bytes.data(), 1, bytes.size(), stdout);
         std::fflush(stdout);
       });
@@ -41,8 +41,8 @@
   ApiClient client = context.MakeClient();
   proto::CallAnswer answer;
   ApiError error;
-  // Whether a lost call may be repeated depends on its route, which the gateway knows: not from
-  // here.
+  // Whether a call without a response may be repeated depends on its route, which only the gateway
+  // knows, so the client never repeats it.
   if (!client.Call("POST", "/v1/call/" + arguments.route, ToJson(arguments.call), Repeat::kNever,
                    &answer, &error)) {
     return PrintError(error);
--- a/apps/cloverbank/command_context.cc
+++ b/apps/cloverbank/command_context.cc
@@ -13,14 +13,14 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kPatience = seconds(20);
+constexpr Duration kRetryTime = seconds(20);
 
 }  // namespace
 
 int CommandContext::Resolve() {
   if (gateway_texts.empty()) {
     std::fprintf(stderr,
-                 "cloverbank: no gateway named; use --gateway IP:PORT or set CLOVERBANK_GATEWAY\n");
+                 "cloverbank: no gateway given; use --gateway IP:PORT or set CLOVERBANK_GATEWAY\n");
     return kExitUsage;
   }
   for (const std::string& text : gateway_texts) {
@@ -35,7 +35,7 @@
   return kExitOk;
 }
 
-ApiClient CommandContext::MakeClient() const { return {gateways, kPatience}; }
+ApiClient CommandContext::MakeClient() const { return {gateways, kRetryTime}; }
 
 int PrintError(const ApiError& error) {
   std::fprintf(stderr, "cloverbank: %s: %s\n", error.error.code().c_str(),
@@ -67,15 +67,15 @@
   }
   std::ifstream file(path, std::ios::binary);
   if (!file) {
-    return Status(StatusCode::kInvalidArgument, "can not read " + path);
+    return Status(StatusCode::kInvalidArgument, "cannot read " + path);
   }
   return std::string{std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
 std::string RandomId(const std::string& prefix) {
   std::random_device device;
-  constexpr std::uint64_t kHalf = 32;
-  const std::uint64_t number = (std::uint64_t{device()} << kHalf) | device();
+  constexpr std::uint64_t kHalfBits = 32;
+  const std::uint64_t number = (std::uint64_t{device()} << kHalfBits) | device();
   char text[32];
   std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(number));
   return prefix + "-" + text;
--- a/apps/cloverbank/command_context.h
+++ b/apps/cloverbank/command_context.h
@@ -1,7 +1,6 @@
 #pragma once
 /// @file
-/// What the commands of the command line share: gateways, output form, exit codes and how errors
-/// are told.
+/// Shared by all commands: gateways, output format, exit codes and the printing of errors.
 
 #include <cstdint>
 #include <string>
@@ -11,37 +10,39 @@
 
 namespace cloverbank {
 
-/// Documented in docs/OPERATIONS.md; scripts depend on them.
+/// Exit codes, documented in docs/OPERATIONS.md; scripts depend on them.
 enum ExitCode : int {
   kExitOk = 0,
-  kExitFailure = 1,      ///< The request was refused or failed; nothing was changed.
+  kExitFailure = 1,      ///< The request was refused or failed; it changed nothing.
   kExitUsage = 2,        ///< The command line or a file named on it is wrong.
   kExitConflict = 3,     ///< The named version is no longer current.
-  kExitUnavailable = 4,  ///< Not carried out for now; try again later.
-  kExitUnknown = 5,      ///< The answer was lost; whether it happened is not known.
+  kExitUnavailable = 4,  ///< The request was not executed; try again later.
+  kExitUnknown = 5,      ///< The response was lost; the request may have been executed.
 };
 
 enum class OutputForm : std::uint8_t { kTable, kJson };
 
-/// Filled from the command line before a command runs.
+/// Global options. The parser fills the texts and calls `Resolve` before a command runs.
 struct CommandContext {
   std::vector<std::string> gateway_texts;
   std::string output_text = "table";
   std::vector<Endpoint> gateways;
   OutputForm output = OutputForm::kTable;
 
-  /// Checks the texts. @return kExitUsage, having said what is wrong, or kExitOk.
+  /// Parses the texts into `gateways` and `output`. @return kExitOk, or kExitUsage after printing
+  /// what is wrong.
   int Resolve();
   ApiClient MakeClient() const;
 };
 
-/// Prints `error` with what to do next. @return the exit code that fits.
+/// Prints `error` to standard error, with its problems and when to retry. @return the matching exit
+/// code.
 int PrintError(const ApiError& error);
-/// Prints `message` as readable JSON.
+/// Prints `message` to standard output as indented JSON.
 void PrintJson(const google::protobuf::Message& message);
-/// @return the file's bytes ("-" is standard input), or kInvalidArgument naming it.
+/// @return the bytes of the file ("-" is standard input), or kInvalidArgument with the path.
 Result<std::string> ReadFileContent(const std::string& path);
-/// @return a random id for an operation or idempotency key.
+/// @return "PREFIX-" and 16 random hexadecimal digits, for an operation id or idempotency key.
 std::string RandomId(const std::string& prefix);
 
 }  // namespace cloverbank
--- a/apps/cloverbank/commands.h
+++ b/apps/cloverbank/commands.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// The groups of commands. Each function adds its commands to the command line; a command's
-/// callback stores its exit code in `exit_code`.
+/// The command groups. Each function adds its commands to `app`; a command's callback runs it and
+/// stores its exit code in `exit_code`. `context` and `exit_code` must outlive the parsing of
+/// `app`.
 
 #include <CLI/CLI.hpp>
 
--- a/apps/cloverbank/config_commands.cc
+++ b/apps/cloverbank/config_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// config get|apply|history and zone drain|open.
+/// The commands config get|apply|history and zone drain|open.
 
 #include <cstdio>
 #include <memory>
@@ -17,7 +17,7 @@
   ApiClient client = context.MakeClient();
   proto::TransactionResult result;
   ApiError error;
-  // The operation id makes it safe to send the order again after a lost answer.
+  // The operation id makes it safe to send the transaction again after a lost response.
   if (!client.Call("POST", kTransactionsPath, ToJson(transaction), Repeat::kSafe, &result,
                    &error)) {
     return PrintError(error);
@@ -133,8 +133,8 @@
   auto* apply = config->add_subcommand("apply", "Apply a transaction; returns when it is in force");
   apply->add_option("file", arguments->file, "JSON transaction (- is standard input)")->required();
   apply->add_option("--operation-id", arguments->operation_id,
-                    "Names the order, so that it can be sent again safely");
-  apply->add_flag("--dry-run", arguments->dry_run, "Only check it");
+                    "Id of the transaction, so that it can be sent again safely");
+  apply->add_flag("--dry-run", arguments->dry_run, "Only validate the transaction");
   apply->callback([&, arguments] { exit_code = Apply(context, *arguments); });
 
   auto* zone = app.add_subcommand("zone", "Drain or open a zone");
@@ -143,7 +143,7 @@
   auto* drain = zone->add_subcommand("drain", "Send no traffic to the zone's replicas");
   drain->add_option("zone", *name)->required();
   drain->callback([&, name] { exit_code = SetZone(context, *name, proto::ZONE_STATE_DRAINED); });
-  auto* open = zone->add_subcommand("open", "Let traffic into the zone again");
+  auto* open = zone->add_subcommand("open", "Send traffic to the zone's replicas again");
   open->add_option("zone", *name)->required();
   open->callback([&, name] { exit_code = SetZone(context, *name, proto::ZONE_STATE_OPEN); });
 }
--- a/apps/cloverbank/fleet_commands.cc
+++ b/apps/cloverbank/fleet_commands.cc
@@ -1,5 +1,5 @@
 /// @file
-/// status and store retire.
+/// The commands status and store retire.
 
 #include <cstdio>
 #include <memory>
@@ -68,7 +68,7 @@
                    &error)) {
     return PrintError(error);
   }
-  std::printf("%s takes nothing new and is being emptied; see cloverbank status\n",
+  std::printf("%s accepts no new work and is being emptied; see cloverbank status\n",
               machine.c_str());
   return kExitOk;
 }
@@ -76,9 +76,9 @@
 }  // namespace
 
 void AddFleetCommands(CLI::App& app, CommandContext& context, int& exit_code) {
-  app.add_subcommand("status", "The whole fleet: what is up, what is degraded, what to do")
+  app.add_subcommand("status", "Show the whole fleet: what is up, what is degraded, what to do")
       ->callback([&] { exit_code = ShowFleet(context); });
-  auto* store = app.add_subcommand("store", "Store machines");
+  auto* store = app.add_subcommand("store", "Manage store machines");
   store->require_subcommand(1);
   auto machine = std::make_shared<std::string>();
   auto* retire = store->add_subcommand("retire", "Empty a store machine");
--- a/apps/cloverbank/main.cc
+++ b/apps/cloverbank/main.cc
@@ -1,16 +1,16 @@
 /// @file
-/// cloverbank: the command line of operators and batch clients.
+/// cloverbank: the command-line client of operators and batch clients.
 
 #include "cloverbank/commands.h"
 
 int main(int argc, char** argv) {
   using cloverbank::CommandContext;
-  CLI::App app{"Operates a cloverbank fleet and hands in batches, through any of its gateways."};
+  CLI::App app{"Operates a cloverbank fleet and submits batches, through any of its gateways."};
   CommandContext context;
   int exit_code = cloverbank::kExitOk;
   app.add_option("--gateway", context.gateway_texts, "A gateway's IP:PORT; may be repeated")
       ->envname("CLOVERBANK_GATEWAY");
-  app.add_option("--output", context.output_text, "How to print answers")
+  app.add_option("--output", context.output_text, "Output format")
       ->check(CLI::IsMember({"table", "json"}))
       ->capture_default_str();
   app.require_subcommand(1);
