--- a/apps/fleet/demo.cc
+++ b/apps/fleet/demo.cc
@@ -11,11 +11,12 @@
 namespace {
 
 constexpr Duration kReadyLimit = seconds(60);
-constexpr Duration kPatience = seconds(20);
+constexpr Duration kRetryTime = seconds(20);
 constexpr Duration kBatchLimit = seconds(90);
 constexpr int kBatchItems = 40;
 constexpr std::uint32_t kBatchTokens = 16;
-constexpr std::uint32_t kResultPage = 15;  // Several pages for 40 items, to use the cursors.
+constexpr std::uint32_t kResultsPerPage =
+    15;  // Makes several pages of 40 items, so that cursors are used.
 
 std::string Milliseconds(Duration time) {
   return std::to_string(std::chrono::duration_cast<milliseconds>(time).count()) + " ms";
@@ -46,36 +47,36 @@
 
 }  // namespace
 
-Demo::Demo(Fleet& fleet, std::string configuration_json, bool judge_times)
+Demo::Demo(Fleet& fleet, std::string configuration_json, bool check_times)
     : fleet_(fleet),
       configuration_json_(std::move(configuration_json)),
-      judge_times_(judge_times) {}
+      check_times_(check_times) {}
 
-void Demo::Report(bool held, const std::string& what) {
-  std::printf("%s %s\n", held ? "  ok  " : " FAIL ", what.c_str());
+void Demo::Report(bool passed, const std::string& what) {
+  std::printf("%s %s\n", passed ? "  ok  " : " FAIL ", what.c_str());
   std::fflush(stdout);
-  all_passed_ = all_passed_ && held;
+  all_passed_ = all_passed_ && passed;
 }
 
 ApiClient Demo::MakeClient(Duration patience) const { return {fleet_.Gateways(), patience}; }
 
 bool Demo::Run(bool with_failures) {
-  if (BringUp() && ApplyFirstConfiguration()) {
+  if (StartFleet() && ApplyFirstConfiguration()) {
     LiveCalls();
     Batch();
     ConfigurationChange();
     Refusals();
     if (with_failures) {
-      LoseLeadingCoordinator();
-      LoseBatchOwner();
+      KillLeadingCoordinator();
+      KillBatchOwner();
     }
-    CheckWitness();
+    CheckWitnessLog();
   }
-  std::printf("%s\n", all_passed_ ? "everything held" : "something did not hold");
+  std::printf("%s\n", all_passed_ ? "all checks passed" : "some checks failed");
   return all_passed_;
 }
 
-bool Demo::BringUp() {
+bool Demo::StartFleet() {
   const Deployment& deployment = fleet_.deployment();
   std::printf("== %s: %zu machines, %zu replicas\n", deployment.name.c_str(),
               deployment.machines.size(), deployment.replicas.size());
@@ -99,7 +100,7 @@
   routes_ = FindRoutes(first);
   proto::TransactionResult result;
   ApiError error;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   const TimePoint begin = EventLoop::Now();
   const bool applied = client.Call("POST", "/v1/config/transactions", configuration_json_,
                                    Repeat::kSafe, &result, &error);
@@ -121,19 +122,19 @@
   call.set_stream(true);
   HttpRequest request = MakeRequest("POST", "/v1/call/" + routes_.streamed, ToJson(call));
   request.headers.emplace_back("x-tenant", routes_.tenant);
-  const TimePoint give_up = EventLoop::Now() + kPatience;
+  const TimePoint deadline = EventLoop::Now() + kRetryTime;
   while (true) {
     std::string body;
     const HttpOutcome outcome =
-        fleet_.http().Stream(fleet_.Gateways().front(), request, kPatience,
+        fleet_.http().Stream(fleet_.Gateways().front(), request, kRetryTime,
                              [&](const std::string& bytes) { body += bytes; });
     proto::ErrorBody refusal;
     const bool not_run = FromJson(body, &refusal, UnknownFields::kIgnore).ok() &&
                          refusal.error().executed() == proto::EXECUTED_NO;
-    if (!not_run || EventLoop::Now() >= give_up) {
+    if (!not_run || EventLoop::Now() >= deadline) {
       return body.empty() ? outcome.reason : body;
     }
-    // Certainly not run, so it may be sent again when the gateway says.
+    // The call was not executed, so it may be sent again after the time that the gateway names.
     std::this_thread::sleep_for(milliseconds(refusal.error().retry_after_ms()));
   }
 }
@@ -173,9 +174,9 @@
 void Demo::LiveCalls() {
   std::printf("== live calls\n");
   std::string text;
-  const bool whole = StreamedCallCompletes("Summarise the save of this evening.", 12, &text);
-  Report(whole, "streamed call on " + routes_.streamed + ": " + text);
-  Report(ServiceCallWorks("object-17", kPatience),
+  const bool completed = StreamedCallCompletes("Summarise the save of this evening.", 12, &text);
+  Report(completed, "streamed call on " + routes_.streamed + ": " + text);
+  Report(ServiceCallWorks("object-17", kRetryTime),
          "idempotent call on " + routes_.service + " answered");
 }
 
@@ -193,7 +194,7 @@
   }
   proto::BatchStatus status;
   ApiError error;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   const TimePoint begin = EventLoop::Now();
   const bool accepted =
       client.Call("POST", "/v1/batches", ToJson(batch), Repeat::kSafe, &status, &error);
@@ -205,10 +206,10 @@
 }
 
 bool Demo::WaitFinished(const std::string& batch_id, Duration limit, proto::BatchStatus* status) {
-  const TimePoint give_up = EventLoop::Now() + limit;
-  ApiClient client = MakeClient(kPatience);
+  const TimePoint deadline = EventLoop::Now() + limit;
+  ApiClient client = MakeClient(kRetryTime);
   ApiError error;
-  while (EventLoop::Now() < give_up) {
+  while (EventLoop::Now() < deadline) {
     const bool read =
         client.Call("GET", "/v1/batches/" + batch_id, {}, Repeat::kSafe, status, &error);
     if (read && status->state() != proto::BATCH_STATE_RUNNING) {
@@ -221,13 +222,14 @@
 
 std::vector<proto::ItemResult> Demo::ResultsOf(const std::string& batch_id) {
   std::vector<proto::ItemResult> results;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   ApiError error;
   std::string cursor;
   proto::ResultList page;
   do {
     const std::string path = "/v1/batches/" + batch_id +
-                             "/results?limit=" + std::to_string(kResultPage) + "&cursor=" + cursor;
+                             "/results?limit=" + std::to_string(kResultsPerPage) +
+                             "&cursor=" + cursor;
     if (!client.Call("GET", path, {}, Repeat::kSafe, &page, &error)) {
       Report(false, "results of " + batch_id + ": " + error.error.message());
       break;
@@ -239,7 +241,7 @@
 }
 
 void Demo::CheckResults(const std::string& batch_id, int items,
-                        const std::vector<proto::ItemResult>& seen_before) {
+                        const std::vector<proto::ItemResult>& earlier_results) {
   const std::vector<proto::ItemResult> results = ResultsOf(batch_id);
   std::set<std::string> ids;
   std::map<proto::ItemOutcome, int> outcomes;
@@ -252,9 +254,9 @@
                  (result.outcome() != proto::ITEM_OUTCOME_SUCCEEDED || !result.output().empty()) &&
                  result.custom_id() == "item-" + prompt_index;
   }
-  bool prefix = results.size() >= seen_before.size();
-  for (std::size_t index = 0; prefix && index < seen_before.size(); ++index) {
-    prefix = ToJson(results[index]) == ToJson(seen_before[index]);
+  bool prefix = results.size() >= earlier_results.size();
+  for (std::size_t index = 0; prefix && index < earlier_results.size(); ++index) {
+    prefix = ToJson(results[index]) == ToJson(earlier_results[index]);
   }
   Report(results.size() == static_cast<std::size_t>(items) && ids.size() == results.size(),
          std::to_string(results.size()) + " results of " + std::to_string(ids.size()) +
@@ -262,8 +264,8 @@
              " succeeded, " + std::to_string(outcomes[proto::ITEM_OUTCOME_UNKNOWN]) + " unknown, " +
              std::to_string(outcomes[proto::ITEM_OUTCOME_FAILED]) + " failed");
   Report(right_text, "each result belongs to its item");
-  if (!seen_before.empty()) {
-    Report(prefix, "the " + std::to_string(seen_before.size()) +
+  if (!earlier_results.empty()) {
+    Report(prefix, "the " + std::to_string(earlier_results.size()) +
                        " results listed before are the first ones now, unchanged");
   }
 }
@@ -277,7 +279,7 @@
   Report(finished, "batch finished after " + Milliseconds(EventLoop::Now() - begin));
   CheckResults(batch_id, kBatchItems, {});
   Report(Submit("demo-1", kBatchItems, kBatchTokens) == batch_id,
-         "the same batch handed in again is the same batch");
+         "submitting the same batch again returns the same batch id");
 }
 
 }  // namespace cloverbank
--- a/apps/fleet/demo.h
+++ b/apps/fleet/demo.h
@@ -1,8 +1,8 @@
 #pragma once
 /// @file
-/// A walk through the product on a whole fleet: live calls, a batch, operators' transactions,
-/// refusals, and, if asked for, the loss of the leading coordinator and of the queue node that owns
-/// a half-done batch. Every step says what happened and whether what it promises held.
+/// A demonstration on a whole fleet: live calls, a batch, operators' transactions, refusals and, if
+/// asked for, the loss of the leading coordinator and of the queue node that owns a half-done
+/// batch. Every step prints what happened and whether the result was as expected.
 
 #include <map>
 #include <set>
@@ -16,40 +16,46 @@
 
 namespace cloverbank {
 
-/// Names that differ between the deployments, found in their first configuration.
+/// Routes and tenant that the demo uses, found in the deployment's first configuration.
 struct DemoRoutes {
-  std::string streamed;  ///< A model route for live calls.
-  std::string service;   ///< A plain service's route.
-  std::string batch;     ///< A route that accepts batches and must not repeat.
+  std::string streamed;  ///< A streamed model route for live calls.
+  std::string service;   ///< The route of a plain service.
+  std::string
+      batch;  ///< A route that accepts batches and is not idempotent: no item may run twice.
   std::string tenant;
 };
 
 class Demo {
  public:
-  /// @param configuration_json the first transaction of the deployment.
-  /// @param judge_times whether service must be back within its limit.
-  Demo(Fleet& fleet, std::string configuration_json, bool judge_times);
+  /// @param fleet must outlive this object.
+  /// @param configuration_json the first configuration transaction of the deployment.
+  /// @param check_times whether a step fails if service is not back within the limit (12 s) after a
+  /// failure.
+  Demo(Fleet& fleet, std::string configuration_json, bool check_times);
 
-  /// @return whether everything held.
+  /// Starts the fleet and runs all steps. @param with_failures also kills two processes and starts
+  /// them again. @return whether every check passed.
   bool Run(bool with_failures);
 
  private:
-  bool BringUp();
+  bool StartFleet();
   bool ApplyFirstConfiguration();
   void LiveCalls();
   void Batch();
   void ConfigurationChange();
   void Refusals();
-  void LoseLeadingCoordinator();
-  void LoseBatchOwner();
-  void CheckWitness();
+  void KillLeadingCoordinator();
+  void KillBatchOwner();
+  void CheckWitnessLog();
 
-  /// @return whether `time` is within the limit for service to be back, if that is judged.
-  bool SoonEnough(Duration time) const;
-  /// Prints one line and remembers a failure.
-  void Report(bool held, const std::string& what);
+  /// @return whether `time` is within the limit for service to be back; true if times are not
+  /// checked.
+  bool WithinTimeLimit(Duration time) const;
+  /// Prints one line with the result of a check; a failed check makes `Run` return false.
+  void Report(bool passed, const std::string& what);
   ApiClient MakeClient(Duration patience) const;
-  /// @return all lines of a streamed call, sent again while it is refused as not run.
+  /// Makes a streamed call; repeats it while the gateway refuses it as not executed.
+  /// @return all lines of the response, or the reason if there are none.
   std::string StreamBody(const std::string& prompt, std::uint32_t tokens);
   bool StreamedCallCompletes(const std::string& prompt, std::uint32_t tokens, std::string* text);
   bool ServiceCallWorks(const std::string& prompt, Duration patience);
@@ -60,12 +66,12 @@
   bool WaitFinished(const std::string& batch_id, Duration limit, proto::BatchStatus* status);
   std::vector<proto::ItemResult> ResultsOf(const std::string& batch_id);
   void CheckResults(const std::string& batch_id, int items,
-                    const std::vector<proto::ItemResult>& seen_before);
+                    const std::vector<proto::ItemResult>& earlier_results);
   std::string MachineAt(const proto::Endpoint& endpoint) const;
 
   Fleet& fleet_;
   std::string configuration_json_;
-  bool judge_times_;
+  bool check_times_;
   DemoRoutes routes_;
   bool all_passed_ = true;
 };
--- a/apps/fleet/demo_control.cc
+++ b/apps/fleet/demo_control.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The parts of the demo about operators' transactions, refusals and failures.
+/// The steps of the demo for operators' transactions, refusals and failures.
 
 #include <cstdio>
 #include <fstream>
@@ -12,8 +12,8 @@
 namespace cloverbank {
 namespace {
 
-constexpr Duration kPatience = seconds(60);
-constexpr Duration kServiceBackLimit = seconds(12);
+constexpr Duration kRetryTime = seconds(60);
+constexpr Duration kRecoveryLimit = seconds(12);
 constexpr Duration kBatchLimit = seconds(120);
 constexpr int kFailureBatchItems = 40;
 constexpr std::uint32_t kFailureBatchTokens = 200;
@@ -25,12 +25,12 @@
 
 }  // namespace
 
-bool Demo::SoonEnough(Duration time) const { return !judge_times_ || time <= kServiceBackLimit; }
+bool Demo::WithinTimeLimit(Duration time) const { return !check_times_ || time <= kRecoveryLimit; }
 
 std::uint64_t Demo::CurrentVersion() {
   proto::GetConfigurationResponse response;
   ApiError error;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   client.Call("GET", "/v1/config", {}, Repeat::kSafe, &response, &error);
   return response.configuration().version();
 }
@@ -39,7 +39,7 @@
                                               std::uint64_t version, std::uint32_t deadline_ms,
                                               ApiError* error) {
   proto::GetConfigurationResponse current;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   client.Call("GET", "/v1/config", {}, Repeat::kSafe, &current, error);
   proto::ConfigurationTransaction transaction;
   transaction.set_operation_id(operation_id);
@@ -69,14 +69,14 @@
              Milliseconds(EventLoop::Now() - begin) + " " + error.error.message());
   const auto resent = ChangeDeadline("demo-change", version, kNewDeadline, &error);
   Report(resent.version() == result.version() && result.version() != 0,
-         "the same order sent again gets the same answer: version " +
+         "the same transaction sent again gets the same result: version " +
              std::to_string(resent.version()));
 }
 
 void Demo::Refusals() {
   std::printf("== refusals\n");
   const std::uint64_t version = CurrentVersion();
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   ApiError error;
   ChangeDeadline("demo-stale", version - 1, kNewDeadline, &error);
   Report(error.http_status == 409, "stale version: " + error.error.message());
@@ -105,11 +105,11 @@
   return {};
 }
 
-void Demo::LoseLeadingCoordinator() {
+void Demo::KillLeadingCoordinator() {
   std::printf("== kill -9 the leading coordinator\n");
   proto::GetFleetStatusResponse status;
   ApiError error;
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   client.Call("GET", "/v1/status", {}, Repeat::kSafe, &status, &error);
   std::string leader;
   for (const proto::CoordinatorMember& member : status.coordinators()) {
@@ -123,19 +123,19 @@
   Report(killed.ok(), "killed " + leader + " " + killed.message());
   const auto result = ChangeDeadline("demo-after-kill", version, kNewDeadline + 1, &error);
   const Duration change_time = EventLoop::Now() - begin;
-  Report(result.version() == version + 1 && SoonEnough(change_time),
+  Report(result.version() == version + 1 && WithinTimeLimit(change_time),
          "the next change is in force as version " + std::to_string(result.version()) + " after " +
              Milliseconds(change_time) + " " + error.error.message());
-  Report(ServiceCallWorks("after-kill", kPatience),
+  Report(ServiceCallWorks("after-kill", kRetryTime),
          "live calls are served " + Milliseconds(EventLoop::Now() - begin) + " after the kill");
-  Report(fleet_.Start(leader).ok() && fleet_.WaitReady(kPatience).ok(),
+  Report(fleet_.Start(leader).ok() && fleet_.WaitReady(kRetryTime).ok(),
          leader + " is back and ready");
 }
 
-void Demo::LoseBatchOwner() {
+void Demo::KillBatchOwner() {
   std::printf("== kill -9 the queue node that owns a half-done batch\n");
   const std::string batch_id = Submit("demo-failure", kFailureBatchItems, kFailureBatchTokens);
-  ApiClient client = MakeClient(kPatience);
+  ApiClient client = MakeClient(kRetryTime);
   ApiError error;
   proto::BatchStatus progress;
   const TimePoint wait_end = EventLoop::Now() + kBatchLimit;
@@ -148,9 +148,9 @@
   client.Call("GET", "/v1/status", {}, Repeat::kSafe, &status, &error);
   const std::uint64_t partition = std::strtoull(batch_id.c_str(), nullptr, 10);
   std::string owner;
-  for (const proto::Partition& one : status.partitions()) {
+  for (const proto::Partition& candidate : status.partitions()) {
     for (const proto::Server& server : status.servers()) {
-      if (one.partition_id() == partition && server.node_id() == one.owner()) {
+      if (candidate.partition_id() == partition && server.node_id() == candidate.owner()) {
         owner = server.machine();
       }
     }
@@ -163,18 +163,18 @@
   const bool back =
       client.Call("GET", "/v1/batches/" + batch_id, {}, Repeat::kSafe, &progress, &error);
   const Duration recovery = EventLoop::Now() - begin;
-  Report(back && SoonEnough(recovery),
+  Report(back && WithinTimeLimit(recovery),
          "its partition is served by another queue node after " + Milliseconds(recovery));
   const bool finished = WaitFinished(batch_id, kBatchLimit, &progress);
   Report(finished, "the batch finished: " + std::to_string(progress.succeeded()) + " succeeded, " +
                        std::to_string(progress.unknown()) + " unknown");
   CheckResults(batch_id, kFailureBatchItems, before);
-  Report(fleet_.Start(owner).ok() && fleet_.WaitReady(kPatience).ok(),
+  Report(fleet_.Start(owner).ok() && fleet_.WaitReady(kRetryTime).ok(),
          owner + " is back and ready");
 }
 
-void Demo::CheckWitness() {
-  std::printf("== what the replicas saw\n");
+void Demo::CheckWitnessLog() {
+  std::printf("== calls that the replicas ran\n");
   std::ifstream file(fleet_.folder().WitnessFile());
   std::map<std::string, int> starts;
   std::string line;
--- a/apps/fleet/main.cc
+++ b/apps/fleet/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// cloverbank-fleet: a whole deployment on this machine, and the faults that can be put on it.
+/// cloverbank-fleet: runs a whole deployment on this machine and injects faults into it.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -42,7 +42,8 @@
   return {std::istreambuf_iterator<char>(file), std::istreambuf_iterator<char>()};
 }
 
-/// Opens the running fleet if there is one in the run folder, else the deployment as described.
+/// Loads the running fleet's description if the run folder has one and `fresh` is false; otherwise
+/// the deployment's fleet.toml, moved to `arguments.network` if one is given.
 Result<Deployment> OpenDeployment(const Arguments& arguments, const RunFolder& folder, bool fresh) {
   if (!fresh && std::filesystem::exists(folder.FleetFile())) {
     return LoadDeployment(folder.FleetFile().string());
@@ -57,9 +58,9 @@
 int RunDemo(Fleet& fleet, const Arguments& arguments) {
   Demo demo(fleet, ReadFile(arguments.deployment + "/configuration.json"),
             !arguments.without_time_limits);
-  const bool held = demo.Run(arguments.with_failures);
+  const bool passed = demo.Run(arguments.with_failures);
   fleet.StopAll(kStopGrace);
-  return held ? 0 : 1;
+  return passed ? 0 : 1;
 }
 
 int RunUp(Fleet& fleet, const Arguments& arguments) {
@@ -147,17 +148,18 @@
   app.add_option("--deployment", arguments->deployment, "Folder with fleet.toml")
       ->capture_default_str();
   app.add_option("--run-folder", arguments->run_folder,
-                 "Where settings, data and logs go [run/<deployment>]");
+                 "Folder for settings, data and logs [run/<deployment>]");
   app.add_option("--network", arguments->network,
-                 "First two numbers of the IP numbers to use instead, e.g. 127.50");
+                 "First two parts of the IP addresses to use instead, e.g. 127.50");
   app.add_subcommand("up", "Start the whole deployment and apply its first configuration");
-  app.add_subcommand("down", "Stop everything that was started");
-  app.add_subcommand("status", "Say which machines are ready, and why others are not");
-  auto* demo = app.add_subcommand("demo", "Fresh fleet, live calls, a batch, a change; then down");
+  app.add_subcommand("down", "Stop all processes of the fleet");
+  app.add_subcommand("status", "Show which machines are ready, and why others are not");
+  auto* demo = app.add_subcommand(
+      "demo", "Start a fresh fleet, make live calls, a batch and a change, then stop it");
   demo->add_flag("--with-failures", arguments->with_failures,
                  "Also kill the leading coordinator and the owner of a half-done batch");
   demo->add_flag("--without-time-limits", arguments->without_time_limits,
-                 "Print how long service was away without judging it (for busy machines)");
+                 "Print how long service was unavailable, but don't check it (for busy machines)");
   const std::pair<const char*, const char*> machine_commands[] = {
       {"kill", "SIGKILL a machine's process"},
       {"stop", "SIGTERM a machine's process and wait"},
@@ -165,24 +167,25 @@
       {"freeze", "SIGSTOP a machine's process"},
       {"wake", "SIGCONT a machine's process"},
       {"empty", "Kill a machine's process and remove its data folder"},
-      {"cut", "Cut a machine off from the others, both ways"},
+      {"cut", "Disconnect a machine from the others, in both directions"},
       {"add", "Add a machine like another and start it"},
-      {"replica", "Put a fault on an emulated replica"}};
+      {"replica", "Inject a fault into an emulated replica"}};
   for (const auto& [name, description] : machine_commands) {
     auto* command = app.add_subcommand(name, description);
     command->add_option("name", arguments->name, "Name of the machine or replica")->required();
     if (std::string_view(name) == "cut") {
-      command->add_option("--from", arguments->others, "Only from these machines");
+      command->add_option("--from", arguments->others, "Disconnect it only from these machines");
     } else if (std::string_view(name) == "add") {
       command->add_option("--like", arguments->like, "Machine to copy roles and zone from")
           ->required();
-      command->add_option("--address", arguments->address, "Its IP number")->required();
+      command->add_option("--address", arguments->address, "IP address of the new machine")
+          ->required();
     } else if (std::string_view(name) == "replica") {
       command->add_option("fault", arguments->fault, "crash, return, dark, drain, ready, slow ...")
           ->required();
     }
   }
-  app.add_subcommand("heal", "Let every machine reach every other again");
+  app.add_subcommand("heal", "Connect all machines with each other again");
 }
 
 int Main(int argc, char** argv) {
@@ -199,7 +202,7 @@
   const RunFolder folder(arguments.run_folder);
   if (fresh) {
     std::error_code ignored;
-    Fleet({}, folder, {}).StopAll(kStopGrace);  // What an earlier run left behind.
+    Fleet({}, folder, {}).StopAll(kStopGrace);  // Stops processes of an earlier run.
     std::filesystem::remove_all(arguments.run_folder, ignored);
   }
   auto deployment = OpenDeployment(arguments, folder, fresh);
