--- a/apps/emulator/emulated_replica.cc
+++ b/apps/emulator/emulated_replica.cc
@@ -7,7 +7,7 @@
 namespace cloverbank {
 namespace {
 
-constexpr std::string_view kLoadHeader = "x-cloverbank-load";
+constexpr std::string_view kLoadHeaderName = "x-cloverbank-load";
 constexpr int kTooManyRequests = 429;
 constexpr int kServiceUnavailable = 503;
 constexpr int kBadRequest = 400;
@@ -84,8 +84,8 @@
   const bool is_model = description_.kind == proto::BACKEND_KIND_MODEL;
   const std::uint32_t running = is_model ? model_->running() : plain_running_;
   const std::uint32_t queued = is_model ? model_->queued() : 0;
-  return {{std::string(kLoadHeader), std::to_string(running) + "/" + std::to_string(queued) + "/" +
-                                         std::to_string(description_.capacity)}};
+  return {{std::string(kLoadHeaderName), std::to_string(running) + "/" + std::to_string(queued) +
+                                             "/" + std::to_string(description_.capacity)}};
 }
 
 void EmulatedReplica::ServeHealth(const std::shared_ptr<HttpResponder>& responder) {
--- a/apps/emulator/emulated_replica.h
+++ b/apps/emulator/emulated_replica.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// One replica of the emulator: the HTTP face of a `ModelReplica` or of a plain service, with the
-/// faults that can be put on it. Threads: the loop's thread only.
+/// One replica of the emulator: serves a `ModelReplica` or a plain service over HTTP, and can be
+/// given faults. Threads: the loop's thread only.
 
 #include <map>
 #include <memory>
@@ -23,13 +23,15 @@
   EmulatedReplica(const EmulatedReplica&) = delete;
   EmulatedReplica& operator=(const EmulatedReplica&) = delete;
 
-  /// Starts a new instance: listens, and warms up until its model is loaded.
+  /// Starts a new instance, which listens and refuses calls until its model is loaded. Does nothing
+  /// if the replica is up.
   Status Start();
-  /// The process ends: connections break, nothing listens.
+  /// Simulates the end of the process: breaks all connections and stops listening.
   void Crash();
-  /// It accepts connections and requests and never responds; running calls continue.
+  /// While `dark`, the replica accepts connections and requests but never responds; running calls
+  /// continue.
   void SetDark(bool dark) { dark_ = dark; }
-  /// Multiplies the time of every step.
+  /// Multiplies the duration of every step by `factor`; 1 is normal.
   void SetSlowdown(double factor);
 
   const DeployedReplica& description() const { return description_; }
@@ -68,7 +70,8 @@
   std::uint32_t plain_running_ = 0;
   double slowdown_ = 1;
   bool dark_ = false;
-  /// Expires with each instance, so that timers of an earlier one do nothing.
+  /// Created for each instance, so that timers of an earlier instance see that it has ended and do
+  /// nothing.
   std::shared_ptr<int> instance_;
 };
 
--- a/apps/emulator/emulator.cc
+++ b/apps/emulator/emulator.cc
@@ -52,28 +52,28 @@
 
 void Emulator::Publish(const EmulatedReplica& replica, proto::ReplicaState state) {
   const DeployedReplica& description = replica.description();
-  proto::Replica shown;
-  shown.set_id(description.id);
-  shown.mutable_endpoint()->set_host(description.endpoint.host);
-  shown.mutable_endpoint()->set_port(description.endpoint.port);
-  shown.set_zone(description.zone);
-  shown.set_kind(description.kind);
-  shown.set_backend(description.backend);
-  shown.set_state(state);
-  shown.set_capacity(description.capacity);
-  shown.set_instance_id(replica.instance_id());
-  list_.Set(EventLoop::Now(), shown);
+  proto::Replica listed;
+  listed.set_id(description.id);
+  listed.mutable_endpoint()->set_host(description.endpoint.host);
+  listed.mutable_endpoint()->set_port(description.endpoint.port);
+  listed.set_zone(description.zone);
+  listed.set_kind(description.kind);
+  listed.set_backend(description.backend);
+  listed.set_state(state);
+  listed.set_capacity(description.capacity);
+  listed.set_instance_id(replica.instance_id());
+  list_.Set(EventLoop::Now(), listed);
 }
 
 void Emulator::ServeList(const HttpRequest& request,
                          const std::shared_ptr<HttpResponder>& responder) {
-  const proto::ReplicaList& shown = list_.Shown(EventLoop::Now());
-  const std::string tag = "\"" + std::to_string(shown.version()) + "\"";
+  const proto::ReplicaList& listed = list_.Shown(EventLoop::Now());
+  const std::string tag = "\"" + std::to_string(listed.version()) + "\"";
   if (FindHeader(request.headers, "if-none-match") == tag) {
     responder->Send({kNotModified, {{"etag", tag}}, {}});
     return;
   }
-  responder->Send({200, {{"etag", tag}, {"content-type", "application/json"}}, ToJson(shown)});
+  responder->Send({200, {{"etag", tag}, {"content-type", "application/json"}}, ToJson(listed)});
 }
 
 void Emulator::ServeFault(const HttpRequest& request,
@@ -128,7 +128,7 @@
   } else {
     return {StatusCode::kInvalidArgument,
             "unknown fault " + fault +
-                "; use crash, remove, return, dark, undark, drain, ready, slow or normal"};
+                "; expected crash, remove, return, dark, undark, drain, ready, slow or normal"};
   }
   return Status::Ok();
 }
--- a/apps/emulator/emulator.h
+++ b/apps/emulator/emulator.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// The whole emulator: every replica of a deployment, the platform's list, and the interface
-/// through which faults are put on replicas. Threads: the loop's thread only.
+/// The emulator: all replicas of a deployment, the platform's list of replicas, and the admin
+/// interface for injecting faults into replicas. Threads: the loop's thread only.
 
 #include <map>
 #include <memory>
@@ -18,14 +18,16 @@
  public:
   Emulator(EventLoop& loop, Deployment deployment);
 
-  /// Starts every replica and the two HTTP interfaces.
+  /// Starts every replica and the two HTTP interfaces. @param witness_path file of the witness log;
+  /// empty for none. @return the first error.
   Status Start(const std::string& witness_path);
 
  private:
   void ServeList(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
   void ServeFault(const HttpRequest& request, const std::shared_ptr<HttpResponder>& responder);
   void ServeCounts(const std::shared_ptr<HttpResponder>& responder);
-  /// @return kNotFound for an unknown replica, kInvalidArgument for an unknown fault.
+  /// @return kNotFound for an unknown replica, kInvalidArgument for an unknown fault, or the error
+  /// of a replica that cannot start.
   Status ApplyFault(const std::string& replica_id, const std::string& fault);
   void Publish(const EmulatedReplica& replica, proto::ReplicaState state);
 
--- a/apps/emulator/main.cc
+++ b/apps/emulator/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// cloverbank-emulator: plays the replicas and the platform of a deployment on this machine.
+/// cloverbank-emulator: emulates the replicas and the platform of a deployment on this machine.
 
 #include <CLI/CLI.hpp>
 #include <cstdio>
@@ -7,11 +7,12 @@
 #include "emulator/emulator.h"
 
 int main(int argc, char** argv) {
-  CLI::App app{"Plays the model replicas, plain services and the replica list of a deployment."};
+  CLI::App app{"Emulates the model replicas, plain services and the replica list of a deployment."};
   std::string fleet_file;
   std::string witness_path;
   app.add_option("--fleet", fleet_file, "Description of the deployment (fleet.toml)")->required();
-  app.add_option("--witness", witness_path, "File for one JSON line a start, refusal and end");
+  app.add_option("--witness", witness_path,
+                 "File for one JSON line per start, refusal and end of a call");
   CLI11_PARSE(app, argc, argv);
 
   auto deployment = cloverbank::LoadDeployment(fleet_file);
--- a/apps/emulator/witness_log.cc
+++ b/apps/emulator/witness_log.cc
@@ -14,7 +14,7 @@
   }
   file_.open(path, std::ios::app);
   if (!file_) {
-    return {StatusCode::kIoError, "can not write the witness log " + path};
+    return {StatusCode::kIoError, "cannot write the witness log " + path};
   }
   return Status::Ok();
 }
