--- a/apps/bench/counting_client.cc
+++ b/apps/bench/counting_client.cc
@@ -5,12 +5,12 @@
 
 constexpr std::size_t kRequestLineBytes = 64;  // Method, target, version, host and length fields.
 constexpr std::size_t kStatusLineBytes = 48;
-constexpr std::size_t kBytesAroundField = 4;  // ": " and the line end.
+constexpr std::size_t kFieldOverheadBytes = 4;  // ": " and the line end.
 
 std::size_t HeadBytes(const HttpHeaders& headers) {
   std::size_t bytes = 0;
   for (const auto& [name, value] : headers) {
-    bytes += name.size() + value.size() + kBytesAroundField;
+    bytes += name.size() + value.size() + kFieldOverheadBytes;
   }
   return bytes;
 }
--- a/apps/bench/counting_client.h
+++ b/apps/bench/counting_client.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// An `HttpClient` that counts what crosses it: requests, and bytes of bodies and heads both ways
-/// (heads estimated from their fields).
+/// An `HttpClient` that counts its requests and the bytes of bodies and headers in both directions
+/// (bytes of headers are estimated from their fields).
 
 #include <cstdint>
 #include <memory>
@@ -26,6 +26,7 @@
   std::shared_ptr<HttpCall> Stream(const Endpoint& to, HttpRequest request, Duration deadline,
                                    Duration idle_limit, HttpStreamCallbacks callbacks) override;
 
+  /// @return the totals since construction.
   const TrafficCount& count() const { return *count_; }
 
  private:
--- a/apps/bench/hollow_command.cc
+++ b/apps/bench/hollow_command.cc
@@ -20,7 +20,7 @@
 constexpr std::uint32_t kDesignTenants = 22000;
 constexpr std::uint32_t kTenantsPerTransaction = 500;
 constexpr Duration kSettlingTimeout = seconds(60);
-constexpr Duration kChangeLimit = seconds(20);
+constexpr Duration kChangeTimeout = seconds(20);
 constexpr double kMegabyte = 1024 * 1024;
 constexpr double kKilobyte = 1024;
 constexpr double kPercent = 100;
@@ -61,7 +61,7 @@
 
 double Seconds(Duration time) { return std::chrono::duration<double>(time).count(); }
 
-/// Runs one measurement against a running coordinator group.
+/// Measures a running coordinator group.
 class HollowRun {
  public:
   HollowRun(Fleet& fleet, HollowNodes& nodes, const HollowArguments& arguments)
@@ -72,7 +72,9 @@
 
  private:
   int LeaderPid() const;
-  /// Submits one transaction and waits for its answer. @return the time to in force, or nothing.
+  /// Submits one transaction and waits until every node has its version. @return the time that
+  /// took; nothing, after printing the reason, if the transaction failed or a node lacks the
+  /// version.
   std::optional<Duration> Submit(proto::ConfigurationTransaction transaction);
   std::vector<double> TimeChanges();
   proto::ConfigurationTransaction SmallChange();
@@ -105,7 +107,7 @@
   std::uint64_t version = 0;
   std::string refusal;
   nodes_.first().CallLeader<proto::SubmitTransactionResponse>(
-      "coordinator.SubmitTransaction", request, kChangeLimit,
+      "coordinator.SubmitTransaction", request, kChangeTimeout,
       [&](Result<proto::SubmitTransactionResponse> response) {
         answered = true;
         applied =
@@ -114,15 +116,16 @@
         refusal =
             response.ok() ? response->result().ShortDebugString() : response.status().ToString();
       });
-  nodes_.RunUntil([&] { return answered; }, kChangeLimit + seconds(1));
+  nodes_.RunUntil([&] { return answered; }, kChangeTimeout + seconds(1));
   if (!applied) {
-    std::printf("a change was not applied: %s\n", refusal.c_str());
+    std::printf("the coordinators did not apply a change: %s\n", refusal.c_str());
     return std::nullopt;
   }
-  // A node whose lease lapsed is not waited for by the acknowledgement; here it counts too.
-  if (!nodes_.RunUntil([&] { return nodes_.Holding(version) == nodes_.size(); },
+  // The acknowledgement doesn't wait for nodes whose lease expired; this measurement does.
+  if (!nodes_.RunUntil([&] { return nodes_.CountAtVersion(version) == nodes_.size(); },
                        kSettlingTimeout)) {
-    std::printf("%zu of %zu nodes hold the change\n", nodes_.Holding(version), nodes_.size());
+    std::printf("only %zu of %zu nodes hold the changed configuration\n",
+                nodes_.CountAtVersion(version), nodes_.size());
     return std::nullopt;
   }
   return EventLoop::Now() - begin;
@@ -149,8 +152,8 @@
 
 bool HollowRun::MeasureNodes(std::uint32_t count, NodePoint* point) {
   nodes_.Grow(count);
-  if (!nodes_.RunUntil([&] { return nodes_.Leased() == count; }, kSettlingTimeout)) {
-    std::printf("only %zu of %u nodes hold a lease\n", nodes_.Leased(), count);
+  if (!nodes_.RunUntil([&] { return nodes_.LeasedCount() == count; }, kSettlingTimeout)) {
+    std::printf("only %zu of %u nodes hold a lease\n", nodes_.LeasedCount(), count);
     return false;
   }
   nodes_.RunFor(seconds(2));
@@ -176,8 +179,9 @@
   point->node_kilobytes_per_second = bytes / time / count / kKilobyte;
   point->hollow_megabytes = static_cast<double>(own_after.resident_bytes) / kMegabyte;
   const std::vector<double> times = TimeChanges();
-  if (times.size() != arguments_.changes || nodes_.Leased() != count) {
-    std::printf("%zu of %u changes came into force everywhere\n", times.size(), arguments_.changes);
+  if (times.size() != arguments_.changes || nodes_.LeasedCount() != count) {
+    std::printf("only %zu of %u changes came into force everywhere, or a node lost its lease\n",
+                times.size(), arguments_.changes);
     return false;
   }
   point->in_force_p50_ms = times[times.size() / 2];
@@ -212,7 +216,7 @@
   return true;
 }
 
-/// One measured quantity of a kind of points, for the table and its fit.
+/// A measured quantity: its name in the table and the member of the point that holds it.
 template <typename Point>
 struct Quantity {
   const char* name;
@@ -289,18 +293,18 @@
   HollowRun run(fleet, nodes, arguments);
   std::vector<NodePoint> node_points;
   std::vector<TenantPoint> tenant_points;
-  bool good = true;
+  bool complete = true;
   for (const std::uint32_t count : arguments.node_counts) {
     node_points.emplace_back();
-    good = good && run.MeasureNodes(count, &node_points.back());
+    complete = complete && run.MeasureNodes(count, &node_points.back());
   }
   for (const std::uint32_t count : arguments.tenant_counts) {
     tenant_points.emplace_back();
-    good = good && run.MeasureTenants(count, &tenant_points.back());
+    complete = complete && run.MeasureTenants(count, &tenant_points.back());
   }
   fleet.StopAll(seconds(5));
-  if (!good) {
-    std::fprintf(stderr, "cloverbank-bench: the run did not complete; no table is written\n");
+  if (!complete) {
+    std::fprintf(stderr, "cloverbank-bench: the run did not complete; no table was written\n");
     return 1;
   }
   const std::string tables =
--- a/apps/bench/hollow_nodes.cc
+++ b/apps/bench/hollow_nodes.cc
@@ -9,7 +9,7 @@
 constexpr std::uint16_t kClientPort = 7400;
 constexpr std::uint16_t kPeerPort = 7401;
 constexpr std::size_t kAddressesPerBlock = 250;
-constexpr Duration kCheckInterval = milliseconds(2);
+constexpr Duration kConditionPollInterval = milliseconds(2);
 constexpr std::array<const char*, 5> kZones = {"a", "b", "c", "d", "e"};
 
 HttpClientOptions ClientOptions(std::size_t expected_nodes) {
@@ -45,7 +45,7 @@
   }
 }
 
-std::size_t HollowNodes::Leased() const {
+std::size_t HollowNodes::LeasedCount() const {
   std::size_t leased = 0;
   for (const auto& agent : agents_) {
     leased += agent->HasValidLease() ? 1 : 0;
@@ -53,28 +53,28 @@
   return leased;
 }
 
-std::size_t HollowNodes::Holding(std::uint64_t version) const {
-  std::size_t holding = 0;
+std::size_t HollowNodes::CountAtVersion(std::uint64_t version) const {
+  std::size_t count = 0;
   for (const auto& agent : agents_) {
-    holding += agent->configuration().version() >= version ? 1 : 0;
+    count += agent->configuration().version() >= version ? 1 : 0;
   }
-  return holding;
+  return count;
 }
 
 bool HollowNodes::RunUntil(const std::function<bool()>& condition, Duration limit) {
-  const TimePoint give_up = EventLoop::Now() + limit;
-  bool held = false;
+  const TimePoint deadline = EventLoop::Now() + limit;
+  bool satisfied = false;
   std::function<void()> check = [&] {
-    held = condition();
-    if (held || EventLoop::Now() >= give_up) {
+    satisfied = condition();
+    if (satisfied || EventLoop::Now() >= deadline) {
       loop_.Stop();
     } else {
-      loop_.ScheduleAfter(kCheckInterval, check);
+      loop_.ScheduleAfter(kConditionPollInterval, check);
     }
   };
   loop_.ScheduleAfter(Duration::zero(), check);
   loop_.Run();
-  return held;
+  return satisfied;
 }
 
 void HollowNodes::RunFor(Duration time) {
--- a/apps/bench/main.cc
+++ b/apps/bench/main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// cloverbank-bench: measurements and experiments.
+/// cloverbank-bench: measurements of a running coordinator group.
 
 #include <CLI/CLI.hpp>
 
@@ -10,7 +10,8 @@
   app.require_subcommand(1);
   cloverbank::HollowArguments hollow;
   auto* command = app.add_subcommand(
-      "hollow", "A real coordinator group against growing numbers of hollow nodes and tenants");
+      "hollow",
+      "Measure a real coordinator group with growing numbers of hollow nodes and tenants");
   command->add_option("--nodes", hollow.node_counts, "Numbers of nodes")->delimiter(',');
   command->add_option("--tenants", hollow.tenant_counts, "Numbers of tenants")->delimiter(',');
   command->add_option("--sample-seconds", hollow.sample_seconds, "Length of each sample")
--- a/apps/bench/process_usage.h
+++ b/apps/bench/process_usage.h
@@ -1,6 +1,6 @@
 #pragma once
 /// @file
-/// Processor time and memory of processes on this machine, read from /proc.
+/// Reads the processor time and memory of processes on this machine from /proc.
 
 #include <cstdint>
 
@@ -13,7 +13,7 @@
   std::uint64_t resident_bytes = 0;
 };
 
-/// @return the usage of `pid` (0 is this process); zeros if there is no such process.
+/// @param pid 0 is this process. @return its usage; zeros if there is no such process.
 ProcessUsage ReadProcessUsage(int pid);
 
 }  // namespace cloverbank
