--- a/bench/backup/backup_benchmark.cc
+++ b/bench/backup/backup_benchmark.cc
@@ -1,11 +1,13 @@
 /// @file
-/// Throughput of WriteSegment (over HTTP on loopback, answered after the sync) against a raw loop
-/// of pwrite and fdatasync of the same bytes on the same disk, in one run:
+/// Measures the throughput of WriteSegment (over HTTP on loopback; the backup responds after the
+/// sync) and compares it with a raw loop of pwrite and fdatasync of the same number of bytes on the
+/// same disk, in one run:
 ///
 ///     backup_benchmark FOLDER [SECONDS]
 ///
-/// `FOLDER` is made and left behind. One line for each write size and number of segments written
-/// side by side; `ratio` is the backup's writes over the raw loop's, both of that many files.
+/// The program creates `FOLDER` and doesn't remove it. It prints one line for each write size and
+/// number of segments written concurrently; `ratio` is the backup's writes divided by those of the
+/// raw loop, both to that many files.
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -36,15 +38,16 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::uint64_t kSegmentBytes = 4ULL << 20U;
-constexpr std::uint64_t kNode = 1;
+constexpr std::uint64_t kNodeId = 1;
 constexpr Duration kDeadline = seconds(10);
 
-[[noreturn]] void Die(const std::string& what) {
+/// Prints the error and exits.
+[[noreturn]] void Fail(const std::string& what) {
   std::fprintf(stderr, "backup_benchmark: %s\n", what.c_str());
   std::exit(EXIT_FAILURE);
 }
 
-/// Writes per second of all writers together.
+/// Number of writes of all writers together and the time that they took.
 struct Rate {
   std::uint64_t writes = 0;
   double seconds = 0;
@@ -55,11 +58,12 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-/// One thread: writes in place over a file that was filled before, each write synced.
+/// The raw loop of one thread: overwrites a preallocated file and syncs after each write.
+/// @param limit seconds to run. @return the number of writes.
 std::uint64_t RawWrites(const std::string& path, std::size_t bytes, double limit) {
   const int file = ::open(path.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600);
   if (file < 0 || ::posix_fallocate(file, 0, kSegmentBytes) != 0 || ::fsync(file) != 0) {
-    Die("can not make " + path);
+    Fail("cannot create " + path);
   }
   const std::string data(bytes, 'x');
   std::uint64_t writes = 0;
@@ -70,7 +74,7 @@
     if (::pwrite(file, data.data(), bytes, static_cast<off_t>(offset)) !=
             static_cast<ssize_t>(bytes) ||
         ::fdatasync(file) != 0) {
-      Die("can not write " + path);
+      Fail("cannot write " + path);
     }
     offset += bytes;
     ++writes;
@@ -96,7 +100,7 @@
   return rate;
 }
 
-/// A backup and the queue nodes that write to it, all on one event loop.
+/// Measures a backup and the queue nodes that write to it, all on one event loop.
 class BackupRun {
  public:
   BackupRun(const std::string& folder, std::size_t bytes, std::size_t writers, double limit)
@@ -109,13 +113,13 @@
 
   Rate Measure() {
     if (!folder_.Open().ok() || !server_.Listen().ok()) {
-      Die("can not open the data folder or listen");
+      Fail("cannot open the data folder or listen");
     }
     environment_ =
         std::make_unique<AsioEnvironment>(loop_, client_, server_, server_.endpoint(), metrics_);
     service_ = std::make_unique<BackupService>(*environment_, folder_, BackupOptions());
     if (const Status loaded = service_->Load(); !loaded.ok()) {
-      Die(loaded.ToString());
+      Fail(loaded.ToString());
     }
     loop_.Post([this] {
       start_ = Clock::now();
@@ -138,12 +142,12 @@
   template <typename Response, typename Request>
   void Call(std::string_view method, Request request, const SegmentPtr& segment,
             std::function<void()> next) {
-    request.set_node_id(kNode);
+    request.set_node_id(kNodeId);
     request.set_segment_id(segment->id.value());
     CallPeer<Response>(*environment_, server_.endpoint(), method, request, kDeadline,
                        [method, next = std::move(next)](const Result<Response>& result) {
                          if (!result.ok()) {
-                           Die(std::string(method) + ": " + result.status().ToString());
+                           Fail(std::string(method) + ": " + result.status().ToString());
                          }
                          next();
                        });
--- a/bench/storage_benchmark.cc
+++ b/bench/storage_benchmark.cc
@@ -1,9 +1,9 @@
 /// @file
-/// What group commit gains on the disk at hand: appends through `PosixDataFolder` with several in
-/// flight, against one pwrite and fdatasync for each. Both are measured in turns within
-/// one benchmark, so that the load of the disk meets both, and the result is their ratio.
+/// Measures the gain of group commit on a disk: appends through `PosixDataFolder` with several in
+/// flight, compared with one pwrite and fdatasync for each append. One benchmark measures both in
+/// turns, so that other load on the disk affects both, and reports their ratio.
 ///
-/// Run it from a folder on the disk to be measured: the files are made in the working folder.
+/// Run it from a folder on the disk to be measured: it creates its files in the working folder.
 
 #include <benchmark/benchmark.h>
 #include <fcntl.h>
@@ -20,15 +20,16 @@
 namespace cloverbank {
 namespace {
 
-/// Short, so that a change of the disk's load meets both ways alike.
-constexpr std::int64_t kRawAppendsInATurn = 32;
-/// Rounds of appends in flight in one grouped turn; with 1 in flight as many as in a raw turn.
-constexpr std::int64_t kGroupedRoundsInATurn = 32;
+/// Short, so that a change of the disk's load affects both methods alike.
+constexpr std::int64_t kRawAppendsPerTurn = 32;
+/// A grouped turn makes this number times the appends in flight; with 1 in flight that is as many
+/// as in a raw turn.
+constexpr std::int64_t kGroupedRoundsPerTurn = 32;
 constexpr const char* kFolder = "storage_benchmark_files";
 
 using Clock = std::chrono::steady_clock;
 
-/// Ends the benchmark if `status` is a failure.
+/// Skips the rest of the benchmark with an error if `status` is one. @return whether it is OK.
 bool Check(benchmark::State& state, const Status& status) {
   if (!status.ok()) {
     state.SkipWithError(status.ToString().c_str());
@@ -36,12 +37,13 @@
   return status.ok();
 }
 
-/// @return seconds that appending and syncing one record after another takes.
+/// Appends and syncs `kRawAppendsPerTurn` records one after another from offset `end`, which it
+/// advances. @return the seconds that takes.
 double AppendOneByOne(benchmark::State& state, const PosixFile& file, std::uint64_t& end,
                       const std::string& record) {
   const FileCalls calls;
   const Clock::time_point start = Clock::now();
-  for (std::int64_t index = 0; index < kRawAppendsInATurn; ++index) {
+  for (std::int64_t index = 0; index < kRawAppendsPerTurn; ++index) {
     if (!Check(state, file.WriteAt(calls, end, record)) || !Check(state, file.SyncData(calls))) {
       break;
     }
@@ -50,11 +52,11 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-/// @return seconds that the same number of appends takes with `in_flight` of them waiting at a
-/// time.
+/// Appends `total` records with `in_flight` of them waiting at a time. @return the seconds that
+/// takes.
 double AppendGrouped(benchmark::State& state, DataFolder& folder, TestLoop& loop,
                      const std::string& record, std::int64_t in_flight, std::int64_t total) {
-  std::int64_t asked = 0;
+  std::int64_t submitted = 0;
   std::int64_t completed = 0;
   const DataFolder::Done done = [&](const Status& status) {
     ++completed;
@@ -62,8 +64,8 @@
   };
   const Clock::time_point start = Clock::now();
   loop.RunUntil([&] {
-    while (asked < total && asked - completed < in_flight) {
-      ++asked;
+    while (submitted < total && submitted - completed < in_flight) {
+      ++submitted;
       folder.Append("grouped", record, done);
     }
     return completed == total;
@@ -71,7 +73,7 @@
   return std::chrono::duration<double>(Clock::now() - start).count();
 }
 
-/// Arguments: appends in flight, bytes a record.
+/// Arguments: appends in flight, bytes per record.
 void GroupedOverRaw(benchmark::State& state) {
   const std::int64_t in_flight = state.range(0);
   const std::string record(static_cast<std::size_t>(state.range(1)), 'r');
@@ -84,7 +86,7 @@
   if (!Check(state, raw_file.status())) {
     return;
   }
-  const std::int64_t grouped_turn = kGroupedRoundsInATurn * in_flight;
+  const std::int64_t grouped_turn = kGroupedRoundsPerTurn * in_flight;
   double raw_seconds = 0;
   double grouped_seconds = 0;
   std::uint64_t raw_end = 0;
@@ -96,7 +98,7 @@
     state.SetIterationTime(seconds);
   }
   const auto turns = static_cast<double>(state.iterations());
-  const double raw_per_second = turns * kRawAppendsInATurn / raw_seconds;
+  const double raw_per_second = turns * kRawAppendsPerTurn / raw_seconds;
   const double grouped_per_second = turns * static_cast<double>(grouped_turn) / grouped_seconds;
   state.counters["raw_per_s"] = raw_per_second;
   state.counters["grouped_per_s"] = grouped_per_second;
