--- a/apps/cloverbankd/process_status.h
+++ b/apps/cloverbankd/process_status.h
@@ -4,7 +4,7 @@
 /// its roles.
 ///
 ///     GET /health    200 as long as the event loop runs
-///     GET /ready     200 when every role is ready, else 503 with the reasons
+///     GET /ready     200 when every role is ready and no stop has begun, else 503 with the reasons
 ///     GET /metrics   the process's metrics in the Prometheus text format
 
 #include <functional>
--- a/apps/fleet/demo.h
+++ b/apps/fleet/demo.h
@@ -16,12 +16,12 @@
 
 namespace cloverbank {
 
-/// Routes and tenant that the demo uses, found in the deployment's first configuration.
+/// Routes and tenant that the demo uses. Their names differ between the deployments, so the demo
+/// finds them in the first configuration.
 struct DemoRoutes {
   std::string streamed;  ///< A streamed model route for live calls.
   std::string service;   ///< The route of a plain service.
-  std::string
-      batch;  ///< A route that accepts batches and is not idempotent: no item may run twice.
+  std::string batch;     ///< A route for batches that is not idempotent: no item may run twice.
   std::string tenant;
 };
 
--- a/bench/backup/backup_benchmark.cc
+++ b/bench/backup/backup_benchmark.cc
@@ -87,14 +87,15 @@
   std::vector<std::uint64_t> counts(writers);
   std::vector<std::thread> threads;
   const Clock::time_point start = Clock::now();
-  for (std::size_t i = 0; i < writers; ++i) {
-    threads.emplace_back(
-        [&, i] { counts[i] = RawWrites(folder + "/raw-" + std::to_string(i), bytes, limit); });
+  for (std::size_t index = 0; index < writers; ++index) {
+    threads.emplace_back([&, index] {
+      counts[index] = RawWrites(folder + "/raw-" + std::to_string(index), bytes, limit);
+    });
   }
   Rate rate;
-  for (std::size_t i = 0; i < writers; ++i) {
-    threads[i].join();
-    rate.writes += counts[i];
+  for (std::size_t index = 0; index < writers; ++index) {
+    threads[index].join();
+    rate.writes += counts[index];
   }
   rate.seconds = SecondsSince(start);
   return rate;
@@ -123,7 +124,7 @@
     }
     loop_.Post([this] {
       start_ = Clock::now();
-      for (std::size_t i = 0; i < writers_; ++i) {
+      for (std::size_t index = 0; index < writers_; ++index) {
         OpenNext();
       }
     });
