--- a/src/backup/fence_file.cc
+++ b/src/backup/fence_file.cc
@@ -59,9 +59,10 @@
   }
   if (any_damaged && files.empty()) {
     return Status(StatusCode::kCorrupt,
-                  "no copy of the fences can be read; replace this disk or empty its data folder");
+                  "no fence file (fenced, fenced_copy) can be read; replace this disk or empty its "
+                  "data folder");
   }
-  // A fence that is in one file only counts as synced after the next save.
+  // A fence that is in only one file counts as not synced until the next save writes both files.
   if (files.size() == std::size(kFileNames)) {
     std::set_intersection(files[0].begin(), files[0].end(), files[1].begin(), files[1].end(),
                           std::inserter(synced_, synced_.end()));
@@ -72,13 +73,13 @@
 void FenceFile::Add(NodeId node, DataFolder::Done done) {
   fenced_.insert(node);
   waiting_callbacks_.push_back(std::move(done));
-  if (!save_under_way_) {
+  if (!save_in_progress_) {
     StartSave();
   }
 }
 
 void FenceFile::StartSave() {
-  save_under_way_ = true;
+  save_in_progress_ = true;
   saving_callbacks_ = std::exchange(waiting_callbacks_, {});
   WriteFile(0, std::make_shared<const Content>(Content{fenced_, Encode(fenced_)}));
 }
@@ -98,14 +99,14 @@
 }
 
 void FenceFile::CompleteSave(const std::set<NodeId>& saved, const Status& status) {
-  save_under_way_ = false;
+  save_in_progress_ = false;
   if (status.ok()) {
     synced_ = saved;
   }
   for (const DataFolder::Done& done : std::exchange(saving_callbacks_, {})) {
     done(status);
   }
-  if (!waiting_callbacks_.empty() && !save_under_way_) {
+  if (!waiting_callbacks_.empty() && !save_in_progress_) {
     StartSave();
   }
 }
--- a/src/backup/segment_loader.cc
+++ b/src/backup/segment_loader.cc
@@ -11,9 +11,9 @@
 namespace cloverbank {
 namespace {
 
-/// @return the replica for an unusable file, under the key of its name, so that it can be freed or
-/// opened again.
-Replica CorruptReplica(const ReplicaKey& key) {
+/// @return a corrupt replica that stands for an unusable file, under the key in the file name, so
+/// that the owner can free it or open it again.
+Replica MakeCorruptReplica(const ReplicaKey& key) {
   Replica replica;
   replica.header.key = key;
   replica.header.state = ReplicaState::kClosed;
@@ -21,6 +21,8 @@
   return replica;
 }
 
+/// @param data the segment's bytes in the file, with reserved space after them.
+/// @param keep_staging whether an open replica keeps its bytes in memory.
 Replica ScanReplica(const ReplicaHeader& header, std::string_view data, bool keep_staging) {
   Replica replica;
   replica.header = header;
@@ -38,12 +40,12 @@
 }
 
 /// Adds the replica in the file of `key` to `store`.
-/// @return false if an unfinished open left the file.
+/// @return false, without adding a replica, if the file was left by an open that did not finish.
 bool LoadSegment(Environment& environment, DataFolder& folder, SegmentStore& store,
                  const ReplicaKey& key, const std::string& name) {
   const auto restore_corrupt = [&](std::string_view reason) {
     ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad, reason);
-    store.Restore(CorruptReplica(key));
+    store.Restore(MakeCorruptReplica(key));
   };
   const Result<std::string> file = folder.Read(SegmentFileName(key));
   if (!file.ok()) {
@@ -55,13 +57,14 @@
     return false;
   }
   if (!header.ok() || header->key != key) {
-    restore_corrupt(header.ok() ? "wrong key" : header.status().message());
+    restore_corrupt(header.ok() ? "header names another node or segment than the file name"
+                                : header.status().message());
     return true;
   }
   Replica replica = ScanReplica(*header, SegmentData(*file), !store.IsFenced(key.node));
   if (replica.corrupt) {
     ReportCorruptReplica(environment, name, CorruptionFoundBy::kLoad,
-                         "shorter than its recorded length");
+                         "fewer valid bytes than its header records");
   }
   store.Restore(std::move(replica));
   return true;
--- a/src/gateway/forwarding_service.cc
+++ b/src/gateway/forwarding_service.cc
@@ -22,8 +22,8 @@
   forward.request = std::move(call.request);
   forward.streamed = route.streamed();
   forward.resumable = route.resumable();
-  forward.target = milliseconds(route.target_ms());
-  forward.longest_pause = milliseconds(route.pause_target_ms());
+  forward.first_byte_target = milliseconds(route.target_ms());
+  forward.pause_target = milliseconds(route.pause_target_ms());
   return forward;
 }
 
@@ -32,8 +32,8 @@
 ForwardingService::ForwardingService(const CallContext& context, const GatewayOptions& options)
     : context_(context),
       options_(options),
-      waiting_(context.attempt.environment,
-               [this](HttpResponder& responder) { RefuseWithoutControl(responder); }) {}
+      wait_queue_(context.attempt.environment,
+                  [this](HttpResponder& responder) { RefuseWithoutConfiguration(responder); }) {}
 
 ForwardingService::~ForwardingService() = default;
 
@@ -49,57 +49,59 @@
 void ForwardingService::Handle(IncomingCall call, const Responder& responder) {
   if (CanServe()) {
     Admit(std::move(call), responder);
-  } else if (waiting_.size() < options_.calls.maximum_waiting_for_control) {
-    WaitForControl(std::move(call), responder);
+  } else if (wait_queue_.size() < options_.calls.maximum_waiting_for_configuration) {
+    WaitForConfiguration(std::move(call), responder);
   } else {
-    RefuseWithoutControl(*responder);
+    RefuseWithoutConfiguration(*responder);
   }
 }
 
-void ForwardingService::WaitForControl(IncomingCall call, const Responder& responder) {
-  const Duration timeout = call.patience.value_or(options_.calls.default_deadline);
-  const Duration wait = std::min(options_.calls.control_wait, timeout / 2);
-  waiting_.Add(std::move(call), responder, wait, timeout);
+void ForwardingService::WaitForConfiguration(IncomingCall call, const Responder& responder) {
+  const Duration timeout = call.timeout.value_or(options_.calls.default_deadline);
+  const Duration wait = std::min(options_.calls.configuration_wait, timeout / 2);
+  wait_queue_.Add(std::move(call), responder, wait, timeout);
 }
 
 void ForwardingService::OnConfiguration() {
   if (!CanServe()) {
     return;
   }
-  for (ConfigurationWaitQueue::Entry& entry : waiting_.TakeAll()) {
-    entry.call.patience = entry.deadline - context_.attempt.environment.Now();
+  for (ConfigurationWaitQueue::Entry& entry : wait_queue_.TakeAll()) {
+    entry.call.timeout = entry.deadline - context_.attempt.environment.Now();
     Admit(std::move(entry.call), entry.responder);
   }
 }
 
-void ForwardingService::RefuseWithoutControl(HttpResponder& responder) {
+void ForwardingService::RefuseWithoutConfiguration(HttpResponder& responder) {
   Refuse(responder, kHttpUnavailable, "no_configuration",
-         "this gateway has no configuration from control now; try another one", kRetryAfter);
+         "this gateway has no configuration or no valid lease from the coordinators; try another "
+         "gateway",
+         kRetryAfter);
 }
 
 void ForwardingService::Admit(IncomingCall call, const Responder& responder) {
   const proto::Route* route = FindRouteFor(call.host, call.path);
   if (route == nullptr) {
-    Refuse(*responder, kHttpNotFound, "unknown_route", "no route takes this host and path",
+    Refuse(*responder, kHttpNotFound, "unknown_route", "no route matches this host and path",
            Duration::zero());
     return;
   }
-  if (route->accepts_batches() && call.take_as_batch) {
-    call.take_as_batch(*route);
+  if (route->accepts_batches() && call.on_batch_route) {
+    call.on_batch_route(*route);
     return;
   }
   if (route->accepts_batches()) {
-    // Received before the configuration that shows it is a batch: it must not be forwarded as a
-    // call.
+    // The request was received before the configuration by which it is a batch; it must not be
+    // forwarded as a call.
     Refuse(*responder, kHttpUnavailable, "batch_route",
-           "this route takes batches; hand the batch in again", kBatchRetryAfter);
+           "this route accepts batches; submit the batch again", kBatchRetryAfter);
     return;
   }
   const auto refusal =
       context_.queue.admission().Admit(*route, nullptr, context_.attempt.environment.Now());
   if (refusal) {
     Refuse(*responder, HttpStatusForRefusal(refusal->refusal),
-           std::string(RefusalName(refusal->refusal)), "too many calls; come back later",
+           std::string(RefusalName(refusal->refusal)), "too many calls; retry later",
            refusal->retry_after);
     return;
   }
@@ -109,26 +111,27 @@
 void ForwardingService::StartCall(IncomingCall call, const Responder& responder,
                                   const proto::Route& route) {
   CallSpec spec = MakeSpec(route, call);
-  const std::uint64_t number = next_call_++;
-  auto live = std::make_shared<LiveForward>(
+  const std::uint64_t number = next_call_number_++;
+  auto forward = std::make_shared<LiveForward>(
       context_, responder, [this, number, name = route.name()] { OnCallFinished(number, name); });
-  calls_.emplace(number, live);
-  live->Start(std::move(spec), MakeForwardCall(std::move(call), route), options_.forward_headers);
+  calls_.emplace(number, forward);
+  forward->Start(std::move(spec), MakeForwardCall(std::move(call), route),
+                 options_.replica_header_names);
 }
 
 CallSpec ForwardingService::MakeSpec(const proto::Route& route, const IncomingCall& call) const {
   const TimePoint now = context_.attempt.environment.Now();
-  Duration longest = milliseconds(route.deadline_ms());
-  if (call.patience) {
-    longest = std::min(longest, *call.patience);
+  Duration timeout = milliseconds(route.deadline_ms());
+  if (call.timeout) {
+    timeout = std::min(timeout, *call.timeout);
   }
   CallSpec spec;
   spec.route = route.name();
   spec.backend = route.backend();
   spec.priority = route.priority();
   spec.idempotent = route.idempotent();
-  spec.attempts = route.attempts();
-  spec.deadline = now + longest;
+  spec.maximum_attempts = route.attempts();
+  spec.deadline = now + timeout;
   spec.wait_until = std::min(spec.deadline, now + options_.admission.longest_wait);
   return spec;
 }
--- a/src/gateway/live_forward.cc
+++ b/src/gateway/live_forward.cc
@@ -12,12 +12,12 @@
 namespace {
 
 constexpr std::uint32_t kMillisecondsPerSecond = 1000;
-/// Retry-After of a request that did not run, unless the error has one.
+/// Retry-After of a request that was not executed, if the error does not set one.
 constexpr std::uint32_t kDefaultRetryAfterMs = 400;
 
-/// Statuses that tell the client that nothing ran: a replica's failure must not be forwarded as one
-/// of them.
-bool PromisesNotRun(int status) {
+/// Whether `status` tells the client that the request was not executed. A replica's failure must
+/// not be forwarded with such a status.
+bool ImpliesNotRun(int status) {
   return status == kHttpRequestTimeout || status == kHttpMisdirected ||
          status == kHttpTooManyRequests || status == kHttpUnavailable;
 }
@@ -40,10 +40,12 @@
   HttpResponse response;
   response.status = http_status;
   response.headers.emplace_back("Content-Type", "application/json");
-  const bool come_back = http_status == kHttpTooManyRequests || http_status == kHttpUnavailable;
+  const bool is_retry_status =
+      http_status == kHttpTooManyRequests || http_status == kHttpUnavailable;
   const bool not_run = error.executed() == proto::EXECUTED_NO;
-  const std::uint32_t standard = come_back && not_run ? kDefaultRetryAfterMs : 0;
-  const std::uint32_t wait_ms = error.retry_after_ms() > 0 ? error.retry_after_ms() : standard;
+  const std::uint32_t default_wait_ms = is_retry_status && not_run ? kDefaultRetryAfterMs : 0;
+  const std::uint32_t wait_ms =
+      error.retry_after_ms() > 0 ? error.retry_after_ms() : default_wait_ms;
   if (wait_ms > 0) {
     response.headers.emplace_back("Retry-After", FormatSeconds(wait_ms));
   }
@@ -54,7 +56,7 @@
 }
 
 void LiveForward::Start(CallSpec spec, ForwardCall call, const ReplicaHeaderNames& names) {
-  timing_.emplace(ResponseTargets{call.target, call.longest_pause}, started_at());
+  timing_.emplace(ResponseTargets{call.first_byte_target, call.pause_target}, started_at());
   exchange_ = std::make_shared<ForwardExchange>(std::move(call), names, *this);
   spec.exchange = exchange_;
   Run(std::move(spec));
@@ -87,11 +89,11 @@
 
 void LiveForward::SendFailure(const CallResult& result) {
   if (stream_started()) {
-    responder().Abort();  // Must not look complete.
+    responder().Abort();  // The truncated stream must not look complete.
     return;
   }
   const std::optional<HttpResponse>& failure = exchange_->failure();
-  if (failure && !PromisesNotRun(failure->status)) {
+  if (failure && !ImpliesNotRun(failure->status)) {
     responder().Send(*failure);
     return;
   }
@@ -117,10 +119,10 @@
       {{"route", route()},
        {"call_id", exchange_->call_id()},
        {"cause", cause},
-       {"target_ms", ToMilliseconds(exchange_->call().target)},
-       {"first_ms", ToMilliseconds(timing_->first_after())},
+       {"target_ms", ToMilliseconds(exchange_->call().first_byte_target)},
+       {"first_ms", ToMilliseconds(timing_->first_response_delay())},
        {"longest_pause_ms", ToMilliseconds(timing_->longest_pause())},
-       {"pause_from_ms", ToMilliseconds(timing_->longest_pause_from())},
+       {"pause_from_ms", ToMilliseconds(timing_->longest_pause_start())},
        {"events", timing_->events()},
        {"prompt_tokens", exchange_->call().prompt.prompt_tokens},
        {"replica", exchange_->last_replica()}});
--- a/src/gateway/operator_api.cc
+++ b/src/gateway/operator_api.cc
@@ -10,21 +10,22 @@
 namespace cloverbank {
 namespace {
 
-/// Operators wait rather than retry at another gateway.
+/// Longer than the defaults, since clients of this interface wait instead of retrying at another
+/// gateway.
 constexpr OperatorTimeouts kTimeouts{.read = seconds(3), .order = seconds(10)};
 constexpr std::uint32_t kNoHistory = 0;
-constexpr std::uint32_t kDefaultHistory = 50;
-constexpr std::uint32_t kMaximumHistory = 1000;
+constexpr std::uint32_t kDefaultHistoryLength = 50;
+constexpr std::uint32_t kMaximumHistoryLength = 1000;
 constexpr std::uint32_t kResendAfterMs = 1000;
 constexpr std::size_t kMachineSegment = 2;  // /v1/stores/{machine}/retire
 
-/// The outcome of a transaction without a response is unknown; its operation id identifies it in a
-/// retry.
+/// Reports that the outcome of a transaction is unknown because no response to it was received. The
+/// operation id identifies the transaction when the client submits it again.
 void SendLostTransaction(HttpResponder& responder, const Status& status,
                          const std::string& operation_id) {
   proto::CallError error;
   error.set_code("outcome_unknown");
-  error.set_message("the coordinators gave no answer (" + status.message() +
+  error.set_message("the outcome of this transaction is unknown (" + status.message() +
                     "); send the same transaction again with operation_id \"" + operation_id +
                     "\", to any gateway, to learn its outcome");
   error.set_executed(proto::EXECUTED_UNKNOWN);
@@ -37,7 +38,7 @@
   error.set_code("version_conflict");
   error.set_message("expected_version is not the current version " +
                     std::to_string(result.version()) +
-                    "; read the configuration again, and send the changes made against it under "
+                    "; read the configuration again, base the changes on it and send them under "
                     "a new operation_id");
   error.set_executed(proto::EXECUTED_NO);
   error.set_current_version(result.version());
@@ -49,7 +50,7 @@
   proto::CallError error;
   error.set_code("invalid_transaction");
   error.set_message(
-      "the transaction is refused whole; mend every problem listed and send it under "
+      "no change of the transaction was applied; correct every problem listed and send it under "
       "a new operation_id");
   error.set_executed(proto::EXECUTED_NO);
   error.set_current_version(result.version());
@@ -69,12 +70,12 @@
       SendInvalid(responder, result);
       return;
     default:
-      SendLostTransaction(responder, Status(StatusCode::kInternal, "answer without an outcome"),
+      SendLostTransaction(responder, Status(StatusCode::kInternal, "the response has no outcome"),
                           result.operation_id());
   }
 }
 
-/// Refusals that are certainly decided before any change.
+/// Whether `code` is a refusal that is certainly decided before any change is made.
 bool IsRefusal(StatusCode code) {
   return code == StatusCode::kInvalidArgument || code == StatusCode::kConflict ||
          code == StatusCode::kResourceExhausted;
@@ -82,7 +83,8 @@
 
 }  // namespace
 
-OperatorApi::OperatorApi(HttpRouter& router, NodeAgent& agent) : orders_(agent, kTimeouts) {
+OperatorApi::OperatorApi(HttpRouter& router, NodeAgent& agent)
+    : operator_client_(agent, kTimeouts) {
   router.Handle("GET", "/v1/config", [this](const HttpRequest&, const Responder& responder) {
     GetConfiguration(responder);
   });
@@ -101,32 +103,33 @@
 }
 
 void OperatorApi::GetConfiguration(const Responder& responder) {
-  orders_.ReadConfiguration(
+  operator_client_.ReadConfiguration(
       kNoHistory, [responder](Result<proto::GetConfigurationResponse> result) {
         if (!result.ok()) {
-          SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
+          SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
           return;
         }
-        result->mutable_configuration();  // Present in the JSON even while there is none.
+        result->mutable_configuration();  // So that the JSON has the field even if it is empty.
         SendJson(*responder, 200, *result);
       });
 }
 
 void OperatorApi::GetHistory(const HttpRequest& request, const Responder& responder) {
-  const Result<std::uint32_t> limit =
-      ReadLimit(request.query, {.standard = kDefaultHistory, .largest = kMaximumHistory});
+  const Result<std::uint32_t> limit = ParseLimit(
+      request.query, {.default_limit = kDefaultHistoryLength, .maximum = kMaximumHistoryLength});
   if (!limit.ok()) {
     SendStatus(*responder, limit.status(), proto::EXECUTED_NO);
     return;
   }
-  orders_.ReadConfiguration(*limit, [responder](Result<proto::GetConfigurationResponse> result) {
-    if (!result.ok()) {
-      SendStatus(*responder, ReadFailure(result.status()), proto::EXECUTED_NO);
-      return;
-    }
-    result->clear_configuration();
-    SendJson(*responder, 200, *result);
-  });
+  operator_client_.ReadConfiguration(
+      *limit, [responder](Result<proto::GetConfigurationResponse> result) {
+        if (!result.ok()) {
+          SendStatus(*responder, ToReadFailure(result.status()), proto::EXECUTED_NO);
+          return;
+        }
+        result->clear_configuration();
+        SendJson(*responder, 200, *result);
+      });
 }
 
 void OperatorApi::SubmitTransaction(const HttpRequest& request, const Responder& responder) {
@@ -135,14 +138,14 @@
   if (read.ok() && transaction.operation_id().empty()) {
     read = Status(StatusCode::kInvalidArgument,
                   "operation_id is missing: choose an id for this transaction and keep it when "
-                  "resending, so that it is carried out once");
+                  "resending, so that it is applied only once");
   }
   if (!read.ok()) {
     SendStatus(*responder, read, proto::EXECUTED_NO);
     return;
   }
-  orders_.Submit(transaction, [responder, operation_id = transaction.operation_id()](
-                                  const Result<proto::SubmitTransactionResponse>& result) {
+  operator_client_.Submit(transaction, [responder, operation_id = transaction.operation_id()](
+                                           const Result<proto::SubmitTransactionResponse>& result) {
     if (result.ok()) {
       SendResult(*responder, result->result());
     } else if (IsRefusal(result.status().code())) {
@@ -165,7 +168,7 @@
     return;
   }
   retire.set_cancel(cancel == "true");
-  orders_.Retire(retire, [responder](const Result<proto::RetireServerResponse>& result) {
+  operator_client_.Retire(retire, [responder](const Result<proto::RetireServerResponse>& result) {
     if (result.ok()) {
       SendJson(*responder, 200, *result);
       return;
--- a/src/gateway/replica_backend_caller.cc
+++ b/src/gateway/replica_backend_caller.cc
@@ -19,10 +19,10 @@
   return outcome;
 }
 
-/// The batch worker's handle of a running item, which continues if the handle is destroyed.
-class BatchCall final : public BackendCall {
+/// The batch worker's handle of a running item. Destroying the handle does not cancel the item.
+class BatchItemCall final : public BackendCall {
  public:
-  explicit BatchCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
+  explicit BatchItemCall(std::function<void()> cancel) : cancel_(std::move(cancel)) {}
   void Cancel() override {
     if (const auto cancel = std::exchange(cancel_, nullptr)) {
       cancel();
@@ -47,7 +47,7 @@
   spec.backend = route.backend();
   spec.priority = proto::PRIORITY_BATCH;
   spec.idempotent = route.idempotent();
-  spec.attempts = route.attempts();
+  spec.maximum_attempts = route.attempts();
   spec.deadline = context_.attempt.environment.Now() + deadline;
   spec.wait_until = spec.deadline;
   spec.work = WorkKind::kBatch;
@@ -92,36 +92,36 @@
         if (outcome->succeeded) {
           outcome->answer.set_text(collector->TakeText());
         } else if (outcome->executed == proto::EXECUTED_YES && !exchange->IsFailureLimitReached()) {
-          outcome->executed = proto::EXECUTED_UNKNOWN;  // Attempts are left.
+          outcome->executed = proto::EXECUTED_UNKNOWN;  // The item may be attempted again.
         }
       }};
 }
 
 std::shared_ptr<BackendCall> ReplicaBackendCaller::Run(CallSpec spec, OutcomeReader read_outcome,
                                                        std::function<void(BackendOutcome)> done) {
-  const std::uint64_t id = next_item_++;
+  const std::uint64_t id = next_item_id_++;
   const auto finish = [this, id, read_outcome = std::move(read_outcome),
                        done = std::move(done)](CallResult result) {
     BackendOutcome outcome = ToOutcome(std::move(result));
     read_outcome(&outcome);
-    const auto report = done;  // The next line may destroy this function.
+    const auto report = done;  // `erase` may destroy this lambda.
     running_.erase(id);
     report(std::move(outcome));
   };
   const auto runner = std::make_shared<CallRunner>(context_, std::move(spec), finish);
   running_.emplace(id, runner);
   runner->Start();
-  return std::make_shared<BatchCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
+  return std::make_shared<BatchItemCall>([this, id, alive = std::weak_ptr<bool>(alive_)] {
     if (!alive.expired()) {
-      running_.erase(id);  // The destructor cancels the call.
+      running_.erase(id);  // The runner's destructor cancels the call.
     }
   });
 }
 
 bool ReplicaBackendCaller::CanStartBatches(const std::string& backend) const {
   const bool paused = context_.permission.configuration().batch().paused();
-  const bool live_waits = context_.queue.Waiting(backend) > 0;
-  return !paused && !live_waits && context_.permission.IsValid() &&
+  const bool live_calls_wait = context_.queue.Waiting(backend) > 0;
+  return !paused && !live_calls_wait && context_.permission.IsValid() &&
          context_.attempt.pool.list_usable();
 }
 
--- a/src/leader/recovery_executor.cc
+++ b/src/leader/recovery_executor.cc
@@ -14,7 +14,7 @@
   input.may_assign = may_assign;
   input.unresponsive = context_.unresponsive;
   for (const RecoveryAction& action : manager_.Step(context_.state, input)) {
-    std::visit([this](const auto& one) { Execute(one); }, action);
+    std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
   }
 }
 
@@ -52,7 +52,7 @@
 
 void RecoveryExecutor::HandleReplayAnswer(const proto::RecoverPartitionsRequest& request,
                                           const Result<proto::RecoverPartitionsResponse>& answer) {
-  if (!answer.ok() || !answer->done() || !context_.CanAnswer()) {
+  if (!answer.ok() || !answer->done() || !context_.CanAnswerRequests()) {
     return;
   }
   const NodeId dead(request.dead_node_id());
--- a/src/log_writer/append_queue.cc
+++ b/src/log_writer/append_queue.cc
@@ -21,7 +21,7 @@
     return false;
   }
   const PlacedAppend& append = placed_.front();
-  // A segment before the head was drained before it was closed.
+  // All content of a segment before the head was durable before the segment was closed.
   return append.segment < head || append.end <= durable_length;
 }
 
@@ -32,11 +32,11 @@
 }
 
 std::size_t AppendQueue::CountPartlyPlaced() const {
-  return waiting_.empty() || waiting_.front().next == 0 ? 0 : 1;
+  return waiting_.empty() || waiting_.front().next_entry == 0 ? 0 : 1;
 }
 
-bool AppendQueue::IsOverdue(std::size_t skipped, TimePoint limit) const {
-  return waiting_.size() > skipped && waiting_[skipped].since <= limit;
+bool AppendQueue::IsOverdue(std::size_t skipped, TimePoint cutoff) const {
+  return waiting_.size() > skipped && waiting_[skipped].added_at <= cutoff;
 }
 
 AppendQueue::Done AppendQueue::TakeWaiting(std::size_t position) {
--- a/src/net/client_call.cc
+++ b/src/net/client_call.cc
@@ -25,7 +25,7 @@
 constexpr unsigned kHttp11 = 11;
 constexpr int kFirstFinalStatus = 200;
 constexpr std::uint64_t kUnbounded = std::numeric_limits<std::uint64_t>::max();
-constexpr std::size_t kChunkBytes = 16U << 10U;  ///< One read of a body of unknown length.
+constexpr std::size_t kChunkBytes = 16U << 10U;  ///< Size of one read of a body of unknown length.
 constexpr std::size_t kMaximumChunkBytes = 256U << 10U;
 
 http::request<http::string_body> ToBeast(const Endpoint& to, HttpRequest request) {
@@ -49,8 +49,9 @@
   return message;
 }
 
-/// Opens `socket` for `to` and binds it to `local_address`. The port is chosen at connect, so that
-/// connections to different peers can share it.
+/// Opens `socket` for `to` and binds it to `local_address`, unless that is empty. The system
+/// chooses the local port only at connect (IP_BIND_ADDRESS_NO_PORT), so that connections to
+/// different peers can share a port.
 error_code OpenAndBind(const tcp::endpoint& to, const std::string& local_address,
                        tcp::socket& socket) {
   error_code error;
@@ -79,8 +80,8 @@
     : shared_(std::move(shared)),
       to_(std::move(to)),
       limits_(limits),
-      may_send_(std::move(request.may_send)),
-      accept_unframed_(request.accept_unframed),
+      can_send_(std::move(request.can_send)),
+      accept_close_delimited_(request.accept_unframed),
       connect_timeout_(request.connect_timeout > Duration::zero()
                            ? request.connect_timeout
                            : shared_->options.connect_timeout),
@@ -108,14 +109,14 @@
     return;
   }
   shared_->active_calls.erase(this);
-  may_send_ = nullptr;
+  can_send_ = nullptr;
   EndTimers();
   CloseConnection();
 }
 
 void ClientCall::Begin() {
-  if (shared_->Blocked(to_)) {
-    may_have_sent_ = true;  // As if the bytes were lost on the way.
+  if (shared_->IsBlocked(to_)) {
+    may_have_sent_ = true;  // Behave as if the bytes were lost in the network.
     return;
   }
   connection_ = shared_->pool.Take(to_);
@@ -132,14 +133,14 @@
   error_code error;
   const auto address = asio::ip::make_address(to_.host, error);
   if (error) {
-    Finish(HttpOutcomeKind::kNotSent, "not an IP number: " + to_.host);
+    Finish(HttpOutcomeKind::kNotSent, "not an IP address: " + to_.host);
     return;
   }
   const tcp::endpoint endpoint(address, to_.port);
   connection_ = std::make_unique<ClientConnection>(shared_->loop.io_context());
   error = OpenAndBind(endpoint, shared_->options.local_address, connection_->socket);
   if (error) {
-    Finish(HttpOutcomeKind::kNotSent, "can not open a socket: " + error.message());
+    Finish(HttpOutcomeKind::kNotSent, "cannot open a socket: " + error.message());
     return;
   }
   ArmStepTimer(connect_timeout_,
@@ -163,18 +164,20 @@
 }
 
 void ClientCall::Write() {
-  const auto ask = may_send_;  // Kept for the question: `Cancel` within it drops the member.
-  const bool may_send = !ask || ask();
+  // A copy, because `Cancel` from within the check clears the member.
+  const auto check = can_send_;
+  const bool allowed = !check || check();
   if (!callbacks_) {
-    return;  // Cancelled from within the question.
+    return;  // The check cancelled the call.
   }
-  if (!may_send) {
-    Finish(HttpOutcomeKind::kNotSent, "the right to send has ended");
+  if (!allowed) {
+    Finish(HttpOutcomeKind::kNotSent,
+           "the permission to send ended before the request was written");
     return;
   }
   may_have_sent_ = true;
-  if (shared_->Blocked(to_)) {
-    return;  // Cut off since `Begin`.
+  if (shared_->IsBlocked(to_)) {
+    return;  // Fault injection blocked the peer after `Begin`.
   }
   http::async_write(connection_->socket, request_,
                     [self = shared_from_this()](const error_code& error, std::size_t size) {
@@ -191,12 +194,12 @@
     return;
   }
   if (size > 0) {
-    ReadHead();  // The peer may have answered before it had the whole request.
+    ReadHead();  // The peer may have responded before it received the whole request.
     return;
   }
   may_have_sent_ = false;
   if (connection_->reused) {
-    Connect();  // The peer had closed the idle connection.
+    Connect();  // The peer closed the connection while it was idle in the pool.
   } else {
     Finish(HttpOutcomeKind::kNotSent, "write failed: " + error.message());
   }
@@ -207,10 +210,11 @@
 void ClientCall::ReadHead() {
   parser_.emplace();
   parser_->header_limit(shared_->options.maximum_header_bytes);
-  // Not boost::none: this version of Beast takes any stated length to be above it.
+  // Not boost::none: this version of Beast would take any Content-Length as exceeding it.
   parser_->body_limit(limits_.maximum_body > 0 ? limits_.maximum_body : kUnbounded);
   parser_->skip(request_.method() == http::verb::head);
-  ArmStepTimer(limits_.idle_limit, [this] { FailAfterSending("no answer within the idle limit"); });
+  ArmStepTimer(limits_.idle_limit,
+               [this] { FailAfterSending("no response within the idle limit"); });
   http::async_read_header(
       connection_->socket, connection_->buffer, *parser_,
       [self = shared_from_this()](const error_code& error, std::size_t) { self->OnHead(error); });
@@ -221,14 +225,15 @@
     return;
   }
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
-  if (error || shared_->Blocked(to_)) {
-    FailAfterSending("reading the answer's head failed: " + error.message());
+  if (error || shared_->IsBlocked(to_)) {
+    FailAfterSending("reading the response headers failed: " + error.message());
     return;
   }
   status_ = static_cast<int>(parser_->get().result_int());
-  const bool unframed = parser_->need_eof() && !parser_->is_done();
-  if (status_ < kFirstFinalStatus || (unframed && !accept_unframed_)) {
-    FailAfterSending("the answer has neither length nor chunks");
+  const bool close_delimited = parser_->need_eof() && !parser_->is_done();
+  if (status_ < kFirstFinalStatus || (close_delimited && !accept_close_delimited_)) {
+    FailAfterSending(
+        "the response is informational (1xx) or has neither Content-Length nor chunked encoding");
     return;
   }
   const auto callbacks = callbacks_;
@@ -253,13 +258,15 @@
   if (chunk_.empty()) {
     const auto length = parser_->content_length();
     chunk_.resize(length ? std::min<std::uint64_t>(*length, kMaximumChunkBytes) : kChunkBytes);
-    connection_->buffer.reserve(chunk_.size());  // Beast reads no more at once than fits in it.
+    // Beast reads at most as much at a time as fits in the buffer.
+    connection_->buffer.reserve(chunk_.size());
   }
   auto& body = parser_->get().body();
   body.data = chunk_.data();
   body.size = chunk_.size();
   body.more = true;
-  ArmStepTimer(limits_.idle_limit, [this] { FailAfterSending("silence within the answer"); });
+  ArmStepTimer(limits_.idle_limit,
+               [this] { FailAfterSending("no more bytes of the response within the idle limit"); });
   http::async_read_some(
       connection_->socket, connection_->buffer, *parser_,
       [self = shared_from_this()](const error_code& error, std::size_t) { self->OnBody(error); });
@@ -271,8 +278,8 @@
   }
   shared_->loop.CancelTimer(std::exchange(step_timer_, 0));
   const bool failed = error && error != http::error::need_buffer;
-  if (failed || shared_->Blocked(to_)) {
-    FailAfterSending("reading the answer failed: " + error.message());
+  if (failed || shared_->IsBlocked(to_)) {
+    FailAfterSending("reading the response body failed: " + error.message());
     return;
   }
   const std::size_t received = chunk_.size() - parser_->get().body().size;
@@ -281,18 +288,18 @@
     ContinueBody();
     return;
   }
-  waiting_for_more_ = true;
+  waiting_for_receiver_ = true;
   callbacks->on_bytes(std::string(chunk_.data(), received), [self = shared_from_this()] {
-    if (std::exchange(self->waiting_for_more_, false)) {
+    if (std::exchange(self->waiting_for_receiver_, false)) {
       self->ContinueBody();
     }
   });
 }
 
-// ---- Ends ----
+// ---- Completion ----
 
 void ClientCall::FailAfterSending(const std::string& reason) {
-  if (shared_->Blocked(to_)) {
+  if (shared_->IsBlocked(to_)) {
     return;
   }
   Finish(HttpOutcomeKind::kUnknown, reason);
@@ -300,10 +307,10 @@
 
 void ClientCall::OnDeadline() {
   if (!may_have_sent_) {
-    Finish(HttpOutcomeKind::kNotSent, "deadline before a connection stood");
+    Finish(HttpOutcomeKind::kNotSent, "deadline before the connection was established");
     return;
   }
-  shared_->pool.Forget(to_);
+  shared_->pool.CloseConnectionsTo(to_);
   Finish(HttpOutcomeKind::kUnknown, "deadline");
 }
 
@@ -313,7 +320,7 @@
     return;
   }
   shared_->active_calls.erase(this);
-  may_send_ = nullptr;
+  can_send_ = nullptr;
   EndTimers();
   const bool reusable = kind == HttpOutcomeKind::kAnswered && parser_->keep_alive() &&
                         connection_->buffer.size() == 0;
@@ -326,7 +333,7 @@
   }
   if (reusable) {
     connection_->buffer.shrink_to_fit();
-    shared_->Recycle(to_, std::move(connection_));
+    shared_->ReturnToPool(to_, std::move(connection_));
   } else {
     CloseConnection();
   }
@@ -350,7 +357,7 @@
 }
 
 void ClientCall::CloseConnection() {
-  // The object stays: a pending operation of the socket still refers to it.
+  // Keep the object: a pending operation of the socket still refers to it.
   if (connection_) {
     error_code ignored;
     connection_->socket.close(ignored);
--- a/src/queue/partition_ownership.cc
+++ b/src/queue/partition_ownership.cc
@@ -11,26 +11,27 @@
                                        RecoveryRunner& recoveries, Observers observers)
     : agent_(agent), log_(log), recoveries_(recoveries), observers_(std::move(observers)) {}
 
-void PartitionOwnership::Sync() {
-  std::set<PartitionId> owned;
+void PartitionOwnership::ApplyFleetView() {
+  std::set<PartitionId> assigned;
   for (const auto& [id, partition] : agent_.fleet().partitions) {
     if (NodeId(partition.owner()) == agent_.node_id() && agent_.node_id().valid()) {
-      owned.insert(id);
+      assigned.insert(id);
     } else if (partition.owner() != 0) {
-      // A view from before the death still names the dead owner.
+      // Keeps a recovery from this owner's own log: a fleet view from before the owner's death
+      // still names it.
       recoveries_.Drop(id, NodeId(partition.owner()));
     }
   }
   std::vector<PartitionId> lost;
   for (const auto& [id, partition] : partitions_) {
-    if (!owned.contains(id)) {
+    if (!assigned.contains(id)) {
       lost.push_back(id);
     }
   }
   for (const PartitionId id : lost) {
     Deactivate(id);
   }
-  for (const PartitionId id : owned) {
+  for (const PartitionId id : assigned) {
     if (!partitions_.contains(id)) {
       Activate(id);
     }
@@ -38,7 +39,7 @@
 }
 
 void PartitionOwnership::Activate(PartitionId id) {
-  // Without a recovery it is a partition that was never used: nothing was logged of it anywhere.
+  // A partition without a recovery was never used: no log has entries of it.
   std::unique_ptr<BatchStore> store = recoveries_.TakeStore(id);
   const bool recovered = store != nullptr;
   if (!recovered) {
@@ -70,7 +71,9 @@
     const proto::RecoverPartitionsRequest& request,
     const std::function<void(Result<proto::RecoverPartitionsResponse>)>& reply) {
   if (NodeId(request.queue_node_id()) != agent_.node_id()) {
-    reply(Status(StatusCode::kConflict, "this node has another id now"));
+    reply(Status(StatusCode::kConflict, "the request is for queue node " +
+                                            std::to_string(request.queue_node_id()) +
+                                            "; this node is " + agent_.node_id().ToString()));
     return;
   }
   std::vector<PartitionId> not_owned;
@@ -88,7 +91,7 @@
 Status PartitionOwnership::RequireLease() const {
   return agent_.HasValidLease()
              ? Status::Ok()
-             : Status(StatusCode::kUnavailable, "this queue node has lost its lease");
+             : Status(StatusCode::kUnavailable, "this queue node has no valid lease");
 }
 
 Result<std::shared_ptr<OwnedPartition>> PartitionOwnership::Require(
@@ -111,7 +114,7 @@
 std::vector<proto::LogEntry> PartitionOwnership::Watermarks() const {
   std::vector<proto::LogEntry> watermarks;
   for (const auto& [id, partition] : partitions_) {
-    watermarks.push_back(partition->Watermark());
+    watermarks.push_back(partition->MakeWatermark());
   }
   for (proto::LogEntry& watermark : recoveries_.Watermarks()) {
     watermarks.push_back(std::move(watermark));
--- a/src/storage/posix_file.cc
+++ b/src/storage/posix_file.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-/// Repeats `call` while a signal interrupts it. @return its result.
+/// Repeats `call` as long as it fails with EINTR. @return the result of the last call.
 template <typename Call>
-auto RepeatInterrupted(Call call) {
+auto RetryInterrupted(Call call) {
   auto result = call();
   while (result < 0 && errno == EINTR) {
     result = call();
@@ -23,7 +23,7 @@
 }
 
 constexpr mode_t kFileMode = 0644;
-constexpr std::size_t kReadBytes = 1U << 20U;
+constexpr std::size_t kReadChunkBytes = 1U << 20U;
 
 }  // namespace
 
@@ -52,13 +52,13 @@
 
 PosixFile::~PosixFile() {
   if (is_open()) {
-    ::close(descriptor_);  // Everything acknowledged was synced; close has nothing to report.
+    ::close(descriptor_);  // Errors are ignored: acknowledged data is already synced.
   }
 }
 
 Result<PosixFile> PosixFile::Open(const std::string& path, int flags) {
   const int descriptor =
-      RepeatInterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); });
+      RetryInterrupted([&] { return ::open(path.c_str(), flags | O_CLOEXEC, kFileMode); });
   if (descriptor < 0) {
     return ErrnoStatus("open", path, errno);
   }
@@ -77,9 +77,9 @@
   std::string content;
   while (true) {
     const std::size_t old_size = content.size();
-    content.resize(old_size + kReadBytes);
-    const ssize_t count = RepeatInterrupted([&] {
-      return ::pread(descriptor_, content.data() + old_size, kReadBytes,
+    content.resize(old_size + kReadChunkBytes);
+    const ssize_t count = RetryInterrupted([&] {
+      return ::pread(descriptor_, content.data() + old_size, kReadChunkBytes,
                      static_cast<off_t>(old_size));
     });
     if (count < 0) {
@@ -95,14 +95,14 @@
 Status PosixFile::WriteAt(const FileCalls& calls, std::uint64_t offset,
                           std::string_view bytes) const {
   while (!bytes.empty()) {
-    const ssize_t count = RepeatInterrupted([&] {
+    const ssize_t count = RetryInterrupted([&] {
       return calls.write_at(descriptor_, bytes.data(), bytes.size(), static_cast<off_t>(offset));
     });
     if (count < 0) {
       return ErrnoStatus("write", path_, errno);
     }
     if (count == 0) {
-      return {StatusCode::kIoError, "write " + path_ + ": no byte was taken"};
+      return {StatusCode::kIoError, "write " + path_ + ": the system wrote 0 bytes"};
     }
     bytes.remove_prefix(static_cast<std::size_t>(count));
     offset += static_cast<std::uint64_t>(count);
@@ -112,7 +112,7 @@
 
 Status PosixFile::Truncate(std::uint64_t size) const {
   const int result =
-      RepeatInterrupted([&] { return ::ftruncate(descriptor_, static_cast<off_t>(size)); });
+      RetryInterrupted([&] { return ::ftruncate(descriptor_, static_cast<off_t>(size)); });
   return result == 0 ? Status::Ok() : ErrnoStatus("truncate", path_, errno);
 }
 
--- a/src/token_quota/token_reserver.cc
+++ b/src/token_quota/token_reserver.cc
@@ -8,15 +8,17 @@
 namespace cloverbank {
 namespace {
 
-/// Longer than the time in which a quota owner completes a count.
+/// Deadline of a request to the quota owner. Longer than the time in which a quota owner completes
+/// a count.
 constexpr Duration kReserveDeadline = milliseconds(1600);
-/// A quota owner that does not answer within this time, in addition to the time a batch may wait,
-/// is taken for failed.
+/// A quota owner that does not answer within this time, in addition to the time that the batch may
+/// wait, is considered failed.
 constexpr Duration kQuotaOwnerTimeout = milliseconds(300);
-constexpr Duration kWatchInterval = milliseconds(100);
+/// Time between checks whether a pending request fits the allowance.
+constexpr Duration kAllowanceCheckInterval = milliseconds(100);
 
 Status QuotaOwnerUnavailable(const std::string& reason) {
-  return {StatusCode::kConflict, "the keeper of the route's limit gave no answer: " + reason,
+  return {StatusCode::kConflict, "the quota owner of the route is unavailable: " + reason,
           std::string(kQuotaOwnerUnavailableDetail)};
 }
 
@@ -41,7 +43,7 @@
              std::make_shared<Done>(std::move(done))};
   const proto::ReserveTokensRequest request =
       MakeRequest(sequence, pending, reservation, batch.open_token_limit());
-  WatchQuotaOwner(sequence, reservation.max_wait + kQuotaOwnerTimeout);
+  ScheduleAllowanceCheck(sequence, reservation.max_wait + kQuotaOwnerTimeout);
   SendRequest(request);
 }
 
@@ -70,7 +72,9 @@
   const proto::Server* server = agent_.fleet().OwnerOf(PartitionId(request.partition_id()));
   if (server == nullptr) {
     HandleAnswer(request.sequence(),
-                 Status(StatusCode::kUnavailable, "its partition has no owner now"));
+                 Status(StatusCode::kUnavailable, "the quota's partition " +
+                                                      std::to_string(request.partition_id()) +
+                                                      " has no owner"));
     return;
   }
   const auto finish = [weak = weak_from_this(), sequence = request.sequence(),
@@ -79,7 +83,7 @@
     if (const auto self = weak.lock()) {
       self->HandleAnswer(sequence, answer);
     } else {
-      CallOnce(*done, QuotaOwnerUnavailable("this queue node's life ended"));
+      CallOnce(*done, QuotaOwnerUnavailable("this queue node's incarnation ended"));
     }
   };
   if (NodeId(server->node_id()) == agent_.node_id()) {
@@ -96,7 +100,7 @@
                                  const Result<proto::ReserveTokensResponse>& answer) {
   const auto found = pending_.find(sequence);
   if (found == pending_.end()) {
-    return;  // Accepted within the allowance meanwhile.
+    return;  // It was accepted within the allowance before this answer arrived.
   }
   if (answer.ok()) {
     allowances_[found->second.key].RecordGrant(found->second.tokens + answer->allowance());
@@ -110,8 +114,8 @@
   }
 }
 
-void TokenReserver::WatchQuotaOwner(std::uint64_t sequence, Duration timeout) {
-  environment_.ScheduleAfter(timeout, [weak = weak_from_this(), sequence] {
+void TokenReserver::ScheduleAllowanceCheck(std::uint64_t sequence, Duration delay) {
+  environment_.ScheduleAfter(delay, [weak = weak_from_this(), sequence] {
     const auto self = weak.lock();
     const bool pending = self != nullptr && self->pending_.contains(sequence);
     if (!pending) {
@@ -120,7 +124,7 @@
     if (self->FitsAllowance(self->pending_.at(sequence))) {
       self->Complete(sequence, Status::Ok());
     } else {
-      self->WatchQuotaOwner(sequence, kWatchInterval);
+      self->ScheduleAllowanceCheck(sequence, kAllowanceCheckInterval);
     }
   });
 }
@@ -143,7 +147,8 @@
 }
 
 void TokenReserver::Complete(std::uint64_t sequence, const Status& status) {
-  // It stays pending until its tokens count as open, so that no count between the two misses it.
+  // The request stays pending until its tokens count as open. Otherwise a count in between would
+  // include it neither as pending nor as open.
   const std::shared_ptr<Done> done = pending_.at(sequence).done;
   CallOnce(*done, status);
   pending_.erase(sequence);
--- a/tests/gateway/gateway_harness.h
+++ b/tests/gateway/gateway_harness.h
@@ -1,7 +1,7 @@
 #pragma once
 /// @file
-/// A data plane on simulated time: scripted replicas, the platform's list, a lease that a test can
-/// revoke, and clients.
+/// A data plane on simulated time, with scripted replicas, the platform's list of replicas, a lease
+/// that a test can revoke, and clients.
 
 #include <map>
 #include <memory>
@@ -23,11 +23,11 @@
 struct FakeReplica {
   proto::Replica entry;
   std::uint32_t running = 0;
-  std::uint32_t most_running = 0;
-  std::uint32_t report_running = 0;         ///< Calls of others that it reports.
-  std::vector<std::string> received;        ///< Ids of received calls, in order.
-  std::vector<proto::CallRequest> ran;      ///< Requests that it may have carried out.
-  std::vector<std::uint32_t> running_then;  ///< Calls running when each was received.
+  std::uint32_t max_running = 0;
+  std::uint32_t external_running = 0;             ///< Calls of other clients that it reports.
+  std::vector<std::string> received;              ///< Ids of received calls, in order.
+  std::vector<proto::CallRequest> executed;       ///< Requests that it may have executed.
+  std::vector<std::uint32_t> running_at_arrival;  ///< Calls running when each was received.
   std::uint32_t probes = 0;
   Duration work_time = milliseconds(50);
   enum class Mode : std::uint8_t {
@@ -37,7 +37,7 @@
     kFail,
     kScripted
   } mode = Mode::kServe;
-  std::vector<ExchangePtr> exchanges;  ///< Of calls; answered by the test in kScripted.
+  std::vector<ExchangePtr> exchanges;  ///< Of its calls; in kScripted the test responds to them.
 };
 
 class FakeServingPermission : public ServingPermission {
@@ -69,8 +69,8 @@
     const CallContext context{
         {environment, client, *pool, options.calls}, permission, *queue, budget, options.retry};
     live = std::make_unique<LiveCallHandler>(context, options);
-    batch = std::make_unique<ReplicaBackendCaller>(context, options.forward_headers);
-    pool->OnCapacity([this] { queue->ScheduleDispatch(); });
+    batch = std::make_unique<ReplicaBackendCaller>(context, options.replica_header_names);
+    pool->SetCapacityObserver([this] { queue->ScheduleDispatch(); });
     live->Register(router);
   }
 
@@ -94,7 +94,7 @@
     client = std::make_unique<FakeHttpClient>(*environment);
     options.zone = "a";
     options.replica_list.endpoint = {"127.0.0.9", 80};
-    options.sharing.initial_slow_start_quota = 1;  // Most tests have one gateway only.
+    options.sharing.initial_slow_start_quota = 1;  // Most tests have only one gateway.
     for (const char* name : {"a", "b", "c"}) {
       proto::Zone* zone = permission.stored.add_zones();
       zone->set_name(name);
@@ -106,7 +106,7 @@
         [this](const ExchangePtr& exchange) { ServeList(exchange); };
   }
 
-  /// Must be added in the order of names, as the configuration keeps them sorted.
+  /// Routes must be added in the order of their names, since the configuration is sorted by them.
   proto::Route& AddRoute(const std::string& name, proto::BackendKind kind, bool idempotent) {
     proto::Route* route = permission.stored.add_routes();
     route->set_name(name);
@@ -145,47 +145,47 @@
     ++list_version;
   }
 
-  /// Builds the data plane and lets it learn the list and probe everyone.
+  /// Builds the data plane, and lets it read the list and probe all replicas.
   void Start(Duration settle = seconds(1)) {
-    first = &AddPlane();
-    pool = first->pool.get();
-    queue = first->queue.get();
-    live = first->live.get();
-    batch = first->batch.get();
+    first_plane = &AddPlane();
+    pool = first_plane->pool.get();
+    queue = first_plane->queue.get();
+    live = first_plane->live.get();
+    batch = first_plane->batch.get();
     world.RunFor(settle);
   }
-  /// One more gateway before the same replicas.
+  /// Adds one more gateway that uses the same replicas.
   GatewayPlane& AddPlane() {
     planes.push_back(std::make_unique<GatewayPlane>(*environment, *client, permission, options));
     planes.back()->pool->Start();
     return *planes.back();
   }
-  /// Starts before replicas that are at work already, hence warm.
+  /// Starts while all replicas report running calls, so that they are not in slow start.
   void StartWarm() {
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 1;
+      replica.external_running = 1;
     }
     Start();
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 0;
+      replica.external_running = 0;
     }
     world.RunFor(seconds(2));
   }
-  /// Has every replica seen at work by others for longer than slow start takes.
+  /// Lets every replica report running calls of other clients for longer than slow start takes.
   void WarmUp() {
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 1;
+      replica.external_running = 1;
     }
     world.RunFor(options.health.slow_start_time + seconds(3));
     for (auto& [id, replica] : replicas) {
-      replica.report_running = 0;
+      replica.external_running = 0;
     }
     world.RunFor(seconds(2));
   }
 
   std::shared_ptr<FakeResponder> Call(const std::string& route, const std::string& body = "{}",
                                       HttpHeaders headers = {}) {
-    return first->router.Post("/v1/call/" + route, body, std::move(headers));
+    return first_plane->router.Post("/v1/call/" + route, body, std::move(headers));
   }
   static proto::CallError ErrorIn(const FakeResponder& responder) {
     proto::ErrorBody body;
@@ -201,21 +201,21 @@
   std::map<std::string, FakeReplica> replicas;
   std::uint64_t list_version = 0;
   bool list_readable = true;
-  Duration list_delay{};                               ///< How long the platform takes to answer.
-  std::function<void(const FakeReplica&)> on_arrival;  ///< A call has reached a replica.
+  Duration list_delay{};                               ///< How long the platform takes to respond.
+  std::function<void(const FakeReplica&)> on_arrival;  ///< Runs when a replica receives a call.
   std::vector<std::unique_ptr<GatewayPlane>> planes;
-  GatewayPlane* first = nullptr;
-  ReplicaPool* pool = nullptr;  ///< Of the first plane, as the next three.
+  GatewayPlane* first_plane = nullptr;
+  ReplicaPool* pool = nullptr;  ///< Of the first plane, like the next three.
   CallQueue* queue = nullptr;
   LiveCallHandler* live = nullptr;
   ReplicaBackendCaller* batch = nullptr;
 
  private:
   void ServeList(const ExchangePtr& exchange) {
-    environment->ScheduleAfter(list_delay, [this, exchange] { AnswerList(exchange); });
+    environment->ScheduleAfter(list_delay, [this, exchange] { RespondWithList(exchange); });
   }
 
-  void AnswerList(const ExchangePtr& exchange) {
+  void RespondWithList(const ExchangePtr& exchange) {
     const std::string etag = "\"" + std::to_string(list_version) + "\"";
     if (!list_readable) {
       exchange->Answer({500, {}, "broken"});
@@ -234,8 +234,8 @@
   }
 
   HttpHeaders LoadHeaders(const FakeReplica& replica) const {
-    return {{"x-cloverbank-load", std::to_string(replica.running + replica.report_running) + "/0/" +
-                                      std::to_string(replica.entry.capacity())}};
+    return {{"x-cloverbank-load", std::to_string(replica.running + replica.external_running) +
+                                      "/0/" + std::to_string(replica.entry.capacity())}};
   }
 
   void Serve(FakeReplica& replica, const ExchangePtr& exchange) {
@@ -245,11 +245,11 @@
     if (!probe) {
       EXPECT_TRUE(FromJson(exchange->request.body, &request, UnknownFields::kIgnore).ok());
       replica.received.push_back(request.call_id());
-      replica.running_then.push_back(replica.running);
+      replica.running_at_arrival.push_back(replica.running);
       replica.exchanges.push_back(exchange);
       const bool full = replica.running >= replica.entry.capacity();
       if (replica.mode != FakeReplica::Mode::kRefuse && !full) {
-        replica.ran.push_back(request);
+        replica.executed.push_back(request);
       }
       if (on_arrival) {
         on_arrival(replica);
@@ -271,17 +271,17 @@
     if (probe) {
       exchange->Answer({200, LoadHeaders(replica), "{}"});
     } else if (replica.mode == FakeReplica::Mode::kServe) {
-      Work(replica, exchange, replica.received.back());
+      RunCall(replica, exchange, replica.received.back());
     }
   }
 
-  void Work(FakeReplica& replica, const ExchangePtr& exchange, const std::string& call_id) {
+  void RunCall(FakeReplica& replica, const ExchangePtr& exchange, const std::string& call_id) {
     if (replica.running >= replica.entry.capacity()) {
       exchange->Answer({429, LoadHeaders(replica), ""});
       return;
     }
     ++replica.running;
-    replica.most_running = std::max(replica.most_running, replica.running);
+    replica.max_running = std::max(replica.max_running, replica.running);
     environment->ScheduleAfter(replica.work_time, [this, &replica, exchange, call_id] {
       const HttpHeaders load = LoadHeaders(replica);
       --replica.running;
--- a/tests/leader/recovery_manager_test.cc
+++ b/tests/leader/recovery_manager_test.cc
@@ -12,7 +12,8 @@
 using ::testing::HasSubstr;
 using ::testing::IsEmpty;
 
-/// Backups and queue nodes that answer at once, and proposals that are applied at once.
+/// Executes the actions of a RecoveryManager against simulated backups and queue nodes that answer
+/// at once, and applies its proposals at once.
 class RecoveryManagerTest : public testing::Test {
  protected:
   RecoveryManagerTest() {
@@ -26,7 +27,7 @@
     Store(backup, dead);
   }
   void Store(NodeId at, NodeId owner) {
-    *disks[at][owner].add_segments() = Stored(1, 10, 1, false, {1});
+    *disks[at][owner].add_segments() = MakeStoredSegment(1, 10, 1, false, {1});
   }
 
   void Execute(const StartReadingAction& action) {
@@ -46,7 +47,7 @@
     const NodeId node(action.request.queue_node_id());
     EXPECT_FALSE(action.request.segments().empty());
     replays.push_back(action.request);
-    if (!stuck.contains(node)) {
+    if (!stalled.contains(node)) {
       const auto& ids = action.request.partition_ids();
       control.FinishAssignment(NodeId(action.request.dead_node_id()), node,
                                {ids.begin(), ids.end()});
@@ -63,33 +64,34 @@
 
   void Step(int times = 1) {
     for (int time = 0; time < times; ++time) {
-      facts.now += milliseconds(600);
-      for (const RecoveryAction& action : manager.Step(control.state, facts)) {
-        std::visit([this](const auto& one) { Execute(one); }, action);
+      input.now += milliseconds(600);
+      for (const RecoveryAction& action : manager.Step(control.state, input)) {
+        std::visit([this](const auto& typed_action) { Execute(typed_action); }, action);
       }
     }
   }
-  bool IsOver() const { return control.state.partitions().recoveries().empty(); }
-  std::size_t Owned(NodeId node) const {
+  bool IsRecoveryFinished() const { return control.state.partitions().recoveries().empty(); }
+  std::size_t CountOwned(NodeId node) const {
     return control.state.partitions().FindOwnedBy(node).size();
   }
 
   ControlDriver control;
   RecoveryManager manager{RecoveryOptions{}};
-  RecoveryInput facts;
+  RecoveryInput input;
   NodeId dead, first, second, backup, spare;
+  /// Segments that each backup stores, by backup and owner.
   std::map<NodeId, std::map<NodeId, proto::StartReadingDataResponse>> disks;
-  std::set<NodeId> unreachable;
-  std::set<NodeId> stuck;
-  std::vector<proto::RecoverPartitionsRequest> replays;
+  std::set<NodeId> unreachable;  ///< Backups to which calls fail.
+  std::set<NodeId> stalled;      ///< Queue nodes that do not finish replays.
+  std::vector<proto::RecoverPartitionsRequest> replays;  ///< In the order sent.
 };
 
-TEST_F(RecoveryManagerTest, SpreadsReplaysAndReleasesLog) {
+TEST_F(RecoveryManagerTest, SpreadsReplaysOverNodesAndReleasesLog) {
   control.DeclareDead(dead);
   Step(6);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(first), 2U);
-  EXPECT_EQ(Owned(second), 2U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(first), 2U);
+  EXPECT_EQ(CountOwned(second), 2U);
   EXPECT_THAT(disks[backup], IsEmpty());
 }
 
@@ -99,37 +101,37 @@
   Step(20);
   EXPECT_THAT(replays, IsEmpty());
   EXPECT_THAT(
-      manager.DescribeAwaited(control.state, dead),
+      manager.DescribePendingWork(control.state, dead),
       AllOf(HasSubstr("head segment 1"), HasSubstr("the backup on s1"), HasSubstr("no route")));
-  // The backup restarts: another node id, the same disk.
+  // The backup restarts: it registers with another node id and the same disk.
   const NodeId restarted = control.Register(proto::ROLE_BACKUP, "s1", 40);
   Store(restarted, dead);
   Step(6);
-  EXPECT_TRUE(IsOver());
+  EXPECT_TRUE(IsRecoveryFinished());
 }
 
 TEST_F(RecoveryManagerTest, ReassignsReplayOfDeadNode) {
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   Step(3);
   control.CommitHead(first, 1, 1, {backup});
   Store(backup, first);
   control.DeclareDead(first);
-  stuck.clear();
+  stalled.clear();
   Step(8);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(second), 4U);
 }
 
-TEST_F(RecoveryManagerTest, ResumesOnceAQueueNodeRegisters) {
+TEST_F(RecoveryManagerTest, ContinuesOnceAQueueNodeRegisters) {
   control.DeclareDead(dead);
   control.DeclareDead(first);
   control.DeclareDead(second);
   Step(5);
-  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("a queue node"));
+  EXPECT_THAT(manager.DescribePendingWork(control.state, dead), HasSubstr("a queue node"));
   const NodeId third = control.Register(proto::ROLE_QUEUE, "q3", 9);
   Step(5);
-  EXPECT_EQ(Owned(third), 4U);
+  EXPECT_EQ(CountOwned(third), 4U);
 }
 
 TEST_F(RecoveryManagerTest, ReleaseWaitsForEveryLiveBackup) {
@@ -138,58 +140,61 @@
   Step(8);
   EXPECT_EQ(control.state.partitions().recoveries().at(dead).phase(),
             proto::RECOVERY_PHASE_RELEASING);
-  EXPECT_THAT(manager.DescribeAwaited(control.state, dead), HasSubstr("the backup on s2"));
+  EXPECT_THAT(manager.DescribePendingWork(control.state, dead), HasSubstr("the backup on s2"));
   control.DeclareDead(spare);
   Step(2);
-  EXPECT_TRUE(IsOver());
+  EXPECT_TRUE(IsRecoveryFinished());
 }
 
-// A new leader knows only the replicated state, in any phase.
+// A new leader knows only the replicated state. The leader changes before the step with the number
+// of the parameter, so that the change falls into each phase of the recovery.
 class LeaderChangeTest : public RecoveryManagerTest, public testing::WithParamInterface<int> {};
 
 TEST_P(LeaderChangeTest, RecoveryContinues) {
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   for (int step = 0; step < 10; ++step) {
     if (step == GetParam()) {
       manager.Reset();
     }
     if (step == 3) {
-      stuck.clear();
+      stalled.clear();
     }
     Step();
   }
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(first) + Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(first) + CountOwned(second), 4U);
 }
 
 INSTANTIATE_TEST_SUITE_P(AtAnyStep, LeaderChangeTest, testing::Range(0, 7));
 
-// The replaying node dies too, owning one of the dead node's partitions by then.
-TEST_F(RecoveryManagerTest, RecoversReplayingNodeThatDies) {
+// A node that replays a log dies too. By then it owns one of the dead node's partitions, so its own
+// log must be recovered as well.
+TEST_F(RecoveryManagerTest, RecoversNodeThatDiesDuringReplay) {
   control.CommitHead(first, 1, 1, {spare});
   Store(spare, first);
-  stuck = {first, second};
+  stalled = {first, second};
   control.DeclareDead(dead);
   Step(2);
   control.FinishAssignment(dead, first, {0});
   control.DeclareDead(first);
   EXPECT_EQ(control.state.partitions().recoveries().size(), 2U);
-  stuck.clear();
+  stalled.clear();
   Step(8);
-  EXPECT_TRUE(IsOver());
-  EXPECT_EQ(Owned(second), 4U);
+  EXPECT_TRUE(IsRecoveryFinished());
+  EXPECT_EQ(CountOwned(second), 4U);
 }
 
-// Each dead node had one partition, and no replay shows in the state when the others are placed.
+// Each of four dead nodes had one partition. When the second and later ones are placed, the state
+// does not show the placement of the earlier ones yet; it must be counted all the same.
 TEST_F(RecoveryManagerTest, SimultaneousReplaysGoToDifferentNodes) {
   ControlDriver fleet;
   std::vector<NodeId> owners;
-  const NodeId keeper = fleet.Register(proto::ROLE_BACKUP, "s1", 1);
+  const NodeId log_backup = fleet.Register(proto::ROLE_BACKUP, "s1", 1);
   for (const char* machine : {"d1", "d2", "d3", "d4"}) {
     owners.push_back(fleet.Register(proto::ROLE_QUEUE, machine, 1));
     fleet.Assign(owners.back(), {owners.size() - 1});
-    fleet.CommitHead(owners.back(), 1, 1, {keeper});
+    fleet.CommitHead(owners.back(), 1, 1, {log_backup});
   }
   for (const char* machine : {"q1", "q2", "q3", "q4"}) {
     fleet.Register(proto::ROLE_QUEUE, machine, 2);
@@ -201,8 +206,8 @@
   recoveries.Step(fleet.state, {TimePoint(seconds(100)), false, {}});
   for (const NodeId owner : owners) {
     proto::StartReadingDataResponse answer;
-    *answer.add_segments() = Stored(1, 10, 1, true, {1});
-    recoveries.HandleReadingData(owner, keeper, answer);
+    *answer.add_segments() = MakeStoredSegment(1, 10, 1, true, {1});
+    recoveries.HandleReadingData(owner, log_backup, answer);
   }
   std::set<std::uint64_t> assigned;
   for (const RecoveryAction& action :
--- a/tests/log_writer/segment_log_fixture.h
+++ b/tests/log_writer/segment_log_fixture.h
@@ -1,6 +1,7 @@
 #pragma once
 /// @file
-/// A segment log over simulated backups that tests can lose, cut off and empty.
+/// Fixture with a segment log over simulated backups, which tests can stop, isolate or take the
+/// disk of.
 
 #include <gtest/gtest.h>
 
@@ -13,7 +14,7 @@
 constexpr std::uint64_t kPartition = 0;
 constexpr std::uint64_t kSegmentBytes = 16 << 10;
 
-/// A queue process that has only its log.
+/// A queue process that consists of its agent and its log only.
 struct LogProcess {
   std::unique_ptr<NodeAgent> agent;
   std::unique_ptr<SegmentLog> log;
@@ -30,15 +31,16 @@
           auto started = std::make_shared<LogProcess>();
           started->agent = std::make_unique<NodeAgent>(
               environment, log_world.AgentOptions("q", "zone-b1", proto::ROLE_QUEUE));
-          LogProcess* raw = started.get();
-          started->agent->OnRegistered([this, raw, &environment] { OpenLog(*raw, environment); });
-          started->agent->OnFleet([raw] {
-            if (raw->log != nullptr) {
-              raw->log->OnFleet();
+          LogProcess* queue_process = started.get();
+          started->agent->OnRegistered(
+              [this, queue_process, &environment] { OpenLog(*queue_process, environment); });
+          started->agent->OnFleet([queue_process] {
+            if (queue_process->log != nullptr) {
+              queue_process->log->OnFleet();
             }
           });
           started->agent->Start();
-          process = raw;
+          process = queue_process;
           return started;
         });
   }
@@ -53,7 +55,7 @@
     node = opened.agent->node_id().value();
     opened.log = std::make_unique<SegmentLog>(
         environment, *opened.agent, options, [] { return std::vector<proto::LogEntry>(); },
-        [this](const std::string&) { ++fences; });
+        [this](const std::string&) { ++fenced_count; });
     opened.log->Start();
   }
 
@@ -64,8 +66,8 @@
         [this] { return process->log != nullptr && process->log->ready(); }, seconds(5)));
   }
 
-  proto::LogEntry Entry(std::uint64_t sequence, std::size_t bytes = 300,
-                        const std::string& batch = "b") {
+  proto::LogEntry MakeEntry(std::uint64_t sequence, std::size_t bytes = 300,
+                            const std::string& batch = "b") {
     proto::LogEntry entry;
     entry.set_partition_tag(kPartition + 1);
     entry.set_sequence(sequence);
@@ -74,15 +76,19 @@
     return entry;
   }
 
-  /// Appends one entry with the next sequence. Its outcome goes to `outcomes`.
+  /// Appends one entry with the next sequence and `bytes` bytes of output. Its outcome is written
+  /// to `outcomes`. @return the sequence.
   std::uint64_t Append(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = ++last_sequence;
-    process->log->Append({Entry(sequence, bytes, batch)}, [this, sequence](const Status& status) {
-      EXPECT_FALSE(outcomes.contains(sequence));
-      outcomes[sequence] = status.code();
-    });
+    process->log->Append({MakeEntry(sequence, bytes, batch)},
+                         [this, sequence](const Status& status) {
+                           EXPECT_FALSE(outcomes.contains(sequence));
+                           outcomes[sequence] = status.code();
+                         });
     return sequence;
   }
+  /// Like `Append`, and runs the world until the outcome is known, for 10 s at most.
+  /// @return whether the append was acknowledged.
   bool AppendAndWait(std::size_t bytes = 300, const std::string& batch = "b") {
     const std::uint64_t sequence = Append(bytes, batch);
     return log_world.world.RunUntil([&] { return outcomes.contains(sequence); }, seconds(10)) &&
@@ -93,7 +99,7 @@
   }
   proto::LogHead Head() { return log_world.coordinator.heads[node]; }
 
-  /// Recovers the log and checks that everything acknowledged is in it, in order.
+  /// Recovers the log and checks that it has every acknowledged entry, in order.
   void ExpectAcknowledgedRecoverable() {
     const auto entries = log_world.Recover(node, kPartition);
     ASSERT_TRUE(entries.ok()) << entries.status().ToString();
@@ -106,7 +112,7 @@
     }
     for (const auto& [sequence, outcome] : outcomes) {
       if (outcome == StatusCode::kOk) {
-        EXPECT_TRUE(found.contains(sequence)) << "lost " << sequence;
+        EXPECT_TRUE(found.contains(sequence)) << "acknowledged entry " << sequence << " is lost";
       }
     }
   }
@@ -116,7 +122,7 @@
   std::uint64_t node = 0;
   std::uint64_t last_sequence = 0;
   std::map<std::uint64_t, StatusCode> outcomes;
-  int fences = 0;
+  int fenced_count = 0;
 };
 
 }  // namespace cloverbank
--- a/tests/storage/number_log.h
+++ b/tests/storage/number_log.h
@@ -1,7 +1,8 @@
 #pragma once
 /// @file
-/// A small program that keeps a log the way consensus and backups do: records with consecutive
-/// numbers, appended in bursts, checked and cut to its valid part at each start.
+/// A small program that keeps a log file as consensus and backups do: it appends records with
+/// consecutive numbers in bursts, and at each start checks them and truncates the file after the
+/// last valid record.
 
 #include <gtest/gtest.h>
 
@@ -18,26 +19,28 @@
   static constexpr const char* kFileName = "log";
   static constexpr std::uint64_t kSeed = 99;
 
-  /// @param acknowledged highest number ever acknowledged, over all lives.
+  /// @param acknowledged the highest number acknowledged so far, over all restarts.
   NumberLog(DataFolder& folder, std::uint64_t& acknowledged)
       : folder_(folder), acknowledged_(acknowledged) {
     Load();
   }
 
-  /// Appends `count` records of varying size without waiting, unless something has failed.
+  /// Appends `count` records of varying size without waiting for them, unless an operation has
+  /// failed.
   void AppendMore(std::uint64_t count) {
     for (; count > 0 && !failed_; --count) {
-      const std::uint64_t number = ++last_;
+      const std::uint64_t number = ++last_number_;
       folder_.Append(kFileName, EncodeRecord(Payload(number), kSeed),
                      [this, number](const Status& status) { OnAppended(number, status); });
     }
   }
+  /// @return whether any operation has failed.
   bool failed() const { return failed_; }
 
  private:
   static std::string Payload(std::uint64_t number) {
-    constexpr std::uint64_t kLongest = 40;
-    return std::to_string(number) + std::string(number * number % kLongest, '.');
+    constexpr std::uint64_t kPaddingLimit = 40;
+    return std::to_string(number) + std::string(number * number % kPaddingLimit, '.');
   }
 
   void Load() {
@@ -45,10 +48,10 @@
     const std::string bytes = content.ok() ? *content : "";
     RecordReader reader(bytes, kSeed);
     while (const auto payload = reader.Next()) {
-      ASSERT_EQ(*payload, Payload(++last_));
+      ASSERT_EQ(*payload, Payload(++last_number_));
     }
-    completed_ = last_;
-    ASSERT_GE(last_, acknowledged_) << "an acknowledged record is gone";
+    completed_number_ = last_number_;
+    ASSERT_GE(last_number_, acknowledged_) << "an acknowledged record is missing";
     ASSERT_NE(reader.tail(), RecordTail::kCorrupt);
     if (reader.tail() != RecordTail::kClean) {
       folder_.Truncate(kFileName, reader.valid_bytes(),
@@ -59,15 +62,15 @@
   void OnAppended(std::uint64_t number, const Status& status) {
     failed_ = failed_ || !status.ok();
     if (!failed_) {
-      ASSERT_EQ(number, ++completed_) << "completed out of order";
+      ASSERT_EQ(number, ++completed_number_) << "completed out of order";
       acknowledged_ = number;
     }
   }
 
   DataFolder& folder_;
   std::uint64_t& acknowledged_;
-  std::uint64_t last_ = 0;
-  std::uint64_t completed_ = 0;
+  std::uint64_t last_number_ = 0;
+  std::uint64_t completed_number_ = 0;
   bool failed_ = false;
 };
 
