--- a/src/log_writer/backup_selector.h
+++ b/src/log_writer/backup_selector.h
@@ -17,11 +17,14 @@
 namespace cloverbank {
 
 struct BackupRequest {
-  std::size_t count = 0;     ///< Number of backups to choose.
-  std::size_t replicas = 0;  ///< Number wanted in all; spares are chosen only up to it.
-  std::set<NodeId> locations =
-      {};                       ///< Have a replica already: not chosen, their zones count as used.
-  std::set<NodeId> avoid = {};  ///< Failed or refused recently, or out of disk: not chosen.
+  std::size_t count = 0;  ///< Number of backups to choose.
+  /// Target number of replicas of the segment. Spare backups are chosen only while the segment has
+  /// fewer.
+  std::size_t replicas = 0;
+  /// Backups that have a replica already. They are not chosen, and their zones count as used.
+  std::set<NodeId> locations = {};
+  /// Backups that failed or refused recently or have no disk space. They are not chosen.
+  std::set<NodeId> avoid = {};
 };
 
 /// @return `request.count` different backups, or fewer if there are no more.
--- a/src/storage/posix_file.h
+++ b/src/storage/posix_file.h
@@ -19,7 +19,8 @@
 
 namespace cloverbank {
 
-/// System calls that tests can replace to make them fail; by default the system's own.
+/// The system calls that write files. Tests replace them to simulate failures; the defaults call
+/// the operating system.
 struct FileCalls {
   std::function<ssize_t(int, const void*, std::size_t, off_t)> write_at;  ///< As pwrite(2).
   std::function<int(int)> sync_data;                                      ///< As fdatasync(2).
--- a/tests/control_state/labelled_configuration_test.cc
+++ b/tests/control_state/labelled_configuration_test.cc
@@ -43,7 +43,7 @@
   const proto::RoutingConfiguration& full = control.state.configuration().FullConfiguration();
   EXPECT_EQ(full.label(), 10U);
   EXPECT_EQ(full.document().source(), "document 10");
-  EXPECT_EQ(full.routes_size(), 1);  // Removed: the route that "b" does not set.
+  EXPECT_EQ(full.routes_size(), 1);  // "b" removed the route of "/y/", which it does not set.
 }
 
 TEST(LabelledConfigurationTest, ResendOfAppliedTransactionIsAcknowledgedAgain) {
@@ -78,8 +78,8 @@
   ControlDriver control;
   control.Submit(FullConfiguration("a", 0, 3, {"/x/"}));
   const proto::ConfigurationTransaction inquiry = InquiryAfterPatch();
-  control.Submit(
-      FullConfiguration("b", 3, 5, {"/x/"}));  // Applied after the gateway has read label 3.
+  // Applied after the gateway has read label 3.
+  control.Submit(FullConfiguration("b", 3, 5, {"/x/"}));
   EXPECT_EQ(control.Submit(inquiry).outcome(), proto::TRANSACTION_OUTCOME_MAY_BE_SENT);
   EXPECT_EQ(control.state.configuration().label(), 5U);
   EXPECT_EQ(control.Submit(FullConfiguration("patch", 5, 9, {"/x/", "/y/"})).outcome(),
